--- a/dillport/__main__.py
+++ b/balancer/__main__.py
@@ -15,20 +15,20 @@
 
 import uvloop
 
-from dillport.errors import DillportError
-from dillport.interface import ListKind, Settings, TakingOver
-from dillport.net import config as config_file
-from dillport.net.config import Config, ConfigError, load
-from dillport.net.console import Console
-from dillport.net.discovery import Discovery
-from dillport.net.front import Front
-from dillport.net.handover import SOON, SUFFIX, give, take
-from dillport.net.node import Node
-from dillport.net.pair import LOOK, Pair, steer, unsteer
-from dillport.net.parts import Parts
+from balancer.errors import BalancerError
+from balancer.interface import ListKind, Settings, TakingOver
+from balancer.net import config as config_file
+from balancer.net.config import Config, ConfigError, load
+from balancer.net.console import Console
+from balancer.net.discovery import Discovery
+from balancer.net.front import Front
+from balancer.net.handover import SOON, SUFFIX, give, take
+from balancer.net.node import Node
+from balancer.net.pair import LOOK, Pair, steer, unsteer
+from balancer.net.parts import Parts
 
 if TYPE_CHECKING:
-    from dillport.net.fleet import Fleet
+    from balancer.net.fleet import Fleet
 
 ACCEPT = 0.8  # s to go on accepting after SIGTERM: connections come for 0.4 s more
 END = 0.2  # s before SIGKILL by which the last answer is written
@@ -37,14 +37,14 @@
 FRESH = 3.0  # s for discovery to tell the list to a process that takes over; it has 6 s to be ready
 
 
-class ListenError(DillportError):
+class ListenError(BalancerError):
     """An address that the node is to serve on, or its console, cannot be had."""
 
     code = "NOD01"
     remedy = "see who listens there (ss -ltnp): give that one, or this, another listen or PROXY_CONSOLE"
 
 
-class PartsError(DillportError):
+class PartsError(BalancerError):
     """The fleet file asks for parts whose libraries are not installed."""
 
     code = "NOD03"
@@ -78,7 +78,7 @@
     """The fleet's rooms, where `PROXY_FLEET` names their file; else nothing of them is even imported."""
     if not os.environ.get("PROXY_FLEET"):
         return None
-    from dillport.net.fleet import Fleet
+    from balancer.net.fleet import Fleet
 
     return Fleet(os.environ, config)
 
@@ -239,13 +239,13 @@
     try:
         uvloop.run(serve(load(os.environ)))
         return 0
-    except DillportError as err:
+    except BalancerError as err:
         why = err
     except ModuleNotFoundError as err:
         why = PartsError(f"PROXY_FLEET needs requirements-fleet.txt: {err}")
     except OSError as err:
         why = ListenError(f"listen: {err}")
-    print(f"dillport: {why.sentence}", file=sys.stderr)
+    print(f"balancer: {why.sentence}", file=sys.stderr)
     return 2
 
 
--- a/dillport/admission.py
+++ b/balancer/admission.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Sequence
 
-from dillport import interface as api
+from balancer import interface as api
 
 COLD_ALL = 0.8  # part of what cold backends can take before they fall, as nothing else adds to it
 SAVED = 4  # the window of a fall is so many times what may be saved up: a burst uses little of it
--- /dev/null
+++ b/balancer/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The `balancer` command."""
--- /dev/null
+++ b/balancer/cli/__main__.py
@@ -0,0 +1,5 @@
+"""`python -m balancer.cli`."""
+
+from balancer.cli.app import main
+
+main()
--- a/dillport/cli/app.py
+++ b/balancer/cli/app.py
@@ -1,4 +1,4 @@
-"""The `dillport` command: parsing, exit codes, output. What it does is done in the rooms it calls."""
+"""The `balancer` command: parsing, exit codes, output. What it does is done in the rooms it calls."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from dillport.cli import fleet, returning, state
-from dillport.cli.output import Exit, stop
-from dillport.errors import DillportError
-from dillport.lab import records
-from dillport.lab.figures import FEWEST, JUDGED, summary
-from dillport.lab.judge import RULES, Judge
-from dillport.lab.programs import HERE, ROOT, Program, ProgramError, obtain
-from dillport.lab.run import Live, ResultsError, Run, play
-from dillport.lab.spec import Experiment, SpecError, load
+from balancer.cli import fleet, returning, state
+from balancer.cli.output import Exit, stop
+from balancer.errors import BalancerError
+from balancer.lab import records
+from balancer.lab.figures import FEWEST, JUDGED, summary
+from balancer.lab.judge import RULES, Judge
+from balancer.lab.programs import HERE, ROOT, Program, ProgramError, obtain
+from balancer.lab.run import Live, ResultsError, Run, play
+from balancer.lab.spec import Experiment, SpecError, load
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
 
@@ -49,28 +49,28 @@
 AsJson = Annotated[bool, typer.Option("--json", help="Print the result as JSON on standard output.")]
 
 
-class InterruptError(DillportError):
+class InterruptError(BalancerError):
     """A command was ended by SIGINT or SIGTERM before it was done."""
 
     code = "CLI01"
     remedy = "start it again; what stands in --out is not whole"
 
 
-class RunFolderError(DillportError):
+class RunFolderError(BalancerError):
     """The folder of a run does not hold what a run leaves."""
 
     code = "LAB07"
     remedy = "name the --out folder of a lab run that has ended, or play it again with this version"
 
 
-class LateError(DillportError):
+class LateError(BalancerError):
     """The rig of a comparison was late itself, so it cannot tell."""
 
     code = "LAB08"
     remedy = "compare again on a machine at rest, or with a lower rate and fewer nodes"
 
 
-class FigureError(DillportError):
+class FigureError(BalancerError):
     """A comparison is to judge a figure that not all of its runs have."""
 
     code = "LAB09"
@@ -82,7 +82,7 @@
     """What can go wrong while something is played ends the command with two lines."""
     try:
         yield
-    except DillportError as err:
+    except BalancerError as err:
         raise stop(err) from None
     except OSError as err:
         raise stop(ResultsError(str(err))) from None
@@ -182,11 +182,11 @@
     as_json: AsJson = False,
 ) -> None:
     """Three nodes, nine backends, clients; a backend and a node are killed. Exit code 0: no rule broke."""
-    from dillport.cli.demo import Screen, experiment
+    from balancer.cli.demo import Screen, experiment
 
     spec = experiment(seconds)
     what = program(HERE)
-    with tempfile.TemporaryDirectory(prefix="dillport-demo-") as temporary:
+    with tempfile.TemporaryDirectory(prefix="balancer-demo-") as temporary:
         folder = out or Path(temporary)
         with stopping():
             with rich.live.Live(console=console, transient=True, refresh_per_second=4) as picture:
@@ -226,7 +226,7 @@
 
 def write_report(spec: Experiment, seen: records.Seen, table: dict[str, Any], out: Path) -> None:
     """`report.html` beside the records."""
-    from dillport.lab.report import run_page  # draws with matplotlib, which is slow to import
+    from balancer.lab.report import run_page  # draws with matplotlib, which is slow to import
 
     (out / "report.html").write_text(run_page(spec, seen, table), "utf-8")
 
@@ -295,8 +295,8 @@
     as_json: AsJson = False,
 ) -> None:
     """Play two programs on the same seeds. Exit code 0: no difference; 1: some figure differs; 2: not run."""
-    from dillport.lab.compare import compare, compare_page
-    from dillport.lab.compare import table as rows_of
+    from balancer.lab.compare import compare, compare_page
+    from balancer.lab.compare import table as rows_of
 
     specs = (experiment_of(experiment, sets), experiment_of(experiment, [*(sets or ()), *(sets_b or ())]))
     spec = specs[0]
@@ -344,8 +344,8 @@
     as_json: AsJson = False,
 ) -> None:
     """What each role costs at growing sizes, and its slope to the size of two years. Within 15 minutes."""
-    from dillport.cli.scale import play_all, show_slopes
-    from dillport.lab.scale.rig import encode, write
+    from balancer.cli.scale import play_all, show_slopes
+    from balancer.lab.scale.rig import encode, write
 
     with stopping():
         result = play_all(quick, seed, console)
--- a/dillport/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -1,4 +1,4 @@
-"""`dillport demo`: three nodes, nine backends, clients; a backend and a node are killed, live."""
+"""`balancer demo`: three nodes, nine backends, clients; a backend and a node are killed, live."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from rich.table import Table
 from rich.text import Text
 
-from dillport.lab.figures import percentiles
-from dillport.lab.run import Run
-from dillport.lab.spec import Expect, Experiment, Kill, Load
-from dillport.lab.timeline import Step, timeline
+from balancer.lab.figures import percentiles
+from balancer.lab.run import Run
+from balancer.lab.spec import Expect, Experiment, Kill, Load
+from balancer.lab.timeline import Step, timeline
 
 BARS = " ▁▂▃▄▅▆▇█"
 
--- a/dillport/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`dillport fleet`: what one node's console says of the tier. Exit code 0: all is well; 1: it is not.
+"""`balancer fleet`: what one node's console says of the tier. Exit code 0: all is well; 1: it is not.
 
 Well is: every member present and none suspected (`members`); more than half of the tier present, and all
 peers heard lately hold the same for present (`view`).
@@ -19,26 +19,26 @@
 from rich.table import Table
 from rich.text import Text
 
-from dillport.cli.output import Exit, stop
-from dillport.errors import DillportError
-from dillport.net.config import address
+from balancer.cli.output import Exit, stop
+from balancer.errors import BalancerError
+from balancer.net.config import address
 
 
-class ArgumentError(DillportError):
+class ArgumentError(BalancerError):
     """`--console` names no address."""
 
     code = "CLI02"
     remedy = "write HOST:PORT with a literal address, as PROXY_CONSOLE has it"
 
 
-class SilentError(DillportError):
+class SilentError(BalancerError):
     """A console does not answer, or it is no node's."""
 
     code = "CLI03"
     remedy = "compare --console with the node's line console on HOST:PORT; look whether the node runs"
 
 
-class AbsentError(DillportError):
+class AbsentError(BalancerError):
     """The node that was asked takes no part in the tier."""
 
     code = "CLI04"
--- a/dillport/cli/output.py
+++ b/balancer/cli/output.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 
 class Exit(IntEnum):
@@ -18,8 +18,8 @@
     NOT_RUN = 2
 
 
-def stop(err: DillportError) -> typer.Exit:
+def stop(err: BalancerError) -> typer.Exit:
     """The code and what happened, then what to do, on standard error; exit code 2."""
     happened, remedy = err.report
-    print(f"dillport: {happened}\n{remedy}", file=sys.stderr)
+    print(f"balancer: {happened}\n{remedy}", file=sys.stderr)
     return typer.Exit(Exit.NOT_RUN)
--- a/dillport/cli/returning.py
+++ b/balancer/cli/returning.py
@@ -1,4 +1,4 @@
-"""`dillport fleet recovery`: how far the return of a node is. Exit code 0: it is over; 1: not yet."""
+"""`balancer fleet recovery`: how far the return of a node is. Exit code 0: it is over; 1: not yet."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from rich.console import Group, RenderableType
 from rich.text import Text
 
-from dillport.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, rooms, show
-from dillport.cli.output import stop
+from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, rooms, show
+from balancer.cli.output import stop
 
 COLOURS = {"verify": "red", "ask": "red", "listed": "yellow", "warming": "yellow", "full": "green"}
 
--- a/dillport/cli/scale.py
+++ b/balancer/cli/scale.py
@@ -1,4 +1,4 @@
-"""`dillport lab scale`: progress while it plays, and its slopes for people."""
+"""`balancer lab scale`: progress while it plays, and its slopes for people."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from rich.progress import Progress, SpinnerColumn, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from dillport.lab.scale.points import Point
-from dillport.lab.scale.rig import Result, all_plays, run
+from balancer.lab.scale.points import Point
+from balancer.lab.scale.rig import Result, all_plays, run
 
 
 def play_all(quick: bool, seed: int, console: Console) -> Result:
--- a/dillport/cli/state.py
+++ b/balancer/cli/state.py
@@ -1,4 +1,4 @@
-"""`dillport state`: a node's directory of durable state, checked, shown or made small.
+"""`balancer state`: a node's directory of durable state, checked, shown or made small.
 
 Exit code 0: sound; 1: something in it is not as it was written; 2: it cannot be read, or must not be touched.
 """
@@ -15,22 +15,22 @@
 from rich.console import Console
 from rich.table import Table
 
-from dillport.cli.output import Exit, stop
-from dillport.durable.files import RealFiles
-from dillport.durable.records import Kept, stamp, total
-from dillport.durable.store import Loaded, Store, load
-from dillport.errors import DillportError
+from balancer.cli.output import Exit, stop
+from balancer.durable.files import RealFiles
+from balancer.durable.records import Kept, stamp, total
+from balancer.durable.store import Loaded, Store, load
+from balancer.errors import BalancerError
 
 app = typer.Typer(help="A node's durable state: verify, show, compact.", no_args_is_help=True)
 
-class FolderError(DillportError):
+class FolderError(BalancerError):
     """A directory of durable state cannot be read, or there is none."""
 
     code = "CLI05"
     remedy = "name the directory that durable.directory has, as a user who may read it"
 
 
-class UsedError(DillportError):
+class UsedError(BalancerError):
     """A directory is not to be touched while a process of its node lives."""
 
     code = "CLI06"
@@ -48,13 +48,13 @@
             raise stop(FolderError(f"{folder} is no directory"))
         loaded = load(RealFiles(folder))
         return loaded, total(loaded.snapshot, loaded.records)
-    except (DillportError, OSError) as err:
+    except (BalancerError, OSError) as err:
         raise refused(folder, err) from None
 
 
-def refused(folder: Path, err: DillportError | OSError) -> typer.Exit:
+def refused(folder: Path, err: BalancerError | OSError) -> typer.Exit:
     """What is wrong with a directory."""
-    kind = type(err) if isinstance(err, DillportError) else FolderError
+    kind = type(err) if isinstance(err, BalancerError) else FolderError
     return stop(kind(f"{folder}: {err}"))
 
 
@@ -130,7 +130,7 @@
                   lambda loaded: total(loaded.snapshot, loaded.records).encode()).close()  # fmt: skip
     except BlockingIOError:
         raise stop(UsedError(f"{folder}: a process of the node uses it")) from None
-    except (DillportError, OSError) as err:
+    except (BalancerError, OSError) as err:
         raise refused(folder, err) from None
     after, _ = read(folder)
     if as_json:
--- a/dillport/durable/files.py
+++ b/balancer/durable/files.py
@@ -2,7 +2,7 @@
 
 A file is made, appended to and synced; names are made, renamed and removed, and last once the directory was
 synced. Nothing is ever written in the middle of a file, and no file is cut: a store on this layer needs no
-more, and what a power cut can leave behind stays enumerable (`dillport/sim/disk.py`).
+more, and what a power cut can leave behind stays enumerable (`balancer/sim/disk.py`).
 """
 
 from __future__ import annotations
--- a/dillport/durable/frames.py
+++ b/balancer/durable/frames.py
@@ -16,7 +16,7 @@
 
 import google_crc32c
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 HEAD = struct.Struct(">IIIQQ")
 REST = struct.Struct(">IQQ")
@@ -24,7 +24,7 @@
 LONGEST = 4 * 2**20  # bytes of one record
 
 
-class LengthError(DillportError):
+class LengthError(BalancerError):
     """A record is too long to be written, a list of very many backends for one."""
 
     code = "STA03"
--- a/dillport/durable/records.py
+++ b/balancer/durable/records.py
@@ -13,14 +13,14 @@
 
 import msgspec
 
-from dillport.errors import DillportError
-from dillport.interface import Learned
+from balancer.errors import BalancerError
+from balancer.interface import Learned
 
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 MOST_UNKNOWN = 256  # records of unknown kinds that are passed on
 
 
-class RecordError(DillportError):
+class RecordError(BalancerError):
     """A snapshot cannot be read; of a sound file only a newer program's."""
 
     code = "STA02"
--- a/dillport/durable/shell.py
+++ b/balancer/durable/shell.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from dillport.durable.files import Files, RealFiles
-from dillport.durable.records import Kept, Record, encode, total
-from dillport.durable.store import Fenced, Loaded, Store, load
-from dillport.errors import DillportError
+from balancer.durable.files import Files, RealFiles
+from balancer.durable.records import Kept, Record, encode, total
+from balancer.durable.store import Fenced, Loaded, Store, load
+from balancer.errors import BalancerError
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 KEEP_RETURNS = 3_600_000.0  # ms for which the time of a backend's return is kept: longer than any ramp
 
 
-class DurableError(DillportError):
+class DurableError(BalancerError):
     """A record is not on disk; the text says why."""
 
     code = "STA04"
@@ -67,7 +67,7 @@
         self.files, self.where, self.node = files, where, node
         self.kept = Kept()  # of the writing thread, once it runs
         self.store: Store | None = None
-        self.off: DillportError | None = None  # why nothing is written, and will not be
+        self.off: BalancerError | None = None  # why nothing is written, and will not be
         self.fenced = False
         self.lost = False  # something that had been promised is not there any more
         self.fresh = True  # nothing was ever kept
@@ -92,7 +92,7 @@
             out._refused(DirectoryError(f"cannot be used: {err.strerror}"))
         return out
 
-    def _refused(self, why: DillportError) -> None:
+    def _refused(self, why: BalancerError) -> None:
         self.off = why
         log.warning("state: %s: %s; the node goes on without", self.where, why.line)
 
@@ -104,7 +104,7 @@
             loaded = load(self.files, self.node, whole=False)
             self.kept = total(loaded.snapshot, loaded.records)
             self.lost, self.fresh = loaded.lost, not loaded.number and not loaded.lost
-        except DillportError as err:
+        except BalancerError as err:
             self._refused(err)
         except OSError as err:
             self._failed(err)
@@ -122,7 +122,7 @@
         try:
             loaded = load(self.files, self.node, whole=False)
             return total(loaded.snapshot, loaded.records)
-        except (DillportError, OSError) as err:
+        except (BalancerError, OSError) as err:
             log.info("state: %s: cannot be read again: %s", self.where, err)
             return Kept()
 
@@ -134,7 +134,7 @@
             self._thread.start()
 
     async def keep(self, record: Record) -> None:
-        """Returns once the record would outlast a power cut; raises DillportError where it may not."""
+        """Returns once the record would outlast a power cut; raises BalancerError where it may not."""
         await self.put(record)
 
     def put(self, record: Record) -> asyncio.Future[None]:
@@ -204,7 +204,7 @@
                     self.store.close()
                 return
 
-    def _write(self, batch: list[Waiting]) -> DillportError | None:
+    def _write(self, batch: list[Waiting]) -> BalancerError | None:
         """Write a batch; why it is not on disk, None where it is."""
         if self.off is not None:
             return self.off
@@ -232,7 +232,7 @@
             return SupersededError(SUPERSEDED)
         except OSError as err:
             return self._failed(err)
-        except DillportError as err:
+        except BalancerError as err:
             self._refused(err)
             return err
         return None
@@ -274,7 +274,7 @@
         return why
 
 
-def _settle(done: asyncio.Future[None], why: DillportError | None) -> None:
+def _settle(done: asyncio.Future[None], why: BalancerError | None) -> None:
     if done.cancelled():
         return
     if why is not None:
--- a/dillport/durable/store.py
+++ b/balancer/durable/store.py
@@ -26,13 +26,14 @@
 
 import msgspec
 
-from dillport.durable import frames
-from dillport.durable.files import File, Files
-from dillport.durable.frames import Parsed
-from dillport.errors import DillportError
+from balancer.durable import frames
+from balancer.durable.files import File, Files
+from balancer.durable.frames import Parsed
+from balancer.errors import BalancerError
 
 VERSION = 1
 SNAP, LOG, DRAFT, FENCE = "snap", "log", "draft-", "fence"
+# The first bytes of each kind of file. They hold the program's former name: files on disk outlive a rename.
 MAGIC = {SNAP: b"dillport snap\n", LOG: b"dillport  log\n", FENCE: b"dillport fenc\n"}
 NAME = re.compile(r"(snap|log)-(\d{12})-(\d{8})")
 LOG_MOST = 2 * 2**20  # bytes of a log from which a new generation is begun
@@ -41,7 +42,7 @@
 Place = tuple[int, int]  # a generation's fence and number: later writers come after all of earlier ones
 
 
-class StoreError(DillportError):
+class StoreError(BalancerError):
     """The directory is another node's or a newer program's. Nothing in it was changed."""
 
     code = "STA01"
--- a/dillport/errors.py
+++ b/balancer/errors.py
@@ -1,7 +1,7 @@
 """What an operator is told when something does not work: a stable code, what happened, what can be done.
 
 All errors whose text reaches an operator (on standard error, in the log, in an answer of the console, in what
-the `dillport` command prints) derive from `DillportError` and stand where their subject is. Exceptions that
+the `balancer` command prints) derive from `BalancerError` and stand where their subject is. Exceptions that
 never leave the program stay outside: signals between two of its parts (`Fenced`), what is counted and
 dropped (`MessageError`), and what a client of the balanced service is answered (`BadRequest`).
 
@@ -14,7 +14,7 @@
 from typing import ClassVar
 
 
-class DillportError(Exception):
+class BalancerError(Exception):
     """The base: a class has a code and a remedy of its own, `str` of an instance is what happened."""
 
     code: ClassVar[str]
--- a/dillport/index.py
+++ b/balancer/index.py
@@ -13,8 +13,8 @@
 from itertools import accumulate
 from operator import itemgetter
 
-from dillport import interface as api
-from dillport.state import Backend
+from balancer import interface as api
+from balancer.state import Backend
 
 BLOCK = 512  # names in a block of an order, twice as many at most: about the root of a long list
 SLACK = 64  # stale values that a heap may hold beside as many as it has sound ones
--- a/dillport/interface.py
+++ b/balancer/interface.py
@@ -9,17 +9,17 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 
-class SettingsError(DillportError):
+class SettingsError(BalancerError):
     """A setting is missing or makes no sense; the text names the field and the value."""
 
     code = "SET01"
     remedy = "correct the setting that is named"
 
 
-class CallError(DillportError):
+class CallError(BalancerError):
     """The library was called in a way its contract rules out."""
 
     code = "SET02"
--- a/dillport/lab/backends.py
+++ b/balancer/lab/backends.py
@@ -8,14 +8,14 @@
 
 import httptools
 
-from dillport.lab import records
-from dillport.lab.model.backend import RAN, Backend, Cell, Job, Topple, Verdict
-from dillport.lab.model.late import spells
-from dillport.lab.model.weather import Weather
-from dillport.lab.places import Places
-from dillport.lab.spec import Experiment, LateConnect
-from dillport.lab.streams import stream
-from dillport.lab.wires import Clock, Listener, Wire
+from balancer.lab import records
+from balancer.lab.model.backend import RAN, Backend, Cell, Job, Topple, Verdict
+from balancer.lab.model.late import spells
+from balancer.lab.model.weather import Weather
+from balancer.lab.places import Places
+from balancer.lab.spec import Experiment, LateConnect
+from balancer.lab.streams import stream
+from balancer.lab.wires import Clock, Listener, Wire
 
 CODES = {
     Verdict.SERVED: "200 OK", Verdict.REPEATED: "200 OK", Verdict.ERROR: "500 Internal Server Error",
--- a/dillport/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -11,16 +11,16 @@
 import httptools
 import numpy as np
 
-from dillport.lab import records
-from dillport.lab.backends import WORK
-from dillport.lab.model.client import End, Try, Wish
-from dillport.lab.model.load import Arrivals, draw
-from dillport.lab.model.weather import Weather
-from dillport.lab.places import Places
-from dillport.lab.spec import Experiment, RequestClass, Terminate
-from dillport.lab.streams import stream
-from dillport.lab.timeline import timeline
-from dillport.lab.wires import Clock, Wire
+from balancer.lab import records
+from balancer.lab.backends import WORK
+from balancer.lab.model.client import End, Try, Wish
+from balancer.lab.model.load import Arrivals, draw
+from balancer.lab.model.weather import Weather
+from balancer.lab.places import Places
+from balancer.lab.spec import Experiment, RequestClass, Terminate
+from balancer.lab.streams import stream
+from balancer.lab.timeline import timeline
+from balancer.lab.wires import Clock, Wire
 
 OVERDUE = 500.0  # ms after its time that an answer is still looked for: by then a request counts as lost
 CHECK_OUT = 0.1  # s between two looks at a node that is out
--- a/dillport/lab/hub.py
+++ b/balancer/lab/hub.py
@@ -13,12 +13,12 @@
 
 import httptools
 
-from dillport.lab import records
-from dillport.lab.model.directory import Directory, Listed, Phase, Watch
-from dillport.lab.model.weather import Weather
-from dillport.lab.places import Places, text
-from dillport.lab.spec import Experiment, Reload
-from dillport.lab.wires import Clock, Listener, Wire
+from balancer.lab import records
+from balancer.lab.model.directory import Directory, Listed, Phase, Watch
+from balancer.lab.model.weather import Weather
+from balancer.lab.places import Places, text
+from balancer.lab.spec import Experiment, Reload
+from balancer.lab.wires import Clock, Listener, Wire
 
 LEFT = 1.5  # s after which an address that was left closes its connections
 EMPTY_LINE = 2.0  # s between two empty lines of a watch
--- a/dillport/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-from dillport.lab import records
-from dillport.lab.clients import OVERDUE, wording
-from dillport.lab.model.backend import Verdict
-from dillport.lab.model.client import End
-from dillport.lab.model.directory import Phase
-from dillport.lab.model.weather import Weather
-from dillport.lab.spec import (
+from balancer.lab import records
+from balancer.lab.clients import OVERDUE, wording
+from balancer.lab.model.backend import Verdict
+from balancer.lab.model.client import End
+from balancer.lab.model.directory import Phase
+from balancer.lab.model.weather import Weather
+from balancer.lab.spec import (
     DiscoveryDown,
     DiscoveryLate,
     Experiment,
@@ -30,8 +30,8 @@
     choose,
     parties,
 )
-from dillport.lab.streams import stream
-from dillport.lab.timeline import over
+from balancer.lab.streams import stream
+from balancer.lab.timeline import over
 
 SLACK = 50.0  # ms that sockets add to each limit
 TOLD_ANYWAY = 6000.0  # ms after which what discovery has to tell counts as told
--- a/dillport/lab/model/backend.py
+++ b/balancer/lab/model/backend.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from dillport.lab.spec import Backends, Rules
+from balancer.lab.spec import Backends, Rules
 
 PATIENCE = 64  # random numbers drawn at a time
 
--- a/dillport/lab/model/load.py
+++ b/balancer/lab/model/load.py
@@ -8,8 +8,8 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from dillport.lab.spec import Experiment, Load, Surge
-from dillport.lab.streams import stream
+from balancer.lab.spec import Experiment, Load, Surge
+from balancer.lab.streams import stream
 
 Floats = NDArray[np.float64]
 
--- a/dillport/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -5,10 +5,10 @@
 import asyncio
 import contextlib
 
-from dillport.lab import power
-from dillport.lab.processes import Fleet, NodeHost
-from dillport.lab.spec import Power
-from dillport.sim.disk import Image
+from balancer.lab import power
+from balancer.lab.processes import Fleet, NodeHost
+from balancer.lab.spec import Power
+from balancer.sim.disk import Image
 
 
 class Outage:
--- a/dillport/lab/places.py
+++ b/balancer/lab/places.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 PORT = 8080
 CONSOLE = 9800
@@ -20,7 +20,7 @@
 PAIRS, DISCOVERY, CONSOLES, PEERS = 4, 200, 220, 240  # first x of what listens there
 
 
-class PlaceError(DillportError):
+class PlaceError(BalancerError):
     """No block of addresses is free, or the fleet does not fit into one."""
 
     code = "LAB04"
@@ -68,7 +68,7 @@
     def __init__(self, nodes: int, backends: int) -> None:
         if nodes * backends > (DISCOVERY - PAIRS) * PER_ROW or nodes > 200:
             raise PlaceError(f"{nodes} nodes and {backends} backends do not fit into one block of addresses")
-        folder = Path(tempfile.gettempdir()) / f"dillport-lab-{os.getuid()}"
+        folder = Path(tempfile.gettempdir()) / f"balancer-lab-{os.getuid()}"
         folder.mkdir(mode=0o700, exist_ok=True)
         # Runs begin their search at different blocks: sockets of a run that just ended may linger.
         count = LAST_BLOCK - FIRST_BLOCK + 1
--- a/dillport/lab/power.py
+++ b/balancer/lab/power.py
@@ -26,11 +26,11 @@
 
 import msgspec
 
-from dillport.durable import frames
-from dillport.durable.store import DRAFT, FENCE, LOG, MAGIC, NAME, SNAP
-from dillport.lab.spec import Experiment, Power, choose, parties
-from dillport.lab.streams import stream
-from dillport.sim.disk import Disk, Image, Inode
+from balancer.durable import frames
+from balancer.durable.store import DRAFT, FENCE, LOG, MAGIC, NAME, SNAP
+from balancer.lab.spec import Experiment, Power, choose, parties
+from balancer.lab.streams import stream
+from balancer.sim.disk import Disk, Image, Inode
 
 NOTED = frozenset({"list", "learned", "start"})  # tags of records that are written, but not waited for
 MOST_STATES = 64  # of a directory, of which one is drawn
--- a/dillport/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -19,11 +19,11 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from dillport.lab import records
-from dillport.lab.logs import LabLog
-from dillport.lab.places import Places, text
-from dillport.lab.programs import Program
-from dillport.lab.spec import Experiment, Reload
+from balancer.lab import records
+from balancer.lab.logs import LabLog
+from balancer.lab.places import Places, text
+from balancer.lab.programs import Program
+from balancer.lab.spec import Experiment, Reload
 
 PR_SET_PDEATHSIG, PR_CAPBSET_DROP, CAP_DAC_OVERRIDE = 1, 24, 1
 READY_LOOK = 0.03  # s between two looks whether a process is ready
--- a/dillport/lab/programs.py
+++ b/balancer/lab/programs.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 ROOT = Path(__file__).resolve().parents[2]
 CACHE = ROOT / ".lab"
 HERE = "."  # the working tree, where a revision is asked for
 EXTRA = "requirements-fleet.txt"
-NEEDED = ("deploy", "dillport", "requirements.txt", EXTRA, "pyproject.toml")  # of a revision
+NEEDED = ("deploy", "balancer", "dillport", "requirements.txt", EXTRA, "pyproject.toml")  # of a revision
 VARIANT = re.compile(r"alone|random|(delay|burn|clock-?)-\d+(\.\d+)?")  # see `variant.py`
 STAMP = "built"  # in `.venv`: the requirements that it was built from
 
 
-class ProgramError(DillportError):
+class ProgramError(BalancerError):
     """The program that is to be played cannot be had."""
 
     code = "LAB03"
@@ -40,8 +40,9 @@
     def varied(self, variant: str) -> str:
         """The command that starts it with one more variant."""
         script = f"'{Path(__file__).with_name('variant.py')}'"
-        head = script if script in self.run else "-m dillport"
-        return self.run.replace(head, f"{script} {variant}")
+        if script in self.run:
+            return re.sub(rf"({re.escape(script)} \w+)", rf"\1 {variant}", self.run)
+        return re.sub(r"-m (\w+)", rf"{script} \1 {variant}", self.run)
 
 
 def _git(*args: str) -> bytes:
--- a/dillport/lab/report.py
+++ b/balancer/lab/report.py
@@ -17,10 +17,10 @@
 from matplotlib.figure import Figure
 from matplotlib.ticker import LogLocator, NullFormatter, ScalarFormatter
 
-from dillport.lab import records
-from dillport.lab.figures import WINDOW, backend_loads, presence, series, wishes
-from dillport.lab.spec import Experiment, Link, Power, tag
-from dillport.lab.timeline import over
+from balancer.lab import records
+from balancer.lab.figures import WINDOW, backend_loads, presence, series, wishes
+from balancer.lab.spec import Experiment, Link, Power, tag
+from balancer.lab.timeline import over
 
 INK, GOOD, BAD, QUIET = "#1f2a37", "#1b7f5c", "#b3261e", "#8a94a3"
 SHADE = "#f2c14e"
--- a/dillport/lab/returning.py
+++ b/balancer/lab/returning.py
@@ -17,11 +17,11 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from dillport.lab import records
-from dillport.lab.model.weather import Weather
-from dillport.lab.power import returns, state_of
-from dillport.lab.spec import Experiment, Link, Power
-from dillport.lab.streams import stream
+from balancer.lab import records
+from balancer.lab.model.weather import Weather
+from balancer.lab.power import returns, state_of
+from balancer.lab.spec import Experiment, Link, Power
+from balancer.lab.streams import stream
 
 SLOT = 100.0  # ms
 RECOVERED = 0.95  # of the goodput before the first fault
--- a/dillport/lab/run.py
+++ b/balancer/lab/run.py
@@ -19,14 +19,14 @@
 
 import msgspec
 
-from dillport.errors import DillportError
-from dillport.lab import records
-from dillport.lab.logs import LabLog
-from dillport.lab.outage import Outage
-from dillport.lab.places import Block, Places
-from dillport.lab.processes import Fleet, limits
-from dillport.lab.programs import ROOT, Program
-from dillport.lab.spec import (
+from balancer.errors import BalancerError
+from balancer.lab import records
+from balancer.lab.logs import LabLog
+from balancer.lab.outage import Outage
+from balancer.lab.places import Block, Places
+from balancer.lab.processes import Fleet, limits
+from balancer.lab.programs import ROOT, Program
+from balancer.lab.spec import (
     Disk,
     Experiment,
     Kill,
@@ -39,8 +39,8 @@
     choose,
     tag,
 )
-from dillport.lab.timeline import Moment, Step, timeline
-from dillport.lab.worker import Plan, Role
+from balancer.lab.timeline import Moment, Step, timeline
+from balancer.lab.worker import Plan, Role
 
 PER_WORKER = 1700.0  # first tries a second that one process of clients offers without being late
 MOST_WORKERS = 3
@@ -52,21 +52,21 @@
 WORKER_READY = 20.0  # s
 
 
-class LabError(DillportError):
+class LabError(BalancerError):
     """An experiment was begun and could not be played to its end."""
 
     code = "LAB02"
     remedy = "read lab.jsonl and logs/ in the folder of the run, then play it again on a machine at rest"
 
 
-class LimitError(DillportError):
+class LimitError(BalancerError):
     """An experiment needs more open files in one process than the system allows."""
 
     code = "LAB05"
     remedy = "play fewer nodes or backends, or raise the hard limit (ulimit -Hn)"
 
 
-class ResultsError(DillportError):
+class ResultsError(BalancerError):
     """The results of a run cannot be written."""
 
     code = "LAB06"
@@ -87,7 +87,7 @@
     done: asyncio.Event = field(default_factory=asyncio.Event)
     written: asyncio.Event = field(default_factory=asyncio.Event)
     live: dict[str, Any] = field(default_factory=dict)
-    error: DillportError | None = None
+    error: BalancerError | None = None
 
     def say(self, line: bytes) -> None:
         """One line of its input."""
@@ -115,7 +115,7 @@
 
     async def _rig(self, role: Role, part: int, of: int) -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "dillport.lab.worker", cwd=ROOT, start_new_session=True,
+            sys.executable, "-B", "-m", "balancer.lab.worker", cwd=ROOT, start_new_session=True,
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=2**24,
             preexec_fn=limits(self.rig_cpus, None),
         )  # fmt: skip
--- a/dillport/lab/scale/beside.py
+++ b/balancer/lab/scale/beside.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from dillport.lab.processes import PR_SET_PDEATHSIG
-from dillport.lab.scale.points import NotPlayed, Part, Point
+from balancer.lab.processes import PR_SET_PDEATHSIG
+from balancer.lab.scale.points import NotPlayed, Part, Point
 
 
 @dataclass(slots=True, frozen=True)
--- a/dillport/lab/scale/control.py
+++ b/balancer/lab/scale/control.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Iterator, Sequence
 from functools import partial
 
-from dillport.lab.scale import returns, stores, tiers
-from dillport.lab.scale.points import NotPlayed, Part, Play, Point
-from dillport.lab.scale.size import BACKENDS, NODES
+from balancer.lab.scale import returns, stores, tiers
+from balancer.lab.scale.points import NotPlayed, Part, Play, Point
+from balancer.lab.scale.size import BACKENDS, NODES
 
 Sizes = tuple[int, ...]
 Run = Callable[[Sequence[int], int], Iterator[Point | NotPlayed]]
--- a/dillport/lab/scale/crowd.py
+++ b/balancer/lab/scale/crowd.py
@@ -17,8 +17,8 @@
 import msgspec
 import uvloop
 
-from dillport.lab.processes import limits
-from dillport.lab.programs import ROOT
+from balancer.lab.processes import limits
+from balancer.lab.programs import ROOT
 
 HOST = "127.0.0.1"
 ANSWER_MOST = 5.0  # s from the last request until all have their answers
@@ -196,7 +196,7 @@
 async def spawn(stack: AsyncExitStack, plan: Plan) -> Crowd:
     """One that is ready; it ends with the stack."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "dillport.lab.scale.crowd", cwd=ROOT, limit=LONGEST,
+        sys.executable, "-B", "-m", "balancer.lab.scale.crowd", cwd=ROOT, limit=LONGEST,
         stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
         preexec_fn=limits(sorted(os.sched_getaffinity(0)), None),
     )  # fmt: skip
--- a/dillport/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -15,14 +15,14 @@
 
 import uvloop
 
-from dillport import interface as api
-from dillport import wire
-from dillport.lab.scale import fleet, size
-from dillport.lab.scale.points import NotPlayed, Play, Point
-from dillport.net.config import News
-from dillport.net.discovery import Discovery
-from dillport.net.node import Node
-from dillport.net.turns import Turns
+from balancer import interface as api
+from balancer import wire
+from balancer.lab.scale import fleet, size
+from balancer.lab.scale.points import NotPlayed, Play, Point
+from balancer.net.config import News
+from balancer.net.discovery import Discovery
+from balancer.net.node import Node
+from balancer.net.turns import Turns
 
 WATCHERS = (40, 80, 160, 320, round(size.NODES / size.CONTROL_MACHINES), 800)
 QUICK_WATCHERS = (10, 20, 40)
--- a/dillport/lab/scale/fleet.py
+++ b/balancer/lab/scale/fleet.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from typing import Any
 
-from dillport import interface as api
-from dillport.lab.scale import size
+from balancer import interface as api
+from balancer.lab.scale import size
 
 NOW = 1_800_000_000_000.0  # ms: a virtual wall clock's begin
 DAY = 86_400_000.0  # ms
--- a/dillport/lab/scale/listing.py
+++ b/balancer/lab/scale/listing.py
@@ -21,20 +21,20 @@
 
 import uvloop
 
-from dillport import interface as api
-from dillport.lab.figures import percentiles
-from dillport.lab.processes import call, limits
-from dillport.lab.programs import ROOT
-from dillport.lab.scale import crowd, fleet, module, size
-from dillport.lab.scale.points import NotPlayed, Play, Point
-from dillport.net.config import News, news_in_turns, news_of
-from dillport.net.discovery_call import most_object
-from dillport.net.figures import Figures
-from dillport.net.listing import Listing
-from dillport.net.objects import BrokenObject, Objects
-from dillport.net.stream import Budget
-from dillport.net.turns import Turns
-from dillport.net.upstream import Pool
+from balancer import interface as api
+from balancer.lab.figures import percentiles
+from balancer.lab.processes import call, limits
+from balancer.lab.programs import ROOT
+from balancer.lab.scale import crowd, fleet, module, size
+from balancer.lab.scale.points import NotPlayed, Play, Point
+from balancer.net.config import News, news_in_turns, news_of
+from balancer.net.discovery_call import most_object
+from balancer.net.figures import Figures
+from balancer.net.listing import Listing
+from balancer.net.objects import BrokenObject, Objects
+from balancer.net.stream import Budget
+from balancer.net.turns import Turns
+from balancer.net.upstream import Pool
 
 SIZES = (200, 700, 2_200, 7_000, 22_000, 45_000, 70_000)
 QUICK_SIZES = (200, 800, 3_200)
@@ -62,7 +62,7 @@
 )
 MEMORY_MB = 192.0  # of a node, as the platform's larger ones have
 NODE_LIMITS = (
-    "One process by `python -m dillport`, as built, without the fleet's rooms. Discovery and one backend "
+    "One process by `python -m balancer`, as built, without the fleet's rooms. Discovery and one backend "
     "address under all ids are one process of the rig beside it, clients another: they ask 193 times a "
     "second, however long answers take, timed from when a request was due: the latencies hold the rig's own "
     "time, too (`rig_late` is what 99 in 100 of its requests and looks were late by at most, `rig_worst` the "
@@ -296,7 +296,7 @@
     path.write_text(json.dumps(config), "utf-8")
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "dillport", cwd=ROOT,
+        sys.executable, "-B", "-m", "balancer", cwd=ROOT,
         env=env | {"PROXY_CONFIG": str(path), "TMPDIR": str(folder)},
         stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
         preexec_fn=limits(sorted(os.sched_getaffinity(0)), 1024),
@@ -367,7 +367,7 @@
         discovery = StandInDiscovery(told.whole)
         server = await asyncio.start_server(discovery.serve, HOST, 0)
         stack.callback(server.close)
-        folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="dillport-scale-"))
+        folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="balancer-scale-"))
         begin = loop.time()
         process = await spawn(Path(folder), backends, server.sockets[0].getsockname()[1])
         stack.push_async_callback(end_process, process)
@@ -467,7 +467,7 @@
 
     def nodes(_: int) -> Iterator[Point | NotPlayed]:
         # As `build` does: a node that compiles its modules as it starts holds 2 MB more for good.
-        compileall.compile_dir(ROOT / "dillport", quiet=2)
+        compileall.compile_dir(ROOT / "balancer", quiet=2)
         for backends in node_sizes:
             yield from uvloop.run(play_node(backends, seconds, lists_s))
 
--- a/dillport/lab/scale/module.py
+++ b/balancer/lab/scale/module.py
@@ -8,11 +8,11 @@
 import tracemalloc
 from collections.abc import Iterator
 
-from dillport import interface as api
-from dillport import wire
-from dillport.lab.scale import fleet, size
-from dillport.lab.scale.points import NotPlayed, Play, Point
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer import wire
+from balancer.lab.scale import fleet, size
+from balancer.lab.scale.points import NotPlayed, Play, Point
+from balancer.policy import Balancer
 
 SIZES = (200, 700, 2_200, 7_000, 22_000, 70_000)
 QUICK_SIZES = (200, 800, 3_200)
--- a/dillport/lab/scale/processes.py
+++ b/balancer/lab/scale/processes.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from dillport import interface as api
-from dillport.lab.scale import fleet, size
-from dillport.lab.scale.listing import (
+from balancer import interface as api
+from balancer.lab.scale import fleet, size
+from balancer.lab.scale.listing import (
     HOST,
     Client,
     Ports,
@@ -27,7 +27,7 @@
     spawn,
     used,
 )
-from dillport.lab.scale.points import NotPlayed, Play, Point
+from balancer.lab.scale.points import NotPlayed, Play, Point
 
 COUNT = 16
 SIZES = (200, 1_000, 4_000, 20_000)
@@ -35,7 +35,7 @@
 CHANGES, CHANGE_EVERY = 12, 0.4  # told to all; s between two
 
 LIMITS = (
-    "Processes by `python -m dillport` that share the machine's cores, without the fleet's rooms and at "
+    "Processes by `python -m balancer` that share the machine's cores, without the fleet's rooms and at "
     "rest: no requests but one each that shows it is ready. What a change costs is the processor time while "
     "changes come, less that of as long a time without."
 )
@@ -85,7 +85,7 @@
     """
     nodes, ports = [], dict[int, Ports]()
     for me in range(count):
-        folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="dillport-scale-"))
+        folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="balancer-scale-"))
         nodes.append(await spawn(Path(folder), backends, discovery_port, me))
         stack.push_async_callback(end_process, nodes[-1])
     async with asyncio.timeout(READY_MOST):
--- a/dillport/lab/scale/rack.py
+++ b/balancer/lab/scale/rack.py
@@ -13,12 +13,12 @@
 
 import uvloop
 
-from dillport import interface as api
-from dillport.lab.figures import percentiles
-from dillport.lab.scale import crowd, fleet, size
-from dillport.lab.scale.listing import BEGIN, HOST, RATE_PER_S, StandInBackend, StandInDiscovery, lag
-from dillport.lab.scale.points import NotPlayed, Play, Point
-from dillport.lab.scale.processes import COUNT, READY_MOST, serving
+from balancer import interface as api
+from balancer.lab.figures import percentiles
+from balancer.lab.scale import crowd, fleet, size
+from balancer.lab.scale.listing import BEGIN, HOST, RATE_PER_S, StandInBackend, StandInDiscovery, lag
+from balancer.lab.scale.points import NotPlayed, Play, Point
+from balancer.lab.scale.processes import COUNT, READY_MOST, serving
 
 LISTED = 20_000
 REACHED = 0.98  # of the rate, else it counts as not played
@@ -28,7 +28,7 @@
 GRACE = 1.05  # s after which nothing may go to what was told gone: the rule's, and its slack on sockets
 
 LIMITS = (
-    f"{COUNT} processes by `python -m dillport`, without the fleet's rooms, before {LISTED:,} listed. Each "
+    f"{COUNT} processes by `python -m balancer`, without the fleet's rooms, before {LISTED:,} listed. Each "
     "backend has an address of its own, all of them one listener of the rig. The rack is 40 backends that "
     "the nodes were using; they are told as gone, their connections are reset, and all watches end with "
     "discovery in the same moment. Clients ask each node 193 times a second, however long answers take, from "
--- a/dillport/lab/scale/returns.py
+++ b/balancer/lab/scale/returns.py
@@ -13,21 +13,21 @@
 from collections.abc import Iterator, Sequence
 from functools import partial
 
-from dillport.lab.scale.points import NotPlayed, Point
-from dillport.lab.scale.size import HEADERS
-from dillport.lab.scale.tiers import LOSS, Figures, Meter
-from dillport.recovery import events as room
-from dillport.recovery.core import ANSWERS, Config, Recovery
-from dillport.recovery.messages import Flag, Kind, Message, State, bits_of, decode, encode
-from dillport.recovery.phases import Phase
-from dillport.recovery.register import Row
-from dillport.recovery.turns import Turns
-from dillport.sim.agenda import Agenda
-from dillport.sim.members import LIFE_UNIT, Net
-from dillport.sim.recovery_disks import Condition
-from dillport.sim.recovery_outside import Discovery
-from dillport.sim.recovery_schedule import BACKENDS
-from dillport.sim.recovery_world import DAY_MS, Tier
+from balancer.lab.scale.points import NotPlayed, Point
+from balancer.lab.scale.size import HEADERS
+from balancer.lab.scale.tiers import LOSS, Figures, Meter
+from balancer.recovery import events as room
+from balancer.recovery.core import ANSWERS, Config, Recovery
+from balancer.recovery.messages import Flag, Kind, Message, State, bits_of, decode, encode
+from balancer.recovery.phases import Phase
+from balancer.recovery.register import Row
+from balancer.recovery.turns import Turns
+from balancer.sim.agenda import Agenda
+from balancer.sim.members import LIFE_UNIT, Net
+from balancer.sim.recovery_disks import Condition
+from balancer.sim.recovery_outside import Discovery
+from balancer.sim.recovery_schedule import BACKENDS
+from balancer.sim.recovery_world import DAY_MS, Tier
 
 ROLE = "recovery"
 DARK_MS, SPREAD_MS = 1_000.0, 2_000.0  # from the cut until power is back; over which nodes start then
--- a/dillport/lab/scale/rig.py
+++ b/balancer/lab/scale/rig.py
@@ -19,11 +19,11 @@
 from matplotlib.figure import Figure
 from matplotlib.ticker import EngFormatter, LogLocator, NullFormatter
 
-from dillport.lab.programs import ROOT
-from dillport.lab.report import BAD, GOOD, INK, page, png, table_html
-from dillport.lab.scale import control, discovery, listing, module, processes, rack, tables
-from dillport.lab.scale.beside import Done, played, workers_most
-from dillport.lab.scale.points import FORMS, NotPlayed, Play, Point, Slope, slopes
+from balancer.lab.programs import ROOT
+from balancer.lab.report import BAD, GOOD, INK, page, png, table_html
+from balancer.lab.scale import control, discovery, listing, module, processes, rack, tables
+from balancer.lab.scale.beside import Done, played, workers_most
+from balancer.lab.scale.points import FORMS, NotPlayed, Play, Point, Slope, slopes
 
 VERSION = 1
 # s for all plays, of 15 and 2 minutes: the report takes the rest. What does not fit any more is not played.
--- a/dillport/lab/scale/stores.py
+++ b/balancer/lab/scale/stores.py
@@ -12,14 +12,14 @@
 import tracemalloc
 from collections.abc import Callable, Iterator, Sequence
 
-from dillport.durable import frames
-from dillport.durable.records import Kept, Listed, Record, Row, Sampled, Stamp, encode, total
-from dillport.durable.store import Loaded, Store, load
-from dillport.interface import Learned
-from dillport.lab.scale.points import NotPlayed, Point
-from dillport.lab.scale.size import ZONES
-from dillport.lab.scale.tiers import Figures
-from dillport.sim.disk import Disk, DiskFiles
+from balancer.durable import frames
+from balancer.durable.records import Kept, Listed, Record, Row, Sampled, Stamp, encode, total
+from balancer.durable.store import Loaded, Store, load
+from balancer.interface import Learned
+from balancer.lab.scale.points import NotPlayed, Point
+from balancer.lab.scale.size import ZONES
+from balancer.lab.scale.tiers import Figures
+from balancer.sim.disk import Disk, DiskFiles
 
 ROLE = "durable"
 NODE, NAME = "n0", "0123456789abcdef"
--- a/dillport/lab/scale/tables.py
+++ b/balancer/lab/scale/tables.py
@@ -7,11 +7,11 @@
 import tracemalloc
 from collections.abc import Iterator
 
-from dillport import interface as api
-from dillport import wire
-from dillport.lab.scale import fleet, size
-from dillport.lab.scale.points import Play, Point
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer import wire
+from balancer.lab.scale import fleet, size
+from balancer.lab.scale.points import Play, Point
+from balancer.policy import Balancer
 
 ROUTES = (200, 900, 2_700, 7_000, 14_000)
 QUICK_ROUTES = (100, 400, 1_600)
--- a/dillport/lab/scale/tiers.py
+++ b/balancer/lab/scale/tiers.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from dillport.lab.scale.points import NotPlayed, Point
-from dillport.lab.scale.size import DAY_S, HEADERS, RACK_MACHINES, REGIONS, RESTARTS_A_DAY
-from dillport.membership.core import Event, Membership, Received, Tell, Tick, View
-from dillport.membership.messages import (
+from balancer.lab.scale.points import NotPlayed, Point
+from balancer.lab.scale.size import DAY_S, HEADERS, RACK_MACHINES, REGIONS, RESTARTS_A_DAY
+from balancer.membership.core import Event, Membership, Received, Tell, Tick, View
+from balancer.membership.messages import (
     DIGEST,
     HEAD,
     NOBODY,
@@ -31,7 +31,7 @@
     decode,
     encode,
 )
-from dillport.sim.members import LIFE_UNIT, Net, World
+from balancer.sim.members import LIFE_UNIT, Net, World
 
 ROLE = "membership"
 LOSS = 0.01
--- a/dillport/lab/spec.py
+++ b/balancer/lab/spec.py
@@ -14,13 +14,13 @@
 import msgspec
 from msgspec import field
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 ZONES = ("a", "b", "c")
 MOST_LATE = 0.45  # of the time: `model/late.py` has spells of 0.9 s and 1.1 s between them at least
 
 
-class SpecError(DillportError):
+class SpecError(BalancerError):
     """An experiment makes no sense; the text names the dotted field."""
 
     code = "LAB01"
--- a/dillport/lab/variant.py
+++ b/balancer/lab/variant.py
@@ -1,4 +1,6 @@
-"""The node changed on purpose, for the lab: `variant.py NAME...` in place of `-m dillport`.
+"""Run the node with deliberate changes, for the lab: `variant.py PACKAGE NAME...` in place of `-m PACKAGE`.
+
+PACKAGE is the program's package in the revision that is played; its name was `dillport` once.
 
 Names: `alone` leaves the fleet file out; `random` chooses any listed backend that may be sent to; `delay-MS`
 holds every request back for so long; `burn-US` wastes so much processor time on every request; `clock-S` sets
@@ -12,12 +14,13 @@
 import os
 import sys
 import time
+from importlib import import_module
 from typing import Any
 
 
-def random_choice() -> None:
+def random_choice(package: str) -> None:
     """Each attempt goes at once to a backend drawn from all that may have it: no limit, no shedding."""
-    from dillport.policy import Balancer
+    balancer = import_module(f"{package}.policy").Balancer
 
     def route(self: Any, req: Any) -> None:
         pool = [b for b in self.backends.values() if self._takes(b) and self._legal(req, b)]
@@ -26,16 +29,15 @@
         else:
             self._finish(req, "none")
 
-    Balancer._route = route  # type: ignore[method-assign]
+    balancer._route = route
 
 
-def slower(wait: float, burn: float) -> None:
+def slower(package: str, wait: float, burn: float) -> None:
     """Hold every request back for `wait` s, or spend `burn` s of processor time on it."""
-    from dillport.net.node import Node
-
-    original = Node.arrival
+    node = import_module(f"{package}.net.node").Node
+    original = node.arrival
 
-    def arrival(self: Node, *args: Any, **kwargs: Any) -> None:
+    def arrival(self: Any, *args: Any, **kwargs: Any) -> None:
         until = time.thread_time() + burn
         while burn and time.thread_time() < until:
             pass
@@ -44,7 +46,7 @@
         else:
             original(self, *args, **kwargs)
 
-    Node.arrival = arrival  # type: ignore[method-assign]
+    node.arrival = arrival
 
 
 def clock(by: float) -> None:
@@ -54,17 +56,17 @@
     time.time_ns = lambda: wall_ns() + by_ns
 
 
-def change(name: str) -> None:
+def change(package: str, name: str) -> None:
     """Change the node as a name says; `programs` has checked it."""
     kind, _, amount = name.partition("-")
     if kind == "random":
-        random_choice()
+        random_choice(package)
     elif kind == "alone":
         os.environ.pop("PROXY_FLEET", None)
     elif kind == "delay":
-        slower(float(amount) / 1000, 0.0)
+        slower(package, float(amount) / 1000, 0.0)
     elif kind == "burn":
-        slower(0.0, float(amount) / 1e6)
+        slower(package, 0.0, float(amount) / 1e6)
     else:
         clock(float(amount))
 
@@ -72,11 +74,10 @@
 def main() -> int:
     """Change the node as told, then run it."""
     sys.path[0] = os.getcwd()
-    for name in sys.argv[1:]:
-        change(name)
-    from dillport.__main__ import main as run
-
-    return run()
+    package, *names = sys.argv[1:]
+    for name in names:
+        change(package, name)
+    return int(import_module(f"{package}.__main__").main())
 
 
 if __name__ == "__main__":
--- a/dillport/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -19,14 +19,14 @@
 import msgspec
 import uvloop
 
-from dillport.lab import records
-from dillport.lab.backends import Farm, Host
-from dillport.lab.clients import Crowd
-from dillport.lab.hub import DirectoryService, Relay
-from dillport.lab.model.directory import Phase
-from dillport.lab.model.weather import Weather
-from dillport.lab.places import Places
-from dillport.lab.spec import (
+from balancer.lab import records
+from balancer.lab.backends import Farm, Host
+from balancer.lab.clients import Crowd
+from balancer.lab.hub import DirectoryService, Relay
+from balancer.lab.model.directory import Phase
+from balancer.lab.model.weather import Weather
+from balancer.lab.places import Places
+from balancer.lab.spec import (
     DiscoveryDown,
     DiscoveryLate,
     Drain,
@@ -42,9 +42,9 @@
     Stall,
     WatchSilent,
 )
-from dillport.lab.streams import stream
-from dillport.lab.timeline import Moment, Step, timeline
-from dillport.lab.wires import Clock, Wire
+from balancer.lab.streams import stream
+from balancer.lab.timeline import Moment, Step, timeline
+from balancer.lab.wires import Clock, Wire
 
 LIVE = 0.25  # s between two lines of live figures
 PULSE = 0.02  # s between two looks at the event loop's lag
--- a/dillport/membership/core.py
+++ b/balancer/membership/core.py
@@ -28,7 +28,7 @@
 from functools import partial
 from typing import Any
 
-from dillport.membership.messages import (
+from balancer.membership.messages import (
     BUCKETS,
     DIGEST,
     LAST_LIFE,
--- a/dillport/membership/port.py
+++ b/balancer/membership/port.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
 MOST = 100.0  # datagrams a second, and as many at once; membership alone usually sends 2.9
 
 
-class SocketError(DillportError):
+class SocketError(BalancerError):
     """The socket between nodes cannot be had."""
 
     code = "MEM01"
--- a/dillport/membership/shell.py
+++ b/balancer/membership/shell.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from dillport.membership.core import (
+from balancer.membership.core import (
     PRESENT,
     Changed,
     Config,
@@ -22,8 +22,8 @@
     Tick,
     ViewChanged,
 )
-from dillport.membership.messages import State
-from dillport.membership.port import MEMBERSHIP, Moved, Port
+from balancer.membership.messages import State
+from balancer.membership.port import MEMBERSHIP, Moved, Port
 
 log = logging.getLogger(__name__)
 
--- a/dillport/net/bans.py
+++ b/balancer/net/bans.py
@@ -17,22 +17,24 @@
 from pathlib import Path
 from typing import Any
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 log = logging.getLogger(__name__)
 
+# The program's former name: processes of versions before and after the rename have to meet at one place.
+STEM = "dillport"
 LOOK = 0.1  # s between two looks whether the other process has changed the file
 LOCK_WAIT, LOCK_TRY = 0.6, 0.005  # s to wait for the lock, of the 1 s that a caller waits; between tries
 
 
-class BansError(DillportError):
+class BansError(BalancerError):
     """The file of bans could not be changed, so nothing is."""
 
     code = "BAN01"
     remedy = "see that $TMPDIR can be written and has room, then call again"
 
 
-class BansFileError(DillportError):
+class BansFileError(BalancerError):
     """The file of bans is not what it should be; what was known of it stays in force."""
 
     code = "BAN02"
@@ -50,7 +52,7 @@
 def stem(env: Mapping[str, str], name: str) -> Path:
     """Where the processes of one node meet: no two nodes share both a directory and an address."""
     folder = env.get("TMPDIR") or tempfile.gettempdir()
-    return Path(folder) / f"dillport-{hashlib.sha256(name.encode()).hexdigest()[:12]}"
+    return Path(folder) / f"{STEM}-{hashlib.sha256(name.encode()).hexdigest()[:12]}"
 
 
 def write_whole(path: Path, text: str) -> None:
--- a/dillport/net/changes.py
+++ b/balancer/net/changes.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Sequence
 from enum import Enum
 
-from dillport import interface as api
-from dillport.net.config import Member
+from balancer import interface as api
+from balancer.net.config import Member
 
 NAMES = 8  # backends of a kind of change that are named; the others are counted
 
--- a/dillport/net/config.py
+++ b/balancer/net/config.py
@@ -17,12 +17,12 @@
 
 import msgspec
 
-from dillport import interface as api
-from dillport import wire
-from dillport.errors import DillportError
-from dillport.net.rows import Layout, OddList, layout
-from dillport.net.shards import Shards
-from dillport.net.stream import BASE_MB, PROCESSES
+from balancer import interface as api
+from balancer import wire
+from balancer.errors import BalancerError
+from balancer.net.rows import Layout, OddList, layout
+from balancer.net.shards import Shards
+from balancer.net.stream import BASE_MB, PROCESSES
 
 PREFIX = "PROXY_"
 PHASES = {
@@ -46,7 +46,7 @@
 ELDER_CLIENTS = 0.75  # of those, but for what it needs by itself, at most
 
 
-class ConfigError(DillportError):
+class ConfigError(BalancerError):
     """A field of the configuration is missing or makes no sense; the text names it."""
 
     code = "CFG01"
@@ -67,7 +67,7 @@
     remedy = "raise limits.memory_mb, or let the file say less; after SIGHUP the node keeps what it has"
 
 
-class ListError(DillportError):
+class ListError(BalancerError):
     """An entry or a line of the list makes no sense."""
 
     code = "LST01"
--- a/dillport/net/console.py
+++ b/balancer/net/console.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from dillport.errors import DillportError
-from dillport.net.config import Address
+from balancer.errors import BalancerError
+from balancer.net.config import Address
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
 }  # fmt: skip
 
 
-class CallRefused(DillportError):
+class CallRefused(BalancerError):
     """A call of the console makes no sense; the text says why."""
 
     code = "CON01"
@@ -64,7 +64,7 @@
         """The figures."""
 
     async def operate(self, backend: str, out: bool) -> bool:
-        """Take a backend out or put it back; False where it was never listed. Raises DillportError."""
+        """Take a backend out or put it back; False where it was never listed. Raises BalancerError."""
 
 
 class Caller(asyncio.Protocol):
@@ -229,7 +229,7 @@
                 _expect(method, b"POST")
                 try:
                     known = await self.node.operate(backend, word == "maint")
-                except DillportError as err:
+                except BalancerError as err:
                     happened, remedy = err.report
                     return 503, _lines(f"{happened}; nothing is changed", remedy), "text/plain"
                 if not known:
--- a/dillport/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -9,12 +9,12 @@
 from collections import deque
 from collections.abc import Iterator
 
-from dillport import interface as api
-from dillport.net import watchdog
-from dillport.net.config import Address, News
-from dillport.net.discovery_call import Brought, Call, End, Reason, Stage, most_object
-from dillport.net.limited import LimitedWarnings
-from dillport.net.node import Node
+from balancer import interface as api
+from balancer.net import watchdog
+from balancer.net.config import Address, News
+from balancer.net.discovery_call import Brought, Call, End, Reason, Stage, most_object
+from balancer.net.limited import LimitedWarnings
+from balancer.net.node import Node
 
 log = logging.getLogger(__name__)
 
--- a/dillport/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -11,13 +11,13 @@
 
 import httptools
 
-from dillport.net import watchdog
-from dillport.net.config import ListError, News, news_in_turns, news_of
-from dillport.net.objects import BrokenObject, Objects
-from dillport.net.watchdog import Watchdog
+from balancer.net import watchdog
+from balancer.net.config import ListError, News, news_in_turns, news_of
+from balancer.net.objects import BrokenObject, Objects
+from balancer.net.watchdog import Watchdog
 
 if TYPE_CHECKING:
-    from dillport.net.discovery import Discovery
+    from balancer.net.discovery import Discovery
 
 MOST_OBJECT = 8 * 1024 * 1024  # bytes that an object may have on any node
 MOST_PART = 1 / 12  # of the node's memory that it may have: entries take thrice their bytes, new ones twice
--- a/dillport/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -15,17 +15,17 @@
 
 import msgspec
 
-from dillport import interface as api
-from dillport.errors import DillportError
-from dillport.net import config
-from dillport.net.config import Address, ConfigError, address, address_at
+from balancer import interface as api
+from balancer.errors import BalancerError
+from balancer.net import config
+from balancer.net.config import Address, ConfigError, address, address_at
 
 if TYPE_CHECKING:
-    from dillport.membership.port import Port
-    from dillport.membership.shell import MembershipShell
-    from dillport.net.keeping import Keeping
-    from dillport.net.node import Node, Watcher
-    from dillport.net.returning import Returning
+    from balancer.membership.port import Port
+    from balancer.membership.shell import MembershipShell
+    from balancer.net.keeping import Keeping
+    from balancer.net.node import Node, Watcher
+    from balancer.net.returning import Returning
 
 log = logging.getLogger(__name__)
 
@@ -126,7 +126,7 @@
         if table.durable is not None and not table.durable.directory:
             log.warning("state: durable.directory is not given: nothing outlasts a crash")
         elif table.durable is not None:
-            from dillport.net.keeping import Keeping
+            from balancer.net.keeping import Keeping
 
             self.keeping = Keeping(Path(table.durable.directory), held.name)
         self.port: Port | None = None
@@ -138,8 +138,8 @@
             listen, peers, everybody = _peers(config.read(env))
             me = held.settings.me
             _numbered(me, peers)
-            from dillport.membership.port import Port
-            from dillport.membership.shell import MembershipShell, scaled
+            from balancer.membership.port import Port
+            from balancer.membership.shell import MembershipShell, scaled
 
             times = scaled(table.membership.period_ms)
             least = self.keeping.kept.life + 1 if self.keeping is not None else 1
@@ -153,7 +153,7 @@
         """
         if not self._returns or self.port is None or self.membership is None:
             return watcher
-        from dillport.net.returning import Returning
+        from balancer.net.returning import Returning
 
         disk = self.keeping.durable if self.keeping is not None else None
         self.returning = Returning(node, watcher, known, self.port, self.membership.life, disk)
@@ -221,7 +221,7 @@
             self.keeping.learned(what, now, rate)
 
     async def banned(self, backend: str, out: bool, at: float, changes: bool) -> None:
-        """Returns once a ban or a return will outlast a crash, where that is wanted. Raises DillportError."""
+        """Returns once a ban or a return will outlast a crash, where that is wanted. Raises BalancerError."""
         if self.returning is not None:  # to be called again is news there: the call is this node's own now
             await self.returning.banned(backend, out)
         elif self.keeping is not None and changes:
@@ -254,7 +254,7 @@
     async def _open(self, port: Port) -> None:
         try:
             await port.bind()
-        except DillportError as err:  # the node serves without: alone, as without the file
+        except BalancerError as err:  # the node serves without: alone, as without the file
             log.warning("membership: %s; the node goes on alone", err.line)
             return
         if self.membership is not None:
--- a/dillport/net/front.py
+++ b/balancer/net/front.py
@@ -19,12 +19,12 @@
 
 import httptools
 
-from dillport import interface as api
-from dillport.interface import Effect
-from dillport.net.config import Address, over
-from dillport.net.node import Node
-from dillport.net.stream import LARGEST, SMALL, Upload
-from dillport.net.upstream import Connection
+from balancer import interface as api
+from balancer.interface import Effect
+from balancer.net.config import Address, over
+from balancer.net.node import Node
+from balancer.net.stream import LARGEST, SMALL, Upload
+from balancer.net.upstream import Connection
 
 log = logging.getLogger(__name__)
 
--- a/dillport/net/handover.py
+++ b/balancer/net/handover.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from dillport.interface import Learned, Recovered
-from dillport.net.bans import write_whole
+from balancer.interface import Learned, Recovered
+from balancer.net.bans import write_whole
 
 log = logging.getLogger(__name__)
 
--- a/dillport/net/keeping.py
+++ b/balancer/net/keeping.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from dillport import interface as api
-from dillport.durable.records import Back, Listed, Out, Row, Sampled, Started, stamp
-from dillport.durable.shell import Durable
-from dillport.net.config import Member, News
+from balancer import interface as api
+from balancer.durable.records import Back, Listed, Out, Row, Sampled, Started, stamp
+from balancer.durable.shell import Durable
+from balancer.net.config import Member, News
 
 
 class Keeping:
@@ -51,7 +51,7 @@
             self.durable.note(Sampled(stamp(), what(now), rate))
 
     async def banned(self, backend: str, out: bool, at: float) -> None:
-        """Returns once the ban or the return is on disk, where there is one. Raises DillportError."""
+        """Returns once the ban or the return is on disk, where there is one. Raises BalancerError."""
         if self.durable.off is None:
             await self.durable.keep(Out(backend, at) if out else Back(backend, at))
 
--- a/dillport/net/listing.py
+++ b/balancer/net/listing.py
@@ -14,12 +14,12 @@
 from itertools import chain, islice
 from typing import TypeVar
 
-from dillport import interface as api
-from dillport.net.changes import ListChanges
-from dillport.net.config import Member, News
-from dillport.net.shards import Shards, shard
-from dillport.net.turns import Turns
-from dillport.net.upstream import Pool
+from balancer import interface as api
+from balancer.net.changes import ListChanges
+from balancer.net.config import Member, News
+from balancer.net.shards import Shards, shard
+from balancer.net.turns import Turns
+from balancer.net.upstream import Pool
 
 log = logging.getLogger(__name__)
 
--- a/dillport/net/node.py
+++ b/balancer/net/node.py
@@ -13,17 +13,17 @@
 from functools import partial
 from typing import Protocol
 
-from dillport import interface as api
-from dillport.errors import DillportError
-from dillport.net.bans import Bans, stem
-from dillport.net.config import Config, Member, News
-from dillport.net.figures import End, Figures
-from dillport.net.listing import Listing
-from dillport.net.request_log import RequestLog
-from dillport.net.stream import Budget, Upload
-from dillport.net.turns import Turns
-from dillport.net.upstream import Answer, Attempt, Connection, Pool, Sink
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.errors import BalancerError
+from balancer.net.bans import Bans, stem
+from balancer.net.config import Config, Member, News
+from balancer.net.figures import End, Figures
+from balancer.net.listing import Listing
+from balancer.net.request_log import RequestLog
+from balancer.net.stream import Budget, Upload
+from balancer.net.turns import Turns
+from balancer.net.upstream import Answer, Attempt, Connection, Pool, Sink
+from balancer.policy import Balancer
 
 log = logging.getLogger(__name__)
 
@@ -75,7 +75,7 @@
         """What the module has learned may be had; asked for now and then."""
 
     async def banned(self, backend: str, out: bool, at: float, changes: bool) -> None:
-        """Returns once a ban or a return will outlast a crash, where that is wanted. Raises DillportError.
+        """Returns once a ban or a return will outlast a crash, where that is wanted. Raises BalancerError.
 
         `changes`: whether it is another word than the one in force.
         """
@@ -296,7 +296,7 @@
         return self.ready and self.listening and (self.succeeded or not self.stopping)
 
     async def operate(self, backend: str, out: bool) -> bool:
-        """Take a backend out or put it back; False where it was never listed. Raises DillportError."""
+        """Take a backend out or put it back; False where it was never listed. Raises BalancerError."""
         if not self.balancer.listed(backend) and not self.bans.known(backend):
             return False
         now = self.now()
@@ -305,9 +305,9 @@
             await self.fleet.banned(backend, out, now, changes)
         try:
             await self.bans.change(backend, out, now, self.settings.ramp_time)
-        except DillportError:
+        except BalancerError:
             if self.fleet is not None and changes:  # the answer is no: no later process may think otherwise
-                with contextlib.suppress(DillportError):
+                with contextlib.suppress(BalancerError):
                     await self.fleet.banned(backend, not out, now, changes)
             raise
         return True
--- a/dillport/net/objects.py
+++ b/balancer/net/objects.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from mmap import MAP_ANONYMOUS, MAP_PRIVATE, mmap
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 BLANK = b" \t\r\n"
 NOTHING = b""  # an empty line between objects
@@ -29,7 +29,7 @@
 GAP = re.compile(rb"[ \t\r\n]*+")
 
 
-class BrokenObject(DillportError):
+class BrokenObject(BalancerError):
     """What discovery says is no JSON object, breaks off, or is too long; the rest cannot be told apart."""
 
     code = "LST02"
--- a/dillport/net/pair.py
+++ b/balancer/net/pair.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from dillport.errors import DillportError
+from balancer.errors import BalancerError
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 BPF_RET_CONSTANT = 0x06
 
 
-class SlotError(DillportError):
+class SlotError(BalancerError):
     """As many processes of this node run as may."""
 
     code = "NOD02"
--- a/dillport/net/parts.py
+++ b/balancer/net/parts.py
@@ -12,10 +12,10 @@
 import zlib
 from dataclasses import dataclass
 
-from dillport.net.config import LEAST, LEAVING, SPARE, over
-from dillport.net.front import Front
-from dillport.net.node import Node
-from dillport.net.pair import Pair
+from balancer.net.config import LEAST, LEAVING, SPARE, over
+from balancer.net.front import Front
+from balancer.net.node import Node
+from balancer.net.pair import Pair
 
 
 @dataclass(slots=True, frozen=True)
--- a/dillport/net/request_log.py
+++ b/balancer/net/request_log.py
@@ -8,8 +8,8 @@
 import logging
 from collections.abc import Callable
 
-from dillport.interface import Status
-from dillport.net.limited import LimitedWarnings
+from balancer.interface import Status
+from balancer.net.limited import LimitedWarnings
 
 log = logging.getLogger(__name__)
 
--- a/dillport/net/returning.py
+++ b/balancer/net/returning.py
@@ -13,22 +13,22 @@
 from pathlib import Path
 from typing import Any
 
-from dillport import interface as api
-from dillport.durable.records import Kept
-from dillport.durable.shell import Durable
-from dillport.errors import DillportError
-from dillport.membership.port import Port
-from dillport.net import handover
-from dillport.net.config import Member, News
-from dillport.net.figures import End
-from dillport.net.node import Node, Watcher
-from dillport.recovery import events
-from dillport.recovery.core import Config
-from dillport.recovery.phases import Path as Way
-from dillport.recovery.phases import Phase
-from dillport.recovery.register import Row
-from dillport.recovery.shell import CallError, Left, RecoveryShell
-from dillport.recovery.trust import Kind
+from balancer import interface as api
+from balancer.durable.records import Kept
+from balancer.durable.shell import Durable
+from balancer.errors import BalancerError
+from balancer.membership.port import Port
+from balancer.net import handover
+from balancer.net.config import Member, News
+from balancer.net.figures import End
+from balancer.net.node import Node, Watcher
+from balancer.recovery import events
+from balancer.recovery.core import Config
+from balancer.recovery.phases import Path as Way
+from balancer.recovery.phases import Phase
+from balancer.recovery.register import Row
+from balancer.recovery.shell import CallError, Left, RecoveryShell
+from balancer.recovery.trust import Kind
 
 SUFFIX = ".return"  # of the file for a successor, beside the others by which a node's processes meet
 LOOK, SOON = 0.02, 0.5  # s between two looks for it, and for which it is looked for
@@ -94,7 +94,7 @@
             if holds or self.shell.knows(backend):
                 await self.follow(backend, False, 0.0)
             else:
-                with contextlib.suppress(DillportError):
+                with contextlib.suppress(BalancerError):
                     await self.shell.called(backend, True)
 
     async def _inherited(self) -> Left | None:
@@ -194,7 +194,7 @@
     # --- for the operators
 
     async def banned(self, backend: str, out: bool) -> None:
-        """Returns once a call is on record and in force. Raises DillportError."""
+        """Returns once a call is on record and in force. Raises BalancerError."""
         if await self.shell.called(backend, out) != out:
             raise CallError("at another node it was taken out at the same time")
 
--- a/dillport/net/rows.py
+++ b/balancer/net/rows.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from mmap import mmap
 
-from dillport.net.objects import (
+from balancer.net.objects import (
     BACKSLASH,
     BRACE,
     BRACKET,
--- a/dillport/net/upstream.py
+++ b/balancer/net/upstream.py
@@ -17,13 +17,13 @@
 
 import httptools
 
-from dillport import interface as api
-from dillport.interface import Status
-from dillport.net.config import Address, Member
-from dillport.net.figures import Figures
-from dillport.net.limited import LimitedWarnings
-from dillport.net.shards import Shards
-from dillport.net.stream import LARGEST, SMALL, Budget, Upload
+from balancer import interface as api
+from balancer.interface import Status
+from balancer.net.config import Address, Member
+from balancer.net.figures import Figures
+from balancer.net.limited import LimitedWarnings
+from balancer.net.shards import Shards
+from balancer.net.stream import LARGEST, SMALL, Budget, Upload
 
 log = logging.getLogger(__name__)
 
--- a/dillport/net/watchdog.py
+++ b/balancer/net/watchdog.py
@@ -36,7 +36,7 @@
 
 from __future__ import annotations
 
-from dillport import policy
+from balancer import policy
 
 PERIOD, REST = policy.ASK_PERIOD / 1000, policy.ASK_REST / 1000
 TURNED_AWAY, CROWDED = policy.ASK_TURNED_AWAY / 1000, policy.ASK_CROWDED / 1000
--- a/dillport/policy.py
+++ b/balancer/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of one load-balancer node. Its types (settings, events, actions): dillport/interface.py.
+"""Every decision of one load-balancer node. Its types (settings, events, actions): balancer/interface.py.
 
 `_pick` is Join-Up-To(m); `_draw` says which backends are eligible; `_send` and `_finish` check the rules.
 """
@@ -11,10 +11,10 @@
 from dataclasses import replace
 from typing import Any
 
-from dillport import interface as api
-from dillport.admission import Admission
-from dillport.index import Index, Least
-from dillport.state import Attempt, Backend, Class, Members, Request
+from balancer import interface as api
+from balancer.admission import Admission
+from balancer.index import Index, Least
+from balancer.state import Attempt, Backend, Class, Members, Request
 
 TRIFLE = 0.012  # a price of no more than this part of the result does not restrict the choice of backends
 SAMPLE = 3  # backends looked at in one round: the paper's lowest-estimate search, sampled
--- a/dillport/recovery/bans.py
+++ b/balancer/recovery/bans.py
@@ -10,9 +10,9 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from dillport.recovery.events import Action, Apply, Called, Keep, Synced
-from dillport.recovery.exchange import Exchange
-from dillport.recovery.register import Register, Row
+from balancer.recovery.events import Action, Apply, Called, Keep, Synced
+from balancer.recovery.exchange import Exchange
+from balancer.recovery.register import Register, Row
 
 
 class Bans:
--- a/dillport/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from dillport.recovery.bans import Bans
-from dillport.recovery.events import (
+from balancer.recovery.bans import Bans
+from balancer.recovery.events import (
     Action,
     Admit,
     AskList,
@@ -40,9 +40,9 @@
     Synced,
     Tell,
 )
-from dillport.recovery.exchange import Exchange
-from dillport.recovery.filters import filter_of, outside
-from dillport.recovery.messages import (
+from balancer.recovery.exchange import Exchange
+from balancer.recovery.filters import filter_of, outside
+from balancer.recovery.messages import (
     Filter,
     Flag,
     Kind,
@@ -55,12 +55,12 @@
     decode,
     encode,
 )
-from dillport.recovery.phases import PATHS, Path, Phase, judge, settled_among
-from dillport.recovery.register import Register, Row
-from dillport.recovery.shares import share_of
-from dillport.recovery.trust import TABLE, Disk, Trust, trusts
-from dillport.recovery.trust import Kind as What
-from dillport.recovery.turns import Turns
+from balancer.recovery.phases import PATHS, Path, Phase, judge, settled_among
+from balancer.recovery.register import Register, Row
+from balancer.recovery.shares import share_of
+from balancer.recovery.trust import TABLE, Disk, Trust, trusts
+from balancer.recovery.trust import Kind as What
+from balancer.recovery.turns import Turns
 
 COLD = frozenset({Path.POWER, Path.SPLIT, Path.ALONE})  # every backend may be cold
 ANSWERS = 8  # of those that hear a roll call, on average
--- a/dillport/recovery/earlier.py
+++ b/balancer/recovery/earlier.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Iterable
 
-from dillport.recovery.register import Row
+from balancer.recovery.register import Row
 
 
 def calls(out: Collection[str], rows: Iterable[Row]) -> list[tuple[str, bool]]:
--- a/dillport/recovery/events.py
+++ b/balancer/recovery/events.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from dillport.recovery.phases import Path, Phase
-from dillport.recovery.register import Row
+from balancer.recovery.phases import Path, Phase
+from balancer.recovery.register import Row
 
 
 @dataclass(slots=True, frozen=True)
--- a/dillport/recovery/exchange.py
+++ b/balancer/recovery/exchange.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from dillport.recovery.messages import ROWS_ROOM, Body, Filter, Flag, Kind, Rows, State, row_size
-from dillport.recovery.register import BUCKETS, Register, Row, shared
+from balancer.recovery.messages import ROWS_ROOM, Body, Filter, Flag, Kind, Rows, State, row_size
+from balancer.recovery.register import BUCKETS, Register, Row, shared
 
 ALL = (1 << BUCKETS) - 1
 LOW = 0xFFFFFFFF
--- a/dillport/recovery/filters.py
+++ b/balancer/recovery/filters.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Sequence
 
-from dillport.recovery.messages import MOST_FILTER, Filter
+from balancer.recovery.messages import MOST_FILTER, Filter
 
 LEAST_BITS = 2.0  # for each id: with fewer, four in ten of the others pass, and it is not worth a datagram
 MOST_PART = 0.5  # of a saved list that is restricted on peers' word
--- a/dillport/recovery/messages.py
+++ b/balancer/recovery/messages.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from enum import IntEnum, IntFlag
 
-from dillport.recovery.register import BUCKETS, MOST_ID, Row
+from balancer.recovery.register import BUCKETS, MOST_ID, Row
 
 VERSION = 1
 MOST = 256  # bytes of a datagram
--- a/dillport/recovery/phases.py
+++ b/balancer/recovery/phases.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from enum import Enum, IntEnum
 
-from dillport.recovery.messages import State
+from balancer.recovery.messages import State
 
 
 class Phase(IntEnum):
--- a/dillport/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from dillport.durable.records import Back, Flag, Flagged, Kept, Out, stamp
-from dillport.durable.shell import Durable
-from dillport.errors import DillportError
-from dillport.membership.port import RECOVERY, Moved, Port
-from dillport.recovery import events
-from dillport.recovery.core import Config, Recovery
-from dillport.recovery.earlier import calls
-from dillport.recovery.phases import Path, Phase
-from dillport.recovery.register import Row
-from dillport.recovery.trust import Kind
+from balancer.durable.records import Back, Flag, Flagged, Kept, Out, stamp
+from balancer.durable.shell import Durable
+from balancer.errors import BalancerError
+from balancer.membership.port import RECOVERY, Moved, Port
+from balancer.recovery import events
+from balancer.recovery.core import Config, Recovery
+from balancer.recovery.earlier import calls
+from balancer.recovery.phases import Path, Phase
+from balancer.recovery.register import Row
+from balancer.recovery.trust import Kind
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
     rows: tuple[Row, ...]
 
 
-class CallError(DillportError):
+class CallError(BalancerError):
     """A call could not be put on the record that the tier shares, so nothing is changed."""
 
     code = "RCV01"
@@ -168,7 +168,7 @@
         self.tell(events.Peers(moved.count, moved.replaced))
 
     async def called(self, backend: str, out: bool) -> bool:
-        """An operator's call; whether the backend is out, once that is on record. Raises DillportError."""
+        """An operator's call; whether the backend is out, once that is on record. Raises BalancerError."""
         call, token = self._call(backend, out)
         try:
             async with asyncio.timeout(SYNC):
@@ -275,18 +275,18 @@
         task.add_done_callback(self._syncing.discard)
 
     async def _sync(self, token: int, put: asyncio.Future[None] | None) -> None:
-        why: DillportError | None = None
+        why: BalancerError | None = None
         if put is not None and self.disk is not None and self.disk.off is None:
             try:
                 await put
-            except DillportError as err:
+            except BalancerError as err:
                 why = err
         elif put is not None:  # without a disk that can be used a call is answered as it would be without one
             put.exception()
         if token in self._calls:
             self._synced(token, why)
 
-    def _synced(self, token: int, why: DillportError | None) -> None:
+    def _synced(self, token: int, why: BalancerError | None) -> None:
         """The rows of a call are on the disk, or not; it may be that others have to be written for it."""
         call = self._calls[token]
         call.waits = False
--- a/dillport/sim/crash.py
+++ b/balancer/sim/crash.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from dillport.durable.files import Files
-from dillport.durable.store import Loaded, Store, load
-from dillport.sim.disk import Disk, DiskFiles, Image, PowerCut
+from balancer.durable.files import Files
+from balancer.durable.store import Loaded, Store, load
+from balancer.sim.disk import Disk, DiskFiles, Image, PowerCut
 
 NODE, NAME = "n0", "0123456789abcdef"
 SEPARATOR = b"\0"
--- a/dillport/sim/disk.py
+++ b/balancer/sim/disk.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from dillport.durable.files import File
+from balancer.durable.files import File
 
 BLOCK = 512
 MOST_NAMES = 6  # name changes not synced of which every subset is played
--- a/dillport/sim/members.py
+++ b/balancer/sim/members.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from dillport.membership.core import Action, Changed, Config, Event, Leave, Membership, Received, Tell, Tick
-from dillport.membership.messages import State
-from dillport.sim.agenda import Agenda
+from balancer.membership.core import Action, Changed, Config, Event, Leave, Membership, Received, Tell, Tick
+from balancer.membership.messages import State
+from balancer.sim.agenda import Agenda
 
 ROUNDING = 1e-6  # ms later than due a tick comes: between two clocks it must not be early by a rounding
 LIFE_UNIT = 256.0  # ms of the start's time that one life number stands for
--- a/dillport/sim/recovery_disks.py
+++ b/balancer/sim/recovery_disks.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from dillport.recovery.register import Row
+from balancer.recovery.register import Row
 
 MONTH_MS = 30 * 24 * 3600 * 1000.0
 
--- a/dillport/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from dillport.recovery.bans import Bans
-from dillport.recovery.core import Recovery
-from dillport.recovery.events import Called, Kept, Listed, Members, Restrict
-from dillport.recovery.exchange import Exchange
-from dillport.recovery.phases import Path, Phase
-from dillport.recovery.register import Register, Row
-from dillport.recovery.turns import Turns
+from balancer.recovery.bans import Bans
+from balancer.recovery.core import Recovery
+from balancer.recovery.events import Called, Kept, Listed, Members, Restrict
+from balancer.recovery.exchange import Exchange
+from balancer.recovery.phases import Path, Phase
+from balancer.recovery.register import Register, Row
+from balancer.recovery.turns import Turns
 
 
 class _ByTime(Register):
--- a/dillport/sim/recovery_figures.py
+++ b/balancer/sim/recovery_figures.py
@@ -1,6 +1,6 @@
 """Figures of a whole tier's return: calls of discovery, datagrams, and the time until all are full.
 
-    python -c "from dillport.sim.recovery_figures import mass_return; print(mass_return(200, 1))"
+    python -c "from balancer.sim.recovery_figures import mass_return; print(mass_return(200, 1))"
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from dillport.recovery.core import Recovery
-from dillport.sim.members import World
-from dillport.sim.recovery_disks import Condition
-from dillport.sim.recovery_outside import Discovery, waits
-from dillport.sim.recovery_schedule import BACKENDS, Schedule, Step, play
-from dillport.sim.recovery_world import Make
+from balancer.recovery.core import Recovery
+from balancer.sim.members import World
+from balancer.sim.recovery_disks import Condition
+from balancer.sim.recovery_outside import Discovery, waits
+from balancer.sim.recovery_schedule import BACKENDS, Schedule, Step, play
+from balancer.sim.recovery_world import Make
 
 CUT_MS = 12_000.0  # the tier has come up and is quiet by then
 DARK_MS = 500.0  # until the first node is back
--- a/dillport/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -27,12 +27,12 @@
 
 from dataclasses import dataclass, field
 
-from dillport.policy import COLD_PART
-from dillport.recovery.events import Entered
-from dillport.recovery.phases import Path, Phase
-from dillport.recovery.register import Row
-from dillport.sim.recovery_outside import FALL_MULTIPLE, warmth
-from dillport.sim.recovery_world import LOOK_MS, Call, Process, Tier
+from balancer.policy import COLD_PART
+from balancer.recovery.events import Entered
+from balancer.recovery.phases import Path, Phase
+from balancer.recovery.register import Row
+from balancer.sim.recovery_outside import FALL_MULTIPLE, warmth
+from balancer.sim.recovery_world import LOOK_MS, Call, Process, Tier
 
 SOON_MS, SETTLED_MS = 3_000.0, 8_000.0
 NEWS_MS = 1_000.0  # within which a yes has reached all that hear each other without loss
--- a/dillport/sim/recovery_schedule.py
+++ b/balancer/sim/recovery_schedule.py
@@ -2,7 +2,7 @@
 
 One by hand, with the log of what happened:
 
-    python -c "from dillport.sim.recovery_schedule import draw, play; print(play(draw(17)))"
+    python -c "from balancer.sim.recovery_schedule import draw, play; print(play(draw(17)))"
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from dillport.recovery.core import Config, Recovery
-from dillport.sim.members import Net
-from dillport.sim.recovery_disks import Condition
-from dillport.sim.recovery_observer import Breach, Observer
-from dillport.sim.recovery_world import Make, Partition, Tier
+from balancer.recovery.core import Config, Recovery
+from balancer.sim.members import Net
+from balancer.sim.recovery_disks import Condition
+from balancer.sim.recovery_observer import Breach, Observer
+from balancer.sim.recovery_world import Make, Partition, Tier
 
 BACKENDS = tuple(f"b{i}" for i in range(6))
 COUNTS = (3, 3, 4, 5, 6, 8, 12, 16)  # nodes
--- a/dillport/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -15,15 +15,15 @@
 from functools import partial
 from typing import Protocol
 
-from dillport.membership import core as membership
-from dillport.recovery import events as room
-from dillport.recovery.core import Config, Recovery
-from dillport.recovery.messages import FIRST_KIND
-from dillport.recovery.phases import Path, Phase
-from dillport.recovery.register import Row
-from dillport.sim.members import LIFE_UNIT, Net, World
-from dillport.sim.recovery_disks import Condition, Disk, Found
-from dillport.sim.recovery_outside import Backend, Discovery
+from balancer.membership import core as membership
+from balancer.recovery import events as room
+from balancer.recovery.core import Config, Recovery
+from balancer.recovery.messages import FIRST_KIND
+from balancer.recovery.phases import Path, Phase
+from balancer.recovery.register import Row
+from balancer.sim.members import LIFE_UNIT, Net, World
+from balancer.sim.recovery_disks import Condition, Disk, Found
+from balancer.sim.recovery_outside import Backend, Discovery
 
 KIND_AT = 5  # the byte of a datagram that names its kind
 DAY_MS = 24 * 3600 * 1000.0
--- a/dillport/sim/service.py
+++ b/balancer/sim/service.py
@@ -15,16 +15,16 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from dillport import interface as api
-from dillport import wire
-from dillport.lab.model.backend import Backend, Job, Verdict
-from dillport.lab.model.client import End, Wish
-from dillport.lab.model.load import draw
-from dillport.lab.processes import settings
-from dillport.lab.spec import Experiment
-from dillport.lab.streams import stream
-from dillport.policy import Balancer
-from dillport.sim.agenda import Agenda
+from balancer import interface as api
+from balancer import wire
+from balancer.lab.model.backend import Backend, Job, Verdict
+from balancer.lab.model.client import End, Wish
+from balancer.lab.model.load import draw
+from balancer.lab.processes import settings
+from balancer.lab.spec import Experiment
+from balancer.lab.streams import stream
+from balancer.policy import Balancer
+from balancer.sim.agenda import Agenda
 
 DEMAND = 0.8  # of a node's share that follows what it was asked for; the rest is the same for all
 MARGIN = 10.0  # ms before its client's limit at which a node answers at the latest
--- a/dillport/sim/writers.py
+++ b/balancer/sim/writers.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from dillport.durable.files import Files
-from dillport.durable.store import Fenced, Store, load
-from dillport.sim.crash import NAME, NODE, fold, snapshot
-from dillport.sim.disk import Disk, DiskFiles
+from balancer.durable.files import Files
+from balancer.durable.store import Fenced, Store, load
+from balancer.sim.crash import NAME, NODE, fold, snapshot
+from balancer.sim.disk import Disk, DiskFiles
 
 Layer = Callable[[Disk], Files]
 Body = Callable[["Writer"], None]
--- a/dillport/simhost.py
+++ b/balancer/simhost.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from dillport import wire
-from dillport.errors import DillportError
-from dillport.interface import CallError, Event, Settings
-from dillport.policy import Balancer
+from balancer import wire
+from balancer.errors import BalancerError
+from balancer.interface import CallError, Event, Settings
+from balancer.policy import Balancer
 
 
 class Host:
@@ -101,11 +101,11 @@
     try:
         serve(sys.stdin, sys.stdout)
         return 0
-    except DillportError as err:
+    except BalancerError as err:
         why = err
     except UnicodeDecodeError as err:
         why = wire.WireError(f"a line is not UTF-8: {err}")
-    print(f"dillport: {why.sentence}", file=sys.stderr)
+    print(f"balancer: {why.sentence}", file=sys.stderr)
     return 2
 
 
--- a/dillport/state.py
+++ b/balancer/state.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from dillport import interface as api
+from balancer import interface as api
 
 
 @dataclass(slots=True, eq=False)
--- a/dillport/wire.py
+++ b/balancer/wire.py
@@ -6,8 +6,8 @@
 import math
 from typing import Any
 
-from dillport import interface as api
-from dillport.errors import DillportError
+from balancer import interface as api
+from balancer.errors import BalancerError
 
 _EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
 _GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
@@ -36,7 +36,7 @@
 }
 
 
-class WireError(DillportError):
+class WireError(BalancerError):
     """A line that the wire does not allow."""
 
     code = "WIR01"
--- a/dillport/cli/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The `dillport` command."""
--- a/dillport/cli/__main__.py
+++ /dev/null
@@ -1,5 +0,0 @@
-"""`python -m dillport.cli`."""
-
-from dillport.cli.app import main
-
-main()
--- /dev/null
+++ b/tests/equivalence/__main__.py
@@ -0,0 +1,186 @@
+"""Compare the behaviour of this tree with that of an earlier revision: `python -m tests.equivalence REV`.
+
+Compared are the decisions on generated input of the simulator's wire (extended by the events of a real node),
+the datagrams of membership and recovery under seeded schedules, and the files that one version leaves to the
+other. Exit code 0: all equal; 1: not; 2: the revision cannot be had.
+"""
+
+from __future__ import annotations
+
+import argparse
+import io
+import os
+import subprocess
+import sys
+import tarfile
+import tempfile
+import tomllib
+from collections.abc import Callable
+from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass
+from difflib import unified_diff
+from functools import partial
+from pathlib import Path
+
+from tests.equivalence.stream import World
+
+HERE = Path(__file__).resolve().parent
+ROOT = HERE.parents[1]
+CACHE = ROOT / ".lab" / "equivalence"
+WIRE_SEEDS, MEMBERSHIP_SEEDS, RECOVERY_SEEDS = 40, 10, 12
+WORKERS = 4  # plays at a time, each of two processes
+SHOWN_LINES = 30  # of a difference
+
+
+@dataclass(frozen=True)
+class Tree:
+    """A checkout and the adapter to its names."""
+
+    root: Path
+    adapter: Path
+
+    @classmethod
+    def at(cls, root: Path) -> Tree:
+        """Return the tree at `root`, with its own adapter if it has one."""
+        own = root / "tests" / "equivalence" / "adapter.py"
+        return cls(root, own if own.exists() else HERE / "former.py")
+
+    def command(self, job: str, *args: str) -> list[str]:
+        """Return the command that runs a job in this tree."""
+        return [sys.executable, "-B", str(HERE / "probe.py"), str(self.root), str(self.adapter), job, *args]
+
+    def run(self, job: str, *args: str) -> str:
+        """Return what a job writes."""
+        return run(self.command(job, *args), "")
+
+    def simulate(self, text: str) -> str:
+        """Return what the deploy file's `sim` answers to this input."""
+        deploy = tomllib.loads((self.root / "deploy" / "balancer.toml").read_text("utf-8"))
+        module = str(deploy["sim"]).rpartition(" -m ")[2]
+        return run([sys.executable, "-B", "-m", module], text, self.root)
+
+
+def run(command: list[str], text: str, folder: Path = ROOT) -> str:
+    """Return a command's output; raises CalledProcessError."""
+    env = os.environ | {"PYTHONPATH": str(folder), "PYTHONHASHSEED": "0"}
+    done = subprocess.run(
+        command, input=text, stdout=subprocess.PIPE, text=True, check=True, cwd=folder, env=env
+    )
+    return done.stdout
+
+
+def checkout(revision: str) -> Path:
+    """Return a folder with the files of a revision; raises CalledProcessError."""
+    git = ["git", "-C", str(ROOT)]
+    done = subprocess.run(
+        [*git, "rev-parse", f"{revision}^{{commit}}"], capture_output=True, text=True, check=True
+    )
+    folder = CACHE / done.stdout.strip()[:12]
+    if not folder.exists():
+        listed = subprocess.run(
+            [*git, "ls-tree", "--name-only", revision], capture_output=True, text=True, check=True
+        )
+        wanted = [
+            name for name in ("balancer", "dillport", "deploy", "tests") if name in listed.stdout.split()
+        ]
+        data = subprocess.run([*git, "archive", revision, *wanted], capture_output=True, check=True).stdout
+        folder.parent.mkdir(parents=True, exist_ok=True)
+        with tempfile.TemporaryDirectory(dir=folder.parent) as draft:
+            with tarfile.open(fileobj=io.BytesIO(data)) as tar:
+                tar.extractall(draft, filter="data")
+            Path(draft).rename(folder)
+            Path(draft).mkdir()  # for the context manager to remove
+    return folder
+
+
+def converse(tree: Tree, seed: int) -> World:
+    """Play a seed against a tree's decisions, event by event."""
+    command = tree.command("wire")
+    with subprocess.Popen(
+        command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True, cwd=tree.root
+    ) as there:
+        assert there.stdin is not None and there.stdout is not None
+        source, sink = there.stdout, there.stdin
+
+        def exchange(batch: list[str]) -> list[str]:
+            sink.write("\n".join(batch) + "\n")
+            sink.flush()
+            reply = []
+            while (line := source.readline()) and line != "FINISHED\n":
+                reply.append(line.rstrip("\n"))
+            return reply
+
+        world = World(seed, exchange, extended=seed % 4 != 3)
+        world.play()
+        sink.close()
+    return world
+
+
+def difference(name: str, before: str, after: str) -> str:
+    """Return the begin of the difference between two outputs; empty if there is none."""
+    if before == after:
+        return ""
+    rows = unified_diff(before.split("\n"), after.split("\n"), "before", "after", lineterm="", n=4)
+    return "\n".join(
+        [f"--- {name} differs", *[row[:300] for _, row in zip(range(SHOWN_LINES), rows, strict=False)]]
+    )
+
+
+def compare_wire(before: Tree, after: Tree, seed: int) -> str:
+    """Play a seed against the earlier revision and its input against this tree."""
+    world = converse(before, seed)
+    text = "".join(f"{line}\n" for line in world.input)
+    replies = [run(tree.command("wire"), text, tree.root) for tree in (before, after)]
+    found = difference(f"wire, seed {seed}", *replies)
+    if not world.extended and not found:
+        found = difference(f"sim, seed {seed}", before.simulate(text), after.simulate(text))
+    return found
+
+
+def compare_job(before: Tree, after: Tree, job: str, seed: int) -> str:
+    """Compare what a job of both trees writes."""
+    return difference(f"{job}, seed {seed}", before.run(job, str(seed)), after.run(job, str(seed)))
+
+
+def compare_files(before: Tree, after: Tree) -> str:
+    """Compare the files that each writes, byte by byte, and what each makes of the other's."""
+    readings, contents = [], []
+    for writer in (before, after):
+        for reader in (before, after):
+            with tempfile.TemporaryDirectory() as folder:
+                writer.run("write", folder)
+                paths = sorted(path for path in Path(folder).rglob("*") if path.is_file())
+                contents.append("\n".join(f"{p.relative_to(folder)} {p.read_bytes().hex()}" for p in paths))
+                readings.append(reader.run("read", folder))
+    found = [difference("files", contents[0], other) for other in contents[1:]]
+    found += [difference("files as read", readings[0], other) for other in readings[1:]]
+    return "\n".join(filter(None, found))
+
+
+def main() -> int:
+    """Run all comparisons and print the differences."""
+    parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
+    parser.add_argument("revision")
+    parser.add_argument("--first", type=int, default=1, help="the first seed of each kind")
+    parser.add_argument("--wire", type=int, default=WIRE_SEEDS, help="seeds of the simulator's wire")
+    parser.add_argument("--membership", type=int, default=MEMBERSHIP_SEEDS)
+    parser.add_argument("--recovery", type=int, default=RECOVERY_SEEDS)
+    args = parser.parse_args()
+    try:
+        before, after = Tree.at(checkout(args.revision)), Tree.at(ROOT)
+    except subprocess.CalledProcessError as err:
+        print(f"revision {args.revision!r} cannot be had: {err}", file=sys.stderr)
+        return 2
+    jobs: list[Callable[[], str]] = [partial(compare_files, before, after)]
+    for job, count in (("recovery", args.recovery), ("membership", args.membership)):
+        seeds = range(args.first, args.first + count)
+        jobs += [partial(compare_job, before, after, job, seed) for seed in seeds]
+    jobs += [partial(compare_wire, before, after, s) for s in range(args.first, args.first + args.wire)]
+    with ThreadPoolExecutor(WORKERS) as pool:
+        found = [text for text in pool.map(lambda job: job(), jobs) if text]
+    print("\n".join(found) if found else f"equal: {len(jobs)} comparisons with {args.revision}")
+    return 1 if found else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/tests/equivalence/former.py
@@ -0,0 +1,222 @@
+"""What the comparison asks of a revision from before it had an adapter of its own: 6c5b4ec and its like.
+
+Each function has the same meaning in all revisions; what it returns is text or bytes that have to be equal.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import re
+import time
+from collections.abc import Iterator
+from contextlib import ExitStack
+from dataclasses import asdict
+from functools import partial
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+from dillport import interface as api
+from dillport import wire
+from dillport.durable import records
+from dillport.durable.files import RealFiles
+from dillport.durable.store import Store, load
+from dillport.membership.core import Config as MembershipConfig
+from dillport.membership.messages import State
+from dillport.net import bans, handover, returning
+from dillport.policy import Balancer
+from dillport.recovery.phases import Path as RecoveryPath
+from dillport.recovery.phases import Phase
+from dillport.recovery.register import Row
+from dillport.recovery.shell import Left
+from dillport.sim import members, recovery_schedule
+
+PACKAGE = "dillport"
+NOW_S = 1_700_000_000.0  # Unix time of every file
+REASONS: dict[str, str] = {}  # today's word for why a request got no attempt, and the one it once had
+
+
+class Instance:
+    """One instance of the decision module, driven by lines of the simulator's wire and their extension."""
+
+    def __init__(self, seed: int, settings: str) -> None:
+        self.settings = self.before = wire.settings(settings)
+        self.balancer = Balancer(self.settings, seed)
+
+    def handle(self, now: float, line: str, following: Iterator[str]) -> list[str]:
+        """Handle one event at the clock time `now` (ms); `following` gives the lines of a list's entries."""
+        word, _, rest = line.partition(" ")
+        if word == "X_LEARNED":
+            return [f"X_LEARNED {json.dumps(_learned_table(self.balancer.learned(now)))}"]
+        if word == "X_STATE":
+            numbers = sorted(re.findall(r"=([\d.]+)", self.balancer.gauge()))
+            return [
+                f"X_STATE {self.balancer.unavailable(now)} {self.balancer.listed(rest)} {' '.join(numbers)}"
+            ]
+        try:
+            actions = self.balancer.handle(now, self._event(word, rest, line, following))
+        except api.CallError as err:
+            return [f"X_ERROR {err.code}"]
+        return [_extended(action) for action in actions]
+
+    def _event(self, word: str, rest: str, line: str, following: Iterator[str]) -> api.Event:
+        parts = rest.split(" ")
+        match word:
+            case "DIRECTORY_UPDATE" | "X_LIST":
+                more = word == "X_LIST" and parts.pop() == "1"
+                update, count = wire.list_update(" ".join(["DIRECTORY_UPDATE", *parts]))
+                update.entries.extend(wire.entry(next(following)) for _ in range(count))
+                update.more = more
+                return update
+            case "X_LIST_FAILED":
+                failure = api.CallFailure(float(parts[0]), parts[1] == "1", parts[2] == "1")
+                return api.ListUpdate(api.ListKind.FAILED, [], failure=failure)
+            case "X_SETTINGS":
+                self.before, self.settings = self.settings, wire.settings(rest)
+                return api.Reconfigured(self.settings)
+            case "X_BAN":
+                return api.Maintenance(parts[0], parts[1] == "1", float(parts[2]))
+            case "X_TAKING_OVER":
+                return api.TakingOver()
+            case "X_RECOVERING":
+                share, since, rate = map(float, parts[1:])
+                return api.Recovering(api.RecoveryPhase(parts[0]), share, since, rate)
+            case "X_RECOVERED":
+                age, _, table = rest.partition(" ")
+                return api.Recovered(_learned(json.loads(table)), float(age))
+            case "X_ARRIVAL":
+                name, deadline, kind, arriving, before = parts
+                under = self.before if before == "1" else None
+                return api.Arrival(name, kind, float(deadline), arriving=arriving == "1", under=under)
+            case "X_ARRIVED":
+                return api.Arrived(parts[0], float(parts[1]))
+            case "X_RESOLVED":
+                event = wire.event(line[2 : line.rindex(" ")], self.settings.report_fields)
+                assert isinstance(event, api.Outcome)
+                event.spent = parts[-1] == "1"
+                return event
+        return wire.event(line, self.settings.report_fields)
+
+
+def _extended(action: api.Action) -> str:
+    """Return an action's line on the wire and what the wire leaves out."""
+    text = wire.action(action)
+    if isinstance(action, api.Send):
+        return f"{text} before={action.before!r}"
+    if isinstance(action, api.Refuse | api.Fail):
+        return f"{text} {REASONS.get(action.reason, action.reason)}"
+    return text
+
+
+def _learned_table(learned: api.Learned) -> dict[str, Any]:
+    return asdict(learned)
+
+
+def _learned(table: dict[str, Any]) -> api.Learned:
+    classes = {name: tuple(row) for name, row in table["classes"].items()}
+    backends = {name: tuple(row) for name, row in table["backends"].items()}
+    return api.Learned(table["limit"], table["trust"], table["lost"], classes, backends)
+
+
+def membership(seed: int) -> Iterator[str]:
+    """Yield each datagram of a tier whose nodes die, stall, leave and come back, in order."""
+    lossy = members.Net(loss=0.1, duplicate=0.05, late=0.02, corrupt=0.01)
+    world = members.World(5 + 4 * (seed % 5), seed, MembershipConfig(), members.Net() if seed % 2 else lossy)
+    sent: list[str] = []
+    original = members.World._send
+
+    def send(self: members.World, source: int, target: int, data: bytes) -> None:
+        sent.append(f"{self.now:.3f} {source} {target} {data.hex()}")
+        original(self, source, target, data)
+
+    with mock.patch.object(members.World, "_send", send):
+        for node in range(world.count):
+            world.at(world.now + 37.0 * node, partial(world.start, node))
+        begin = world.now
+        world.at(begin + 6_000, partial(world.kill, 1))
+        world.at(begin + 7_000, partial(world.stall, 2, 2_500.0))
+        world.at(begin + 9_000, partial(world.leave, 3))
+        world.at(begin + 12_000, partial(world.start, 1))
+        world.at(begin + 13_000, partial(setattr, world.net, "cut", lambda a, b: (a < 2) != (b < 2)))
+        world.at(begin + 20_000, partial(setattr, world.net, "cut", lambda a, b: False))
+        world.run(begin + 30_000)
+    yield from sent
+    yield from (f"{s.at:.3f} {s.node} {s.change.member} {State(s.change.after).value}" for s in world.seen)
+
+
+def recovery(seed: int) -> Iterator[str]:
+    """Yield each datagram of a tier under a drawn schedule of power cuts, in order, and what came of it."""
+    original = members.World._send
+    sent: list[str] = []
+
+    def send(self: members.World, source: int, target: int, data: bytes) -> None:
+        sent.append(f"{self.now:.3f} {source} {target} {data.hex()}")
+        original(self, source, target, data)
+
+    with mock.patch.object(members.World, "_send", send):
+        played = recovery_schedule.play(recovery_schedule.draw(seed))
+    yield from sent
+    yield f"{played.full_ms:.3f} {played.yes} {played.budget_worst:.6f} {len(played.breaches)}"
+    yield from (f"calls {second} {count}" for second, count in sorted(played.calls.items()))
+
+
+def write_files(folder: Path) -> None:
+    """Write a state directory, a file of bans, and what a process leaves to its successor."""
+    learned = api.Learned(7.5, 0.75, 0.125, {"c0": (20.0, 3.0, -0.5)}, {"b1": (5.0, 1.5, 2.0, 3, 250.0)})
+    moment = records.Stamp(NOW_S * 1000, "boot", 4_000.0)
+    flags = [records.Flag("b2", 1, 7, 3, True, 900.0), records.Flag("b2", 0, 6, 1, False, 800.0)]
+    rows = [records.Row("b1", "10.0.0.1", 80, "a", "m2", 3, 1.5, "up", 5.0),
+            records.Row("b2", "10.0.0.2", 80, "b", "m2", 4, 1.0, "draining", 0.0)]  # fmt: skip
+    with ExitStack() as stack:
+        stack.enter_context(mock.patch.object(time, "time", lambda: NOW_S))
+        files = RealFiles(folder / "state")
+        files.make()
+        store = Store(files, "n0", "fresh", lambda loaded: records.total(None, []).encode())
+        for record in (
+            records.Started(7, 1_000.0), records.Listed(41, True, 1_100.0, rows), records.Out("b1", 1_200.0),
+            records.Flagged(flags), records.Sampled(moment, learned, 12.5), records.Back("b1", 1_300.0),
+            records.Out("b3", 1_400.0),
+        ):  # fmt: skip
+            store.append([records.encode(record)], sync=True)
+        store.rotate(_kept(folder).encode())
+        store.append([records.encode(records.Listed(42, False, 1_500.0, rows[:1]))], sync=True)
+        store.close()
+        stem = bans.stem({"TMPDIR": str(folder)}, "n0")
+        handover.give(stem.with_suffix(handover.SUFFIX), learned)
+        register = (Row("b2", 1, 7, 3, True, 900.0), Row("b2", 0, 6, 1, False, 800.0))
+        left = Left(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
+        returning.give(stem.with_suffix(returning.SUFFIX), left, 50.0)
+        asyncio.run(_ban(stem))
+
+
+async def _ban(stem: Path) -> None:
+    table = bans.Bans(stem, lambda name, out, since: None)
+    table.start(False)
+    await table.change("b1", True, 1_000.0, 10_000.0)
+    await table.change("b2", True, 2_000.0, 10_000.0)
+    await table.change("b1", False, 3_000.0, 10_000.0)
+    table.stop()
+
+
+def _kept(folder: Path) -> records.Kept:
+    loaded = load(RealFiles(folder / "state"), "n0")
+    return records.total(loaded.snapshot, loaded.records)
+
+
+def read_files(folder: Path) -> Iterator[str]:
+    """Yield what this revision makes of files that a revision has written; some go as they are read."""
+    with mock.patch.object(time, "time", lambda: NOW_S + 1.0):
+        loaded = load(RealFiles(folder / "state"), "n0")
+        kept = records.total(loaded.snapshot, loaded.records)
+        yield f"{loaded.number} {loaded.fence} {loaded.generation} {loaded.lost} {loaded.notes}"
+        yield kept.encode().hex()
+        stem = bans.stem({"TMPDIR": str(folder)}, "n0")
+        record = bans.parse(stem.with_suffix(".bans").read_text("utf-8"))
+        yield f"{sorted(record.out)} {sorted(record.back.items())}"
+        recovered = handover.take(stem.with_suffix(handover.SUFFIX))
+        assert recovered is not None
+        yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
+        left = returning.take(stem.with_suffix(returning.SUFFIX), 150.0)
+        assert left is not None
+        yield f"{left.phase.name} {left.path.value} {left.cold_since} {[tuple(row) for row in left.rows]}"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from dillport import interface as api
-from dillport.net.config import Member
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.net.config import Member
+from balancer.policy import Balancer
 
 SAFE = api.RequestClass("read", api.Effect.SAFE, aim=400.0, deadline=1000.0, value=1.0)
 KEYED = api.RequestClass(
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -8,10 +8,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Generator
+from collections.abc import Generator, Iterable
 from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -76,12 +77,18 @@
     return asked == {(config.rootpath / path).resolve() for path in config.getini("testpaths") or ["."]}
 
 
+def missing(tests: Iterable[str]) -> str:
+    """Return the message on listed tests that there are not."""
+    return f"{NAME}: there is no test {', '.join(sorted(tests))}"
+
+
 class KnownRed:
     """The plugin for one run."""
 
     def __init__(self, entries: tuple[Entry, ...]) -> None:
         self.entries = {entry.test: entry for entry in entries}
         self.verdicts: dict[str, Verdict] = {}
+        self.unknown = set[str]()  # as the workers of a parallel run tell it
 
     @pytest.hookimpl(tryfirst=True)  # before `-k` and `--deselect` take any away
     def pytest_collection_modifyitems(
@@ -89,8 +96,11 @@
     ) -> None:
         """Guards against a list that outlives its tests; what could not be collected fails the run itself."""
         unknown = self.entries.keys() - {item.nodeid for item in items}
-        if unknown and is_whole(config) and not session.testsfailed:
-            raise pytest.UsageError(f"{NAME}: there is no test {', '.join(sorted(unknown))}")
+        if not unknown or not is_whole(config) or session.testsfailed:
+            return
+        if (output := getattr(config, "workeroutput", None)) is None:
+            raise pytest.UsageError(missing(unknown))
+        output[NAME] = sorted(unknown)  # a worker's exception would end the run without this line
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)
     def pytest_runtest_makereport(
@@ -104,15 +114,33 @@
         if report.failed:
             report.outcome = "skipped"
             report.wasxfail = f"known red: {entry.cause} ({entry.issue})"
-            self.verdicts[entry.test] = Verdict.RED
-        elif report.skipped:
-            self.verdicts[entry.test] = Verdict.SKIPPED
-        elif report.when == "call":
-            self.verdicts[entry.test] = Verdict.PASSED
         return report
 
+    def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
+        """Record the verdict of a listed test where the summary is printed: workers only report to there."""
+        if report.nodeid not in self.entries or report.when == "teardown":
+            return
+        if hasattr(report, "wasxfail"):
+            self.verdicts[report.nodeid] = Verdict.RED
+        elif report.skipped:
+            self.verdicts[report.nodeid] = Verdict.SKIPPED
+        elif report.passed and report.when == "call":
+            self.verdicts[report.nodeid] = Verdict.PASSED
+
+    @pytest.hookimpl(optionalhook=True)
+    def pytest_testnodedown(self, node: Any) -> None:
+        """Take what a worker of a parallel run has found."""
+        self.unknown |= set(getattr(node, "workeroutput", {}).get(NAME, ()))
+
+    def pytest_sessionfinish(self, session: pytest.Session) -> None:
+        """Fail a parallel run whose list names tests that there are not."""
+        if self.unknown:
+            session.exitstatus = pytest.ExitCode.USAGE_ERROR
+
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         """Name each listed test that was to run, with cause and issue."""
+        if self.unknown:
+            terminalreporter.write_line(f"ERROR: {missing(self.unknown)}", red=True)
         if self.verdicts:
             terminalreporter.section(NAME)
         for test, verdict in self.verdicts.items():
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -24,7 +24,7 @@
     wait_fixed,
 )
 
-from dillport.net.upstream import REST
+from balancer.net.upstream import REST
 
 ROOT = Path(__file__).parents[1]
 WAIT = 30.0  # s until a test that waits for something that does not come fails
@@ -305,7 +305,7 @@
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     env |= {"PROXY_CONFIG": str(path), "TMPDIR": str(path.parent)} | more
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "dillport", cwd=ROOT, env=env,
+        sys.executable, "-B", "-m", "balancer", cwd=ROOT, env=env,
         stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport.admission import COLD_ALL, Admission
-from dillport.lab.spec import Backends, Clients, Experiment, Fleet, Load, Rules, Surge
-from dillport.policy import Balancer
-from dillport.sim.service import Cut, World
+from balancer import interface as api
+from balancer.admission import COLD_ALL, Admission
+from balancer.lab.spec import Backends, Clients, Experiment, Fleet, Load, Rules, Surge
+from balancer.policy import Balancer
+from balancer.sim.service import Cut, World
 from tests.helpers import BASE, answers, entry
 
 NAMES = "ABCDEFGH"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from dillport import policy
-from dillport.lab.scale import rig, size
-from dillport.lab.scale.points import Slope
+from balancer import policy
+from balancer.lab.scale import rig, size
+from balancer.lab.scale.points import Slope
 
 ROOT = Path(__file__).parents[1]
 PAGE = ROOT / "docs" / "CAPACITY.md"
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.policy import COLD_PART, Balancer
-from dillport.state import Attempt, Backend, Request
+from balancer import interface as api
+from balancer.policy import COLD_PART, Balancer
+from balancer.state import Attempt, Backend, Request
 from tests.helpers import BASE, KEYED, SAFE, entry, sends
 
 CFG = replace(BASE, classes=(replace(SAFE, aim=900.0), replace(KEYED, aim=900.0)), ramp_time=60_000.0)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -18,14 +18,14 @@
 import pytest
 import uvloop
 
-from dillport.interface import ListKind, Status
-from dillport.net import front as front_file
-from dillport.net.config import load, over
-from dillport.net.figures import Figures
-from dillport.net.front import ClientConnection, Front
-from dillport.net.node import Node
-from dillport.net.stream import Budget
-from dillport.net.upstream import Answer, Host, Pool
+from balancer.interface import ListKind, Status
+from balancer.net import front as front_file
+from balancer.net.config import load, over
+from balancer.net.figures import Figures
+from balancer.net.front import ClientConnection, Front
+from balancer.net.node import Node
+from balancer.net.stream import Budget
+from balancer.net.upstream import Answer, Host, Pool
 from tests.helpers import BASE
 from tests.sockets import PATIENT, WAIT, Backend, Message, answer, configuration
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -21,8 +21,8 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.policy import Balancer
 from tests.helpers import BASE, SAFE, entry
 
 RTT = 2.0  # ms to a backend and back
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from dillport.net.config import ENTRY_BYTES, Config, ConfigSizeError, load, reload
-from dillport.policy import Balancer
+from balancer.net.config import ENTRY_BYTES, Config, ConfigSizeError, load, reload
+from balancer.policy import Balancer
 from tests.sockets import configuration
 
 
@@ -77,9 +77,9 @@
 
 def test_the_program_ends_with_one_line(tmp_path: Path) -> None:
     env = os.environ | written(tmp_path, tenants=60_000)
-    got = subprocess.run([sys.executable, "-m", "dillport"], env=env, capture_output=True, text=True)
+    got = subprocess.run([sys.executable, "-m", "balancer"], env=env, capture_output=True, text=True)
     assert got.returncode == 2 and got.stderr.count("\n") == 1
-    assert got.stderr.startswith("dillport: CFG05: settings: projects: 60000 entries take 10 of 10 MB")
+    assert got.stderr.startswith("balancer: CFG05: settings: projects: 60000 entries take 10 of 10 MB")
 
 
 @pytest.mark.parametrize(("field", "counts"), [
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,11 +17,11 @@
 
 import pytest
 
-from dillport.__main__ import share
-from dillport.net.config import LEAVING, SPARE, Config, load, over
-from dillport.net.console import CALLERS
-from dillport.net.front import BACKLOG, ClientConnection, Front
-from dillport.net.node import Node
+from balancer.__main__ import share
+from balancer.net.config import LEAVING, SPARE, Config, load, over
+from balancer.net.console import CALLERS
+from balancer.net.front import BACKLOG, ClientConnection, Front
+from balancer.net.node import Node
 from tests.sockets import (
     PATIENT,
     Backend,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,13 +16,13 @@
 
 import pytest
 
-from dillport.interface import ListKind
-from dillport.net import config
-from dillport.net.config import Address
-from dillport.net.discovery import Discovery
-from dillport.net.discovery_call import Stage
-from dillport.net.node import Node, Rooms
-from dillport.net.watchdog import PERIOD
+from balancer.interface import ListKind
+from balancer.net import config
+from balancer.net.config import Address
+from balancer.net.discovery import Discovery
+from balancer.net.discovery_call import Stage
+from balancer.net.node import Node, Rooms
+from balancer.net.watchdog import PERIOD
 from tests.sockets import configuration
 
 KNOWN = 6.0  # s after which what discovery has counts as told, whatever became of the calls before
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -28,11 +28,11 @@
 
 import pytest
 
-from dillport.interface import ListKind
-from dillport.net.config import Address, News
-from dillport.net.discovery import MOST_FORMER, Discovery
-from dillport.net.discovery_call import Call
-from dillport.net.node import Node
+from balancer.interface import ListKind
+from balancer.net.config import Address, News
+from balancer.net.discovery import MOST_FORMER, Discovery
+from balancer.net.discovery_call import Call
+from balancer.net.node import Node
 from tests.sockets import Backend, Client, FakeDiscovery, Rig, configuration, read_message, started
 from tests.test_discovery import FAR, HEAD, KNOWN, NEW, Line, World
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -16,10 +16,10 @@
 from hypothesis import strategies as st
 from typer.testing import CliRunner
 
-from dillport.cli.app import app
-from dillport.durable import frames, store
-from dillport.durable.files import File, RealFiles
-from dillport.durable.records import (
+from balancer.cli.app import app
+from balancer.durable import frames, store
+from balancer.durable.files import File, RealFiles
+from balancer.durable.records import (
     Back,
     Flag,
     Flagged,
@@ -33,12 +33,12 @@
     encode,
     total,
 )
-from dillport.durable.shell import Durable, DurableError
-from dillport.durable.store import Fenced, Store, StoreError, load
-from dillport.interface import Learned
-from dillport.sim import writers
-from dillport.sim.crash import NAME, NODE, History, explore, fold, snapshot, workload
-from dillport.sim.disk import Disk, DiskFiles, Image
+from balancer.durable.shell import Durable, DurableError
+from balancer.durable.store import Fenced, Store, StoreError, load
+from balancer.interface import Learned
+from balancer.sim import writers
+from balancer.sim.crash import NAME, NODE, History, explore, fold, snapshot, workload
+from balancer.sim.disk import Disk, DiskFiles, Image
 
 LEARNED = Learned(12.5, 0.9, 0.0, {"read": (30.0, 4.0, -0.2)}, {"b0": (0.0, 1.2, 3.5, 1, 250.0)})
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -14,9 +14,9 @@
 import pytest
 from typer.testing import CliRunner
 
-import dillport
-from dillport.cli.app import app
-from dillport.errors import DillportError
+import balancer
+from balancer.cli.app import app
+from balancer.errors import BalancerError
 from tests.sockets import configuration
 
 ROOT = Path(__file__).parents[1]
@@ -24,15 +24,15 @@
 ROW = re.compile(rf"^\| `({CODE.pattern})` \| (.+) \| (.+) \|$", re.M)
 
 
-def every() -> dict[str, type[DillportError]]:
+def every() -> dict[str, type[BalancerError]]:
     """All error types of the program, by code."""
-    for module in pkgutil.walk_packages(dillport.__path__, "dillport."):
-        if module.name not in ("dillport.cli.__main__",):  # runs as it is imported
+    for module in pkgutil.walk_packages(balancer.__path__, "balancer."):
+        if module.name not in ("balancer.cli.__main__",):  # runs as it is imported
             importlib.import_module(module.name)
-    found: list[type[DillportError]] = [DillportError]
+    found: list[type[BalancerError]] = [BalancerError]
     for kind in found:
         found.extend(kind.__subclasses__())
-    kinds = [kind for kind in found[1:] if kind.__module__.startswith("dillport.")]
+    kinds = [kind for kind in found[1:] if kind.__module__.startswith("balancer.")]
     codes = {kind.__dict__.get("code", ""): kind for kind in kinds}
     assert len(codes) == len(set(kinds)), "a code is there twice, or missing"
     return codes
@@ -53,7 +53,7 @@
 
 
 def test_what_is_said_is_one_line_each() -> None:
-    class Odd(DillportError):
+    class Odd(BalancerError):
         code = "ODD01"
         remedy = "nothing"
 
@@ -64,9 +64,9 @@
 @pytest.mark.parametrize(
     ("env", "start"),
     [
-        ({}, "dillport: CFG02: PROXY_CONFIG is missing; what to do: "),
-        ({"PROXY_CONFIG": "/nowhere"}, "dillport: CFG02: PROXY_CONFIG cannot be read: "),
-        ({"PROXY_CONFIG": "{}"}, "dillport: CFG01: settings is missing; what to do: "),
+        ({}, "balancer: CFG02: PROXY_CONFIG is missing; what to do: "),
+        ({"PROXY_CONFIG": "/nowhere"}, "balancer: CFG02: PROXY_CONFIG cannot be read: "),
+        ({"PROXY_CONFIG": "{}"}, "balancer: CFG01: settings is missing; what to do: "),
     ],
 )
 def test_a_node_that_does_not_run_says_why_in_one_line(
@@ -76,7 +76,7 @@
         (tmp_path / "config.json").write_text(env["PROXY_CONFIG"])
         env = {"PROXY_CONFIG": str(tmp_path / "config.json")}
     kept = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
-    got = subprocess.run([sys.executable, "-m", "dillport"], cwd=ROOT, env=kept | env, capture_output=True)
+    got = subprocess.run([sys.executable, "-m", "balancer"], cwd=ROOT, env=kept | env, capture_output=True)
     text = got.stderr.decode()
     assert got.returncode == 2 and text.startswith(start) and text.count("\n") == 1
 
@@ -87,10 +87,10 @@
     (tmp_path / "google_crc32c.py").write_text("raise ModuleNotFoundError('No module named google_crc32c')")
     more = {"PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_FLEET": str(tmp_path / "fleet.toml"),
             "PYTHONPATH": str(tmp_path), "TMPDIR": str(tmp_path)}  # fmt: skip
-    got = subprocess.run([sys.executable, "-m", "dillport"], cwd=ROOT, env=os.environ | more,
+    got = subprocess.run([sys.executable, "-m", "balancer"], cwd=ROOT, env=os.environ | more,
                          capture_output=True, text=True)  # fmt: skip
     assert got.returncode == 2 and got.stderr.count("\n") == 1
-    assert got.stderr.startswith("dillport: NOD03: ") and "requirements-fleet.txt" in got.stderr
+    assert got.stderr.startswith("balancer: NOD03: ") and "requirements-fleet.txt" in got.stderr
 
 
 @pytest.mark.parametrize(
@@ -112,5 +112,5 @@
     where = args.replace("OUT", str(tmp_path / "none")).replace("FILLED", str(tmp_path))
     done = CliRunner().invoke(app, where.split())
     happened, remedy = done.stderr.splitlines()
-    assert done.exit_code == 2 and happened.startswith(f"dillport: {code}: ")
+    assert done.exit_code == 2 and happened.startswith(f"balancer: {code}: ")
     assert remedy == f"what to do: {every()[code].remedy}"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,24 +16,24 @@
 import uvloop
 from typer.testing import CliRunner
 
-from dillport.cli import fleet as command
-from dillport.cli.app import app
-from dillport.lab import records
-from dillport.lab.places import Block, Places, text
-from dillport.lab.processes import configuration
-from dillport.lab.programs import ROOT, Program
-from dillport.lab.run import Run, play
-from dillport.lab.spec import load
-from dillport.membership.core import Config
-from dillport.membership.messages import Kind, Message, encode
-from dillport.membership.port import MOST, RECOVERY, Port
-from dillport.membership.shell import MembershipShell
-from dillport.net import config
-from dillport.net.config import Address, ConfigError
-from dillport.net.fleet import Fleet, read
+from balancer.cli import fleet as command
+from balancer.cli.app import app
+from balancer.lab import records
+from balancer.lab.places import Block, Places, text
+from balancer.lab.processes import configuration
+from balancer.lab.programs import ROOT, Program
+from balancer.lab.run import Run, play
+from balancer.lab.spec import load
+from balancer.membership.core import Config
+from balancer.membership.messages import Kind, Message, encode
+from balancer.membership.port import MOST, RECOVERY, Port
+from balancer.membership.shell import MembershipShell
+from balancer.net import config
+from balancer.net.config import Address, ConfigError
+from balancer.net.fleet import Fleet, read
 from tests.sockets import happens
 
-NODE = Program("tests", ROOT, f"exec {sys.executable} -B -m dillport")
+NODE = Program("tests", ROOT, f"exec {sys.executable} -B -m balancer")
 SPEC = """
 name = "members"
 seconds = 14.0
@@ -140,9 +140,9 @@
     (tmp_path / "fleet.toml").write_text(fleet)
     env = {"PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_FLEET": str(tmp_path / "fleet.toml"),
            "TMPDIR": str(tmp_path)}  # fmt: skip
-    done = subprocess.run([sys.executable, "-B", "-m", "dillport"], cwd=ROOT, env=env, capture_output=True,
+    done = subprocess.run([sys.executable, "-B", "-m", "balancer"], cwd=ROOT, env=env, capture_output=True,
                           text=True, timeout=60, check=False)  # fmt: skip
-    assert done.returncode == 2 and done.stderr.startswith("dillport: CFG") and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and done.stderr.startswith("balancer: CFG") and done.stderr.count("\n") == 1
     return done.stderr.partition(": ")[2].partition(": ")[2].partition("; what to do: ")[0]
 
 
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -15,8 +15,8 @@
 import pytest
 from typer.testing import CliRunner
 
-from dillport.cli.app import app
-from dillport.lab.places import Block, text
+from balancer.cli.app import app
+from balancer.lab.places import Block, text
 from tests.sockets import WAIT, Backend, FakeDiscovery, Rig, configuration, happens, spawn, started
 from tests.test_console import CONSOLE
 
--- a/tests/test_handover_crossings.py
+++ b/tests/test_handover_crossings.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.net import bans, handover, pair
-from dillport.net.handover import give, take
-from dillport.net.pair import Pair
+from balancer import interface as api
+from balancer.net import bans, handover, pair
+from balancer.net.handover import give, take
+from balancer.net.pair import Pair
 
 BACKEND = (0.0, 1.0, math.inf, 1, 90.0)
 LEARNED = api.Learned(21.5, 0.9, 0.0, {"read": (30.0, 4.0, 0.1)}, {"b0": BACKEND})
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -16,10 +16,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport.index import BLOCK, FORMER, Least, Places
-from dillport.policy import GOLDEN, SHOWN, Balancer
-from dillport.state import Backend
+from balancer import interface as api
+from balancer.index import BLOCK, FORMER, Least, Places
+from balancer.policy import GOLDEN, SHOWN, Balancer
+from balancer.state import Backend
 from tests.helpers import BASE, LOOKING, SAFE, RuleChecker, answers, entry, sends
 
 PRICED = replace(BASE, charges=api.Charges(cross_zone=0.1), group_size=3, me=2)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -151,3 +151,19 @@
 def test_a_list_that_is_not_text_fails_any_run(pytester: Pytester) -> None:
     (pytester.path / NAME).write_bytes(b"\xff\xfe")
     assert played(pytester, None, f"{FILE}::test_green").ret == pytest.ExitCode.USAGE_ERROR
+
+
+def test_workers_of_a_parallel_run_pass_over_listed_tests_alone(pytester: Pytester) -> None:
+    got = played(pytester, line("test_red"), "-k", "red or green", "-n", "2")
+    assert got.ret == pytest.ExitCode.OK
+    got.assert_outcomes(passed=1, xfailed=1)
+    got.stdout.fnmatch_lines([f"{FILE}::test_red | late lists | #24: still fails, passed over"])
+    got = played(pytester, line("test_red"), "-n", "2")
+    assert got.ret == pytest.ExitCode.TESTS_FAILED
+    got.stdout.fnmatch_lines([f"{FILE}::test_red | *", f"FAILED {FILE}::test_late*"])
+
+
+def test_an_unknown_test_fails_a_parallel_run(pytester: Pytester) -> None:
+    got = played(pytester, line("test_nowhere"), "-n", "2")
+    assert got.ret == pytest.ExitCode.USAGE_ERROR
+    got.stdout.fnmatch_lines([f"ERROR: {NAME}: there is no test {FILE}::test_nowhere"])
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -11,16 +11,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.lab import records
-from dillport.lab.figures import STARVED, held, waited
-from dillport.lab.model.backend import Backend, Job, Verdict
-from dillport.lab.model.client import End, Wish
-from dillport.lab.model.directory import Directory, Listed, Phase, Watch
-from dillport.lab.model.late import REST, SPELL, spells
-from dillport.lab.model.load import draw
-from dillport.lab.model.weather import Weather
-from dillport.lab.processes import Usage, Waiting
-from dillport.lab.spec import (
+from balancer.lab import records
+from balancer.lab.figures import STARVED, held, waited
+from balancer.lab.model.backend import Backend, Job, Verdict
+from balancer.lab.model.client import End, Wish
+from balancer.lab.model.directory import Directory, Listed, Phase, Watch
+from balancer.lab.model.late import REST, SPELL, spells
+from balancer.lab.model.load import draw
+from balancer.lab.model.weather import Weather
+from balancer.lab.processes import Usage, Waiting
+from balancer.lab.spec import (
     CLASSES,
     Backends,
     Clients,
@@ -36,8 +36,8 @@
     choose,
     load,
 )
-from dillport.lab.streams import stream
-from dillport.lab.timeline import Step, timeline
+from balancer.lab.streams import stream
+from balancer.lab.timeline import Step, timeline
 
 BACKENDS = Backends(cores=1, queue_per_core=2, thrash=0.0, cold_from=0.5, cold_s=10.0)
 
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -8,16 +8,16 @@
 
 import pytest
 
-from dillport.durable.records import Listed, Out, encode, total
-from dillport.durable.store import Loaded, Store, load
-from dillport.lab import power, records
-from dillport.lab.programs import Program
-from dillport.lab.returning import forgotten, returning
-from dillport.lab.run import phases
-from dillport.lab.spec import Backends, DiskLeft, Experiment, Fleet, Link, Load, Power
-from dillport.lab.spec import load as load_spec
-from dillport.lab.timeline import Step, over, timeline
-from dillport.sim.disk import Disk, DiskFiles, PowerCut
+from balancer.durable.records import Listed, Out, encode, total
+from balancer.durable.store import Loaded, Store, load
+from balancer.lab import power, records
+from balancer.lab.programs import Program
+from balancer.lab.returning import forgotten, returning
+from balancer.lab.run import phases
+from balancer.lab.spec import Backends, DiskLeft, Experiment, Fleet, Link, Load, Power
+from balancer.lab.spec import load as load_spec
+from balancer.lab.timeline import Step, over, timeline
+from balancer.sim.disk import Disk, DiskFiles, PowerCut
 from tests.test_lab_run import file, lab
 
 SMALL = Experiment(
@@ -156,10 +156,11 @@
     assert found[1].at - found[0].at == 2000.0
 
 
-def test_a_clock_is_one_more_variant_of_what_is_played() -> None:
-    plain = Program("x", Path(), "exec python -B -m dillport").varied("clock--600")
-    assert plain.endswith("variant.py' clock--600")
-    assert Program("x", Path(), plain).varied("alone").endswith("variant.py' alone clock--600")
+@pytest.mark.parametrize("package", ["balancer", "dillport"])
+def test_a_clock_is_one_more_variant_of_what_is_played(package: str) -> None:
+    plain = Program("x", Path(), f"exec python -B -m {package}").varied("clock--600")
+    assert plain.endswith(f"variant.py' {package} clock--600")
+    assert Program("x", Path(), plain).varied("alone").endswith(f"variant.py' {package} alone clock--600")
 
 
 PLAYS = 3  # at most, until one is not void, or all came back in it
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -16,15 +16,15 @@
 import pytest
 import uvloop
 
-from dillport.lab import records
-from dillport.lab.hub import Relay
-from dillport.lab.model.weather import Weather
-from dillport.lab.places import Block
-from dillport.lab.programs import ROOT, Program
-from dillport.lab.run import LabError, play
-from dillport.lab.spec import Experiment, Fleet, Link, Network, load
-from dillport.lab.streams import stream
-from dillport.lab.wires import Clock, Listener, Wire
+from balancer.lab import records
+from balancer.lab.hub import Relay
+from balancer.lab.model.weather import Weather
+from balancer.lab.places import Block
+from balancer.lab.programs import ROOT, Program
+from balancer.lab.run import LabError, play
+from balancer.lab.spec import Experiment, Fleet, Link, Network, load
+from balancer.lab.streams import stream
+from balancer.lab.wires import Clock, Listener, Wire
 from tests.sockets import WAIT, until
 
 FAULTS = """
@@ -90,7 +90,7 @@
 
 
 def command(*args: str) -> list[str]:
-    return [sys.executable, "-B", "-m", "dillport.cli", *args]
+    return [sys.executable, "-B", "-m", "balancer.cli", *args]
 
 
 def lab(*args: str, **over: Any) -> subprocess.CompletedProcess[str]:
@@ -194,7 +194,7 @@
     _, said = process.communicate(timeout=WAIT)
     assert process.returncode == (-number if number == signal.SIGKILL else 2)
     if number != signal.SIGKILL:
-        assert said.decode().splitlines()[-2] == "dillport: CLI01: interrupted"
+        assert said.decode().splitlines()[-2] == "balancer: CLI01: interrupted"
     until(lambda: not any(Path(f"/proc/{pid}").exists() for pid in children))
 
 
@@ -213,7 +213,7 @@
     done = lab("run", file(tmp_path, CALM), "--out", str(tmp_path / "out"), *args)
     assert done.returncode == 2 and word in done.stderr and done.stdout == ""
     happened, remedy = done.stderr.splitlines()
-    assert happened.startswith("dillport: LAB") and remedy.startswith("what to do: "), done.stderr
+    assert happened.startswith("balancer: LAB") and remedy.startswith("what to do: "), done.stderr
 
 
 def test_a_disk_that_fills_up_under_the_results_is_said(tmp_path: Path) -> None:
@@ -223,7 +223,7 @@
     done = lab(
         "run", file(tmp_path, CALM), "--out", str(tmp_path / "out"), "--set", "seconds=2.0", preexec_fn=full
     )
-    assert done.returncode == 2 and done.stderr.splitlines()[-2].startswith("dillport: LAB06: ")
+    assert done.returncode == 2 and done.stderr.splitlines()[-2].startswith("balancer: LAB06: ")
     assert "File too large" in done.stderr
     assert not (tmp_path / "out" / "records.msgpack").exists()
 
@@ -235,17 +235,17 @@
 
 
 NOT_OF_RUN = (
-    "numpy", "structlog", "typer", "rich", "hdrh", "httpx", "google_crc32c", "dillport.lab", "dillport.cli",
-    "dillport.sim", "dillport.membership", "dillport.durable", "dillport.recovery", "dillport.net.fleet",
-    "dillport.net.returning",
+    "numpy", "structlog", "typer", "rich", "hdrh", "httpx", "google_crc32c", "balancer.lab", "balancer.cli",
+    "balancer.sim", "balancer.membership", "balancer.durable", "balancer.recovery", "balancer.net.fleet",
+    "balancer.net.returning",
 )  # fmt: skip
 
 
 def test_run_imports_none_of_the_lab_and_none_of_the_rooms() -> None:
-    text = "import sys, dillport.__main__; print(*sys.modules)"
+    text = "import sys, balancer.__main__; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True)
     loaded = done.stdout.split()
-    assert "dillport.net.node" in loaded
+    assert "balancer.net.node" in loaded
     assert [m for m in loaded if m.startswith(NOT_OF_RUN)] == []
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.interface import ListKind
-from dillport.net.config import load
-from dillport.net.front import Front
-from dillport.net.node import Node
-from dillport.net.stream import PREFIX, SMALL
+from balancer import interface as api
+from balancer.interface import ListKind
+from balancer.net.config import load
+from balancer.net.front import Front
+from balancer.net.node import Node
+from balancer.net.stream import PREFIX, SMALL
 from tests.sockets import HOUR, WAIT, Backend, Client, Message, answer, configuration, echo
 
 FULL = answer(b"", "503 Service Unavailable", "Not-Started: 1")
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -16,16 +16,16 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport.__main__ import take_place
-from dillport.interface import ListKind, Phase
-from dillport.net import config, discovery_call, listing, objects, rows
-from dillport.net.config import Member, News
-from dillport.net.discovery import Discovery
-from dillport.net.discovery_call import MOST_OBJECT, most_object
-from dillport.net.node import Node, Rooms
-from dillport.net.watchdog import Watchdog
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.__main__ import take_place
+from balancer.interface import ListKind, Phase
+from balancer.net import config, discovery_call, listing, objects, rows
+from balancer.net.config import Member, News
+from balancer.net.discovery import Discovery
+from balancer.net.discovery_call import MOST_OBJECT, most_object
+from balancer.net.node import Node, Rooms
+from balancer.net.watchdog import Watchdog
+from balancer.policy import Balancer
 from tests import test_discovery
 from tests.helpers import member as listed_at
 from tests.test_discovery import World
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.net.config import ListError, News, address, news, news_of
+from balancer import interface as api
+from balancer.net.config import ListError, News, address, news, news_of
 from tests.helpers import member
 
 ROW = {"id": "a", "host_port": "10.0.0.1:80", "phase": "in_service"}
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from dillport.interface import Phase, Status
-from dillport.net.changes import NAMES, ListChanges
-from dillport.net.limited import EVERY, LimitedWarnings
-from dillport.net.request_log import RequestLog
+from balancer.interface import Phase, Status
+from balancer.net.changes import NAMES, ListChanges
+from balancer.net.limited import EVERY, LimitedWarnings
+from balancer.net.request_log import RequestLog
 from tests.helpers import entry, member
 from tests.test_discovery import World
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.interface import Settings, Status
-from dillport.net import bans as bans_file
-from dillport.net.bans import Bans, BansError, Record, stem
-from dillport.net.figures import Figures
-from dillport.net.stream import Budget
-from dillport.net.upstream import Pool
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.interface import Settings, Status
+from balancer.net import bans as bans_file
+from balancer.net.bans import Bans, BansError, Record, stem
+from balancer.net.figures import Figures
+from balancer.net.stream import Budget
+from balancer.net.upstream import Pool
+from balancer.policy import Balancer
 from tests.helpers import BASE, entry, node, sends
 from tests.sockets import Backend, running
 from tests.test_console import CONSOLE
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.index import Places
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.index import Places
+from balancer.policy import Balancer
 from tests.helpers import BASE, KEYED, LOOKING, SAFE, answers, entry, node, sends
 
 NAMES = [f"b{i}" for i in range(8)]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.membership.core import (
+from balancer.membership.core import (
     Action,
     Changed,
     Config,
@@ -23,7 +23,7 @@
     View,
     ViewChanged,
 )
-from dillport.membership.messages import (
+from balancer.membership.messages import (
     LAST_LIFE,
     LAST_WORD,
     MOST,
@@ -36,7 +36,7 @@
     decode,
     encode,
 )
-from dillport.sim.members import LIFE_UNIT, Net, World
+from balancer.sim.members import LIFE_UNIT, Net, World
 
 COUNT = 6
 SOON = 15_000.0  # ms after which a small tier has settled
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from dillport.interface import Effect, ListKind, Settings, Status
-from dillport.interface import RequestClass as Class
-from dillport.net.config import ListError, load, news
-from dillport.net.figures import Figures
-from dillport.net.front import Front
-from dillport.net.node import Node
-from dillport.net.stream import LARGEST, Budget
-from dillport.net.upstream import Answer, Pool, parse_report
+from balancer.interface import Effect, ListKind, Settings, Status
+from balancer.interface import RequestClass as Class
+from balancer.net.config import ListError, load, news
+from balancer.net.figures import Figures
+from balancer.net.front import Front
+from balancer.net.node import Node
+from balancer.net.stream import LARGEST, Budget
+from balancer.net.upstream import Answer, Pool, parse_report
 from tests.sockets import (
     PATIENT,
     WAIT,
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.net.objects import BrokenObject, Objects
+from balancer.net.objects import BrokenObject, Objects
 
 MOST = 8 * 1024 * 1024
 ROW = {"id": 'a"b\\', "x": "}{][\n\t", "y": "ü\u2028💥"}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from dillport.__main__ import share
-from dillport.net import pair as pair_file
-from dillport.net.config import LEAST, LEAVING, SPARE, Config
-from dillport.net.front import ClientConnection, Front
-from dillport.net.node import Node
-from dillport.net.pair import Pair
-from dillport.net.parts import Claim, Parts, parse
+from balancer.__main__ import share
+from balancer.net import pair as pair_file
+from balancer.net.config import LEAST, LEAVING, SPARE, Config
+from balancer.net.front import ClientConnection, Front
+from balancer.net.node import Node
+from balancer.net.pair import Pair
+from balancer.net.parts import Claim, Parts, parse
 from tests.sockets import PATIENT, Backend, FakeDiscovery, started
 from tests.test_console import CONSOLE
 from tests.test_descriptors import Crowd, FakeTransport, config_of, held
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from dillport import interface as api
-from dillport.net.config import Member
-from dillport.net.figures import Figures
-from dillport.net.shards import Shards
-from dillport.net.stream import Budget
-from dillport.net.upstream import KEEP, Connection, Host, Pool
+from balancer import interface as api
+from balancer.net.config import Member
+from balancer.net.figures import Figures
+from balancer.net.shards import Shards
+from balancer.net.stream import Budget
+from balancer.net.upstream import KEEP, Connection, Host, Pool
 from tests.helpers import BASE
 from tests.test_discovery import VirtualLoop
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -16,11 +16,11 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.durable.files import RealFiles
-from dillport.durable.records import Kept, total
-from dillport.durable.store import load
-from dillport.lab.programs import ROOT
+from balancer import interface as api
+from balancer.durable.files import RealFiles
+from balancer.durable.records import Kept, total
+from balancer.durable.store import load
+from balancer.lab.programs import ROOT
 from tests.helpers import BASE, SAFE, entry, node
 from tests.sockets import Backend, FakeDiscovery, Rig, configuration, happens, started
 from tests.test_console import CONSOLE
@@ -160,7 +160,7 @@
 
 def test_nothing_of_a_room_is_imported_that_the_fleet_file_does_not_name() -> None:
     rooms = ("durable", "membership", "recovery", "lab", "sim", "cli")
-    code = f"import sys, dillport.net.fleet; print([m for m in sys.modules if m.split('.')[1:2] and " \
+    code = f"import sys, balancer.net.fleet; print([m for m in sys.modules if m.split('.')[1:2] and " \
            f"m.split('.')[1] in {rooms}], 'google_crc32c' in sys.modules)"  # fmt: skip
     done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True,
                           check=True)  # fmt: skip
--- a/tests/test_recovery_core.py
+++ b/tests/test_recovery_core.py
@@ -15,8 +15,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.recovery.core import Config, Recovery
-from dillport.recovery.events import (
+from balancer.recovery.core import Config, Recovery
+from balancer.recovery.events import (
     Action,
     Admit,
     Apply,
@@ -39,7 +39,7 @@
     Tell,
     Tick,
 )
-from dillport.recovery.messages import (
+from balancer.recovery.messages import (
     MOST,
     Filter,
     Flag,
@@ -52,12 +52,12 @@
     decode,
     encode,
 )
-from dillport.recovery.phases import Path, Phase, settled_among
-from dillport.recovery.register import BUCKETS, Register, Row
-from dillport.recovery.shares import share_of
-from dillport.recovery.trust import TABLE, Trust, Verdict
-from dillport.recovery.trust import Kind as What
-from dillport.recovery.turns import Turns
+from balancer.recovery.phases import Path, Phase, settled_among
+from balancer.recovery.register import BUCKETS, Register, Row
+from balancer.recovery.shares import share_of
+from balancer.recovery.trust import TABLE, Trust, Verdict
+from balancer.recovery.trust import Kind as What
+from balancer.recovery.turns import Turns
 
 A = TypeVar("A", bound=Action)
 
--- a/tests/test_recovery_sim.py
+++ b/tests/test_recovery_sim.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from dillport.recovery.register import Row
-from dillport.sim.recovery_disks import Condition, Disk
-from dillport.sim.recovery_faults import FAULTS
-from dillport.sim.recovery_figures import calls_without, mass_return
-from dillport.sim.recovery_outside import Backend, Discovery, warmth
-from dillport.sim.recovery_schedule import draw, explore, play, shrink
+from balancer.recovery.register import Row
+from balancer.sim.recovery_disks import Condition, Disk
+from balancer.sim.recovery_faults import FAULTS
+from balancer.sim.recovery_figures import calls_without, mass_return
+from balancer.sim.recovery_outside import Backend, Discovery, warmth
+from balancer.sim.recovery_schedule import draw, explore, play, shrink
 
 SMALL = (3, 4, 5)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.net.config import ConfigError, load, reload
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.net.config import ConfigError, load, reload
+from balancer.policy import Balancer
 from tests.helpers import BASE, KEYED, SAFE, UNSAFE, answers, node, sends
 from tests.sockets import CLASSES, Backend, Message, configuration, echo, running
 from tests.test_console import CONSOLE
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -16,11 +16,11 @@
 import pytest
 import uvloop
 
-from dillport import interface as api
-from dillport.net.config import news
-from dillport.net.figures import Figures
-from dillport.net.stream import Budget
-from dillport.net.upstream import REST, Answer, Attempt, Pool
+from balancer import interface as api
+from balancer.net.config import news
+from balancer.net.figures import Figures
+from balancer.net.stream import Budget
+from balancer.net.upstream import REST, Answer, Attempt, Pool
 from tests.helpers import BASE, KEYED, node, sends
 from tests.sockets import (
     CLASSES,
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.membership.port import Port
-from dillport.net.config import News
-from dillport.net.node import Node
-from dillport.net.returning import Returning
-from dillport.recovery.phases import Phase
-from dillport.recovery.shell import CallError
+from balancer import interface as api
+from balancer.membership.port import Port
+from balancer.net.config import News
+from balancer.net.node import Node
+from balancer.net.returning import Returning
+from balancer.recovery.phases import Phase
+from balancer.recovery.shell import CallError
 from tests.helpers import BASE, entry, member
 
 HERE = ("127.0.0.1", 1)
--- a/tests/test_rows.py
+++ b/tests/test_rows.py
@@ -13,10 +13,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.errors import DillportError
-from dillport.net import config, rows
-from dillport.net.config import ListError, News, news_in_turns, news_of
-from dillport.net.objects import Pages
+from balancer.errors import BalancerError
+from balancer.net import config, rows
+from balancer.net.config import ListError, News, news_in_turns, news_of
+from balancer.net.objects import Pages
 
 ROW = {"id": "a", "host_port": "10.0.0.1:80", "phase": "in_service"}
 
@@ -36,7 +36,7 @@
     """What comes of it, or the line that says why nothing does; of what is no JSON, that it is none."""
     try:
         return in_turns(data)[0] if turned else news_of(data)
-    except DillportError as err:
+    except BalancerError as err:
         return err.line
     except (ValueError, RecursionError):
         return "no JSON"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport import policy
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer import policy
+from balancer.policy import Balancer
 from tests.helpers import BASE, KEYED, LOOKING, SAFE, ColdBudget, RuleChecker, answers, entry, node, sends
 
 ENDS = [s for s in api.Status if s is not api.Status.OK]
--- a/tests/test_scale_beside.py
+++ b/tests/test_scale_beside.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from dillport.lab.scale import beside, control, rig
-from dillport.lab.scale.points import NotPlayed, Part, Play, Point
+from balancer.lab.scale import beside, control, rig
+from balancer.lab.scale.points import NotPlayed, Part, Play, Point
 
 SMALL = {"membership quiet": (4, 6, 8), "membership cold start": (4, 6, 8), "membership faults": (6, 8, 12),
          "recovery return": (4, 5, 6)}  # fmt: skip
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from dillport.durable import frames
-from dillport.durable.records import Kept, Listed, encode, total
-from dillport.lab.scale import returns, stores, tiers
-from dillport.lab.scale.control import Run, plays
-from dillport.lab.scale.points import NotPlayed, Point
-from dillport.lab.scale.size import BACKENDS, NODES
-from dillport.recovery.core import Config
-from dillport.sim.disk import Disk
-from dillport.sim.members import Net
-from dillport.sim.recovery_schedule import BACKENDS as LISTED
+from balancer.durable import frames
+from balancer.durable.records import Kept, Listed, encode, total
+from balancer.lab.scale import returns, stores, tiers
+from balancer.lab.scale.control import Run, plays
+from balancer.lab.scale.points import NotPlayed, Point
+from balancer.lab.scale.size import BACKENDS, NODES
+from balancer.recovery.core import Config
+from balancer.sim.disk import Disk
+from balancer.sim.members import Net
+from balancer.sim.recovery_schedule import BACKENDS as LISTED
 
 UNITS = {"ms", "us", "bytes", "bytes/s", "datagrams/s", "s", "entries"}
 RUNS: list[tuple[Run, tuple[int, ...]]] = [
--- a/tests/test_scale_points.py
+++ b/tests/test_scale_points.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dillport.lab.scale.points import Point, at, fit, slopes
+from balancer.lab.scale.points import Point, at, fit, slopes
 
 SIZES = (200, 800, 3_000, 12_000, 70_000)
 PLANTED: dict[str, Callable[[int], float]] = {
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -12,12 +12,12 @@
 import uvloop
 from typer.testing import CliRunner
 
-from dillport import interface as api
-from dillport.cli import scale as command
-from dillport.cli.app import app
-from dillport.lab.scale import crowd, discovery, fleet, listing, module, processes, rack, rig, size, tables
-from dillport.lab.scale.points import NotPlayed, Play, Point
-from dillport.net.config import news_of
+from balancer import interface as api
+from balancer.cli import scale as command
+from balancer.cli.app import app
+from balancer.lab.scale import crowd, discovery, fleet, listing, module, processes, rack, rig, size, tables
+from balancer.lab.scale.points import NotPlayed, Play, Point
+from balancer.net.config import news_of
 from tests.helpers import member
 
 
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.lab.scale import fleet, size
-from dillport.net import listing
-from dillport.net.config import Member, News
-from dillport.net.figures import Figures
-from dillport.net.listing import Listing
-from dillport.net.stream import Budget
-from dillport.net.turns import Turns
-from dillport.net.upstream import Pool
-from dillport.policy import Balancer
-from dillport.sim.agenda import Agenda
+from balancer import interface as api
+from balancer.lab.scale import fleet, size
+from balancer.net import listing
+from balancer.net.config import Member, News
+from balancer.net.figures import Figures
+from balancer.net.listing import Listing
+from balancer.net.stream import Budget
+from balancer.net.turns import Turns
+from balancer.net.upstream import Pool
+from balancer.policy import Balancer
+from balancer.sim.agenda import Agenda
 from tests.helpers import BASE, ColdBudget, RuleChecker
 from tests.helpers import member as listed_at
 
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.net.shards import SHARDS, Shards
+from balancer.net.shards import SHARDS, Shards
 
 NAMES = st.text(max_size=3)
 
@@ -44,7 +44,7 @@
 
 
 def test_the_order_is_the_same_in_each_process() -> None:
-    text = "from dillport.net.shards import Shards; print(*Shards((f'b{i}', i) for i in range(300)))"
+    text = "from balancer.net.shards import Shards; print(*Shards((f'b{i}', i) for i in range(300)))"
     said = {
         subprocess.run([sys.executable, "-c", text], env={"PYTHONHASHSEED": seed}, check=True,
                        capture_output=True).stdout
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.net.stream import LARGEST, LEAST, MOST, PREFIX, Budget, Upload
+from balancer import interface as api
+from balancer.net.stream import LARGEST, LEAST, MOST, PREFIX, Budget, Upload
 from tests.helpers import BASE, answers, node, sends
 from tests.sockets import PATIENT, WAIT, Backend, Client, Message, Rig, answer, running
 from tests.test_console import CONSOLE
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -16,12 +16,12 @@
 import pytest
 import uvloop
 
-from dillport.interface import Effect, RequestClass, Settings, Status
-from dillport.net import upstream
-from dillport.net.figures import Figures
-from dillport.net.node import AGAIN, MARGIN
-from dillport.net.stream import LARGEST, SMALL, Budget
-from dillport.net.upstream import MAX_HEAD, Answer, Attempt, CloseReason, Connection, Pool
+from balancer.interface import Effect, RequestClass, Settings, Status
+from balancer.net import upstream
+from balancer.net.figures import Figures
+from balancer.net.node import AGAIN, MARGIN
+from balancer.net.stream import LARGEST, SMALL, Budget
+from balancer.net.upstream import MAX_HEAD, Answer, Attempt, CloseReason, Connection, Pool
 from tests.sockets import HOUR, WAIT, Backend, Client, Message, answer, running
 from tests.test_console import CONSOLE
 from tests.test_node import _list
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,15 +15,15 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.__main__ import until_killed
-from dillport.net import pair as pair_file
-from dillport.net.config import load
-from dillport.net.handover import give, take
-from dillport.net.listing import SHORT
-from dillport.net.objects import LONG
-from dillport.net.pair import Pair, SlotError, steer, unsteer
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.__main__ import until_killed
+from balancer.net import pair as pair_file
+from balancer.net.config import load
+from balancer.net.handover import give, take
+from balancer.net.listing import SHORT
+from balancer.net.objects import LONG
+from balancer.net.pair import Pair, SlotError, steer, unsteer
+from balancer.policy import Balancer
 from tests.helpers import BASE, SAFE, entry
 from tests.sockets import (
     PATIENT,
@@ -318,5 +318,5 @@
         second = await spawn(path)
         _, err = await second.communicate()
         assert second.returncode == 2
-        assert err.decode().splitlines()[-1].startswith("dillport: NOD01: listen: ")
+        assert err.decode().splitlines()[-1].startswith("balancer: NOD01: listen: ")
         assert (await (await rig.client()).ask("/read")).code == 200
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport import policy, simhost, wire
+from balancer import interface as api
+from balancer import policy, simhost, wire
 
 INFO = {
     "request-classes": [
@@ -182,7 +182,7 @@
 
 def test_bad_input_ends_the_process_with_one_line() -> None:
     got = subprocess.run(
-        [sys.executable, "-m", "dillport.simhost"],
+        [sys.executable, "-m", "balancer.simhost"],
         input="HELLO\n", capture_output=True, text=True, check=False,
     )
     assert got.returncode == 2 and got.stderr.count("\n") == 1 and "Traceback" not in got.stderr
@@ -191,7 +191,7 @@
 def test_the_deploy_file_builds_and_starts_the_adapter(tmp_path: Path) -> None:
     """As the operators do it: built once, then started by a shell from a tree that is not written to."""
     root = Path(__file__).parents[1]
-    for name in ("dillport", "deploy", "requirements.txt"):
+    for name in ("balancer", "deploy", "requirements.txt"):
         source = root / name
         if source.is_dir():
             shutil.copytree(source, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
@@ -263,7 +263,7 @@
 def test_same_events_same_actions_under_any_hash_seed() -> None:
     outs = {
         subprocess.run(
-            [sys.executable, "-m", "dillport.simhost"],
+            [sys.executable, "-m", "balancer.simhost"],
             input=_script(), capture_output=True, text=True, check=True,
             env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": str(Path(__file__).parents[1])},
         ).stdout
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -12,13 +12,13 @@
 from typing import Any
 from unittest import mock
 
-from dillport.lab import records
-from dillport.lab.places import Places
-from dillport.lab.processes import call, configuration
-from dillport.lab.run import LEAD, TAIL
-from dillport.lab.spec import Experiment, Maint
-from dillport.lab.timeline import Moment, Step, timeline
-from dillport.lab.worker import Plan, Role, Worker
+from balancer.lab import records
+from balancer.lab.places import Places
+from balancer.lab.processes import call, configuration
+from balancer.lab.run import LEAD, TAIL
+from balancer.lab.spec import Experiment, Maint
+from balancer.lab.timeline import Moment, Step, timeline
+from balancer.lab.worker import Plan, Role, Worker
 from tests.broken_node import StandIn
 
 Address = tuple[str, int]
@@ -228,7 +228,7 @@
         loop = runner.get_loop()
         assert isinstance(loop, VirtualLoop)
         with (
-            mock.patch("dillport.lab.backends.Listener", loop.listener),
-            mock.patch("dillport.lab.hub.Listener", loop.listener),
+            mock.patch("balancer.lab.backends.Listener", loop.listener),
+            mock.patch("balancer.lab.hub.Listener", loop.listener),
         ):
             return runner.run(VirtualPlay(spec, seed, defect, loop).whole())
