--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -23,6 +23,7 @@
 
 app = typer.Typer(help="A node's durable state: verify, show, compact.", no_args_is_help=True)
 
+
 class FolderError(BalancerError):
     """A directory of durable state cannot be read, or there is none."""
 
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -389,8 +389,22 @@
     age: float
 
 
-Event = (Reconfigured | Maintenance | TakingOver | Recovered | Recovering | ListUpdate | Arrival | Arrived
-         | StreamStarted | Outcome | ClientGone | Timer | Probed | PeerMessage)
+Event = (
+    Reconfigured
+    | Maintenance
+    | TakingOver
+    | Recovered
+    | Recovering
+    | ListUpdate
+    | Arrival
+    | Arrived
+    | StreamStarted
+    | Outcome
+    | ClientGone
+    | Timer
+    | Probed
+    | PeerMessage
+)
 
 # --- actions ----------------------------------------------------------------------------------------
 
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -150,29 +150,33 @@
     ]  # fmt: skip
     cross = sum(spec.zone_of(f"n{a.node}") != spec.zone_of(f"s{a.backend}") for a in seen.attempts)
     lateness = percentiles(seen.lateness, (50.0, 99.0))
-    out = {
-        "goodput": sum(w.got for w in counted) / worth,
-        "worst_second": float(min(seconds, default=0.0)),
-        "worst_class": min(by_class, default=0.0),
-        "served": len(latency) / total,
-        "refused": ends[End.REFUSED.value] / total,
-        "failed": (total - len(latency) - ends[End.REFUSED.value] - ends[End.LEFT.value]) / total,
-        "latency_p50_ms": p50,
-        "latency_p90_ms": p90,
-        "latency_p99_ms": p99,
-        "latency_p999_ms": p999,
-        "offered_per_s": total / (spec.seconds - spec.warmup),
-        "tries_per_wish": sum(w.tries for w in counted) / total,
-        "attempts_per_try": len(seen.attempts) / (len(seen.tries) or 1),
-        "cross_zone": cross / (len(seen.attempts) or 1),
-        "broken_rules": float(sum(judged.broken.values())),
-        "excused": float(judged.excused),
-        "overdue": float(judged.overdue),
-        "toppled": float(len(seen.topples)),
-        "rig_late_p50_ms": lateness[0],
-        "rig_late_p99_ms": lateness[1],
-        "rig_loop_lag_p99_ms": percentiles(seen.loop_lag, (99.0,))[0],
-    } | _costs(seen) | heirs(seen)
+    out = (
+        {
+            "goodput": sum(w.got for w in counted) / worth,
+            "worst_second": float(min(seconds, default=0.0)),
+            "worst_class": min(by_class, default=0.0),
+            "served": len(latency) / total,
+            "refused": ends[End.REFUSED.value] / total,
+            "failed": (total - len(latency) - ends[End.REFUSED.value] - ends[End.LEFT.value]) / total,
+            "latency_p50_ms": p50,
+            "latency_p90_ms": p90,
+            "latency_p99_ms": p99,
+            "latency_p999_ms": p999,
+            "offered_per_s": total / (spec.seconds - spec.warmup),
+            "tries_per_wish": sum(w.tries for w in counted) / total,
+            "attempts_per_try": len(seen.attempts) / (len(seen.tries) or 1),
+            "cross_zone": cross / (len(seen.attempts) or 1),
+            "broken_rules": float(sum(judged.broken.values())),
+            "excused": float(judged.excused),
+            "overdue": float(judged.overdue),
+            "toppled": float(len(seen.topples)),
+            "rig_late_p50_ms": lateness[0],
+            "rig_late_p99_ms": lateness[1],
+            "rig_loop_lag_p99_ms": percentiles(seen.loop_lag, (99.0,))[0],
+        }
+        | _costs(seen)
+        | heirs(seen)
+    )
     out |= {f"broken_{rule}": float(judged.broken[rule]) for rule in RULES}
     if spec.fleet.membership:
         out |= membership(spec, seen)
@@ -294,7 +298,8 @@
     slowest, missed = [], 0
     for node, at in kills:
         others = {
-            x.node for x in seen.lives
+            x.node
+            for x in seen.lives
             if x.node != node and x.ready and x.ready <= at and not 0 < x.ended < at + KNOWN_BY
         }
         known: dict[int, float] = {}
--- a/balancer/lab/scale/listing.py
+++ b/balancer/lab/scale/listing.py
@@ -157,9 +157,7 @@
     steps = Steps()
     listing = Listing(pool, tell, lambda *_: None, cast(Turns, steps))
     rest = [entry for entry in told if entry.zone != told[0].zone]
-    for revision, (name, entries) in enumerate(
-        [("take", told), ("zone_lost", rest), ("zone_back", told)], 1
-    ):
+    for revision, (name, entries) in enumerate([("take", told), ("zone_lost", rest), ("zone_back", told)], 1):
         what, steps.longest_us = news(revision, entries), 0.0
         gc.collect()
         begin = time.process_time_ns()
@@ -417,13 +415,17 @@
         each = self.rest, self.entries, self.entries[:-1]  # one less: its end is seen by their number
         first, self.revision = self.revision + 1, self.revision + len(each)
         return [
-            (len(some), fleet.line(some, number, True, self.where))
-            for number, some in enumerate(each, first)
+            (len(some), fleet.line(some, number, True, self.where)) for number, some in enumerate(each, first)
         ]
 
 
 async def _requests(
-    pid: int, clients: crowd.Crowd, plan: crowd.Plan, ports: Ports, discovery: StandInDiscovery, told: Told,
+    pid: int,
+    clients: crowd.Crowd,
+    plan: crowd.Plan,
+    ports: Ports,
+    discovery: StandInDiscovery,
+    told: Told,
     lags_ms: list[float],
 ) -> dict[str, tuple[float, str]]:
     """Raises TimeoutError where a whole list is not in force while requests come."""
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -389,9 +389,7 @@
         data.close()
 
 
-def _decoded(
-    data: mmap, parts: Layout, held: Held, members: list[Member]
-) -> Generator[None, None, News]:
+def _decoded(data: mmap, parts: Layout, held: Held, members: list[Member]) -> Generator[None, None, News]:
     """All but the members, and those into `members`. Raises as `news_of`."""
     told = _list_of(data[: parts.rows] + data[parts.last :])
     seen, begin = Shards[Member](), parts.rows
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -70,9 +70,7 @@
 class Call(asyncio.Protocol):
     """One call: a watch that goes on until its connection ends, or the whole list once."""
 
-    def __init__(
-        self, owner: Discovery, number: int, target: str, watch: bool, quick: bool = False
-    ) -> None:
+    def __init__(self, owner: Discovery, number: int, target: str, watch: bool, quick: bool = False) -> None:
         """`number` names it in the log; `quick` where what it is to tell is due soon: after a silence, or at
         a new address.
         """
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -82,9 +82,7 @@
         text, _, where = str(err).partition(" - at `$.")
         raise FleetFileError(f"{VARIABLE}: {where.rstrip('`') or 'the file'}: {text}") from None
     if out.membership is not None and not 50 <= out.membership.period_ms <= 60_000:
-        raise FleetFileError(
-            f"{VARIABLE}: membership.period-ms makes no sense: {out.membership.period_ms!r}"
-        )
+        raise FleetFileError(f"{VARIABLE}: membership.period-ms makes no sense: {out.membership.period_ms!r}")
     if out.recovery is not None and out.membership is None:
         raise FleetFileError(f"{VARIABLE}: recovery: it needs [membership]")
     return out
--- a/balancer/net/front.py
+++ b/balancer/net/front.py
@@ -397,9 +397,7 @@
                 framing = b"Content-Length: %d" % upload.size
         else:
             framing = b"Content-Length: %d" % len(body) if body or method != b"GET" else b""
-        node.arrival(
-            event, self, partial(render, method, self.target, self.headers, framing, body), upload
-        )
+        node.arrival(event, self, partial(render, method, self.target, self.headers, framing, body), upload)
 
     def _hint(self) -> float | None:
         value = self.headers.get(b"work-hint", b"")
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -446,8 +446,13 @@
         item.stop = action.timeout
         wait = self._clock(item, request)
         spent = request.upload is not None and request.upload.spent
-        if (spent or action.backend not in self.pool.members or wait <= 0 or 0 < action.before <= now
-                or not self._wanted(action.request, request)):
+        if (
+            spent
+            or action.backend not in self.pool.members
+            or wait <= 0
+            or 0 < action.before <= now
+            or not self._wanted(action.request, request)
+        ):
             if not item.over:  # else called off with its request
                 self._outcome(item, Answer(api.Status.MOOT))
             return
--- a/balancer/policy.py
+++ b/balancer/policy.py
@@ -93,18 +93,29 @@
         self.rtt = 2.0 * settings.tick  # usual round trip of a probe, until probes tell
         self.density = sum(c.value / c.aim for c in settings.classes) * 4 / len(settings.classes)
         self.on: dict[type, Callable[[Any], None]] = {
-            api.Arrival: self._arrival, api.Outcome: self._outcome, api.Probed: self._probed,
-            api.Timer: self._timer, api.ListUpdate: self._list, api.ClientGone: self._gone,
-            api.StreamStarted: self._stream, api.Reconfigured: self._reconfigured,
-            api.Maintenance: self._maintenance, api.TakingOver: self._ask, api.Arrived: self._arrived,
-            api.Recovered: self._recovered, api.Recovering: self._recovering,
-            api.PeerMessage: lambda event: None}
+            api.Arrival: self._arrival,
+            api.Outcome: self._outcome,
+            api.Probed: self._probed,
+            api.Timer: self._timer,
+            api.ListUpdate: self._list,
+            api.ClientGone: self._gone,
+            api.StreamStarted: self._stream,
+            api.Reconfigured: self._reconfigured,
+            api.Maintenance: self._maintenance,
+            api.TakingOver: self._ask,
+            api.Arrived: self._arrived,
+            api.Recovered: self._recovered,
+            api.Recovering: self._recovering,
+            api.PeerMessage: lambda event: None,
+        }
 
     def _configure(self, settings: api.Settings) -> None:
         """Take settings. A class that stays hands on what was learned; requests keep their own record."""
         held, self.cfg = self.classes, settings
-        self.classes = {c.name: replace(held[c.name], cfg=c) if c.name in held else Class(c, c.aim / 4)
-                        for c in settings.classes}
+        self.classes = {
+            c.name: replace(held[c.name], cfg=c) if c.name in held else Class(c, c.aim / 4)
+            for c in settings.classes
+        }
         self.strains = Least(self._ease)
         for cls in self.classes.values():
             cls.usual = self._in_time(cls.cfg, cls.usual)
@@ -113,8 +124,11 @@
         self.ramp = max(settings.ramp_time, TINY)  # ms; a deployment may have none
         self.longest_aim = max(c.aim for c in settings.classes)
         self.priced = settings.charges.cross_zone > TRIFLE  # the way to other zones
-        self.looks = (settings.probing and settings.reports is not api.Reports.NONE
-                      and settings.charges.probe * SAMPLE <= TRIFLE)
+        self.looks = (
+            settings.probing
+            and settings.reports is not api.Reports.NONE
+            and settings.charges.probe * SAMPLE <= TRIFLE
+        )
 
     def _in_time(self, c: api.RequestClass, usual: float) -> float:
         """A usual time under which requests of the class are sent.
@@ -163,8 +177,11 @@
         """What an heir of this node can use, at the clock time `now`."""
         classes = {name: (c.usual, c.dev, c.strain) for name, c in self.classes.items()}
         known = [self.backends[name] for name in self.index.learned]
-        backends = {b.entry.backend: (b.entry.started_at, b.slow, b.trip, b.fails, max(0.0, b.until - now))
-                    for b in known if b.entry.phase is not api.Phase.GONE and (b.fails or b.trip < math.inf)}
+        backends = {
+            b.entry.backend: (b.entry.started_at, b.slow, b.trip, b.fails, max(0.0, b.until - now))
+            for b in known
+            if b.entry.phase is not api.Phase.GONE and (b.fails or b.trip < math.inf)
+        }
         return api.Learned(self.limit, self.trust, self.lost, classes, backends)
 
     def _recovered(self, ev: api.Recovered) -> None:
@@ -247,13 +264,20 @@
         and when all glances were rejected `_pick` itself decides.
         """
         size, of = len(members.backends), members.warm
-        pool = [b for b in members.cold if self._eligible(req, b, crowd, b.until)
-                and self._bears(req, b, self._warmth(b.entry), 0, size, size)]
+        pool = [
+            b
+            for b in members.cold
+            if self._eligible(req, b, crowd, b.until)
+            and self._bears(req, b, self._warmth(b.entry), 0, size, size)
+        ]
         req.cold_ok = False
         for _ in range(GLANCES if of and not pool else 0):
             b = of[int(self.rng.random() * len(of))]
-            fits = b.estimate == members.floor if members.floor < m else (
-                self.rng.random() * members.heaviest < b.weight)
+            fits = (
+                b.estimate == members.floor
+                if members.floor < m
+                else (self.rng.random() * members.heaviest < b.weight)
+            )
             if fits and self._eligible(req, b, crowd, b.until):
                 return b
         members.floor = min([b.estimate for b in of], default=0)
@@ -275,8 +299,13 @@
 
     def _eligible(self, req: Request, b: Backend, crowd: float, until: float) -> bool:
         """Whether one may be given this request if it is warm; it counts as ejected until then."""
-        return (b.out <= crowd and b.busy <= self.now and until <= self.now and b not in req.found
-                and self._legal(req, b))
+        return (
+            b.out <= crowd
+            and b.busy <= self.now
+            and until <= self.now
+            and b not in req.found
+            and self._legal(req, b)
+        )
 
     def _report(self, b: Backend, report: api.Report | None, fresh: bool) -> None:
         """An idle sign zeroes the estimate, but for own attempts still out: a late sign knows none."""
@@ -294,8 +323,9 @@
         """m: how many requests can stand in line and the last still meet its aim."""
         return max(1, int(req.cls.cfg.aim / (SPREAD * max(req.cls.usual, 1e-9))))
 
-    def _draw(self, req: Request, count: int, of: list[Backend], crowd: float = math.inf,
-              panic: bool = False) -> list[Backend]:
+    def _draw(
+        self, req: Request, count: int, of: list[Backend], crowd: float = math.inf, panic: bool = False
+    ) -> list[Backend]:
         """Up to `count` eligible ones at random. Slow start: cold ones are thinned out, in fractions.
 
         Each request goes to a cold backend with a chance of COLD_PART of the fall multiple times its warmth,
@@ -381,8 +411,9 @@
         """Until when a further attempt may leave: its connection may come up much later. 0: no limit."""
         if req.cls.cfg.effect is not api.Effect.KEYED:
             return 0.0
-        return min((self._forgotten(req, a) for a in req.attempts if a.status not in api.NEVER_RAN),
-                   default=0.0)
+        return min(
+            (self._forgotten(req, a) for a in req.attempts if a.status not in api.NEVER_RAN), default=0.0
+        )
 
     def _panic(self, req: Request, count: int, of: list[Backend], crowd: float = math.inf) -> list[Backend]:
         """Nothing this node feeds is eligible: its own view may be the culprit, so ejections are ignored."""
@@ -407,8 +438,16 @@
         density = c.value / cls.usual
         self.density += EWMA / 2 * (density - self.density)
         self.bank, self.arrived = min(RETRY_BANK, self.bank + RETRY_SHARE), self.arrived + 1
-        req = Request(ev.request, cls, ev.work_hint, ev.deadline, useful, density > BYPASS * self.density,
-                      most, arriving=ev.arriving)
+        req = Request(
+            ev.request,
+            cls,
+            ev.work_hint,
+            ev.deadline,
+            useful,
+            density > BYPASS * self.density,
+            most,
+            arriving=ev.arriving,
+        )
         self.requests[ev.request] = req
         self._earn_tries()
         if self.admission is not None and self.admission.due(self.now):
@@ -631,8 +670,14 @@
 
     def _send(self, req: Request, b: Backend) -> None:
         """The one place where an attempt is made: drains, repeats, closed requests and limits end here."""
-        if (req.over or req.stream or not self._takes(b) or not self._legal(req, b)
-                or len(req.attempts) >= req.most or (self.now >= req.deadline and not req.arriving)):
+        if (
+            req.over
+            or req.stream
+            or not self._takes(b)
+            or not self._legal(req, b)
+            or len(req.attempts) >= req.most
+            or (self.now >= req.deadline and not req.arriving)
+        ):
             self._finish(req, "late")
             return
         if self.admission is not None and self._warmth(b.entry) < 1.0:
@@ -771,8 +816,11 @@
             return
         self.why[why] += 1
         c = req.cls.cfg
-        harmless = (c.effect is api.Effect.SAFE or all(a.status in api.NEVER_RAN for a in req.attempts)
-                    or (c.effect is api.Effect.KEYED and c.group is api.Group.ALL))
+        harmless = (
+            c.effect is api.Effect.SAFE
+            or all(a.status in api.NEVER_RAN for a in req.attempts)
+            or (c.effect is api.Effect.KEYED and c.group is api.Group.ALL)
+        )
         away = self.cfg.max_retry_after
         if harmless and away > 0:  # until there is room; guards against clients that come back in step
             wide = AWAY if self.admission is None else RETURNING
--- a/balancer/sim/recovery_figures.py
+++ b/balancer/sim/recovery_figures.py
@@ -1,6 +1,6 @@
 """Figures of a whole tier's return: calls of discovery, datagrams, and the time until all are full.
 
-    python -c "from balancer.sim.recovery_figures import mass_return; print(mass_return(200, 1))"
+python -c "from balancer.sim.recovery_figures import mass_return; print(mass_return(200, 1))"
 """
 
 from __future__ import annotations
@@ -57,9 +57,7 @@
     steps += [Step(CUT_MS - 2_000, "out", dice.randrange(count), name) for name in BACKENDS[:2]]
     steps.append(Step(CUT_MS, "cut"))
     steps += [Step(CUT_MS + dice.uniform(10, DARK_MS), "backend", arg=name) for name in BACKENDS]
-    steps += [
-        Step(CUT_MS + DARK_MS + dice.uniform(0, spread), "boot", node, sound) for node in range(count)
-    ]
+    steps += [Step(CUT_MS + DARK_MS + dice.uniform(0, spread), "boot", node, sound) for node in range(count)]
     off = ((CUT_MS, CUT_MS + down),) if down else ()
     return Schedule(seed, count, tuple(sorted(steps, key=lambda step: step.at)), down=off)
 
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -235,9 +235,7 @@
 
     def _begins_to_serve(self, node: int, process: Process, path: Path) -> None:
         tier = self.tier
-        if path is Path.CRASH and any(
-            p.begin <= tier.now < p.until + self.learn_ms for p in tier.partitions
-        ):
+        if path is Path.CRASH and any(p.begin <= tier.now < p.until + self.learn_ms for p in tier.partitions):
             return
         asked = tier.now - process.ask_began
         if self.lossy or asked >= tier.room_config.ask_most - 1:
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -270,9 +270,7 @@
 
     def _kept(self, node: int, found: Found) -> room.Kept:
         rows = self._moved(found.rows, self.hosts[node].shift - self.walls[node])
-        return room.Kept(
-            found.sound, found.fresh, found.life, found.age_ms, rows, found.revision, found.rate
-        )
+        return room.Kept(found.sound, found.fresh, found.life, found.age_ms, rows, found.revision, found.rate)
 
     def _was_read(self, node: int, number: int, found: Found) -> None:
         if self.hosts[node].number != number or self.processes[node] is None:
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -186,10 +186,7 @@
         tick=_number(raw, "", "granularity", 1.0),
         tenants=tuple(_tenant(table, index) for index, table in enumerate(_rows(raw, "projects"))),
         charges=api.Charges(
-            **{
-                name.replace("-", "_"): _number(charges, "charges.", name, 0.0)
-                for name in _CHARGES
-            }
+            **{name.replace("-", "_"): _number(charges, "charges.", name, 0.0) for name in _CHARGES}
         ),
         blend=api.Blend(
             whole=_number(blend, "blend.", "whole", 1.0),
--- a/tests/equivalence/stream.py
+++ b/tests/equivalence/stream.py
@@ -91,7 +91,10 @@
                 "group-size": dice.choice((1, 3, 20, 200)),
                 "failure-domains": zones,
                 "discovery": dice.choice(("subscribe", "automatic")),
-                "charges": {"probe": dice.choice((0.0, 0.001, 0.02)), "cross-zone": dice.choice((0.0, 0.02, 0.3))},
+                "charges": {
+                    "probe": dice.choice((0.0, 0.001, 0.02)),
+                    "cross-zone": dice.choice((0.0, 0.02, 0.3)),
+                },
                 "load-info": {"how": how, "names": dice.choice((["active"], ["waiting", "active"], ["cpu"]))},
                 "limits": {
                     "probing": dice.random() < 0.7, "cancel": dice.random() < 0.7,
@@ -99,9 +102,12 @@
                     "most-tries": dice.choice((1, 2, 3, 6)), "peers": False, "second-copies": False,
                 },
                 "rules": {
-                    "answer-slack": 20.0, "ask-within": dice.choice((4_000.0, 10_000.0)), "drain-grace": 1000.0,
+                    "answer-slack": 20.0,
+                    "ask-within": dice.choice((4_000.0, 10_000.0)),
+                    "drain-grace": 1000.0,
                     "cold-share": dice.choice((0.1, 0.35, 1.0)), "fall": dice.choice((500.0, 3000.0)),
-                    "fall-multiple": dice.choice((1.5, 3.0)), "ramp-time": dice.choice((0.0, 3_000.0, 9_000.0)),
+                    "fall-multiple": dice.choice((1.5, 3.0)),
+                    "ramp-time": dice.choice((0.0, 3_000.0, 9_000.0)),
                 },
                 "request-classes": [self._class(i) for i in range(dice.choice((1, 2, 4)))],
                 "projects": [{"name": "p", "quota-per-s": 5.0, "share": 0.5}] if dice.random() < 0.3 else [],
@@ -316,9 +322,11 @@
             case 6 if number in self.learned:
                 return [f"X_RECOVERED {dice.choice((0.0, 200.0, 9_000.0))} {self.learned[number]}"]
             case 7:
-                return [
-                    f"X_LIST_FAILED {dice.choice((100.0, 5_000.0, 9_000.0))} {dice.randrange(2)} {dice.randrange(2)}"
-                ]
+                silent, flags = (
+                    dice.choice((100.0, 5_000.0, 9_000.0)),
+                    f"{dice.randrange(2)} {dice.randrange(2)}",
+                )
+                return [f"X_LIST_FAILED {silent} {flags}"]
             case 8:
                 names = sorted(self.backends)
                 half = len(names) // 2
@@ -385,7 +393,8 @@
         request.attempts[number] = True
         request.closed = request.closed or reason == "pass"
         spent = int(self.extended and self.random.random() < 0.03)
-        text = f"{number} {request.backends[number]} {reason} {took:.6f} {int(request.closed)} {self._gauge('inline')}"
+        closed, gauge = int(request.closed), self._gauge("inline")
+        text = f"{number} {request.backends[number]} {reason} {took:.6f} {closed} {gauge}"
         return [f"X_RESOLVED {request.name} {text} {spent}" if spent else f"RESOLVED {request.name} {text}"]
 
     def _gauge(self, how: str) -> str:
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -74,10 +74,15 @@
         self.agenda: list[tuple[float, int, Callable[[], None]]] = []
         self.serial = 0
         zones = day.cfg.zones or ("a",)
-        self.servers = {f"b{i:03d}": Server(entry(f"b{i:03d}", zone=zones[i % len(zones)]))
-                        for i in range(day.backends)}
-        self.bank = [Balancer(replace(day.cfg, me=me, group_size=day.nodes, zone=zones[me % len(zones)]),
-                              seed * 1000 + me) for me in range(day.nodes)]
+        self.servers = {
+            f"b{i:03d}": Server(entry(f"b{i:03d}", zone=zones[i % len(zones)])) for i in range(day.backends)
+        }
+        self.bank = [
+            Balancer(
+                replace(day.cfg, me=me, group_size=day.nodes, zone=zones[me % len(zones)]), seed * 1000 + me
+            )
+            for me in range(day.nodes)
+        ]
         self.share = [math.exp(self.rng.gauss(0.0, day.spread)) for _ in self.bank]
         for me in self.rng.sample(range(day.nodes), day.busy):
             self.share[me] *= 6.0
@@ -133,8 +138,13 @@
 
     def lose(self, names: list[str]) -> None:
         for b in self.bank:
-            b.handle(self.now, api.ListUpdate(api.ListKind.CHANGES, [
-                replace(self.servers[name].entry, phase=api.Phase.GONE) for name in names]))
+            b.handle(
+                self.now,
+                api.ListUpdate(
+                    api.ListKind.CHANGES,
+                    [replace(self.servers[name].entry, phase=api.Phase.GONE) for name in names],
+                ),
+            )
 
     def step(self, names: list[str]) -> None:
         for name in names:
@@ -270,7 +280,9 @@
     "some requests are worth most": (Day(30, 30, WORTH, spread=0.9, at_once=6, load=1.2), 1),
     "nodes restart while backends are cold": (Day(20, 20, HARD, spread=0.9, restarts=True), 1),
     "nodes restart while one is put back": (
-        Day(30, 9, HARD, busy=6, at_once=1, put_back=True, restarts=True, length=6500.0), 12),
+        Day(30, 9, HARD, busy=6, at_once=1, put_back=True, restarts=True, length=6500.0),
+        12,
+    ),
     "the tier returns, a lull and a rush": (Day(30, 9, HARD, power=True), 4),
 }
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -300,8 +300,7 @@
 @pytest.mark.parametrize("first", ["falls", "trickles"])
 @pytest.mark.parametrize(
     ("between", "bound"),
-    [((), 3.3), (("refuse",), 3.5), (("busy",), 3.5), (("stall",), 5.0),
-     (("mute",), 5.0), (("opens",), 5.0)],
+    [((), 3.3), (("refuse",), 3.5), (("busy",), 3.5), (("stall",), 5.0), (("mute",), 5.0), (("opens",), 5.0)],
     ids=["nothing", "refused", "busy", "connect stalls", "no answer", "a head and no more"],
 )
 def test_what_a_silent_watch_missed_is_asked_for_in_time(
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -119,8 +119,12 @@
     assert max(c.strain for c in b.classes.values()) == -b.strains.least()
     listed = {x: e for x, e in plain.entries.items() if e.phase is not api.Phase.GONE}
     assert {x: x_.entry for x, x_ in b.backends.items() if x in listed} == listed
-    avoided = [x for x in listed if x not in up or (
-        max(b.backends[x].busy, b.backends[x].until) > now and now - b.backends[x].away >= SHOWN)]
+    avoided = [
+        x
+        for x in listed
+        if x not in up
+        or (max(b.backends[x].busy, b.backends[x].until) > now and now - b.backends[x].away >= SHOWN)
+    ]
     assert b.unavailable(now) == len(avoided)
     known = {x for x in listed if b.backends[x].fails or b.backends[x].trip < math.inf}
     assert b.learned(now).backends.keys() == known
@@ -444,6 +448,7 @@
 
         for number in range(40):
             play(number)
+
         def rest() -> None:
             for number in range(40, 80):
                 play(number)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -548,8 +548,14 @@
 
 
 def test_seventy_thousand_in_odd_pieces_are_taken(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    for where, name, value in ((objects, "LONG", 65_536), (rows, "RUN", 16_384), (rows, "LOOKS", 8),
-                               (listing, "SHORT", 256), (listing, "PIECE", 128), (listing, "LOOKS", 1024)):
+    for where, name, value in (
+        (objects, "LONG", 65_536),
+        (rows, "RUN", 16_384),
+        (rows, "LOOKS", 8),
+        (listing, "SHORT", 256),
+        (listing, "PIECE", 128),
+        (listing, "LOOKS", 1024),
+    ):
         monkeypatch.setattr(where, name, value)
     world = Long(tmp_path)
     table = [{"id": f"s-{i:08x}", "host_port": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:8080", "locality": "a",
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -183,7 +183,10 @@
 def test_bad_input_ends_the_process_with_one_line() -> None:
     got = subprocess.run(
         [sys.executable, "-m", "balancer.simhost"],
-        input="HELLO\n", capture_output=True, text=True, check=False,
+        input="HELLO\n",
+        capture_output=True,
+        text=True,
+        check=False,
     )
     assert got.returncode == 2 and got.stderr.count("\n") == 1 and "Traceback" not in got.stderr
 
