--- a/tests/equivalence/__main__.py
+++ b/tests/equivalence/__main__.py
@@ -8,7 +8,9 @@
 from __future__ import annotations
 
 import argparse
+import hashlib
 import io
+import json
 import os
 import subprocess
 import sys
@@ -17,7 +19,7 @@
 import tomllib
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
-from dataclasses import dataclass
+from dataclasses import asdict, dataclass
 from difflib import unified_diff
 from functools import partial
 from pathlib import Path
@@ -26,7 +28,6 @@
 
 HERE = Path(__file__).resolve().parent
 ROOT = HERE.parents[1]
-CACHE = ROOT / ".lab" / "equivalence"
 WIRE_SEEDS, MEMBERSHIP_SEEDS, RECOVERY_SEEDS = 40, 10, 12
 WORKERS = 4  # plays at a time, each of two processes
 SHOWN_LINES = 30  # of a difference
@@ -69,13 +70,20 @@
     return done.stdout
 
 
+def cache() -> Path:
+    """Return the folder for checkouts and recorded plays, one for all work trees of the repository."""
+    command = ["git", "-C", str(ROOT), "rev-parse", "--path-format=absolute", "--git-common-dir"]
+    done = subprocess.run(command, capture_output=True, text=True, check=True)
+    return Path(done.stdout.strip()).parent / ".lab" / "equivalence"
+
+
 def checkout(revision: str) -> Path:
     """Return a folder with the files of a revision; raises CalledProcessError."""
     git = ["git", "-C", str(ROOT)]
     done = subprocess.run(
         [*git, "rev-parse", f"{revision}^{{commit}}"], capture_output=True, text=True, check=True
     )
-    folder = CACHE / done.stdout.strip()[:12]
+    folder = cache() / done.stdout.strip()[:12]
     if not folder.exists():
         listed = subprocess.run(
             [*git, "ls-tree", "--name-only", revision], capture_output=True, text=True, check=True
@@ -126,14 +134,40 @@
     )
 
 
+@dataclass(frozen=True)
+class Recorded:
+    """What an earlier revision did with one seed."""
+
+    source: str  # lines of the wire
+    reply: str
+    simulated: str  # reply of its `sim` command; empty where the input holds events that no simulator plays
+
+
+def recorded(tree: Tree, seed: int) -> Recorded:
+    """Return the play of a seed against an earlier revision, from the cache where it has been played before."""
+    maker = hashlib.sha256(
+        b"".join(p.read_bytes() for p in (HERE / "stream.py", HERE / "probe.py", tree.adapter))
+    )
+    path = tree.root.with_suffix(".plays") / f"{maker.hexdigest()[:12]}-{seed}.json"
+    if path.exists():
+        return Recorded(**json.loads(path.read_text("utf-8")))
+    world = converse(tree, seed)
+    source = "".join(f"{line}\n" for line in world.input)
+    reply = run(tree.command("wire"), source, tree.root)
+    play = Recorded(source, reply, "" if world.extended else tree.simulate(source))
+    path.parent.mkdir(parents=True, exist_ok=True)
+    draft = path.with_suffix(f".{os.getpid()}")
+    draft.write_text(json.dumps(asdict(play)), "utf-8")
+    draft.rename(path)
+    return play
+
+
 def compare_wire(before: Tree, after: Tree, seed: int) -> str:
-    """Play a seed against the earlier revision and its input against this tree."""
-    world = converse(before, seed)
-    text = "".join(f"{line}\n" for line in world.input)
-    replies = [run(tree.command("wire"), text, tree.root) for tree in (before, after)]
-    found = difference(f"wire, seed {seed}", *replies)
-    if not world.extended and not found:
-        found = difference(f"sim, seed {seed}", before.simulate(text), after.simulate(text))
+    """Give this tree the input that a play of the earlier revision has made."""
+    play = recorded(before, seed)
+    found = difference(f"wire, seed {seed}", play.reply, run(after.command("wire"), play.source, after.root))
+    if play.simulated and not found:
+        found = difference(f"sim, seed {seed}", play.simulated, after.simulate(play.source))
     return found
 
 
