--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from balancer.errors import BalancerError
-from balancer.interface import ListKind, Settings, TakingOver
+from balancer.interface import ListUpdateKind, Settings, TakeoverStarted
 from balancer.net import config as config_file
 from balancer.net.config import Config, ConfigError, load
 from balancer.net.console import Console
@@ -111,8 +111,8 @@
         node.bans.start(beside, *(fleet.bans() if fleet is not None else ()))
     if fleet is not None:
         fleet.take_over()
-    node.list(known, ListKind.SAVED)
-    if not config.settings.must_ask:
+    node.list(known, ListUpdateKind.CACHED)
+    if not config.settings.must_subscribe:
         node.discovery.watch(True)
     if node.listing.waiting:  # a long list: what was learned is of backends that are in it
         await unless(stop, node.listing.settled())
@@ -143,7 +143,7 @@
 async def take_place(node: Node, parts: Parts, ask: bool) -> None:
     """Another process of this node runs: be as ready as it is before both listen; `ask` it what it knows."""
     logging.info("another process of this node runs: taking over")
-    node.event(TakingOver())
+    node.event(TakeoverStarted())
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(FRESH):
             await node.fresh.wait()
--- a/balancer/admission.py
+++ b/balancer/admission.py
@@ -22,7 +22,7 @@
 class Admission:
     """One node's part; `word` is what it was last told of the return."""
 
-    def __init__(self, word: api.Recovering, now: float) -> None:
+    def __init__(self, word: api.RecoveryProgressed, now: float) -> None:
         self.word, self.filled = word, now
         self.tokens = self.reserve = 0.0  # sends to cold backends; what valuable requests may overdraw
         self.mean = 1.0  # warmth of the listed backends
@@ -35,9 +35,9 @@
         """Time has passed: `warmth` of each listed backend, 0 to 1; `fleet`: most that were ever listed."""
         self.mean = sum(warmth) / max(1, len(warmth))
         cold = sum(one for one in warmth if one < 1.0)
-        bears = settings.fall_multiple * cold / max(1, fleet) * self.word.rate / 1000  # a ms, by all
+        bears = settings.overload_multiple * cold / max(1, fleet) * self.word.rate / 1000  # a ms, by all
         mine = COLD_ALL * self.word.share * bears
-        most = max(BURST, mine * settings.fall_window / SAVED)
+        most = max(BURST, mine * settings.overload_window_ms / SAVED)
         self.tokens = min(most, self.tokens + mine * (now - self.filled))
         self.filled, self.reserve = now, most / 2
 
--- a/balancer/durable/records.py
+++ b/balancer/durable/records.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from balancer.errors import BalancerError
-from balancer.interface import Learned
+from balancer.interface import LearnedState
 
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 MOST_UNKNOWN = 256  # records of unknown kinds that are passed on
@@ -102,7 +102,7 @@
     """What the module has learned, now and then."""
 
     at: Stamp
-    learned: Learned
+    learned: LearnedState
     rate: float = 0.0  # requests a second that the node takes; 0: not known
 
 
--- a/balancer/index.py
+++ b/balancer/index.py
@@ -211,11 +211,11 @@
         self.learned: dict[str, None] = {}  # those of which something is known, perhaps no more
         self.former: dict[str, None] = {}  # the latest that were forgotten
 
-    def take(self, entry: api.Entry) -> None:
+    def take(self, entry: api.Endpoint) -> None:
         """Take an entry of the list. One that was gone is another one, as is one that has started since."""
         b = self.records.get(entry.backend)
         if b is None:
-            if entry.phase is not api.Phase.GONE:
+            if entry.phase is not api.EndpointPhase.REMOVED:
                 self.records[entry.backend] = Backend(entry)
                 self.listed += 1
             return
@@ -299,5 +299,5 @@
             del self.cells[b.entry.cell]
 
 
-def _is_listed(entry: api.Entry) -> bool:
-    return entry.phase is not api.Phase.GONE
+def _is_listed(entry: api.Endpoint) -> bool:
+    return entry.phase is not api.EndpointPhase.REMOVED
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -26,15 +26,15 @@
     remedy = "a defect of the calling program: send its makers this line"
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """How often a request of a class may take effect."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which backends together drop repeats of a keyed request."""
 
     ALL = "all"
@@ -42,45 +42,45 @@
     CELL = "cell"
 
 
-class Phase(Enum):
+class EndpointPhase(Enum):
     """What the list says of a backend."""
 
-    UP = "up"
+    IN_SERVICE = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class ListKind(Enum):
+class ListUpdateKind(Enum):
     """What a list event brings."""
 
-    CHANGES = "changes"
-    FULL = "full"
-    SAVED = "saved"
+    DELTA = "changes"
+    SNAPSHOT = "full"
+    CACHED = "saved"
     FAILED = "failed"
 
 
-class Status(Enum):
+class AttemptStatus(Enum):
     """How an attempt or a probe ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    REJECTED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
 
-NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT})
+NOT_EXECUTED = frozenset({AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
 """Outcomes that prove the attempt had no effect; every other one leaves it open."""
 
 
-class Reports(Enum):
+class LoadReportMode(Enum):
     """How load reports reach a node."""
 
-    ANSWERS = "answers"
-    PROBES = "probes"
+    IN_RESPONSES = "answers"
+    IN_HEALTH_CHECKS = "probes"
     NONE = "none"
 
 
@@ -89,15 +89,15 @@
     """One class of request and what it asks for."""
 
     name: str
-    effect: Effect
-    aim: float
+    effect: Idempotency
+    latency_objective_ms: float
     deadline: float
     value: float = 1.0
-    late_worth: float = 0.0
-    group: Group = Group.ALL
-    memory_span: float = 0.0
+    late_weight_fraction: float = 0.0
+    group: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
     streamed: bool = False
-    aim_stretch: float = 0.0
+    objective_per_work: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -127,7 +127,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Blend:
+class ScoreWeights:
     """Weights of the parts of the result."""
 
     whole: float = 1.0
@@ -146,29 +146,29 @@
 
     classes: tuple[RequestClass, ...]
     me: int = 0
-    group_size: int = 1
+    node_count: int = 1
     zone: str = ""
     tick: float = 1.0
     tenants: tuple[Tenant, ...] = ()
     charges: Charges = field(default_factory=Charges)
-    blend: Blend = field(default_factory=Blend)
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
-    must_ask: bool = False
-    reports: Reports = Reports.NONE
-    report_fields: tuple[str, ...] = ()
-    probing: bool = False
-    may_cancel: bool = True
-    second_copies: bool = False
+    blend: ScoreWeights = field(default_factory=ScoreWeights)
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False
+    must_subscribe: bool = False
+    reports: LoadReportMode = LoadReportMode.NONE
+    load_report_fields: tuple[str, ...] = ()
+    health_checks_allowed: bool = False
+    cancellation_allowed: bool = True
+    hedging_allowed: bool = False
     max_attempts: int = 3
-    max_retry_after: float = 0.0
-    answer_slack: float = 5.0
-    ask_within: float = 10_000.0
-    drain_grace: float = 1_000.0
-    cold_share: float = 0.0
-    ramp_time: float = 60_000.0
-    fall_window: float = 1_000.0
-    fall_multiple: float = 1.0
+    max_retry_after_ms: float = 0.0
+    answer_slack_ms: float = 5.0
+    list_max_age_ms: float = 10_000.0
+    drain_grace_ms: float = 1_000.0
+    cold_capacity_fraction: float = 0.0
+    slow_start_ms: float = 60_000.0
+    overload_window_ms: float = 1_000.0
+    overload_multiple: float = 1.0
     weighted: bool = False
     connect_timeout: float = 250.0
     zones: tuple[str, ...] = ()
@@ -177,7 +177,7 @@
     warm_keys: bool = False
     passes_deadline: bool = True
     peers: bool = False
-    conn_idle: float = 60_000.0
+    connection_idle_ms: float = 60_000.0
     streams_per_conn: int = 1
     max_open: int = 20_000
     cpu_us_per_s: float = 0.0
@@ -185,7 +185,7 @@
 
 
 @dataclass(slots=True)
-class Report:
+class LoadReport:
     """A load report; a value the site does not report is None."""
 
     in_flight: float | None = None
@@ -197,14 +197,14 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class Endpoint:
     """One backend as the list gives it."""
 
     backend: str
     zone: str
     cell: int
     weight: float
-    phase: Phase
+    phase: EndpointPhase
     started_at: float
     kind: str = ""
 
@@ -213,10 +213,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallFailure:
+class DiscoveryFailure:
     """How a call of discovery has failed."""
 
-    silent_for: float = math.inf  # ms since discovery last told something whole
+    silent_ms: float = math.inf  # ms since discovery last told something whole
     reached: bool = False  # discovery itself has ended it: it may be there, and only have too many callers
     queued: bool = False  # and that with nothing told, after a wait
 
@@ -228,15 +228,15 @@
     A list that is too long for one event comes in pieces, each but the first as `CHANGES`: what leaves first.
     """
 
-    kind: ListKind
-    entries: list[Entry]
+    kind: ListUpdateKind
+    entries: list[Endpoint]
     revision: int = 0
     more: bool = False  # further pieces of the same list follow
-    failure: CallFailure | None = None  # of FAILED, where it is known
+    failure: DiscoveryFailure | None = None  # of FAILED, where it is known
 
 
 @dataclass(slots=True)
-class Arrival:
+class RequestArrived:
     """A client's request: one final answer is now owed before `deadline`."""
 
     request: str
@@ -252,7 +252,7 @@
 
 
 @dataclass(slots=True)
-class Arrived:
+class RequestBodyReceived:
     """The last byte of a request that came as `arriving` is in: its time counts from now."""
 
     request: str
@@ -260,7 +260,7 @@
 
 
 @dataclass(slots=True)
-class StreamStarted:
+class ResponseStarted:
     """The answer of a streamed class, or a long one, began; the attempt now belongs to the client."""
 
     request: str
@@ -270,7 +270,7 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptEnded:
     """The end of one attempt; `closed` says the request has its final answer.
 
     `spent` says that it cannot go out again, as its body is no longer held. After `StreamStarted` this is the
@@ -280,35 +280,35 @@
     request: str
     attempt: int
     backend: str
-    status: Status
+    status: AttemptStatus
     duration: float
     closed: bool
-    report: Report | None = None
+    report: LoadReport | None = None
     spent: bool = False
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client left; no answer is owed any more."""
 
     request: str
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerFired:
     """A timer set earlier came due."""
 
     token: int
 
 
 @dataclass(slots=True)
-class Probed:
+class HealthCheckEnded:
     """The result of one probe."""
 
     backend: str
-    status: Status
+    status: AttemptStatus
     duration: float
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(slots=True)
@@ -327,7 +327,7 @@
 
 
 @dataclass(slots=True)
-class Maintenance:
+class MaintenanceChanged:
     """The operators take a backend out of service or put it back, whatever the list says of it.
 
     `since` is when it was put back: it counts as started then, wherever that is later than the list says.
@@ -339,12 +339,12 @@
 
 
 @dataclass(slots=True)
-class TakingOver:
+class TakeoverStarted:
     """This process takes the place of another one of the same node, and may not be late with the list."""
 
 
 @dataclass(slots=True, frozen=True)
-class Learned:
+class LearnedState:
     """What a node has learned that an heir can use. Times in ms, none of them on a clock.
 
     Own counts of sends are not among it: what they count is gone with the process.
@@ -367,7 +367,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Recovering:
+class RecoveryProgressed:
     """The tier returns from a loss of power: how far this node is, and what part of the work is its own.
 
     `share` is this node's part of what all nodes together may give to cold backends. What the list says to
@@ -382,27 +382,27 @@
 
 
 @dataclass(slots=True)
-class Recovered:
+class LearnedStateRestored:
     """An earlier process of this node had learned this, `age` ms ago. Comes after the list."""
 
-    learned: Learned
+    learned: LearnedState
     age: float
 
 
 Event = (
     Reconfigured
-    | Maintenance
-    | TakingOver
-    | Recovered
-    | Recovering
+    | MaintenanceChanged
+    | TakeoverStarted
+    | LearnedStateRestored
+    | RecoveryProgressed
     | ListUpdate
-    | Arrival
-    | Arrived
-    | StreamStarted
-    | Outcome
-    | ClientGone
-    | Timer
-    | Probed
+    | RequestArrived
+    | RequestBodyReceived
+    | ResponseStarted
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckEnded
     | PeerMessage
 )
 
@@ -410,7 +410,7 @@
 
 
 @dataclass(slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt; a time-out of 0 lasts until the client gives up.
 
     What has not left by the clock time `before` must not leave any more (0: no such limit).
@@ -423,7 +423,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: turned away, a retry is harmless."""
 
     request: str
@@ -432,7 +432,7 @@
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, nothing promised."""
 
     request: str
@@ -440,7 +440,7 @@
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     request: str
@@ -456,33 +456,33 @@
 
 
 @dataclass(slots=True)
-class Probe:
+class CheckHealth:
     """Ask a backend how it is."""
 
     backend: str
 
 
 @dataclass(slots=True)
-class Subscribe:
+class WatchEndpoints:
     """Ask to be told of list changes from now on, or no longer."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
-class ListAll:
+class FetchEndpoints:
     """Ask for the whole list once."""
 
 
 @dataclass(slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close this node's idle connections to a backend."""
 
     backend: str
 
 
 @dataclass(slots=True)
-class Tell:
+class SendPeerMessage:
     """Send bytes to one node, or to all where `node` is None."""
 
     node: int | None
@@ -490,10 +490,22 @@
 
 
 @dataclass(slots=True)
-class Log:
+class WriteLog:
     """A line for the people on call."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | ListAll | CloseIdle | Tell | Log
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | CheckHealth
+    | WatchEndpoints
+    | FetchEndpoints
+    | CloseIdleConnections
+    | SendPeerMessage
+    | WriteLog
+)
--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -144,10 +144,10 @@
     def held(self, name: str) -> None:
         """Nothing is in force."""
 
-    def list(self, news: News, kind: api.ListKind) -> None:
+    def list(self, news: News, kind: api.ListUpdateKind) -> None:
         """A list, or a change."""
-        self.whole += kind is api.ListKind.FULL
-        self.lines += kind is api.ListKind.CHANGES
+        self.whole += kind is api.ListUpdateKind.SNAPSHOT
+        self.lines += kind is api.ListUpdateKind.DELTA
         self.entries += len(news.members)
 
     def unchanged(self) -> None:
@@ -200,7 +200,7 @@
     def change(self, count: int) -> bytes:
         """A line that changes so many entries."""
         revision = next(self.revisions)
-        phase = api.Phase.DRAINING if revision % 2 else api.Phase.UP
+        phase = api.EndpointPhase.DRAINING if revision % 2 else api.EndpointPhase.IN_SERVICE
         return fleet.line([fleet.entry(n, phase) for n in range(count)], revision, False)
 
     async def tell(self, line: bytes) -> float:
--- a/balancer/lab/scale/fleet.py
+++ b/balancer/lab/scale/fleet.py
@@ -22,21 +22,27 @@
     return f"z{number % size.ZONES}"
 
 
-def entry(number: int, phase: api.Phase = api.Phase.UP, started_at: float = NOW - DAY) -> api.Entry:
+def entry(
+    number: int, phase: api.EndpointPhase = api.EndpointPhase.IN_SERVICE, started_at: float = NOW - DAY
+) -> api.Endpoint:
     """A backend as the list gives it; warm unless it says when it started."""
-    return api.Entry(f"b{number:06d}", zone(number), number % 700, 1.0, phase, started_at, "std")
+    return api.Endpoint(f"b{number:06d}", zone(number), number % 700, 1.0, phase, started_at, "std")
 
 
-def entries(count: int, started_at: float = NOW - DAY) -> list[api.Entry]:
+def entries(count: int, started_at: float = NOW - DAY) -> list[api.Endpoint]:
     """A whole list."""
     return [entry(number, started_at=started_at) for number in range(count)]
 
 
-_WORDS = {api.Phase.UP: "in_service", api.Phase.DRAINING: "terminating", api.Phase.GONE: "terminated"}
+_WORDS = {
+    api.EndpointPhase.IN_SERVICE: "in_service",
+    api.EndpointPhase.DRAINING: "terminating",
+    api.EndpointPhase.REMOVED: "terminated",
+}
 
 
 def line(
-    some: Sequence[api.Entry], revision: int, complete: bool, address: str | Mapping[str, str] = ""
+    some: Sequence[api.Endpoint], revision: int, complete: bool, address: str | Mapping[str, str] = ""
 ) -> bytes:
     """A list, or a line of a watch, in the platform's form; `address`: where all of them listen, or each.
 
--- a/balancer/lab/scale/listing.py
+++ b/balancer/lab/scale/listing.py
@@ -147,7 +147,7 @@
     told = fleet.entries(backends, now - fleet.DAY)
     out = []
 
-    def news(revision: int, entries: list[api.Entry]) -> News:
+    def news(revision: int, entries: list[api.Endpoint]) -> News:
         found, longest = decode(fleet.line(entries, revision, True))
         assert found is not None
         if revision == 1:
@@ -161,7 +161,7 @@
         what, steps.longest_us = news(revision, entries), 0.0
         gc.collect()
         begin = time.process_time_ns()
-        listing.put(what, api.ListKind.FULL)
+        listing.put(what, api.ListUpdateKind.SNAPSHOT)
         spent = (time.process_time_ns() - begin) / 1000  # short lists take no turns
         out.append(Point("list", name, "us", backends, spent, False))
         out.append(Point("list", f"{name}_turn", "us", backends, steps.longest_us or spent, False))
@@ -407,7 +407,7 @@
         """One drains, or is back."""
         number, self.revision = self.revision - 2, self.revision + 1
         was = self.entries[number // 2 * 7 % len(self.entries)]
-        phase = api.Phase.UP if number % 2 else api.Phase.DRAINING
+        phase = api.EndpointPhase.IN_SERVICE if number % 2 else api.EndpointPhase.DRAINING
         return fleet.line([replace(was, phase=phase)], self.revision, False, self.where)
 
     def lists(self) -> list[tuple[int, bytes]]:
--- a/balancer/lab/scale/module.py
+++ b/balancer/lab/scale/module.py
@@ -44,18 +44,18 @@
         """A request that is served at once, or after a reset and a second attempt."""
         self.now += STEP
         name = f"{next(self.numbers):016x}"
-        arrival = api.Arrival(name, "c0", self.now + 1000.0)
+        arrival = api.RequestArrived(name, "c0", self.now + 1000.0)
         begin = time.process_time_ns()
         acts = self.balancer.handle(self.now, arrival)
         self.choice.append(time.process_time_ns() - begin)
         if fails:
             self.now += TOOK / 4
-            broken = api.Outcome(name, 0, _sent(acts), api.Status.RESET, TOOK / 4, False)
+            broken = api.AttemptEnded(name, 0, _sent(acts), api.AttemptStatus.RESET, TOOK / 4, False)
             begin = time.process_time_ns()
             acts = self.balancer.handle(self.now, broken)
             self.failure.append(time.process_time_ns() - begin)
         self.now += TOOK / 4
-        served = api.Outcome(name, int(fails), _sent(acts), api.Status.OK, TOOK, True)
+        served = api.AttemptEnded(name, int(fails), _sent(acts), api.AttemptStatus.OK, TOOK, True)
         begin = time.process_time_ns()
         self.balancer.handle(self.now, served)
         self.answer.append(time.process_time_ns() - begin)
@@ -78,7 +78,7 @@
 def _sent(acts: list[api.Action]) -> str:
     """Where an attempt went. One request at a time is always sent: raises ValueError where it is not."""
     for act in acts:
-        if isinstance(act, api.Send):
+        if isinstance(act, api.StartAttempt):
             return act.backend
     raise ValueError(f"a request at rest was not sent: {acts!r}")
 
@@ -98,9 +98,9 @@
     for _ in range(LISTS):
         balancer = node(backends, seed)
         listed = fleet.entries(backends)
-        balancer.handle(fleet.NOW - fleet.DAY / 2, api.ListUpdate(api.ListKind.SAVED, listed[:20], 1))
+        balancer.handle(fleet.NOW - fleet.DAY / 2, api.ListUpdate(api.ListUpdateKind.CACHED, listed[:20], 1))
         begin = time.process_time_ns()
-        balancer.handle(fleet.NOW - fleet.DAY / 2, api.ListUpdate(api.ListKind.FULL, listed, 2))
+        balancer.handle(fleet.NOW - fleet.DAY / 2, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, listed, 2))
         took.append(time.process_time_ns() - begin)
     yield point("whole_list", "us", statistics.median(took) / 1000)
     requests = Requests(balancer, fleet.NOW)
@@ -121,18 +121,18 @@
     fresh = itertools.count(backends)
     places = list(range(backends))
 
-    def told(*changed: api.Entry) -> None:
-        balancer.handle(next(clock), api.ListUpdate(api.ListKind.CHANGES, list(changed), 3))
+    def told(*changed: api.Endpoint) -> None:
+        balancer.handle(next(clock), api.ListUpdate(api.ListUpdateKind.DELTA, list(changed), 3))
 
     def drained() -> None:
         turn = next(numbers)
-        phase = api.Phase.UP if turn % 2 else api.Phase.DRAINING
+        phase = api.EndpointPhase.IN_SERVICE if turn % 2 else api.EndpointPhase.DRAINING
         told(fleet.entry(places[turn // 2 * 7 % backends], phase))
 
     def replaced() -> None:
         place, new = next(numbers) * 7 % backends, next(fresh)
         old, places[place] = places[place], new
-        told(fleet.entry(old, api.Phase.GONE), fleet.entry(new, started_at=now))
+        told(fleet.entry(old, api.EndpointPhase.REMOVED), fleet.entry(new, started_at=now))
 
     def restarted() -> None:
         turn = next(numbers)
@@ -148,7 +148,7 @@
     try:
         before = tracemalloc.get_traced_memory()[0]
         balancer = node(backends, seed)
-        balancer.handle(fleet.NOW, api.ListUpdate(api.ListKind.FULL, fleet.entries(backends), 2))
+        balancer.handle(fleet.NOW, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, fleet.entries(backends), 2))
         held = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
@@ -160,7 +160,7 @@
     """So many replaced one after the other, with KEPT in service: a change's cost, then the memory."""
     for figure, unit in (("change", "us"), ("memory", "bytes")):
         balancer = node(KEPT, seed)
-        balancer.handle(fleet.NOW, api.ListUpdate(api.ListKind.FULL, fleet.entries(KEPT), 1))
+        balancer.handle(fleet.NOW, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, fleet.entries(KEPT), 1))
         until, took, held = time.process_time() + most_s / 2, [], 0
         if unit == "bytes":
             tracemalloc.start()
@@ -168,9 +168,9 @@
             # As many a day as the size has; each drains before it goes.
             now = fleet.NOW + number * fleet.DAY / size.RESTARTS_A_DAY
             old, new = fleet.entry(number), fleet.entry(number + KEPT, started_at=now)
-            old.phase = api.Phase.GONE
+            old.phase = api.EndpointPhase.REMOVED
             begin = time.process_time_ns()
-            balancer.handle(now, api.ListUpdate(api.ListKind.CHANGES, [old, new], number + 2))
+            balancer.handle(now, api.ListUpdate(api.ListUpdateKind.DELTA, [old, new], number + 2))
             if unit == "us":  # else the rig's own list would be counted with the module's memory
                 took.append(time.process_time_ns() - begin)
             if number + 1 in marks:
--- a/balancer/lab/scale/stores.py
+++ b/balancer/lab/scale/stores.py
@@ -15,7 +15,7 @@
 from balancer.durable import frames
 from balancer.durable.records import Kept, Listed, Record, Row, Sampled, Stamp, encode, total
 from balancer.durable.store import Loaded, Store, load
-from balancer.interface import Learned
+from balancer.interface import LearnedState
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import ZONES
 from balancer.lab.scale.tiers import Figures
@@ -101,7 +101,7 @@
 def sampled(rows: Sequence[Row], every: int = LEARNED) -> Sampled:
     """What a node has learned of some of a list."""
     backends = {row.backend: (row.started_at, 1.25, 17.5, 0, 0.0) for row in rows[::every]}
-    learned = Learned(64.0, 1.0, 0.0, {"a": (5.0, 1.0, 0.0)}, backends)
+    learned = LearnedState(64.0, 1.0, 0.0, {"a": (5.0, 1.0, 0.0)}, backends)
     return Sampled(Stamp(WALL_MS, NAME, 1e6), learned, 193.0)
 
 
--- a/balancer/lab/scale/tables.py
+++ b/balancer/lab/scale/tables.py
@@ -48,7 +48,7 @@
 def _reload_ms(settings: api.Settings, seed: int) -> float:
     """The module's turn, where all classes have their record already."""
     balancer = Balancer(wire.parse_settings(fleet.raw_settings(LISTED)), seed)
-    balancer.handle(fleet.NOW, api.ListUpdate(api.ListKind.FULL, fleet.entries(LISTED), 1))
+    balancer.handle(fleet.NOW, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, fleet.entries(LISTED), 1))
     balancer.handle(fleet.NOW, api.Reconfigured(settings))
     event = api.Reconfigured(settings)
     return fleet.spent_us(lambda: balancer.handle(fleet.NOW, event), 0.5, 50) / 1000
--- a/balancer/net/changes.py
+++ b/balancer/net/changes.py
@@ -22,8 +22,10 @@
 
 
 BY_PHASE = {
-    api.Phase.DRAINING: Change.DRAINING, api.Phase.GONE: Change.GONE, api.Phase.UP: Change.READY
-}  # fmt: skip
+    api.EndpointPhase.DRAINING: Change.DRAINING,
+    api.EndpointPhase.REMOVED: Change.GONE,
+    api.EndpointPhase.IN_SERVICE: Change.READY,
+}
 """What has become of a backend that is in another phase now."""
 
 
@@ -71,11 +73,11 @@
 
 
 def _without(member: Member) -> Member:
-    return Member(member.backend, member.zone, member.cell, member.weight, api.Phase.GONE, 0.0)
+    return Member(member.backend, member.zone, member.cell, member.weight, api.EndpointPhase.REMOVED, 0.0)
 
 
 def _change(member: Member, was: Member | None) -> Change | None:
-    before = api.Phase.GONE if was is None else was.phase
+    before = api.EndpointPhase.REMOVED if was is None else was.phase
     if member.phase is not before:
         return BY_PHASE[member.phase]
     if was is not None and member.started_at > was.started_at:
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -26,9 +26,9 @@
 
 PREFIX = "PROXY_"
 PHASES = {
-    "in_service": api.Phase.UP,
-    "terminating": api.Phase.DRAINING,
-    "terminated": api.Phase.GONE,
+    "in_service": api.EndpointPhase.IN_SERVICE,
+    "terminating": api.EndpointPhase.DRAINING,
+    "terminated": api.EndpointPhase.REMOVED,
 }
 # Descriptors kept for what the process needs by itself: 16 for loop, log, listeners and lock, up to 5 for
 # discovery's calls, 4 for the files and the port of a fleet, the rest for the callers of the console.
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class Member(api.Entry):
+class Member(api.Endpoint):
     """One backend as discovery lists it: the module's entry, and where it listens, by `HOST:PORT`.
 
     That stays text until somebody connects there: most of a long list are never sent to. One object, as the
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -206,10 +206,10 @@
             return
         if update.complete:
             self.revision = update.revision
-            self.node.list(update, api.ListKind.FULL)
+            self.node.list(update, api.ListUpdateKind.SNAPSHOT)
         elif update.revision > self.revision:
             self.revision = update.revision
-            self.node.list(update, api.ListKind.CHANGES)
+            self.node.list(update, api.ListUpdateKind.DELTA)
         elif update.revision == self.revision:
             self.node.unchanged()
         call.known = self.revision
@@ -283,7 +283,7 @@
         self.answered = told
         if call.watch and silent and lasted:
             self._connect(Reason.SILENT, quick=True)
-        elif self.node.settings.must_ask and not (call.quick and call.told_at is None):
+        elif self.node.settings.must_subscribe and not (call.quick and call.told_at is None):
             if not call.done:
                 self.node.list_failed(call.reached, call.was_queued)
         elif call.watch:
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -192,7 +192,7 @@
         """The list to begin with: the one told at the start, or a newer one that was kept."""
         return told if self.keeping is None else self.keeping.known(told)
 
-    def recovered(self) -> api.Recovered | None:
+    def recovered(self) -> api.LearnedStateRestored | None:
         """What an earlier process had learned, where that was kept."""
         return None if self.keeping is None else self.keeping.recovered()
 
@@ -200,7 +200,7 @@
         """What the operators had taken out and put back, as it was kept: id to time."""
         return ({}, {}) if self.keeping is None else (self.keeping.kept.out, self.keeping.kept.back)
 
-    def listed(self, news: config.News, kind: api.ListKind) -> None:
+    def listed(self, news: config.News, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
         if self.keeping is not None:
             self.keeping.listed(news, kind)
@@ -212,7 +212,7 @@
         if self.returning is not None:
             self.returning.unchanged()
 
-    def learned(self, what: Callable[[float], api.Learned], now: float) -> None:
+    def learned(self, what: Callable[[float], api.LearnedState], now: float) -> None:
         """What the module has learned may be had."""
         rate = self.returning.pulse() if self.returning is not None else 0.0
         if self.keeping is not None:
--- a/balancer/net/front.py
+++ b/balancer/net/front.py
@@ -20,7 +20,7 @@
 import httptools
 
 from balancer import interface as api
-from balancer.interface import Effect
+from balancer.interface import Idempotency
 from balancer.net.config import Address, over
 from balancer.net.node import Node
 from balancer.net.stream import LARGEST, SMALL, Upload
@@ -112,7 +112,7 @@
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
         self.upload: Upload | None = None
-        self.arrival: api.Arrival | None = None
+        self.arrival: api.RequestArrived | None = None
         self.wait = self.since = self.paused_at = 0.0
         self.head = self.size = 0
         self.in_body = False
@@ -348,9 +348,9 @@
         cls = node.classes.get(first)
         if cls is None:
             raise BadRequest(404, "unknown class")
-        if method != (b"GET" if cls.effect is Effect.SAFE else b"POST"):
+        if method != (b"GET" if cls.effect is Idempotency.IDEMPOTENT else b"POST"):
             raise BadRequest(405, "the method does not go with the class")
-        if cls.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
+        if cls.effect is Idempotency.WITH_KEY and not headers.get(b"idempotency-key"):
             raise BadRequest(400, "no Idempotency-Key")
         name = headers.get(b"request-id", b"").decode("latin-1")
         if not name:
@@ -359,7 +359,7 @@
         if b"request-timeout" in headers:
             self.wait = min(self.wait, parse_timeout(headers[b"request-timeout"]))
         key = parse_qs(query.decode("latin-1")).get("obj")
-        self.arrival = api.Arrival(
+        self.arrival = api.RequestArrived(
             request=name,
             class_name=first,
             deadline=0.0,  # counts from the last byte
@@ -367,7 +367,7 @@
             key=key[0] if key else None,
             tenant=headers[b"tenant"].decode("latin-1") if b"tenant" in headers else None,
             work_hint=self._hint(),
-            writes=cls.effect is not Effect.SAFE,
+            writes=cls.effect is not Idempotency.IDEMPOTENT,
             under=node.settings,
         )
 
--- a/balancer/net/handover.py
+++ b/balancer/net/handover.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from balancer.interface import Learned, Recovered
+from balancer.interface import LearnedState, LearnedStateRestored
 from balancer.net.bans import write_whole
 
 log = logging.getLogger(__name__)
@@ -54,17 +54,17 @@
     return left if 0 <= age <= OLDEST else None
 
 
-def give(path: Path, learned: Learned) -> None:
+def give(path: Path, learned: LearnedState) -> None:
     """Leave what was learned."""
     leave(path, {"learned": asdict(learned)}, "handover")
 
 
-def take(path: Path) -> Recovered | None:
+def take(path: Path) -> LearnedStateRestored | None:
     """What the other process had learned, where it has left that."""
     return taken(path, _recovered, "handover")
 
 
-def _recovered(raw: Any, age: float) -> Recovered:
+def _recovered(raw: Any, age: float) -> LearnedStateRestored:
     told = raw["learned"]
     classes = {str(k): (_number(a), _number(b), _number(c)) for k, (a, b, c) in told["classes"].items()}
     backends = {
@@ -72,7 +72,7 @@
         for k, (a, b, c, d, e) in told["backends"].items()
     }
     limit, trust, lost = (_number(told[name]) for name in ("limit", "trust", "lost"))
-    return Recovered(Learned(limit, trust, lost, classes, backends), age)
+    return LearnedStateRestored(LearnedState(limit, trust, lost, classes, backends), age)
 
 
 def _time(value: Any) -> float:
--- a/balancer/net/keeping.py
+++ b/balancer/net/keeping.py
@@ -33,19 +33,19 @@
             return told
         return News(self.kept.revision, True, tuple(map(_member, self.kept.rows.values())))
 
-    def recovered(self) -> api.Recovered | None:
+    def recovered(self) -> api.LearnedStateRestored | None:
         """What an earlier process had learned, and how long ago at least."""
         sampled = self.kept.sampled
         if sampled is None or not math.isfinite(age := sampled.at.age(stamp())):
             return None
-        return api.Recovered(sampled.learned, age)
+        return api.LearnedStateRestored(sampled.learned, age)
 
-    def listed(self, news: News, kind: api.ListKind) -> None:
+    def listed(self, news: News, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
-        whole = kind is api.ListKind.FULL
+        whole = kind is api.ListUpdateKind.SNAPSHOT
         self.durable.note(Listed(news.revision, whole, stamp().wall, list(map(_row, news.members))))
 
-    def learned(self, what: Callable[[float], api.Learned], now: float, rate: float) -> None:
+    def learned(self, what: Callable[[float], api.LearnedState], now: float, rate: float) -> None:
         """Keep a sample, unless the disk is behind: the next one will do. `rate`: requests a second."""
         if self.durable.idle:
             self.durable.note(Sampled(stamp(), what(now), rate))
@@ -62,6 +62,6 @@
 
 
 def _member(row: Row) -> Member:
-    r, phase = row, api.Phase(row.phase)
+    r, phase = row, api.EndpointPhase(row.phase)
     where = f"{r.host}:{r.port}"
     return Member(r.backend, r.zone, r.cell, r.weight, phase, r.started_at, r.kind, where)
--- a/balancer/net/listing.py
+++ b/balancer/net/listing.py
@@ -28,7 +28,7 @@
 LOOKS = 512  # entries that are compared in one turn
 
 Item = TypeVar("Item")
-Taken = Callable[[News | None, api.ListKind], None]
+Taken = Callable[[News | None, api.ListUpdateKind], None]
 """Told of news that are in force; None: discovery has said that nothing is new."""
 
 
@@ -40,7 +40,7 @@
     ) -> None:
         """`pool` and `tell`, which leads to the module, get each piece; `pool` says what is in force."""
         self.pool, self.tell, self.taken, self.turns = pool, tell, taken, turns
-        self.waiting: deque[tuple[News | None, api.ListKind]] = deque()  # the first one is being taken
+        self.waiting: deque[tuple[News | None, api.ListUpdateKind]] = deque()  # the first one is being taken
         self._stopped: dict[str, News] = {}  # what is told to stop by news that wait, by the last of them
         self._working = False
         self._idle = asyncio.Event()
@@ -48,20 +48,20 @@
         self._begun = False  # the module has been told a list
         self._changes = ListChanges()  # since the last line on them
 
-    def put(self, news: News | None, kind: api.ListKind) -> None:
+    def put(self, news: News | None, kind: api.ListUpdateKind) -> None:
         """Take news; None: nothing is new.
 
         What was told before, as what was saved is, goes before what discovery has told since, and a whole
         list of that leaves nothing of it.
         """
-        if self.waiting and news is not None and (news.again or kind is api.ListKind.SAVED):
-            if any(held is api.ListKind.FULL for _, held in self.waiting):
+        if self.waiting and news is not None and (news.again or kind is api.ListUpdateKind.CACHED):
+            if any(held is api.ListUpdateKind.SNAPSHOT for _, held in self.waiting):
                 return
-            if kind is api.ListKind.SAVED:
+            if kind is api.ListUpdateKind.CACHED:
                 self.waiting = deque(item for item in self.waiting if item[1] is not kind)
             self.waiting.appendleft((news, kind))
             return
-        if kind is api.ListKind.FULL:  # what came before is of no use; what is in of it is in force
+        if kind is api.ListUpdateKind.SNAPSHOT:  # what came before is of no use; what is in of it is in force
             self._stopped.clear()
             if self.waiting:
                 self.waiting.clear()
@@ -73,10 +73,12 @@
                 self._stop(news)
         elif news is None:
             self.taken(None, kind)
-        elif len(news.members) <= SHORT and (kind is api.ListKind.CHANGES or len(self.pool.members) <= SHORT):
+        elif len(news.members) <= SHORT and (
+            kind is api.ListUpdateKind.DELTA or len(self.pool.members) <= SHORT
+        ):
             self._begun = True
-            self._note(news.members, kind is not api.ListKind.CHANGES)
-            self.pool.update(news.members, kind is not api.ListKind.CHANGES)
+            self._note(news.members, kind is not api.ListUpdateKind.DELTA)
+            self.pool.update(news.members, kind is not api.ListUpdateKind.DELTA)
             self.tell(api.ListUpdate(kind, list(news.members), news.revision))
             self._say(news)
             self.taken(news, kind)
@@ -89,7 +91,7 @@
     def _stop(self, news: News) -> None:
         """What is told to stop need not wait for its turn, and what was told before raises it no more."""
         last = {member.backend: member for member in news.members}
-        stop = [member for member in last.values() if member.phase is not api.Phase.UP]
+        stop = [member for member in last.values() if member.phase is not api.EndpointPhase.IN_SERVICE]
         self._stopped |= dict.fromkeys([member.backend for member in stop], news)
         if len(stop) <= SHORT and (now := tuple(m for m in stop if m.backend in self.pool.members)):
             self._tell(now, news.revision)
@@ -126,7 +128,7 @@
         """Returns once nothing waits."""
         await self._idle.wait()
 
-    def _pieces(self, news: News, kind: api.ListKind) -> Iterator[None]:
+    def _pieces(self, news: News, kind: api.ListUpdateKind) -> Iterator[None]:
         """Put one object in force, a step a turn."""
         if (named := news.named) is None:
             named = Shards[Member]()  # the last word of each
@@ -134,7 +136,7 @@
                 for member in some:
                     named[member.backend] = member
                 yield
-        whole = kind is not api.ListKind.CHANGES
+        whole = kind is not api.ListUpdateKind.DELTA
         held: tuple[Member, ...] = ()  # the module is told which is the last, also where nothing has changed
         for piece in chain(self._left_out(named) if whole else (), self._changed(news.members, named)):
             if piece:
@@ -147,10 +149,10 @@
     def _tell(self, piece: tuple[Member, ...], revision: int, more: bool = True) -> None:
         # The module is to ask discovery once it has the first of a saved list. Told again, such a piece would
         # count as all there is.
-        kind = api.ListKind.CHANGES if self._begun else api.ListKind.SAVED
+        kind = api.ListUpdateKind.DELTA if self._begun else api.ListUpdateKind.CACHED
         self._begun = True
         if self._stopped:
-            up = api.Phase.UP
+            up = api.EndpointPhase.IN_SERVICE
             piece = tuple(m for m in piece if m.phase is not up or m.backend not in self._stopped)
         self._changes.add_piece(piece)
         self.pool.update(piece, False)
@@ -176,7 +178,7 @@
         for held, told in zip(self.pool.members.parts, named.parts, strict=True):
             left = [member for name, member in held.items() if name not in told]
             for some in _cut(left, PIECE):
-                yield tuple(replace(m, phase=api.Phase.GONE) for m in some if m.backend in held)
+                yield tuple(replace(m, phase=api.EndpointPhase.REMOVED) for m in some if m.backend in held)
             if not left:
                 yield ()
 
@@ -192,12 +194,12 @@
                 was = held[part].get(name)
                 if member is was or member == was or words[part][name] is not member:
                     continue
-                if phase is api.Phase.UP:
+                if phase is api.EndpointPhase.IN_SERVICE:
                     serve.append(member)
                 elif was is None:
-                    if phase is not api.Phase.GONE:
+                    if phase is not api.EndpointPhase.REMOVED:
                         others.append(member)
-                elif was.phase is api.Phase.UP or phase is api.Phase.GONE:
+                elif was.phase is api.EndpointPhase.IN_SERVICE or phase is api.EndpointPhase.REMOVED:
                     stop.append(member)
                 else:
                     others.append(member)
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -65,13 +65,13 @@
     def stats(self) -> dict[str, object]:
         """Their part of the figures."""
 
-    def listed(self, news: News, kind: api.ListKind) -> None:
+    def listed(self, news: News, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
 
     def unchanged(self) -> None:
         """Discovery has said, before any news, that the list in force is the one that it has."""
 
-    def learned(self, what: Callable[[float], api.Learned], now: float) -> None:
+    def learned(self, what: Callable[[float], api.LearnedState], now: float) -> None:
         """What the module has learned may be had; asked for now and then."""
 
     async def banned(self, backend: str, out: bool, at: float, changes: bool) -> None:
@@ -134,7 +134,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.stop = 0.0  # ms the module gives it; 0: until the client's time is up
         self.over = False
-        self.status: api.Status | None = None  # how it ended
+        self.status: api.AttemptStatus | None = None  # how it ended
 
 
 class Node:
@@ -227,11 +227,11 @@
         if (request := self.open.get(name)) is None:
             return
         self._answer(name, End.FAILED, lambda client: client.failed())
-        self.event(api.ClientGone(name))
+        self.event(api.ClientDisconnected(name))
         self._call_off(request, True)
 
     def arrival(
-        self, event: api.Arrival, client: Client, render: Callable[[float], bytes],
+        self, event: api.RequestArrived, client: Client, render: Callable[[float], bytes],
         upload: Upload | None = None,
     ) -> None:  # fmt: skip
         """A client's request has come; `render` gives its bytes for a backend, told for how long.
@@ -257,7 +257,7 @@
             if not item.over:
                 item.sent = now
                 self._clock(item, request)
-        self.event(api.Arrived(name, deadline))
+        self.event(api.RequestBodyReceived(name, deadline))
 
     def _limit(self, name: str, request: Open) -> None:
         wait = max(0.0, request.deadline - self.now()) / 1000
@@ -304,7 +304,7 @@
         if self.fleet is not None:
             await self.fleet.banned(backend, out, now, changes)
         try:
-            await self.bans.change(backend, out, now, self.settings.ramp_time)
+            await self.bans.change(backend, out, now, self.settings.slow_start_ms)
         except BalancerError:
             if self.fleet is not None and changes:  # the answer is no: no later process may think otherwise
                 with contextlib.suppress(BalancerError):
@@ -327,7 +327,7 @@
             self.counts["left" if request.attempts else "left_unsent"] += 1
             long = request.streaming or request.arriving
             self._close(name, request)
-            self.event(api.ClientGone(name))
+            self.event(api.ClientDisconnected(name))
             self._call_off(request, long)  # nothing bounds the time of what a long one would leave behind
 
     def _call_off(self, request: Open, begun: bool) -> None:
@@ -340,34 +340,36 @@
             runs = item.attempt is not None and item.attempt.left
             if not item.over and (begun or not runs):
                 self._stop(item)
-                self._outcome(item, Answer(api.Status.CANCELLED if runs else api.Status.MOOT))
+                self._outcome(
+                    item, Answer(api.AttemptStatus.CANCELLED if runs else api.AttemptStatus.NOT_STARTED)
+                )
 
     def held(self, name: str) -> Member | None:
         """What is in force of a backend."""
         return self.pool.members.get(name)
 
-    def list(self, news: News, kind: api.ListKind) -> None:
+    def list(self, news: News, kind: api.ListUpdateKind) -> None:
         """The list, or a change of it."""
-        if kind is not api.ListKind.SAVED:
+        if kind is not api.ListUpdateKind.CACHED:
             self.revision, self.heard_at = news.revision, self.loop.time()
         self.listing.put(news, kind)
 
     def unchanged(self) -> None:
         """Discovery says that nothing has changed, which is news too."""
         self.heard_at = self.loop.time()
-        self.listing.put(None, api.ListKind.CHANGES)
+        self.listing.put(None, api.ListUpdateKind.DELTA)
 
-    def _listed(self, news: News | None, kind: api.ListKind) -> None:
+    def _listed(self, news: News | None, kind: api.ListUpdateKind) -> None:
         """News are in force."""
         if news is None:
             if self.list_failures:  # the module is to know that discovery answers, though nothing is new
                 self.list_failures = False
-                self.event(api.ListUpdate(api.ListKind.CHANGES, []))
+                self.event(api.ListUpdate(api.ListUpdateKind.DELTA, []))
             if not self.fresh.is_set() and self.fleet is not None:
                 self.fleet.unchanged()
             self.fresh.set()
             return
-        if kind is not api.ListKind.SAVED:
+        if kind is not api.ListUpdateKind.CACHED:
             self.fresh.set()
             if self.fleet is not None:
                 self.fleet.listed(news, kind)
@@ -377,14 +379,14 @@
         """The operators take a backend out, or have put it back at the time `since`."""
         log.info("maintenance: %s %s", backend, "is out" if out else "is back")
         self.pool.ban(backend, out)
-        self.event(api.Maintenance(backend, out, since))
+        self.event(api.MaintenanceChanged(backend, out, since))
 
     def list_failed(self, reached: bool = False, queued: bool = False) -> None:
         """A call that the module asked for has failed; see `api.CallFailure`."""
         self.list_failures = True
-        silent_for = (self.loop.time() - self.heard_at) * 1000
-        failure = api.CallFailure(silent_for, reached, queued)
-        self.event(api.ListUpdate(api.ListKind.FAILED, [], failure=failure))
+        silent_ms = (self.loop.time() - self.heard_at) * 1000
+        failure = api.DiscoveryFailure(silent_ms, reached, queued)
+        self.event(api.ListUpdate(api.ListUpdateKind.FAILED, [], failure=failure))
 
     async def finish(self, wait: float) -> None:
         """Wait until all that was taken is answered, `wait` seconds at most, then fail the rest.
@@ -403,28 +405,28 @@
 
     def _act(self, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.StartAttempt():
                 self._send(action)
             case api.SetTimer():
                 wait = max(0.0, action.when - self.now()) / 1000
-                self.loop.call_later(wait, self.event, api.Timer(action.token))
-            case api.Refuse():
+                self.loop.call_later(wait, self.event, api.TimerFired(action.token))
+            case api.RejectRequest():
                 self.counts["refused"] += 1
                 self._unserved(action.request, "refused", action.reason)
                 self._answer(action.request, End.REJECTED, lambda client: client.refused(action.retry_after))
-            case api.Fail():
+            case api.FailRequest():
                 self.counts["failed"] += 1
                 self._unserved(action.request, "failed", action.reason)
                 self._answer(action.request, End.FAILED, lambda client: client.failed())
-            case api.Cancel():
+            case api.CancelAttempt():
                 self._cancel(action)
-            case api.CloseIdle():
+            case api.CloseIdleConnections():
                 self.pool.close_idle(action.backend)
-            case api.Subscribe() if self.discovery is not None:
+            case api.WatchEndpoints() if self.discovery is not None:
                 self.discovery.watch(action.on)
-            case api.ListAll() if self.discovery is not None:
+            case api.FetchEndpoints() if self.discovery is not None:
                 self.discovery.fetch()
-            case api.Log():
+            case api.WriteLog():
                 log.info("%s", action.text)
             case _:
                 log.error("not carried out: %r", action)
@@ -433,12 +435,12 @@
         request = self.open.get(name)
         self.requests.unserved(name, answer, reason, len(request.attempts) if request else 0)
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.StartAttempt) -> None:
         request, now = self.open.get(action.request), self.now()
         number = len(request.attempts) if request else 0
         item = Try(action.request, number, action.backend, now)
         if request is None:
-            self._outcome(item, Answer(api.Status.MOOT))
+            self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
             return
         if request.attempts and (before := request.attempts[-1].status) is not None:
             self.requests.sent_again(action.request, number, action.backend, before)
@@ -454,7 +456,7 @@
             or not self._wanted(action.request, request)
         ):
             if not item.over:  # else called off with its request
-                self._outcome(item, Answer(api.Status.MOOT))
+                self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
             return
         item.attempt = self.pool.start(
             action.backend, request.render(wait), partial(self._outcome, item),
@@ -469,7 +471,7 @@
         """From now on a backend might take a repeat for a new request: what has not left stays here."""
         if not item.over and (item.attempt is None or not item.attempt.left):
             self._stop(item)
-            self._outcome(item, Answer(api.Status.MOOT))
+            self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
 
     def _wanted(self, name: str, request: Open) -> bool:
         """Whether an answer is still owed; looks at a client that would not be seen to leave."""
@@ -490,7 +492,7 @@
         request.streaming = True
         request.client.begin(source, size, content_type)
         took = self.now() - item.sent
-        self.event(api.StreamStarted(item.request, item.number, item.backend, took))
+        self.event(api.ResponseStarted(item.request, item.number, item.backend, took))
         return request.client
 
     def _timeout(self, item: Try) -> None:
@@ -499,7 +501,7 @@
         left = item.attempt is not None and item.attempt.left
         self._stop(item)
         # A connection that was still coming up when the time ran out carried nothing: it never ran.
-        self._outcome(item, Answer(api.Status.TIMEOUT if left else api.Status.CONNECT_FAILED))
+        self._outcome(item, Answer(api.AttemptStatus.TIMEOUT if left else api.AttemptStatus.CONNECT_FAILED))
 
     def _stop(self, item: Try) -> None:
         if item.timer is not None:
@@ -508,14 +510,14 @@
             item.attempt.drop()
             item.attempt = None
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: api.CancelAttempt) -> None:
         request = self.open.get(action.request)
         if request is None or action.attempt >= len(request.attempts):
             return
         item = request.attempts[action.attempt]
         if not item.over:
             self._stop(item)
-            self._outcome(item, Answer(api.Status.CANCELLED))
+            self._outcome(item, Answer(api.AttemptStatus.CANCELLED))
 
     def _outcome(self, item: Try, answer: Answer) -> None:
         """The one outcome of an attempt; a backend's whole answer goes to the client and ends the request."""
@@ -523,17 +525,17 @@
         if item.timer is not None:
             item.timer.cancel()
         self.counts[f"attempt_{answer.status.value}"] += 1
-        if answer.status is not api.Status.OK:
+        if answer.status is not api.AttemptStatus.OK:
             took = self.now() - item.sent
             self.requests.attempt_failed(item.request, item.number, item.backend, answer.status, took)
         request = self.open.get(item.request)
         if request is not None and request.streaming:
-            whole = answer.status is api.Status.OK
+            whole = answer.status is api.AttemptStatus.OK
             self._answer(
                 item.request, End.COMPLETED if whole else End.FAILED,
                 lambda client: client.finish() if whole else client.failed(),
             )  # fmt: skip
-        elif answer.status is api.Status.OK:
+        elif answer.status is api.AttemptStatus.OK:
             self._answer(
                 item.request, End.COMPLETED, lambda client: client.served(answer.body, answer.content_type)
             )
@@ -542,7 +544,7 @@
         if request is not None and closed:
             self._forget(item.request, request)
         took = self.now() - item.sent
-        self.event(api.Outcome(
+        self.event(api.AttemptEnded(
             item.request, item.number, item.backend, answer.status, took, closed, answer.report, spent
         ))  # fmt: skip
 
@@ -562,7 +564,7 @@
         if name in self.open and not request.answered:
             self.counts["overdue"] += 1
             self._answer(name, End.FAILED, lambda client: client.failed())
-            self.event(api.ClientGone(name))
+            self.event(api.ClientDisconnected(name))
 
     def _answer(self, name: str, end: End, tell: Callable[[Client], None]) -> None:
         request = self.open.get(name)
--- a/balancer/net/request_log.py
+++ b/balancer/net/request_log.py
@@ -8,7 +8,7 @@
 import logging
 from collections.abc import Callable
 
-from balancer.interface import Status
+from balancer.interface import AttemptStatus
 from balancer.net.limited import LimitedWarnings
 
 log = logging.getLogger(__name__)
@@ -21,12 +21,14 @@
         """`clock` tells seconds."""
         self.lines = LimitedWarnings(log, clock, level=logging.INFO)
 
-    def attempt_failed(self, request: str, number: int, backend: str, status: Status, took: float) -> None:
+    def attempt_failed(
+        self, request: str, number: int, backend: str, status: AttemptStatus, took: float
+    ) -> None:
         """An attempt, the first one being 0, has ended without a served answer after `took` ms."""
         text = f"request {request}: attempt {number + 1} at {backend}: {status.value} after {took:.0f} ms"
         self.lines.warn(f"attempt {status.value}", text)
 
-    def sent_again(self, request: str, number: int, backend: str, before: Status) -> None:
+    def sent_again(self, request: str, number: int, backend: str, before: AttemptStatus) -> None:
         """An attempt beyond the first goes out; `before` is how the one before it ended."""
         text = f"request {request}: attempt {number + 1} at {backend}, after one that ended: {before.value}"
         self.lines.warn("sent again", text)
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -49,7 +49,7 @@
         self.kept = disk.kept if disk is not None else Kept()
         settings = node.settings
         self.shell = RecoveryShell(
-            Config(ramp_time=settings.ramp_time), settings.me, life, node.config.seed, port, self, disk
+            Config(ramp_time=settings.slow_start_ms), settings.me, life, node.config.seed, port, self, disk
         )
         self._lately = 0.0  # requests a second that were completed
         self.rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
@@ -64,7 +64,7 @@
 
     # --- the start
 
-    async def returned(self, beside: bool, recovered: api.Recovered | None) -> None:
+    async def returned(self, beside: bool, recovered: api.LearnedStateRestored | None) -> None:
         """Returns when the node may listen."""
         self.shell.tell(events.SavedIds(tuple(self._list)))
         left = await self._inherited() if beside else None
@@ -121,16 +121,16 @@
 
     async def follow(self, backend: str, out: bool, since: float) -> None:
         """The bans follow the register, in both processes of an upgrade."""
-        await self.node.bans.follow(backend, out, since, self.node.settings.ramp_time)
+        await self.node.bans.follow(backend, out, since, self.node.settings.slow_start_ms)
 
     def admit(self, phase: Phase, admit: events.Admit | None) -> None:
         """Tell the module. What the list says of the backends' starts counts once discovery has told one."""
         self._word = phase, admit
         if admit is None:
-            self.node.event(api.Recovering(PHASES[phase], 1.0))
+            self.node.event(api.RecoveryProgressed(PHASES[phase], 1.0))
         else:
             since = 0.0 if self._fresh else admit.cold_since
-            self.node.event(api.Recovering(PHASES[phase], admit.share, since, admit.rate))
+            self.node.event(api.RecoveryProgressed(PHASES[phase], admit.share, since, admit.rate))
 
     def ask(self) -> None:
         """Discovery may be called: at once, whenever the module asks, as the turns have spread the calls."""
@@ -145,12 +145,12 @@
         before, self._restricted = self._restricted, ids
         if not self._fresh:
             drained = [
-                replace(m, phase=api.Phase.DRAINING)
+                replace(m, phase=api.EndpointPhase.DRAINING)
                 if m.backend in ids else _copy(m) for m in self._saved.members
             ]  # fmt: skip
-            self.node.list(News(self._saved.revision, True, tuple(drained)), api.ListKind.SAVED)
+            self.node.list(News(self._saved.revision, True, tuple(drained)), api.ListUpdateKind.CACHED)
         elif again := [_copy(m) for name, m in self._list.items() if name in before - ids]:
-            self.node.list(News(self._saved.revision, False, tuple(again), True), api.ListKind.CHANGES)
+            self.node.list(News(self._saved.revision, False, tuple(again), True), api.ListUpdateKind.DELTA)
 
     # --- what brings the list
 
@@ -173,15 +173,15 @@
             self.watcher.watch(False)
             self.shell.tell(events.ListFailed())
 
-    def listed(self, news: News, kind: api.ListKind) -> None:
+    def listed(self, news: News, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
-        if kind is api.ListKind.FULL:
+        if kind is api.ListUpdateKind.SNAPSHOT:
             self._list, self._restricted = {}, frozenset()
         first, self._fresh = not self._fresh, True
         self._saved = replace(self._saved, revision=news.revision)
         self._list |= {m.backend: _copy(m) for m in news.members}
         self._restricted -= {m.backend for m in news.members}
-        up = [m for m in self._list.values() if m.phase is api.Phase.UP]
+        up = [m for m in self._list.values() if m.phase is api.EndpointPhase.IN_SERVICE]
         starts = tuple(entry.started_at for entry in up)
         self.shell.tell(events.Listed(news.revision, starts, tuple(entry.backend for entry in up)))
         if first and self._word[0] is Phase.WARMING:  # it may have been so while discovery was silent
@@ -189,7 +189,7 @@
 
     def unchanged(self) -> None:
         """Discovery has told by a word that the saved list holds."""
-        self.listed(News(self._saved.revision, False, ()), api.ListKind.CHANGES)
+        self.listed(News(self._saved.revision, False, ()), api.ListUpdateKind.DELTA)
 
     # --- for the operators
 
--- a/balancer/policy.py
+++ b/balancer/policy.py
@@ -91,21 +91,23 @@
         self.cold_since = 0.0  # what the list says to have started before that counts as started then
         self.trust = 1.0  # share of sends answered within the aim; where the node looks, on an idle sign
         self.rtt = 2.0 * settings.tick  # usual round trip of a probe, until probes tell
-        self.density = sum(c.value / c.aim for c in settings.classes) * 4 / len(settings.classes)
+        self.density = (
+            sum(c.value / c.latency_objective_ms for c in settings.classes) * 4 / len(settings.classes)
+        )
         self.on: dict[type, Callable[[Any], None]] = {
-            api.Arrival: self._arrival,
-            api.Outcome: self._outcome,
-            api.Probed: self._probed,
-            api.Timer: self._timer,
+            api.RequestArrived: self._arrival,
+            api.AttemptEnded: self._outcome,
+            api.HealthCheckEnded: self._probed,
+            api.TimerFired: self._timer,
             api.ListUpdate: self._list,
-            api.ClientGone: self._gone,
-            api.StreamStarted: self._stream,
+            api.ClientDisconnected: self._gone,
+            api.ResponseStarted: self._stream,
             api.Reconfigured: self._reconfigured,
-            api.Maintenance: self._maintenance,
-            api.TakingOver: self._ask,
-            api.Arrived: self._arrived,
-            api.Recovered: self._recovered,
-            api.Recovering: self._recovering,
+            api.MaintenanceChanged: self._maintenance,
+            api.TakeoverStarted: self._ask,
+            api.RequestBodyReceived: self._arrived,
+            api.LearnedStateRestored: self._recovered,
+            api.RecoveryProgressed: self._recovering,
             api.PeerMessage: lambda event: None,
         }
 
@@ -113,7 +115,7 @@
         """Take settings. A class that stays hands on what was learned; requests keep their own record."""
         held, self.cfg = self.classes, settings
         self.classes = {
-            c.name: replace(held[c.name], cfg=c) if c.name in held else Class(c, c.aim / 4)
+            c.name: replace(held[c.name], cfg=c) if c.name in held else Class(c, c.latency_objective_ms / 4)
             for c in settings.classes
         }
         self.strains = Least(self._ease)
@@ -121,12 +123,12 @@
             cls.usual = self._in_time(cls.cfg, cls.usual)
             self.strains.push(cls.cfg.name)
         self.usual_sum = sum(c.usual for c in self.classes.values())  # ms; kept up as they change
-        self.ramp = max(settings.ramp_time, TINY)  # ms; a deployment may have none
-        self.longest_aim = max(c.aim for c in settings.classes)
+        self.ramp = max(settings.slow_start_ms, TINY)  # ms; a deployment may have none
+        self.longest_aim = max(c.latency_objective_ms for c in settings.classes)
         self.priced = settings.charges.cross_zone > TRIFLE  # the way to other zones
         self.looks = (
-            settings.probing
-            and settings.reports is not api.Reports.NONE
+            settings.health_checks_allowed
+            and settings.reports is not api.LoadReportMode.NONE
             and settings.charges.probe * SAMPLE <= TRIFLE
         )
 
@@ -135,7 +137,7 @@
 
         Guards against a class whose aim got shorter: shed whole it would never learn that it can be met.
         """
-        return min(usual, c.deadline if c.late_worth > 0 else c.aim)
+        return min(usual, c.deadline if c.late_weight_fraction > 0 else c.latency_objective_ms)
 
     def _ease(self, class_name: str) -> float:
         """The contrary of a class's strain, so that the least is that of the most strained one."""
@@ -151,7 +153,7 @@
         self._measure()
         self._release()
 
-    def _maintenance(self, ev: api.Maintenance) -> None:
+    def _maintenance(self, ev: api.MaintenanceChanged) -> None:
         """Bans go by id and apart from the list, which cannot lift one."""
         name = ev.backend
         if ev.out:
@@ -162,10 +164,12 @@
         else:  # it was restarted meanwhile
             self.banned.discard(name)
             # Older ones have no say any more: a backend is warm by then.
-            self.returned = {k: at for k, at in self.returned.items() if self.now - at < self.cfg.ramp_time}
+            self.returned = {
+                k: at for k, at in self.returned.items() if self.now - at < self.cfg.slow_start_ms
+            }
             self.owed &= self.returned.keys()
             self.returned[name] = max(self.returned.get(name, 0.0), ev.since)
-            if self.now - ev.since < self.cfg.ramp_time and self._is_first(name):
+            if self.now - ev.since < self.cfg.slow_start_ms and self._is_first(name):
                 self.owed.add(name)
             if (b := self.backends.get(name)) is not None:
                 b.restarted()
@@ -173,18 +177,18 @@
         if not ev.out:
             self.places.pop(name, None)  # it is not listed now, and comes as a new one
 
-    def learned(self, now: float) -> api.Learned:
+    def learned(self, now: float) -> api.LearnedState:
         """What an heir of this node can use, at the clock time `now`."""
         classes = {name: (c.usual, c.dev, c.strain) for name, c in self.classes.items()}
         known = [self.backends[name] for name in self.index.learned]
         backends = {
             b.entry.backend: (b.entry.started_at, b.slow, b.trip, b.fails, max(0.0, b.until - now))
             for b in known
-            if b.entry.phase is not api.Phase.GONE and (b.fails or b.trip < math.inf)
+            if b.entry.phase is not api.EndpointPhase.REMOVED and (b.fails or b.trip < math.inf)
         }
-        return api.Learned(self.limit, self.trust, self.lost, classes, backends)
+        return api.LearnedState(self.limit, self.trust, self.lost, classes, backends)
 
-    def _recovered(self, ev: api.Recovered) -> None:
+    def _recovered(self, ev: api.LearnedStateRestored) -> None:
         """Believed the less the older it is: in the time of a ramp a fleet becomes another one.
 
         A backend started or put back since is a new one; its estimate stays at what this process sent.
@@ -208,7 +212,7 @@
                 b.fails, b.until, b.away = fails, self.now + left - ev.age, self.now
             self.index.note(b)
 
-    def _recovering(self, ev: api.Recovering) -> None:
+    def _recovering(self, ev: api.RecoveryProgressed) -> None:
         self.cold_since = ev.cold_since
         self.members.clear()
         if ev.phase is api.RecoveryPhase.FULL:
@@ -226,7 +230,7 @@
 
     def _takes(self, b: Backend) -> bool:
         """Whether the list and the operators let it have new work."""
-        return b.entry.phase is api.Phase.UP and b.entry.backend not in self.banned
+        return b.entry.phase is api.EndpointPhase.IN_SERVICE and b.entry.backend not in self.banned
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Decide on one event at the clock time `now` (it never goes back)."""
@@ -307,7 +311,7 @@
             and self._legal(req, b)
         )
 
-    def _report(self, b: Backend, report: api.Report | None, fresh: bool) -> None:
+    def _report(self, b: Backend, report: api.LoadReport | None, fresh: bool) -> None:
         """An idle sign zeroes the estimate, but for own attempts still out: a late sign knows none."""
         load = None if report is None else report.queue if report.in_flight is None else report.in_flight
         if load is None:
@@ -321,7 +325,7 @@
 
     def _cap(self, req: Request) -> int:
         """m: how many requests can stand in line and the last still meet its aim."""
-        return max(1, int(req.cls.cfg.aim / (SPREAD * max(req.cls.usual, 1e-9))))
+        return max(1, int(req.cls.cfg.latency_objective_ms / (SPREAD * max(req.cls.usual, 1e-9))))
 
     def _draw(
         self, req: Request, count: int, of: list[Backend], crowd: float = math.inf, panic: bool = False
@@ -351,7 +355,7 @@
         All nodes of a zone feed the first of its backends to return: they bear no more than in a full zone.
         """
         among: float = min(count, of)
-        chance = COLD_PART * self.cfg.fall_multiple * warmth * len(self.order) / self.fleet
+        chance = COLD_PART * self.cfg.overload_multiple * warmth * len(self.order) / self.fleet
         if self._near(b):
             chance *= min(1.0, max(self.home, of) / self.even)
         if self.admission is not None:
@@ -362,14 +366,14 @@
             return False
         return req.cold_ok and self.rng.random() * among <= chance
 
-    def _warmth(self, entry: api.Entry) -> float:
+    def _warmth(self, entry: api.Endpoint) -> float:
         """The part of its capacity that a backend surely has by now."""
-        left, cold = self._warm_at(entry) - self.now, self.cfg.cold_share
+        left, cold = self._warm_at(entry) - self.now, self.cfg.cold_capacity_fraction
         if left <= 0:
             return 1.0
         return cold + (1.0 - cold) * max(0.0, 1.0 - left / self.ramp)
 
-    def _warm_at(self, entry: api.Entry) -> float:
+    def _warm_at(self, entry: api.Endpoint) -> float:
         """From when on it is warm; 0: it was so when the clock began."""
         started = max(entry.started_at, self.returned.get(entry.backend, 0.0), self.cold_since)
         return started + self.ramp if started > 0 else 0.0
@@ -387,11 +391,11 @@
         for a in req.attempts:
             if a.status is None:
                 return None
-            if a.status in api.NEVER_RAN or c.effect is api.Effect.SAFE:
+            if a.status in api.NOT_EXECUTED or c.effect is api.Idempotency.IDEMPOTENT:
                 continue
-            if c.effect is api.Effect.UNSAFE or self.now > self._forgotten(req, a):
+            if c.effect is api.Idempotency.NOT_IDEMPOTENT or self.now > self._forgotten(req, a):
                 return None
-            if c.group is not api.Group.ALL:
+            if c.group is not api.DeduplicationScope.ALL:
                 bound.add(_place(req, a.backend))
         return bound
 
@@ -400,19 +404,19 @@
         bound = self._bound(req)
         if bound is None or len(bound) > 1:
             return False
-        there = self.index.zones if req.cls.cfg.group is api.Group.ZONE else self.index.cells
+        there = self.index.zones if req.cls.cfg.group is api.DeduplicationScope.ZONE else self.index.cells
         return all(place in there for place in bound) if bound else len(self.order) > 0
 
     def _forgotten(self, req: Request, a: Attempt) -> float:
         """When the backends of its group may take a keyed repeat for a new request."""
-        return a.sent + req.cls.cfg.memory_span - 2 * self.cfg.tick
+        return a.sent + req.cls.cfg.deduplication_window_ms - 2 * self.cfg.tick
 
     def _window(self, req: Request) -> float:
         """Until when a further attempt may leave: its connection may come up much later. 0: no limit."""
-        if req.cls.cfg.effect is not api.Effect.KEYED:
+        if req.cls.cfg.effect is not api.Idempotency.WITH_KEY:
             return 0.0
         return min(
-            (self._forgotten(req, a) for a in req.attempts if a.status not in api.NEVER_RAN), default=0.0
+            (self._forgotten(req, a) for a in req.attempts if a.status not in api.NOT_EXECUTED), default=0.0
         )
 
     def _panic(self, req: Request, count: int, of: list[Backend], crowd: float = math.inf) -> list[Backend]:
@@ -431,7 +435,7 @@
         if max(b.busy, b.until) <= self.now:
             b.away = self.now
 
-    def _arrival(self, ev: api.Arrival) -> None:
+    def _arrival(self, ev: api.RequestArrived) -> None:
         cls, most = self._came_under(ev)
         c = cls.cfg
         useful = self._useful(cls, ev.deadline, ev.work_hint)
@@ -470,16 +474,16 @@
         self.came, self.came_in = self.came * keep + 1.0, self.came_in * keep + past
         tick, usual = max(self.cfg.tick, TINY), self.usual_sum / len(self.classes)
         rate = max(self.limit / max(usual, tick), self.came / max(self.came_in, tick))  # a ms
-        most = max(1.0, rate * self.cfg.fall_window / TRIES_SAVED)
+        most = max(1.0, rate * self.cfg.overload_window_ms / TRIES_SAVED)
         self.may_try = min(most, self.may_try + rate * past)
 
-    def _came_under(self, ev: api.Arrival) -> tuple[Class, int]:
+    def _came_under(self, ev: api.RequestArrived) -> tuple[Class, int]:
         """Its class and most attempts: a reload between its head and its last byte is for later ones."""
         under, held = ev.under or self.cfg, self.classes.get(ev.class_name)
         if under is not self.cfg:
             c = next((c for c in under.classes if c.name == ev.class_name), None)
             if c is not None and (held is None or held.cfg != c):
-                held = Class(c, c.aim / 4) if held is None else replace(held, cfg=c)
+                held = Class(c, c.latency_objective_ms / 4) if held is None else replace(held, cfg=c)
         if held is None:
             raise api.CallError(f"unknown class: {ev.class_name!r}")
         return held, under.max_attempts
@@ -487,10 +491,14 @@
     def _useful(self, cls: Class, deadline: float, work: float | None) -> float:
         """Until when an answer is worth something, for a request that is in whole now."""
         c, left = cls.cfg, deadline - self.now
-        aim = c.deadline if c.late_worth > 0 else c.aim + c.aim_stretch * (work or 0.0) - self._age(cls, left)
-        return min(deadline, self.now + aim)
+        latency_objective_ms = (
+            c.deadline
+            if c.late_weight_fraction > 0
+            else c.latency_objective_ms + c.objective_per_work * (work or 0.0) - self._age(cls, left)
+        )
+        return min(deadline, self.now + latency_objective_ms)
 
-    def _arrived(self, ev: api.Arrived) -> None:
+    def _arrived(self, ev: api.RequestBodyReceived) -> None:
         """The body is in: the backend's work and the request's time begin."""
         if (req := self.requests.get(ev.request)) is None or not req.arriving or req.over:
             return
@@ -561,7 +569,7 @@
             side = len(self.order) - self.home
         members = self._members(min(k, side), far)  # a subset that is wider than the side would mix both
         # Every node takes its part of what a backend may be given after it showed idle.
-        m = max(1, self._cap(req) // self.cfg.group_size)
+        m = max(1, self._cap(req) // self.cfg.node_count)
         b = self._choose(req, members, m, crowd)
         if b is None and (pool := self._beyond(req, k, len(members.backends), far, crowd)):
             b = self._pick(pool, m)
@@ -597,8 +605,13 @@
         that as a cold one bears is spread over the nodes, for each backend from another place on.
         """
         usual = self.usual_sum / max(1, len(self.classes))
-        surely = self.cfg.fall_multiple * self.cfg.cold_share * self.cfg.fall_window / max(usual, 1e-9)
-        return self._ring(name) * self.cfg.group_size < max(FIRST, COLD_PART * surely)
+        surely = (
+            self.cfg.overload_multiple
+            * self.cfg.cold_capacity_fraction
+            * self.cfg.overload_window_ms
+            / max(usual, 1e-9)
+        )
+        return self._ring(name) * self.cfg.node_count < max(FIRST, COLD_PART * surely)
 
     def _back(self) -> Backend | None:
         """A backend that was put back gets a request at once: cold and far ones might wait long for theirs,
@@ -619,7 +632,7 @@
             req.pending.add(b.entry.backend)
             if b.waiting is None:
                 b.waiting = []
-                self.acts.append(api.Probe(b.entry.backend))
+                self.acts.append(api.CheckHealth(b.entry.backend))
             b.waiting.append(req)
         self._at(self.now + PATIENCE * self.rtt + self.cfg.tick, self._overdue, (req, req.looks))
         if not req.pending:
@@ -635,10 +648,10 @@
                 self.index.note(b)
             self._settle(req)
 
-    def _probed(self, ev: api.Probed) -> None:
+    def _probed(self, ev: api.HealthCheckEnded) -> None:
         b = self.backends[ev.backend]
         waiting, b.waiting = b.waiting or [], None
-        if ev.status is api.Status.OK:
+        if ev.status is api.AttemptStatus.OK:
             self.rtt += EWMA * (ev.duration - self.rtt)
             self._report(b, ev.report, True)
             b.until = min(b.until, self.now)
@@ -647,7 +660,7 @@
         for req in waiting:
             if ev.backend in req.pending:
                 req.pending.discard(ev.backend)
-                if ev.status is api.Status.OK:
+                if ev.status is api.AttemptStatus.OK:
                     req.found.append(b)
                 # Guards against reports that freeze: an idle sign is believed as often as such sends succeed.
                 if b.estimate == 0 and self.rng.random() > self.trust:
@@ -693,30 +706,39 @@
         c, left, tick = req.cls.cfg, req.useful - self.now, self.cfg.tick
         stop = max(tick, left - 2 * tick) if req.useful < req.deadline else 0.0
         # Guards against answers that get lost: one that may come late is asked for again while it has worth.
-        cut, again = max(c.aim / 2, req.cls.usual + 4 * req.cls.dev), c.effect is not api.Effect.UNSAFE
-        if self.lost > LOSSY and c.late_worth > 0 and again and cut + req.cls.usual < left:
+        cut, again = (
+            max(c.latency_objective_ms / 2, req.cls.usual + 4 * req.cls.dev),
+            c.effect is not api.Idempotency.NOT_IDEMPOTENT,
+        )
+        if self.lost > LOSSY and c.late_weight_fraction > 0 and again and cut + req.cls.usual < left:
             stop, req.attempts[-1].cut = cut, True
         req.attempts[-1].short = (stop or req.deadline - self.now) < cut
-        self.acts.append(api.Send(req.id, b.entry.backend, stop, before))
+        self.acts.append(api.StartAttempt(req.id, b.entry.backend, stop, before))
 
-    def _outcome(self, ev: api.Outcome) -> None:
+    def _outcome(self, ev: api.AttemptEnded) -> None:
         req = self.requests.get(ev.request)
         if req is None or ev.attempt >= len(req.attempts):
             return
         attempt = req.attempts[ev.attempt]
         if attempt.status is not None:
             if req.stream:  # the end of a long answer
-                if ev.status is api.Status.RESET:
+                if ev.status is api.AttemptStatus.RESET:
                     self._eject(attempt.backend)
                 self._close(req)
             return
         b = attempt.backend
         self._over(req, attempt, ev.status)
         self._report(b, ev.report, False)
-        hasty = attempt.short and ev.status is api.Status.TIMEOUT
-        if not hasty and ev.status not in (api.Status.CANCELLED, api.Status.MOOT):  # these tell nothing
+        hasty = attempt.short and ev.status is api.AttemptStatus.TIMEOUT
+        if not hasty and ev.status not in (
+            api.AttemptStatus.CANCELLED,
+            api.AttemptStatus.NOT_STARTED,
+        ):  # these tell nothing
             self._learn(req, attempt, ev)
-            if ev.status in (api.Status.OK, api.Status.TIMEOUT):  # others do not tell of crowding
+            if ev.status in (
+                api.AttemptStatus.OK,
+                api.AttemptStatus.TIMEOUT,
+            ):  # others do not tell of crowding
                 self._steer(req.cls, b, ev)
         if ev.closed or req.over:
             self._close(req)
@@ -726,7 +748,7 @@
             self._again(req)
         self._release()
 
-    def _over(self, req: Request, attempt: Attempt, status: api.Status) -> None:
+    def _over(self, req: Request, attempt: Attempt, status: api.AttemptStatus) -> None:
         attempt.status, req.out = status, req.out - 1
         if attempt.counted:
             attempt.backend.out, self.out = attempt.backend.out - 1, self.out - 1
@@ -737,22 +759,26 @@
         if self.index.forget(b) and b.entry.backend not in self.banned:
             self.places.pop(b.entry.backend, None)
 
-    def _learn(self, req: Request, attempt: Attempt, ev: api.Outcome) -> None:
+    def _learn(self, req: Request, attempt: Attempt, ev: api.AttemptEnded) -> None:
         b, cls = attempt.backend, req.cls
-        if attempt.fair and ev.status in (api.Status.OK, api.Status.FULL, api.Status.TIMEOUT):
-            good = ev.status is api.Status.OK and ev.duration <= cls.cfg.aim
-            self.lost += EWMA * ((ev.status is api.Status.TIMEOUT) - self.lost)
+        if attempt.fair and ev.status in (
+            api.AttemptStatus.OK,
+            api.AttemptStatus.REJECTED,
+            api.AttemptStatus.TIMEOUT,
+        ):
+            good = ev.status is api.AttemptStatus.OK and ev.duration <= cls.cfg.latency_objective_ms
+            self.lost += EWMA * ((ev.status is api.AttemptStatus.TIMEOUT) - self.lost)
             # A backend without room says nothing of the next one, an answer lost nothing of the load.
-            if good or self.looks or not (attempt.cut or ev.status is api.Status.FULL):
+            if good or self.looks or not (attempt.cut or ev.status is api.AttemptStatus.REJECTED):
                 self.trust += EWMA * (1 + self.looks) * (good - self.trust)
-            b.slow += EWMA * ((ev.duration if good else cls.cfg.aim) / cls.usual - b.slow)
+            b.slow += EWMA * ((ev.duration if good else cls.cfg.latency_objective_ms) / cls.usual - b.slow)
             for members in self.members.values():
                 members.heaviest = max(members.heaviest, b.weight)
             far = not self._near(b)
             self.bad[far] += EWMA * (1 - good - self.bad[far])
             gain = SPILL * (self.bad[0] - self.bad[1] - self.cfg.charges.cross_zone)
             self.spill = max(0.0, min(1.0, self.spill + gain))
-        if ev.status is api.Status.OK:
+        if ev.status is api.AttemptStatus.OK:
             b.fails = 0
             if attempt.fair:
                 cls.dev += EWMA * (abs(ev.duration - cls.usual) - cls.dev)
@@ -760,16 +786,16 @@
                 cls.usual += step
                 if self.classes.get(cls.cfg.name) is cls:
                     self.usual_sum += step
-        elif ev.status is api.Status.FULL:
+        elif ev.status is api.AttemptStatus.REJECTED:
             self._left_alone(b)
             b.busy = self.now + cls.usual * self.rng.uniform(0.5, 1.5)
             self.index.note(b)
         else:
             self._eject(b)
-            if ev.status is api.Status.CONNECT_FAILED:
+            if ev.status is api.AttemptStatus.CONNECT_FAILED:
                 b.busy = b.until
 
-    def _steer(self, cls: Class, b: Backend, ev: api.Outcome) -> None:
+    def _steer(self, cls: Class, b: Backend, ev: api.AttemptEnded) -> None:
         """The concurrency limit: in proportion to how near answers are to the tightest aim.
 
         The way there and back is left out: no limit shortens it, and with far backends it alone would hold
@@ -778,13 +804,15 @@
         Guards against crowding a fleet until it turns slow, which takes far longer to undo. It rises only
         while it binds: quiet nodes whose limit floats up would flood the fleet when a burst comes.
         """
-        if ev.status is api.Status.OK:
+        if ev.status is api.AttemptStatus.OK:
             b.trip = min(b.trip * TRIP_DRIFT, ev.duration)
             self.index.note(b)
             took = ev.duration - min(b.trip, self.index.least_trip(b.entry.zone))
         else:
-            took = cls.cfg.aim
-        goal = NEAR * cls.cfg.aim  # an answer at once weighs as much as one at the aim: a log has no floor
+            took = cls.cfg.latency_objective_ms
+        goal = (
+            NEAR * cls.cfg.latency_objective_ms
+        )  # an answer at once weighs as much as one at the aim: a log has no floor
         cls.strain += EWMA / 2 * (math.log(max(took, NEAR * goal) / goal) - cls.strain)
         self.strains.push(cls.cfg.name)
         excess = -self.strains.least()
@@ -817,15 +845,15 @@
         self.why[why] += 1
         c = req.cls.cfg
         harmless = (
-            c.effect is api.Effect.SAFE
-            or all(a.status in api.NEVER_RAN for a in req.attempts)
-            or (c.effect is api.Effect.KEYED and c.group is api.Group.ALL)
+            c.effect is api.Idempotency.IDEMPOTENT
+            or all(a.status in api.NOT_EXECUTED for a in req.attempts)
+            or (c.effect is api.Idempotency.WITH_KEY and c.group is api.DeduplicationScope.ALL)
         )
-        away = self.cfg.max_retry_after
+        away = self.cfg.max_retry_after_ms
         if harmless and away > 0:  # until there is room; guards against clients that come back in step
             wide = AWAY if self.admission is None else RETURNING
             away = min(away, req.cls.usual * self.rng.uniform(*wide))
-        self.acts.append(api.Refuse(req.id, away, why) if harmless else api.Fail(req.id, why))
+        self.acts.append(api.RejectRequest(req.id, away, why) if harmless else api.FailRequest(req.id, why))
         self.shed += 1
         if self.arrived >= 50 and self.shed > self.arrived / 4:  # worth a line to the people on call
             self._log(f"shedding: {self.shed} of {self.arrived} requests refused or failed")
@@ -834,16 +862,16 @@
     def _close(self, req: Request) -> None:
         """Nothing more is sent for it; an attempt still out is called off."""
         req.over, req.pending = True, set()
-        if req.out and self.cfg.may_cancel and not req.stream:
-            self.acts.append(api.Cancel(req.id, len(req.attempts) - 1))
+        if req.out and self.cfg.cancellation_allowed and not req.stream:
+            self.acts.append(api.CancelAttempt(req.id, len(req.attempts) - 1))
         if not req.out:
             self.requests.pop(req.id, None)
 
-    def _gone(self, ev: api.ClientGone) -> None:
+    def _gone(self, ev: api.ClientDisconnected) -> None:
         if (req := self.requests.get(ev.request)) is not None and not req.over:
             self._close(req)
 
-    def _stream(self, ev: api.StreamStarted) -> None:
+    def _stream(self, ev: api.ResponseStarted) -> None:
         if (req := self.requests.get(ev.request)) is None:
             return
         req.stream = True
@@ -851,8 +879,8 @@
             return
         # A long answer: the backend's work is done, and a client that reads slowly keeps no place of others.
         attempt = req.attempts[ev.attempt]
-        self._over(req, attempt, api.Status.OK)
-        done = api.Outcome(ev.request, ev.attempt, ev.backend, api.Status.OK, ev.duration, False)
+        self._over(req, attempt, api.AttemptStatus.OK)
+        done = api.AttemptEnded(ev.request, ev.attempt, ev.backend, api.AttemptStatus.OK, ev.duration, False)
         self._learn(req, attempt, done)
         self._steer(req.cls, attempt.backend, done)
         self._release()
@@ -862,49 +890,51 @@
         self.timers[self.token] = (call, what)
         self.acts.append(api.SetTimer(when, self.token))
 
-    def _timer(self, ev: api.Timer) -> None:
+    def _timer(self, ev: api.TimerFired) -> None:
         call, what = self.timers.pop(ev.token, (lambda _: None, None))
         call(what)
 
     def _log(self, text: str) -> None:
         if self.now - self.logged >= LOG_EVERY:
             self.logged, self.arrived, self.shed = self.now, 0, 0
-            self.acts.append(api.Log(text))
+            self.acts.append(api.WriteLog(text))
 
     def _list(self, ev: api.ListUpdate) -> None:
-        if ev.kind is api.ListKind.FAILED:  # back off with jitter; the last list stays in force
+        if ev.kind is api.ListUpdateKind.FAILED:  # back off with jitter; the last list stays in force
             self.asks_failed = min(self.asks_failed + 1, EJECT_MAX)
             # A change may count as told before a longer wait is over. That call may be another one than the
             # last asked for here: a watch is opened anew without a word.
             left = max(ASK_REST, self.asked + ASK_PERIOD - self.now)
-            most = min(1.5 * self.cfg.ask_within / 32 * 2**self.asks_failed, left)
-            most = self._ask_soon(most, ev.failure or api.CallFailure())
+            most = min(1.5 * self.cfg.list_max_age_ms / 32 * 2**self.asks_failed, left)
+            most = self._ask_soon(most, ev.failure or api.DiscoveryFailure())
             wait = most * self.rng.uniform(1 / 3, 1.0)
             self._ask_in(wait)
             self._log(f"list: call failed {self.asks_failed} times, asking again in {wait / 1000:.1f} s")
             return
         self.asks_failed = 0
-        if ev.kind is api.ListKind.SAVED and self.cfg.must_ask:
+        if ev.kind is api.ListUpdateKind.CACHED and self.cfg.must_subscribe:
             # Without a backend in service the node cannot serve before discovery has told one.
-            some = any(e.phase is api.Phase.UP for e in ev.entries)
-            most = min(self.cfg.ask_within / 2, ASK_PERIOD) if some else 0.0
+            some = any(e.phase is api.EndpointPhase.IN_SERVICE for e in ev.entries)
+            most = min(self.cfg.list_max_age_ms / 2, ASK_PERIOD) if some else 0.0
             self._ask_in(self.rng.uniform(0.0, most))
         entries = ev.entries
-        if ev.kind is not api.ListKind.CHANGES:
+        if ev.kind is not api.ListUpdateKind.DELTA:
             left_out = sorted(self.backends.keys() - {e.backend for e in entries})
-            entries = [replace(self.backends[x].entry, phase=api.Phase.GONE) for x in left_out] + entries
+            entries = [
+                replace(self.backends[x].entry, phase=api.EndpointPhase.REMOVED) for x in left_out
+            ] + entries
         for entry in entries:
             self.index.take(entry)
         self._refresh({entry.backend: None for entry in entries}, ev.more)
 
-    def _ask_soon(self, most: float, failure: api.CallFailure) -> float:
+    def _ask_soon(self, most: float, failure: api.DiscoveryFailure) -> float:
         """The longest wait for the next call, out of `most`, so that several can fail in a crowded queue.
 
         Guards against a wait that grows while the time runs out in which a change counts as told.
         """
         if not failure.reached:
             return most
-        time_left = ASK_KNOWN - failure.silent_for
+        time_left = ASK_KNOWN - failure.silent_ms
         if time_left <= 0:
             return min(most, max(ASK_REST, self.asked + ASK_TURNED_AWAY - self.now))
         if failure.queued:
@@ -929,7 +959,7 @@
                 self.index.leave(b.entry.backend)
             elif b.near != self._near(b):
                 self.order.turn(b.entry.backend, not b.near)
-            if b.entry.phase is api.Phase.GONE:
+            if b.entry.phase is api.EndpointPhase.REMOVED:
                 self._forget(b)
         if empty:
             self._lay_out(sorted(b.entry.backend for b in came))
@@ -979,13 +1009,13 @@
         """How many of so many backends this node feeds."""
         if self.looks:  # a request looks at no more: others would only fill the backends' connection tables
             return min(wide, SAMPLE * ROUNDS)
-        return min(wide, max(SUBSET_MIN, math.ceil(FEEDERS * wide / self.cfg.group_size)))
+        return min(wide, max(SUBSET_MIN, math.ceil(FEEDERS * wide / self.cfg.node_count)))
 
     def _measure(self) -> None:
         """What follows from how many may have new work."""
         n = len(self.order)
         self.width, self.home = self._width(n), len(self.order.near) or n
-        self.least = LIMIT_LEAST * max(1.0, n / self.cfg.group_size)
+        self.least = LIMIT_LEAST * max(1.0, n / self.cfg.node_count)
         self.limit = max(self.limit, self.least)
         self.even = n / max(1, len(self.index.zones))
 
@@ -1000,7 +1030,7 @@
 
     def _ask(self, _: object) -> None:
         self.asks, self.asked = self.asks + 1, self.now
-        self.acts.append(api.Subscribe())
+        self.acts.append(api.WatchEndpoints())
 
     def _ring(self, name: str) -> float:
         """This node's place on a ring, 0 to 1, that the nodes share out evenly; each backend turns it."""
@@ -1013,4 +1043,4 @@
 
 def _place(req: Request, b: Backend) -> str | int:
     """What binds a repeat of this request: the zone of its backend, or the cell."""
-    return b.entry.zone if req.cls.cfg.group is api.Group.ZONE else b.entry.cell
+    return b.entry.zone if req.cls.cfg.group is api.DeduplicationScope.ZONE else b.entry.cell
--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -72,7 +72,7 @@
     @staticmethod
     def _event(line: str, word: str, settings: Settings, lines: Iterator[str]) -> Event:
         if word != "DIRECTORY_UPDATE":
-            return wire.event(line, settings.report_fields)
+            return wire.event(line, settings.load_report_fields)
         update, count = wire.list_update(line)
         for _ in range(count):
             update.entries.append(wire.entry(next(lines, "")))
--- a/balancer/state.py
+++ b/balancer/state.py
@@ -12,7 +12,7 @@
 class Backend:
     """What this node knows of one backend; made when it is first listed."""
 
-    entry: api.Entry
+    entry: api.Endpoint
     estimate: int = 0  # the paper's upper bound: own sends since it last showed idle
     out: int = 0  # own attempts still out
     slow: float = 1.0  # mean time of its answers over the usual time of their class
@@ -58,7 +58,7 @@
     backend: Backend
     sent: float
     fair: bool  # its time and fate tell of the backend: it showed idle, or nobody looked
-    status: api.Status | None = None
+    status: api.AttemptStatus | None = None
     short: bool = False  # given less time than an answer may well take: a time-out tells of its client only
     counted: bool = True  # out for the backend: its request is in whole
     cut: bool = False  # given less time than would still be useful, as answers get lost
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -9,30 +9,46 @@
 from balancer import interface as api
 from balancer.errors import BalancerError
 
-_EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
-_GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
-_PHASES = {"up": api.Phase.UP, "draining": api.Phase.DRAINING, "removed": api.Phase.GONE}
+_EFFECTS = {
+    "retryable": api.Idempotency.IDEMPOTENT,
+    "dedup": api.Idempotency.WITH_KEY,
+    "fragile": api.Idempotency.NOT_IDEMPOTENT,
+}
+_GROUPS = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
+_PHASES = {
+    "up": api.EndpointPhase.IN_SERVICE,
+    "draining": api.EndpointPhase.DRAINING,
+    "removed": api.EndpointPhase.REMOVED,
+}
 _LISTS = {
-    "diff": api.ListKind.CHANGES,
-    "snapshot": api.ListKind.FULL,
-    "disk": api.ListKind.SAVED,
-    "error": api.ListKind.FAILED,
+    "diff": api.ListUpdateKind.DELTA,
+    "snapshot": api.ListUpdateKind.SNAPSHOT,
+    "disk": api.ListUpdateKind.CACHED,
+    "error": api.ListUpdateKind.FAILED,
+}
+_REPORTS = {
+    "inline": api.LoadReportMode.IN_RESPONSES,
+    "on_probe": api.LoadReportMode.IN_HEALTH_CHECKS,
+    "off": api.LoadReportMode.NONE,
 }
-_REPORTS = {"inline": api.Reports.ANSWERS, "on_probe": api.Reports.PROBES, "off": api.Reports.NONE}
 _WEIGHTS = {"off": False, "nominal": True, "rough": True, "live": True}
 _CHARGES = (
     "probe", "waste", "cross-zone", "late-fail", "handshake", "connection", "discovery", "fleet", "moves",
     "origin", "peer",
 )  # fmt: skip
 _STATUSES = {
-    "pass": api.Status.OK,
-    "fault": api.Status.ERROR,
-    "no_room": api.Status.FULL,
-    "too_slow": api.Status.TIMEOUT,
-    "no_route": api.Status.CONNECT_FAILED,
-    "cut": api.Status.RESET,
-    "undone": api.Status.CANCELLED,
-    "stale_send": api.Status.MOOT,
+    "pass": api.AttemptStatus.OK,
+    "fault": api.AttemptStatus.ERROR,
+    "no_room": api.AttemptStatus.REJECTED,
+    "too_slow": api.AttemptStatus.TIMEOUT,
+    "no_route": api.AttemptStatus.CONNECT_FAILED,
+    "cut": api.AttemptStatus.RESET,
+    "undone": api.AttemptStatus.CANCELLED,
+    "stale_send": api.AttemptStatus.NOT_STARTED,
 }
 
 
@@ -119,17 +135,17 @@
     out = api.RequestClass(
         name=_text(table, where, "name", None),
         effect=_choice(table, where, "effect", _EFFECTS, None),
-        aim=_number(table, where, "objective", deadline),
+        latency_objective_ms=_number(table, where, "objective", deadline),
         deadline=deadline,
         value=_number(table, where, "value", 1.0),
-        late_worth=_number(table, where, "late-worth", 0.0),
+        late_weight_fraction=_number(table, where, "late-worth", 0.0),
         # Untold, only the smallest group drops a repeat and forgets it at once: the cautious reading.
         group=_choice(table, where, "group", _GROUPS, "cell"),
-        memory_span=_number(table, where, "memory-span", 0.0),
+        deduplication_window_ms=_number(table, where, "memory-span", 0.0),
         streamed=_flag(table, where, "streamed", False),
-        aim_stretch=_number(table, where, "aim-stretch", 0.0),
+        objective_per_work=_number(table, where, "aim-stretch", 0.0),
     )
-    for name, value in (("give-up", out.deadline), ("objective", out.aim)):
+    for name, value in (("give-up", out.deadline), ("objective", out.latency_objective_ms)):
         if value <= 0:
             raise _fault(where, name, value)
     return out
@@ -171,24 +187,24 @@
         if repr(name) in names:
             raise _fault(f"request-classes[{index}].", "name", name)
         names.add(repr(name))
-    group_size = _whole(raw, "", "group-size", 1, 1)
+    node_count = _whole(raw, "", "group-size", 1, 1)
     me = _whole(raw, "", "me", 0, 0)
     heeded = _flag(limits, "limits.", "retry-after", False)
-    ramp_time = _number(rules, "rules.", "ramp-time", 60_000.0)
-    cold_share = _number(rules, "rules.", "cold-share", 0.0)
-    if cold_share > 1:
-        raise _fault("rules.", "cold-share", cold_share)
+    slow_start_ms = _number(rules, "rules.", "ramp-time", 60_000.0)
+    cold_capacity_fraction = _number(rules, "rules.", "cold-share", 0.0)
+    if cold_capacity_fraction > 1:
+        raise _fault("rules.", "cold-share", cold_capacity_fraction)
     return api.Settings(
         classes=tuple(_class(table, index) for index, table in enumerate(classes)),
         me=me,
-        group_size=group_size,
+        node_count=node_count,
         zone=_text(raw, "", "zone", ""),
         tick=_number(raw, "", "granularity", 1.0),
         tenants=tuple(_tenant(table, index) for index, table in enumerate(_rows(raw, "projects"))),
         charges=api.Charges(
             **{name.replace("-", "_"): _number(charges, "charges.", name, 0.0) for name in _CHARGES}
         ),
-        blend=api.Blend(
+        blend=api.ScoreWeights(
             whole=_number(blend, "blend.", "whole", 1.0),
             worst_window=_number(blend, "blend.", "worst-window", 0.0),
             worst_class=_number(blend, "blend.", "worst-class", 0.0),
@@ -198,23 +214,23 @@
             slow_end=_number(blend, "blend.", "slow-end", 0.0),
             miss_allowed=_number(blend, "blend.", "miss-allowed", 0.0),
         ),
-        over_share_worth=_number(raw, "", "over-share-worth", 1.0),
-        worth_by_work=_choice(raw, "", "worth-by", {"request": False, "work": True}, "request"),
-        must_ask=_choice(raw, "", "discovery", {"automatic": False, "subscribe": True}, "subscribe"),
+        over_quota_weight=_number(raw, "", "over-share-worth", 1.0),
+        weight_by_work=_choice(raw, "", "worth-by", {"request": False, "work": True}, "request"),
+        must_subscribe=_choice(raw, "", "discovery", {"automatic": False, "subscribe": True}, "subscribe"),
         reports=_choice(load, "load-info.", "how", _REPORTS, "off"),
-        report_fields=_texts(load, "load-info.", "names"),
-        probing=_flag(limits, "limits.", "probing", False),
-        may_cancel=_flag(limits, "limits.", "cancel", False),
-        second_copies=_flag(limits, "limits.", "second-copies", False),
+        load_report_fields=_texts(load, "load-info.", "names"),
+        health_checks_allowed=_flag(limits, "limits.", "probing", False),
+        cancellation_allowed=_flag(limits, "limits.", "cancel", False),
+        hedging_allowed=_flag(limits, "limits.", "second-copies", False),
         max_attempts=_whole(limits, "limits.", "most-tries", 1, 1),
-        max_retry_after=_number(limits, "limits.", "max-retry-after", 0.0) if heeded else 0.0,
-        answer_slack=_number(rules, "rules.", "answer-slack", 0.0),
-        ask_within=_number(rules, "rules.", "ask-within", 10_000.0),
-        drain_grace=_number(rules, "rules.", "drain-grace", 0.0),
-        cold_share=cold_share,
-        ramp_time=ramp_time,
-        fall_window=_number(rules, "rules.", "fall", 1_000.0),
-        fall_multiple=_number(rules, "rules.", "fall-multiple", 1.0),
+        max_retry_after_ms=_number(limits, "limits.", "max-retry-after", 0.0) if heeded else 0.0,
+        answer_slack_ms=_number(rules, "rules.", "answer-slack", 0.0),
+        list_max_age_ms=_number(rules, "rules.", "ask-within", 10_000.0),
+        drain_grace_ms=_number(rules, "rules.", "drain-grace", 0.0),
+        cold_capacity_fraction=cold_capacity_fraction,
+        slow_start_ms=slow_start_ms,
+        overload_window_ms=_number(rules, "rules.", "fall", 1_000.0),
+        overload_multiple=_number(rules, "rules.", "fall-multiple", 1.0),
         weighted=_choice(raw, "", "weight-source", _WEIGHTS, "off"),
         connect_timeout=_number(limits, "limits.", "connect-timeout", 250.0),
         zones=_texts(raw, "", "failure-domains"),
@@ -223,7 +239,7 @@
         warm_keys=_flag(family, "family-info.", "warm-keys", False),
         passes_deadline=_flag(family, "family-info.", "passes-deadline", False),
         peers=_flag(limits, "limits.", "peers", False),
-        conn_idle=_number(limits, "limits.", "conn-idle", 0.0),
+        connection_idle_ms=_number(limits, "limits.", "conn-idle", 0.0),
         streams_per_conn=_whole(limits, "limits.", "streams-per-conn", 1, 1),
         max_open=_whole(limits, "limits.", "max-open", 20_000, 1),
         cpu_us_per_s=_number(limits, "limits.", "cpu-us-per-s", 0.0),
@@ -245,25 +261,25 @@
     return value
 
 
-def report(text: str, names: tuple[str, ...]) -> api.Report | None:
+def report(text: str, names: tuple[str, ...]) -> api.LoadReport | None:
     """A load report; values of a name that is not on the wire page are skipped."""
     if text == "-":
         return None
-    out = api.Report()
+    out = api.LoadReport()
     for name, value in zip(names, text.split(","), strict=True):
         if value != "-" and name in _VALUES:
             setattr(out, _VALUES[name], time(value))
     return out
 
 
-def entry(line: str) -> api.Entry:
+def entry(line: str) -> api.Endpoint:
     """One ENTRY line of a list."""
     try:
         word, stripe, kind, backend, scale, phase, started, zone = line.split(" ")
         weight = 1.0 if scale == "-" else time(scale)
         if word != "ENTRY" or not backend or weight < 0:
             raise ValueError(line)
-        return api.Entry(
+        return api.Endpoint(
             backend,
             zone,
             -1 if stripe == "-" else int(stripe),
@@ -297,17 +313,17 @@
     try:
         if word == "SAMPLED":
             _, reason, duration, backend, gauge = parts
-            return api.Probed(backend, _STATUSES[reason], time(duration), report(gauge, names))
+            return api.HealthCheckEnded(backend, _STATUSES[reason], time(duration), report(gauge, names))
         if word == "RESOLVED":
             _, ref, go, backend, reason, duration, closed, gauge = parts
-            return api.Outcome(
+            return api.AttemptEnded(
                 ref, int(go), backend, _STATUSES[reason], time(duration), closed == "1", report(gauge, names)
             )
         if word == "WAKE":
-            return api.Timer(int(parts[1]))
+            return api.TimerFired(int(parts[1]))
         if word == "ORDER":
             _, ref, again, key, deadline, tenant, hint, kind, mutates = parts
-            return api.Arrival(
+            return api.RequestArrived(
                 ref,
                 kind,
                 time(deadline),
@@ -318,10 +334,10 @@
                 mutates == "1",
             )
         if word == "CANCELLED_BY_CLIENT":
-            return api.ClientGone(parts[1])
+            return api.ClientDisconnected(parts[1])
         if word == "ACCEPTED":
             _, ref, go, backend, duration = parts
-            return api.StreamStarted(ref, int(go), backend, time(duration))
+            return api.ResponseStarted(ref, int(go), backend, time(duration))
         if word == "HEARD":
             return api.PeerMessage(int(parts[1]), b"" if parts[2] == "-" else bytes.fromhex(parts[2]))
     except (ValueError, KeyError, IndexError):
@@ -332,24 +348,24 @@
 def action(act: api.Action) -> str:
     """The wire line of an action."""
     kind = type(act)
-    if kind is api.Probe:
+    if kind is api.CheckHealth:
         return f"INSPECT {act.backend}"  # type: ignore[union-attr]
-    if isinstance(act, api.Send):
+    if isinstance(act, api.StartAttempt):
         return f"PLACE {act.request} {round(act.timeout, 3)} {act.backend}"
     if isinstance(act, api.SetTimer):
         return f"NOTIFY_ME {round(act.when, 3)} {act.token}"
-    if isinstance(act, api.Refuse):
+    if isinstance(act, api.RejectRequest):
         return f"PUSH_BACK {act.request} {round(act.retry_after, 3)}"
-    if isinstance(act, api.Fail):
+    if isinstance(act, api.FailRequest):
         return f"SURRENDER {act.request}"
-    if isinstance(act, api.Cancel):
+    if isinstance(act, api.CancelAttempt):
         return f"ABANDON {act.request} {act.attempt}"
-    if isinstance(act, api.Log):
+    if isinstance(act, api.WriteLog):
         return "LOG " + " ".join(act.text.split())
-    if isinstance(act, api.CloseIdle):
+    if isinstance(act, api.CloseIdleConnections):
         return f"SHUT_IDLE {act.backend}"
-    if isinstance(act, api.Tell):
+    if isinstance(act, api.SendPeerMessage):
         return f"WRITE_PEER {'all' if act.node is None else act.node} {act.content.hex() or '-'}"
-    if isinstance(act, api.Subscribe):
+    if isinstance(act, api.WatchEndpoints):
         return f"TAIL {int(act.on)}"
     return "LIST_ALL"
