--- a/tests/equivalence/__main__.py
+++ b/tests/equivalence/__main__.py
@@ -28,7 +28,7 @@
 
 HERE = Path(__file__).resolve().parent
 ROOT = HERE.parents[1]
-WIRE_SEEDS, MEMBERSHIP_SEEDS, RECOVERY_SEEDS = 40, 10, 12
+WIRE_SEEDS, MEMBERSHIP_SEEDS, RECOVERY_SEEDS = 40, 10, 30
 WORKERS = 4  # plays at a time, each of two processes
 SHOWN_LINES = 30  # of a difference
 
@@ -191,6 +191,14 @@
     return "\n".join(filter(None, found))
 
 
+def outcome(job: Callable[[], str]) -> str:
+    """Return what a comparison finds; a program that fails on what the other one bears is a difference."""
+    try:
+        return job()
+    except subprocess.CalledProcessError as err:
+        return f"--- exit code {err.returncode}: {' '.join(map(str, err.cmd[2:]))}"
+
+
 def main() -> int:
     """Run all comparisons and print the differences."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
@@ -211,7 +219,7 @@
         jobs += [partial(compare_job, before, after, job, seed) for seed in seeds]
     jobs += [partial(compare_wire, before, after, s) for s in range(args.first, args.first + args.wire)]
     with ThreadPoolExecutor(WORKERS) as pool:
-        found = [text for text in pool.map(lambda job: job(), jobs) if text]
+        found = [text for text in pool.map(outcome, jobs) if text]
     print("\n".join(found) if found else f"equal: {len(jobs)} comparisons with {args.revision}")
     return 1 if found else 0
 
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -122,7 +122,12 @@
 def membership(seed: int) -> Iterator[str]:
     """Yield each datagram of a tier whose nodes die, stall, leave and come back, in order."""
     lossy = members.Net(loss=0.1, duplicate=0.05, late=0.02, corrupt=0.01)
-    world = members.World(5 + 4 * (seed % 5), seed, MembershipConfig(), members.Net() if seed % 2 else lossy)
+    world = members.World(
+        120 if seed % 10 == 0 else 5 + 4 * (seed % 5),
+        seed,
+        MembershipConfig(),
+        members.Net() if seed % 2 else lossy,
+    )
     sent: list[str] = []
     original = members.World._send
 
--- a/tests/equivalence/stream.py
+++ b/tests/equivalence/stream.py
@@ -282,6 +282,10 @@
             for backend in changed:
                 backend.phase, backend.started_at = "up", self.now
         self.revision += 1
+        if self.is_outage:
+            for number in sorted(self.tails):
+                self._at(self.now, number, self._failure)
+            self.tails.clear()
         for number in sorted(self.tails):
             self._at(self.now + dice.uniform(0, 50), number, lambda: self._changes(changed))
         for number in range(len(self.settings) if self.extended else 0):
@@ -334,9 +338,9 @@
                     *self._list("snapshot", names[:half], "X_LIST", 1),
                     *self._list("diff", names[half:], "X_LIST", 0),
                 ]
-            case 9:
+            case 9 | 10:
                 self.tails.discard(number)
-                return ["DIRECTORY_UPDATE error - -"]
+                return self._failure()
         return []
 
     def _inspect_all(self) -> list[str]:
@@ -432,8 +436,8 @@
     def _on_tail(self, who: int, on: str) -> None:
         if self.over:
             return
-        if self.random.random() < 0.3:
-            self._at(self.now + 300, who, lambda: ["DIRECTORY_UPDATE error - -"])
+        if self.is_outage or self.random.random() < 0.3:
+            self._at(self.now + self.random.choice((2.0, 300.0)), who, self._failure)
             return
 
         def make() -> list[str]:
@@ -442,5 +446,17 @@
 
         self._at(self.now + self.random.uniform(5, 400), who, make)
 
+    @property
+    def is_outage(self) -> bool:
+        """Whether no call of discovery succeeds now: long enough for several failures in a row."""
+        return int((self.now - self.begin) / 5_000) % 3 == 1
+
+    def _failure(self) -> list[str]:
+        """Return a failed call of discovery, with what a real node knows of it where that is played."""
+        if not self.extended:
+            return ["DIRECTORY_UPDATE error - -"]
+        silent = self.random.choice((100.0, 3_000.0, 5_500.0, 9_000.0))
+        return [f"X_LIST_FAILED {silent} {self.random.randrange(2)} {self.random.randrange(2)}"]
+
     def _on_x_learned(self, who: int, *parts: str) -> None:
         self.learned[who] = " ".join(parts)
