--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -1,141 +1,206 @@
-"""`balancer state`: a node's directory of durable state, checked, shown or made small.
+"""`balancer state`: verify, show or compact a node's state directory.
 
-Exit code 0: sound; 1: something in it is not as it was written; 2: it cannot be read, or must not be touched.
+Exit code 0: valid; 1: something in it is not as it was written; 2: it cannot be read, or must not be changed.
 """
 
 from __future__ import annotations
 
 import json
 import time
-from dataclasses import asdict
+from dataclasses import asdict, dataclass
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated
 
 import typer
 from rich.console import Console
 from rich.table import Table
 
 from balancer.cli.output import Exit, stop
-from balancer.durable.files import RealFiles
-from balancer.durable.records import Kept, stamp, total
-from balancer.durable.store import Loaded, Store, load
+from balancer.durable.filesystem import SystemDirectory
+from balancer.durable.reader import DirectoryContents, read_directory
+from balancer.durable.state import DurableState, replay
+from balancer.durable.timestamp import Timestamp
+from balancer.durable.writer import LogWriter
 from balancer.errors import BalancerError
 
 app = typer.Typer(help="A node's durable state: verify, show, compact.", no_args_is_help=True)
 
+MS_PER_S = 1000
 
-class FolderError(BalancerError):
+
+class StateDirectoryError(BalancerError):
     """A directory of durable state cannot be read, or there is none."""
 
     code = "CLI05"
     remedy = "name the directory that durable.directory has, as a user who may read it"
 
 
-class UsedError(BalancerError):
-    """A directory is not to be touched while a process of its node lives."""
+class DirectoryInUseError(BalancerError):
+    """A directory must not be changed while a process of its node lives."""
 
     code = "CLI06"
     remedy = "end the node first; its own start makes the directory small as well"
 
 
-Folder = Annotated[Path, typer.Argument(help="What durable.directory names.")]
-AsJson = Annotated[bool, typer.Option("--json", help="Print the result as JSON on standard output.")]
+PathArgument = Annotated[Path, typer.Argument(metavar="FOLDER", help="What durable.directory names.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print the result as JSON on standard output.")]
+
+
+@dataclass(frozen=True)
+class Verification:
+    """The result of checking a directory; the fields are the keys of the JSON output."""
+
+    sound: bool
+    lost: bool
+    records: int
+    files: int
+    bytes: int
+    generation: int
+    fence: int
+    notes: list[str]
+
+    @classmethod
+    def of(cls, contents: DirectoryContents) -> Verification:
+        """Summarise what a directory holds."""
+        return cls(
+            sound=not contents.problems,
+            lost=contents.has_lost_records,
+            records=contents.last_number,
+            files=contents.file_count,
+            bytes=contents.size_bytes,
+            generation=contents.generation,
+            fence=contents.fence,
+            notes=contents.problems,
+        )
+
+
+def _read(path: Path) -> DirectoryContents:
+    """Read a directory; raise typer.Exit, with the reason on standard error, if that is not possible."""
+    try:
+        if not path.is_dir():
+            raise stop(StateDirectoryError(f"{path} is no directory"))
+        return read_directory(SystemDirectory(path))
+    except (BalancerError, OSError) as err:
+        raise _stopped_by(path, err) from None
 
 
-def read(folder: Path) -> tuple[Loaded, Kept]:
-    """What a directory holds; raises typer.Exit, said why, where it cannot be read."""
+def _replay(path: Path, contents: DirectoryContents) -> DurableState:
+    """Replay what was read; raise typer.Exit, with the reason on standard error, if that is not possible."""
     try:
-        if not folder.is_dir():
-            raise stop(FolderError(f"{folder} is no directory"))
-        loaded = load(RealFiles(folder))
-        return loaded, total(loaded.snapshot, loaded.records)
-    except (BalancerError, OSError) as err:
-        raise refused(folder, err) from None
+        return replay(contents.snapshot, contents.records)
+    except BalancerError as err:
+        raise _stopped_by(path, err) from None
 
 
-def refused(folder: Path, err: BalancerError | OSError) -> typer.Exit:
-    """What is wrong with a directory."""
-    kind = type(err) if isinstance(err, BalancerError) else FolderError
-    return stop(kind(f"{folder}: {err}"))
+def _stopped_by(path: Path, err: BalancerError | OSError) -> typer.Exit:
+    kind = type(err) if isinstance(err, BalancerError) else StateDirectoryError
+    return stop(kind(f"{path}: {err}"))
 
 
-def outcome(loaded: Loaded) -> dict[str, Any]:
-    """What was found, in few fields."""
-    return {
-        "sound": not loaded.notes, "lost": loaded.lost, "records": loaded.number, "files": loaded.files,
-        "bytes": loaded.size, "generation": loaded.generation, "fence": loaded.fence, "notes": loaded.notes,
-    }  # fmt: skip
+def _exit_for(contents: DirectoryContents) -> typer.Exit:
+    return typer.Exit(Exit.SHORT if contents.problems else Exit.HELD)
 
 
 @app.command()
-def verify(folder: Folder, as_json: AsJson = False) -> None:
+def verify(path: PathArgument, as_json: JsonOption = False) -> None:
     """Check every record. Nothing is changed; the node may run."""
-    loaded, _ = read(folder)
+    contents = _read(path)
+    _replay(path, contents)
     if as_json:
-        print(json.dumps(outcome(loaded)))
+        print(json.dumps(asdict(Verification.of(contents))))
     else:
-        print(f"{loaded.number} records in {loaded.files} files of {loaded.size} bytes, "
-              f"generation {loaded.generation}, writer {loaded.fence}")  # fmt: skip
-        for note in loaded.notes:
-            print(note)
-        if loaded.notes:
-            print("some of what was promised is lost" if loaded.lost else "nothing that was promised is lost")
-        else:
-            print("sound")
-    raise typer.Exit(Exit.SHORT if loaded.notes else Exit.HELD)
+        print(
+            f"{contents.last_number} records in {contents.file_count} files of {contents.size_bytes} bytes, "
+            f"generation {contents.generation}, writer {contents.fence}"
+        )
+        for problem in contents.problems:
+            print(problem)
+        print(_verdict(contents))
+    raise _exit_for(contents)
+
+
+def _verdict(contents: DirectoryContents) -> str:
+    if not contents.problems:
+        return "sound"
+    if contents.has_lost_records:
+        return "acknowledged records are lost"
+    return "no acknowledged record is lost"
 
 
-def _when(wall: float) -> str:
-    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(wall / 1000)) + " UTC"
+def _format_time(unix_ms: float) -> str:
+    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(unix_ms / MS_PER_S)) + " UTC"
 
 
 @app.command()
-def show(folder: Folder, as_json: AsJson = False) -> None:
-    """What the node would take up again if it started now."""
-    loaded, kept = read(folder)
-    age = None if kept.sampled is None else kept.sampled.at.age(stamp())
+def show(path: PathArgument, as_json: JsonOption = False) -> None:
+    """Show what the node would recover if it started now."""
+    contents = _read(path)
+    state = _replay(path, contents)
+    sample = state.learned_sample
+    age_ms = None if sample is None else sample.taken_at.age_ms(Timestamp.now())
     if as_json:
-        learned = None if kept.sampled is None else asdict(kept.sampled.learned)
-        print(json.dumps({
-            "out": kept.out, "back": kept.back, "revision": kept.revision, "heard": kept.heard,
-            "backends": len(kept.rows), "life": kept.life, "learned_age_ms": age, "learned": learned,
-            "unknown": len(kept.unknown),
-        }))  # fmt: skip
-        raise typer.Exit(Exit.SHORT if loaded.notes else Exit.HELD)
+        print(json.dumps(_as_json(state, age_ms)))
+    else:
+        Console().print(_as_table(state, age_ms))
+    raise _exit_for(contents)
+
+
+def _as_json(state: DurableState, learned_age_ms: float | None) -> dict[str, object]:
+    sample = state.learned_sample
+    return {
+        "out": state.banned,
+        "back": state.lifted,
+        "revision": state.list_revision,
+        "heard": state.list_received_at_ms,
+        "backends": len(state.endpoints),
+        "life": state.incarnation,
+        "learned_age_ms": learned_age_ms,
+        "learned": None if sample is None else asdict(sample.learned),
+        "unknown": len(state.unknown_records),
+    }
+
+
+def _as_table(state: DurableState, learned_age_ms: float | None) -> Table:
     table = Table(show_header=False)
-    for name, at in sorted(kept.out.items()):
-        table.add_row("out", f"{name} since {_when(at)}")
-    for name, at in sorted(kept.back.items()):
-        table.add_row("put back", f"{name} at {_when(at)}")
-    heard = f"revision {kept.revision}, {len(kept.rows)} backends, heard {_when(kept.heard)}"
-    table.add_row("list", heard if kept.rows else "none")
-    table.add_row("life", str(kept.life))
-    if kept.sampled is not None and age is not None:
-        had = kept.sampled.learned
-        told = f"{age / 1000:.1f} s ago at least: limit {had.limit:.1f}, {len(had.backends)} backends"
-        table.add_row("learned", told)
-    Console().print(table)
-    raise typer.Exit(Exit.SHORT if loaded.notes else Exit.HELD)
+    for backend, since_ms in sorted(state.banned.items()):
+        table.add_row("in maintenance", f"{backend} since {_format_time(since_ms)}")
+    for backend, at_ms in sorted(state.lifted.items()):
+        table.add_row("returned", f"{backend} at {_format_time(at_ms)}")
+    received = f"received {_format_time(state.list_received_at_ms)}"
+    endpoints = f"revision {state.list_revision}, {len(state.endpoints)} backends, {received}"
+    table.add_row("endpoint list", endpoints if state.endpoints else "none")
+    table.add_row("incarnation", str(state.incarnation))
+    if state.learned_sample is not None and learned_age_ms is not None:
+        learned = state.learned_sample.learned
+        age = f"at least {learned_age_ms / MS_PER_S:.1f} s ago"
+        table.add_row("learned", f"{age}: limit {learned.limit:.1f}, {len(learned.backends)} backends")
+    return table
 
 
 @app.command()
-def compact(folder: Folder, as_json: AsJson = False) -> None:
+def compact(path: PathArgument, as_json: JsonOption = False) -> None:
     """Begin a new generation, as a start of the node does. Not while a process of the node lives."""
-    before, _ = read(folder)
+    before = _read(path)
+    _replay(path, before)
     if not before.node:
-        raise stop(FolderError(f"{folder}: there is no state in it"))
-    files = RealFiles(folder)
+        raise stop(StateDirectoryError(f"{path}: there is no state in it"))
+    directory = SystemDirectory(path)
     try:
-        with files.unused():
-            Store(files, before.node, before.store,
-                  lambda loaded: total(loaded.snapshot, loaded.records).encode()).close()  # fmt: skip
+        with directory.exclusive_use():
+            LogWriter(directory, before.node, before.directory_id, _snapshot_of).close()
     except BlockingIOError:
-        raise stop(UsedError(f"{folder}: a process of the node uses it")) from None
+        raise stop(DirectoryInUseError(f"{path}: a process of the node uses it")) from None
     except (BalancerError, OSError) as err:
-        raise refused(folder, err) from None
-    after, _ = read(folder)
+        raise _stopped_by(path, err) from None
+    after = _read(path)
+    _replay(path, after)
     if as_json:
-        print(json.dumps({"before": outcome(before), "after": outcome(after)}))
+        comparison = {"before": asdict(Verification.of(before)), "after": asdict(Verification.of(after))}
+        print(json.dumps(comparison))
     else:
-        print(f"{before.size} bytes before, {after.size} now")
-    raise typer.Exit(Exit.SHORT if after.notes else Exit.HELD)
+        print(f"{before.size_bytes} bytes before, {after.size_bytes} now")
+    raise _exit_for(after)
+
+
+def _snapshot_of(contents: DirectoryContents) -> bytes:
+    return replay(contents.snapshot, contents.records).encode_snapshot()
--- a/balancer/durable/__init__.py
+++ b/balancer/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a crash of a node: record log and snapshots, what is kept in them, the file layer below."""
+"""Durable state of a node: a write-ahead log with snapshots, its records, and its file system layer."""
--- a/balancer/durable/frames.py
+++ b/balancer/durable/frames.py
@@ -1,12 +1,13 @@
-"""Records as bytes: length-prefixed frames whose checksums are chained, so that a lost middle is seen.
+"""Framing of records: length-prefixed frames with chained checksums, so that a missing middle is detected.
 
-    check:u32 chain:u32 length:u32 batch:u64 number:u64 (length bytes)
+    crc:u32 chain:u32 length:u32 batch:u64 number:u64 payload:bytes[length]
 
-`check` is the CRC32C of all that follows `chain`; `chain` that of the frame before it and `check`: frames of
-another log, or of another place of this one, do not fit in. `batch` is the number of the first record that
-was written since the last sync: a power cut tears the last batch only, so a bad frame before a later batch is
-damage. All numbers are big-endian. Source: the write-ahead log of etcd, whose chain and rule on torn tails
-these are.
+All numbers are big-endian. `crc` is the CRC32C of everything that follows `chain`. `chain` is the CRC32C of
+the previous frame's chain and `crc`, so that a frame of another log, or of another position of this log, does
+not fit. `batch` is the number of the first record written since the last sync: a power cut tears only the
+last batch, so an invalid frame before a later batch is damage and not a torn tail.
+
+Source: the write-ahead log of etcd (chained CRC, rule on torn tails).
 """
 
 from __future__ import annotations
@@ -18,14 +19,15 @@
 
 from balancer.errors import BalancerError
 
-HEAD = struct.Struct(">IIIQQ")
-REST = struct.Struct(">IQQ")
-WORD = struct.Struct(">I")
-LONGEST = 4 * 2**20  # bytes of one record
+HEADER = struct.Struct(">IIIQQ")  # crc, chain, length, batch, number
+CHECKED_FIELDS = struct.Struct(">IQQ")  # length, batch, number
+UINT32 = struct.Struct(">I")
+MAX_PAYLOAD_BYTES = 4 * 2**20
+MAX_NUMBER_GAP = 2**32  # a larger step between two records is not searched behind damage
 
 
-class LengthError(BalancerError):
-    """A record is too long to be written, a list of very many backends for one."""
+class RecordTooLongError(BalancerError):
+    """A record is too long to be written, for example a list of very many backends."""
 
     code = "STA03"
     remedy = "the node serves on without [durable]; start it again once discovery's list is shorter"
@@ -33,92 +35,105 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One record and its place."""
+    """One record and its position in a log."""
 
     number: int
     batch: int
     chain: int
-    data: bytes
+    payload: bytes
 
 
 @dataclass(slots=True)
-class Parsed:
-    """The sound frames at the beginning of some bytes, and what comes after them."""
+class ParsedFrames:
+    """The valid frames at the start of some bytes, and what follows them."""
 
     frames: list[Frame] = field(default_factory=list)
-    used: int = 0  # bytes
-    rest: int = 0  # bytes that are no sound frames
-    damaged: bool = False  # sound frames of a later batch follow: the rest is no torn tail
-    lost_to: int = 0  # the last record that had surely been synced; 0 where nothing is lost
+    end: int = 0  # offset of the first byte that is not part of a valid frame
+    trailing_bytes: int = 0
+    is_damaged: bool = False  # valid frames of a later batch follow, so this is no torn tail
+    last_lost_number: int = 0  # last record that had certainly been synced; 0 if nothing is lost
 
 
-def crc(data: bytes) -> int:
-    """CRC32C."""
+def crc32c(data: bytes) -> int:
+    """Return the CRC32C of `data`."""
     return int(google_crc32c.value(data))
 
 
-def link(chain: int, check: int) -> int:
-    """The chain after a frame, from the chain before it and the frame's check."""
-    return int(google_crc32c.extend(chain, WORD.pack(check)))
+def chain_crc(chain: int, crc: int) -> int:
+    """Return the chain value that follows a frame with checksum `crc` written after `chain`."""
+    return int(google_crc32c.extend(chain, UINT32.pack(crc)))
+
 
+def make_frame(number: int, batch: int, chain: int, payload: bytes) -> Frame:
+    """Return the frame of a record that follows `chain`.
 
-def frame(number: int, batch: int, chain: int, data: bytes) -> Frame:
-    """A record that comes after `chain`; raises LengthError where it is too long."""
-    if len(data) > LONGEST:
-        raise LengthError(f"a record has {len(data)} bytes, {LONGEST} fit")
-    return Frame(number, batch, link(chain, _check(number, batch, data)), data)
+    Raises:
+        RecordTooLongError: The payload exceeds `MAX_PAYLOAD_BYTES`.
+    """
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise RecordTooLongError(f"a record has {len(payload)} bytes, {MAX_PAYLOAD_BYTES} fit")
+    return Frame(number, batch, chain_crc(chain, _frame_crc(number, batch, payload)), payload)
 
 
-def _check(number: int, batch: int, data: bytes) -> int:
-    return crc(REST.pack(len(data), batch, number) + data)
+def _frame_crc(number: int, batch: int, payload: bytes) -> int:
+    return crc32c(CHECKED_FIELDS.pack(len(payload), batch, number) + payload)
 
 
-def encode(one: Frame) -> bytes:
-    """A frame's bytes."""
-    check = _check(one.number, one.batch, one.data)
-    return HEAD.pack(check, one.chain, len(one.data), one.batch, one.number) + one.data
+def encode_frame(frame: Frame) -> bytes:
+    """Return the bytes of a frame."""
+    crc = _frame_crc(frame.number, frame.batch, frame.payload)
+    header = HEADER.pack(crc, frame.chain, len(frame.payload), frame.batch, frame.number)
+    return header + frame.payload
 
 
-def parse(data: bytes, at: int, number: int, chain: int) -> Parsed:
-    """The frames of `data` from `at` on, as they follow record `number` with its `chain`."""
-    out, batch = Parsed(), number + 1
+def parse_frames(data: bytes, offset: int, number: int, chain: int) -> ParsedFrames:
+    """Parse the frames of `data` from `offset` on, as they follow record `number` with its `chain`."""
+    parsed = ParsedFrames()
+    batch = number + 1
     while True:
-        one = _at(data, at)
-        sound = one is not None and one.number == number + 1 and batch <= one.batch <= one.number
-        if one is None or not sound or one.chain != link(chain, WORD.unpack_from(data, at)[0]):
+        frame = _frame_at(data, offset)
+        if frame is None or frame.number != number + 1 or not batch <= frame.batch <= frame.number:
             break
-        number, chain, batch = one.number, one.chain, one.batch
-        out.frames.append(one)
-        at += HEAD.size + len(one.data)
-    out.used, out.rest = at, len(data) - at
-    if out.rest:
-        out.lost_to = _synced_after(data, at, number)
-        out.damaged = out.lost_to > number
-    return out
-
-
-def _at(data: bytes, at: int) -> Frame | None:
-    """The frame that stands there by its own check, whatever its chain."""
-    if at + HEAD.size > len(data):
+        if frame.chain != chain_crc(chain, UINT32.unpack_from(data, offset)[0]):
+            break
+        number = frame.number
+        chain = frame.chain
+        batch = frame.batch
+        parsed.frames.append(frame)
+        offset += HEADER.size + len(frame.payload)
+    parsed.end = offset
+    parsed.trailing_bytes = len(data) - offset
+    if parsed.trailing_bytes:
+        parsed.last_lost_number = _last_synced_after(data, offset, number)
+        parsed.is_damaged = parsed.last_lost_number > number
+    return parsed
+
+
+def _frame_at(data: bytes, offset: int) -> Frame | None:
+    """Return the frame at `offset` if its own checksum is valid, whatever its chain."""
+    if offset + HEADER.size > len(data):
+        return None
+    crc, chain, length, batch, number = HEADER.unpack_from(data, offset)
+    end = offset + HEADER.size + length
+    if length > MAX_PAYLOAD_BYTES or end > len(data):
         return None
-    check, chain, length, batch, number = HEAD.unpack_from(data, at)
-    end = at + HEAD.size + length
-    if length > LONGEST or end > len(data):
+    payload = data[offset + HEADER.size : end]
+    if _frame_crc(number, batch, payload) != crc:
         return None
-    payload = data[at + HEAD.size : end]
-    return Frame(number, batch, chain, payload) if _check(number, batch, payload) == check else None
+    return Frame(number, batch, chain, payload)
 
 
-def _synced_after(data: bytes, at: int, number: int) -> int:
-    """The last record after `number` that was synced, by the batches of sound frames behind what is bad."""
+def _last_synced_after(data: bytes, offset: int, number: int) -> int:
+    """Return the last record after `number` that was synced, by the batches of valid frames further on."""
     last = 0
-    while at + HEAD.size <= len(data):
-        _, _, length, batch, found = HEAD.unpack_from(data, at)
-        if number < found and batch <= found < number + 2**32 and length <= LONGEST:
-            one = _at(data, at)
-            if one is not None:
+    while offset + HEADER.size <= len(data):
+        _, _, length, batch, candidate = HEADER.unpack_from(data, offset)
+        is_plausible = number < candidate < number + MAX_NUMBER_GAP and batch <= candidate
+        if is_plausible and length <= MAX_PAYLOAD_BYTES:
+            frame = _frame_at(data, offset)
+            if frame is not None:
                 last = max(last, batch - 1)
-                at += HEAD.size + length
+                offset += HEADER.size + length
                 continue
-        at += 1
+        offset += 1
     return last
--- /dev/null
+++ b/balancer/durable/timestamp.py
@@ -0,0 +1,40 @@
+"""Moments by the wall clock and the boot clock, so that an age is never underestimated."""
+
+from __future__ import annotations
+
+import math
+import time
+from pathlib import Path
+
+import msgspec
+
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
+MS_PER_S = 1000
+
+
+class Timestamp(msgspec.Struct, frozen=True, array_like=True):
+    """A moment by both clocks; `uptime_ms` is comparable only while `boot_id` is the same."""
+
+    unix_ms: float
+    boot_id: str  # empty if the system has none
+    uptime_ms: float  # since boot, suspend included
+
+    @classmethod
+    def now(cls) -> Timestamp:
+        """Return the current moment."""
+        try:
+            boot_id = BOOT_ID_PATH.read_text("ascii").strip()
+        except (OSError, ValueError):
+            boot_id = ""
+        uptime_s = time.clock_gettime(time.CLOCK_BOOTTIME)
+        return cls(time.time() * MS_PER_S, boot_id, uptime_s * MS_PER_S)
+
+    def age_ms(self, now: Timestamp) -> float:
+        """Return how many ms have passed at least; infinity if no clock can tell.
+
+        A wall clock that was set back or forward makes the moment older, never younger.
+        """
+        wall_age_ms = now.unix_ms - self.unix_ms
+        if self.boot_id and self.boot_id == now.boot_id and now.uptime_ms >= self.uptime_ms:
+            return max(wall_age_ms, now.uptime_ms - self.uptime_ms)
+        return wall_age_ms if wall_age_ms >= 0 else math.inf
--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -2,7 +2,7 @@
 
 All errors whose text reaches an operator (on standard error, in the log, in an answer of the console, in what
 the `balancer` command prints) derive from `BalancerError` and stand where their subject is. Exceptions that
-never leave the program stay outside: signals between two of its parts (`Fenced`), what is counted and
+never leave the program stay outside: signals between two of its parts (`FencedError`), what is counted and
 dropped (`MessageError`), and what a client of the balanced service is answered (`BadRequest`).
 
 A code is three letters for the subject and two digits, `CFG01`: it is like nothing else in a log, and `grep`
--- a/balancer/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -8,7 +8,7 @@
 from balancer.lab import power
 from balancer.lab.processes import Fleet, NodeHost
 from balancer.lab.spec import Power
-from balancer.sim.disk import Image
+from balancer.sim.disk import DiskImage
 
 
 class Outage:
@@ -16,7 +16,7 @@
 
     def __init__(self, fleet: Fleet, fault: Power) -> None:
         self.fleet, self.fault = fleet, fault
-        self.copies: dict[str, Image] = {}
+        self.copies: dict[str, DiskImage] = {}
         self.laid = asyncio.Event()
         self.over = False  # a later cut has come
 
--- a/balancer/lab/power.py
+++ b/balancer/lab/power.py
@@ -1,8 +1,8 @@
 """A power cut of many: who comes back when, and what a cut may have left in a node's durable directory.
 
 The lab sees a directory as the page cache has it when the process is killed. What of it had surely been
-synced is worked out from the bytes, by the way `durable/store.py` writes them; the rest is put by chance into
-one of the states that `sim/disk.py` allows:
+synced is worked out from the bytes, by the way `durable/writer.py` writes them; the rest is put by chance
+into one of the states that `sim/disk.py` allows:
 
 - `draft-*` was not renamed yet: missing, torn, whole or with blocks missing;
 - a snapshot without the log of its generation may still have its draft's name, as the directory may not have
@@ -27,10 +27,10 @@
 import msgspec
 
 from balancer.durable import frames
-from balancer.durable.store import DRAFT, FENCE, LOG, MAGIC, NAME, SNAP
+from balancer.durable.layout import DRAFT_PREFIX, FENCE_NAME, FILE_NAME, MAGIC, FileKind, FileName, draft_name
 from balancer.lab.spec import Experiment, Power, choose, parties
 from balancer.lab.streams import stream
-from balancer.sim.disk import Disk, Image, Inode
+from balancer.sim.disk import DiskImage, Inode, NameChange, SimulatedDisk
 
 NOTED = frozenset({"list", "learned", "start"})  # tags of records that are written, but not waited for
 MOST_STATES = 64  # of a directory, of which one is drawn
@@ -63,23 +63,23 @@
 
 def _sure(data: bytes) -> int:
     """How many bytes of the newest log had surely been synced."""
-    magic = MAGIC[LOG]
-    header = frames.parse(data[: len(magic) + 4096], len(magic), -1, frames.crc(magic))
+    magic = MAGIC[FileKind.LOG]
+    header = frames.parse_frames(data[: len(magic) + 4096], len(magic), -1, frames.crc32c(magic))
     if not header.frames:
         return 0
     first = header.frames[0]
-    at = len(magic) + frames.HEAD.size + len(first.data)
+    at = len(magic) + frames.HEADER.size + len(first.payload)
     try:
-        number = msgspec.msgpack.decode(first.data, type=list[object])[5]
+        number = msgspec.msgpack.decode(first.payload, type=list[object])[5]
     except (msgspec.MsgspecError, IndexError):
         return 0
-    found = frames.parse(data, at, number if isinstance(number, int) else 0, frames.crc(data[:at]))
+    found = frames.parse_frames(data, at, number if isinstance(number, int) else 0, frames.crc32c(data[:at]))
     if not found.frames:
         return 0  # not even the header's sync is sure
     batch, sure = found.frames[-1].batch, at
     for one in found.frames:
-        at += frames.HEAD.size + len(one.data)
-        if one.number < batch or not _noted(one.data):
+        at += frames.HEADER.size + len(one.payload)
+        if one.number < batch or not _noted(one.payload):
             sure = at
     return sure
 
@@ -92,52 +92,52 @@
     return isinstance(table, dict) and table.get("type") in NOTED
 
 
-def unsure(image: Image) -> Disk:
+def unsure(image: DiskImage) -> SimulatedDisk:
     """The directory as the model's disk: with what had not surely been synced still open."""
-    disk = Disk(image)
-    names = sorted(n for n in image if NAME.fullmatch(n))
+    disk = SimulatedDisk(image)
+    names = sorted(n for n in image if FILE_NAME.fullmatch(n))
     newest = max(names, key=_place, default="")
-    if newest.startswith(LOG):
-        inode = disk.now[newest]
-        inode.synced = _sure(image[newest])
-        if not inode.synced:
-            disk.sure.pop(newest)
-            disk.pending.append((newest, newest, inode))
+    if newest.startswith(FileKind.LOG):
+        inode = disk.files[newest]
+        inode.durable_bytes = _sure(image[newest])
+        if not inode.durable_bytes:
+            disk.durable_names.pop(newest)
+            disk.pending.append(NameChange(newest, newest, inode))
     elif newest:
         _renamed(disk, newest)
     for name in image:
-        if name.startswith(DRAFT):
-            inode = disk.now[name] = Inode(bytearray(image[name]))
-            disk.sure.pop(name)
-            disk.pending.append((name, name, inode))
+        if name.startswith(DRAFT_PREFIX):
+            inode = disk.files[name] = Inode(bytearray(image[name]))
+            disk.durable_names.pop(name)
+            disk.pending.append(NameChange(name, name, inode))
     return disk
 
 
-def _renamed(disk: Disk, name: str) -> None:
+def _renamed(disk: SimulatedDisk, name: str) -> None:
     """It may still have the name of its draft: the rename is not sure yet."""
-    inode = disk.sure.pop(name)
-    draft = f"{DRAFT}{name}-{_place(name)[0]}"
-    disk.sure[draft] = inode
-    disk.pending.append((name, draft, inode))
+    inode = disk.durable_names.pop(name)
+    draft = draft_name(name, _place(name)[0])
+    disk.durable_names[draft] = inode
+    disk.pending.append(NameChange(name, draft, inode))
 
 
 def _place(name: str) -> tuple[int, int, bool]:
     """Fence, generation, and a log after its snapshot."""
-    found = NAME.fullmatch(name)
+    found = FileName.parse(name)
     assert found is not None
-    return int(found[3]), int(found[2]), found[1] == LOG
+    return found.generation.fence, found.generation.number, found.kind is FileKind.LOG
 
 
-def cut(image: Image, dice: random.Random) -> Image:
+def cut(image: DiskImage, dice: random.Random) -> DiskImage:
     """A state that a power cut now may leave of a directory."""
-    return dice.choice(list(unsure(image).images(dice, MOST_STATES)))
+    return dice.choice(list(unsure(image).crash_images(dice, MOST_STATES)))
 
 
-def damage(image: Image, dice: random.Random) -> Image:
+def damage(image: DiskImage, dice: random.Random) -> DiskImage:
     """Bytes in the midst of a file go bad: of the newest snapshot or log, or `fence`."""
-    names = sorted(n for n in image if NAME.fullmatch(n))
-    targets = [n for n in [*names[-1:], max((n for n in names if n.startswith(SNAP)), default=""), FENCE]
-               if image.get(n)]  # fmt: skip
+    names = sorted(n for n in image if FILE_NAME.fullmatch(n))
+    snapshot = max((n for n in names if n.startswith(FileKind.SNAPSHOT)), default="")
+    targets = [n for n in [*names[-1:], snapshot, FENCE_NAME] if image.get(n)]
     if not targets:
         return image
     name = dice.choice(targets)
@@ -147,14 +147,14 @@
     return image | {name: bytes(data)}
 
 
-def read_image(folder: Path) -> Image:
+def read_image(folder: Path) -> DiskImage:
     """A directory's files; none where it is missing. Raises OSError."""
     if not folder.is_dir():
         return {}
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir()) if path.is_file()}
 
 
-def write_image(folder: Path, image: Image) -> None:
+def write_image(folder: Path, image: DiskImage) -> None:
     """Make a directory hold just that. Raises OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     for path in folder.iterdir():
@@ -164,8 +164,8 @@
         (folder / name).write_bytes(data)
 
 
-def leave(spec: Experiment, seed: int, fault: Power, images: dict[str, Image],
-          copies: dict[str, Image]) -> dict[str, Image]:  # fmt: skip
+def leave(spec: Experiment, seed: int, fault: Power, images: dict[str, DiskImage],
+          copies: dict[str, DiskImage]) -> dict[str, DiskImage]:  # fmt: skip
     """What each node finds, from what its killed process had written and from an earlier copy of it."""
     dice = {n: random.Random(f"{seed} {fault.at} {n}") for n in images}
     out = {n: cut(image, dice[n]) for n, image in images.items()}
@@ -175,8 +175,8 @@
     return out
 
 
-def _altered(state: str, names: list[str], now: dict[str, Image], copies: dict[str, Image],
-             dice: dict[str, random.Random]) -> Iterable[tuple[str, Image]]:  # fmt: skip
+def _altered(state: str, names: list[str], now: dict[str, DiskImage], copies: dict[str, DiskImage],
+             dice: dict[str, random.Random]) -> Iterable[tuple[str, DiskImage]]:  # fmt: skip
     match state:
         case "empty":
             return [(n, {}) for n in names]
--- a/balancer/lab/scale/stores.py
+++ b/balancer/lab/scale/stores.py
@@ -13,13 +13,16 @@
 from collections.abc import Callable, Iterator, Sequence
 
 from balancer.durable import frames
-from balancer.durable.records import Kept, Listed, Record, Row, Sampled, Stamp, encode, total
-from balancer.durable.store import Loaded, Store, load
+from balancer.durable.reader import DirectoryContents, read_directory
+from balancer.durable.records import EndpointListReceived, EndpointRow, LearnedSample, Record, encode_record
+from balancer.durable.state import DurableState, replay
+from balancer.durable.timestamp import Timestamp
+from balancer.durable.writer import LogWriter
 from balancer.interface import Learned
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import ZONES
 from balancer.lab.scale.tiers import Figures
-from balancer.sim.disk import Disk, DiskFiles
+from balancer.sim.disk import SimulatedDirectory, SimulatedDisk
 
 ROLE = "durable"
 NODE, NAME = "n0", "0123456789abcdef"
@@ -32,22 +35,22 @@
 
 
 class Node:
-    """One node's store and what it adds up to, as `durable/shell.py` drives them."""
+    """One node's store and what it adds up to, as `durable/committer.py` drives them."""
 
-    def __init__(self, disk: Disk) -> None:
-        self.disk, self.kept = disk, Kept()
-        self.store = Store(DiskFiles(disk), NODE, NAME, self._snapshot)
+    def __init__(self, disk: SimulatedDisk) -> None:
+        self.disk, self.kept = disk, DurableState()
+        self.store = LogWriter(SimulatedDirectory(disk), NODE, NAME, self._snapshot)
 
-    def _snapshot(self, loaded: Loaded) -> bytes:
-        self.kept = total(loaded.snapshot, loaded.records)
-        return self.kept.encode()
+    def _snapshot(self, loaded: DirectoryContents) -> bytes:
+        self.kept = replay(loaded.snapshot, loaded.records)
+        return self.kept.encode_snapshot()
 
     def keep(self, record: Record) -> int:
         """Write and sync a record; the bytes that the log grew by."""
-        data, before = encode(record), self.store.written
+        data, before = encode_record(record), self.store.log_bytes
         self.store.append([data], True)
         self.kept.apply(data)
-        return self.store.written - before
+        return self.store.log_bytes - before
 
 
 def stores(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
@@ -57,14 +60,14 @@
     """
     for count in sizes:
         of, rows = Figures(ROLE, count), listed(count, seed)
-        whole, sample = Listed(1, True, WALL_MS, rows), sampled(rows)
+        whole, sample = EndpointListReceived(1, True, WALL_MS, rows), sampled(rows)
         snapshot = _kept(rows)
-        yield of.counted("list_record", "bytes", len(encode(whole)))
-        yield of.counted("learned_record", "bytes", len(encode(sample)))
-        yield of.counted("snapshot", "bytes", len(snapshot.encode()))
-        yield of.machine("snapshot_processor", "ms", _ms(snapshot.encode))
+        yield of.counted("list_record", "bytes", len(encode_record(whole)))
+        yield of.counted("learned_record", "bytes", len(encode_record(sample)))
+        yield of.counted("snapshot", "bytes", len(snapshot.encode_snapshot()))
+        yield of.machine("snapshot_processor", "ms", _ms(snapshot.encode_snapshot))
         yield from _changes(of, rows)
-        if (why := _refused(encode(whole)) or _refused(snapshot.encode())) is None:
+        if (why := _refused(encode_record(whole)) or _refused(snapshot.encode_snapshot())) is None:
             yield from _start(of, whole, sample)
         else:
             yield NotPlayed(f"{ROLE}, a start at {count}", why)
@@ -74,18 +77,18 @@
     """Up to how many entries a record fits into the store (`STA03` above), where that is under the size."""
     for count in sizes:
         of, rows = Figures(ROLE, count), listed(count, seed)
-        makes: dict[str, Callable[[list[Row]], bytes]] = {
-            "list": lambda some: encode(Listed(1, True, WALL_MS, some)),
-            "learned_of_a_quarter": lambda some: encode(sampled(some)),
-            "learned_of_all": lambda some: encode(sampled(some, 1)),
-            "snapshot": lambda some: _kept(some).encode(),
+        makes: dict[str, Callable[[list[EndpointRow]], bytes]] = {
+            "list": lambda some: encode_record(EndpointListReceived(1, True, WALL_MS, some)),
+            "learned_of_a_quarter": lambda some: encode_record(sampled(some)),
+            "learned_of_all": lambda some: encode_record(sampled(some, 1)),
+            "snapshot": lambda some: _kept(some).encode_snapshot(),
         }
         for what, make in makes.items():
             if (most := _most(rows, make)) < count:
                 yield of.counted(f"most_{what}", "entries", most)
 
 
-def listed(count: int, seed: int) -> list[Row]:
+def listed(count: int, seed: int) -> list[EndpointRow]:
     """A list of `count` backends in service, in names of usual length."""
     dice = random.Random(f"list {seed}")
     rows = []
@@ -94,27 +97,27 @@
         zone, kind = f"zone-{number % ZONES}", f"kind-{dice.randrange(KINDS)}"
         started = WALL_MS - dice.randrange(86_400_000)
         name, cell = f"backend-{number:05d}", dice.randrange(CELLS)
-        rows.append(Row(name, host, 8080, zone, kind, cell, 1.0, "up", started))
+        rows.append(EndpointRow(name, host, 8080, zone, kind, cell, 1.0, "up", started))
     return rows
 
 
-def sampled(rows: Sequence[Row], every: int = LEARNED) -> Sampled:
+def sampled(rows: Sequence[EndpointRow], every: int = LEARNED) -> LearnedSample:
     """What a node has learned of some of a list."""
-    backends = {row.backend: (row.started_at, 1.25, 17.5, 0, 0.0) for row in rows[::every]}
+    backends = {row.backend: (row.started_at_ms, 1.25, 17.5, 0, 0.0) for row in rows[::every]}
     learned = Learned(64.0, 1.0, 0.0, {"a": (5.0, 1.0, 0.0)}, backends)
-    return Sampled(Stamp(WALL_MS, NAME, 1e6), learned, 193.0)
+    return LearnedSample(Timestamp(WALL_MS, NAME, 1e6), learned, 193.0)
 
 
-def _kept(rows: Sequence[Row]) -> Kept:
-    return Kept(rows={row.backend: row for row in rows}, sampled=sampled(rows))
+def _kept(rows: Sequence[EndpointRow]) -> DurableState:
+    return DurableState(endpoints={row.backend: row for row in rows}, learned_sample=sampled(rows))
 
 
-def _changes(of: Figures, rows: Sequence[Row]) -> Iterator[Point]:
+def _changes(of: Figures, rows: Sequence[EndpointRow]) -> Iterator[Point]:
     """One entry changes: it is written to the log, and taken into what is kept of all."""
-    node = Node(Disk())
-    change = Listed(2, False, WALL_MS, [rows[0]])
+    node = Node(SimulatedDisk())
+    change = EndpointListReceived(2, False, WALL_MS, [rows[0]])
     grown = node.keep(change)
-    data, kept = encode(change), _kept(rows)
+    data, kept = encode_record(change), _kept(rows)
     append = _ms(lambda: node.store.append([data], True), CHANGES)
     node.store.close()
     take = _ms(lambda: kept.apply(data), TAKEN)
@@ -123,20 +126,20 @@
     yield of.machine("change_take", "us", take * 1000)
 
 
-def _start(of: Figures, whole: Listed, sample: Sampled) -> Iterator[Point]:
+def _start(of: Figures, whole: EndpointListReceived, sample: LearnedSample) -> Iterator[Point]:
     """A process ends as its log is full, and another one starts."""
-    disk = Disk()
+    disk = SimulatedDisk()
     node = Node(disk)
     node.keep(whole)
     samples = 0
-    while not node.store.full:
+    while not node.store.needs_rotation:
         node.keep(sample)
         samples += 1
     yield of.counted("log_full", "s", samples)
-    rotated = _ms(lambda: node.store.rotate(node.kept.encode()))
+    rotated = _ms(lambda: node.store.rotate(node.kept.encode_snapshot()))
     yield of.machine("rotate", "ms", rotated)
     node.keep(whole)
-    while not node.store.full:
+    while not node.store.needs_rotation:
         node.keep(sample)
     node.store.close()
     yield of.counted("files", "bytes", sum(map(len, disk.image().values())))
@@ -149,7 +152,7 @@
     yield of.machine("take_over", "ms", again)
 
 
-class Counting(DiskFiles):
+class Counting(SimulatedDirectory):
     """The file layer, with the bytes that were read."""
 
     size = 0
@@ -161,22 +164,22 @@
         return data
 
 
-def _read(files: DiskFiles) -> Kept:
+def _read(files: SimulatedDirectory) -> DurableState:
     """As a start does, before it takes the directory over."""
-    loaded = load(files, NODE, whole=False)
-    return total(loaded.snapshot, loaded.records)
+    loaded = read_directory(files, NODE, all_generations=False)
+    return replay(loaded.snapshot, loaded.records)
 
 
 def _refused(data: bytes) -> str | None:
     """Why a record does not fit into the store; None where it does."""
     try:
-        frames.frame(1, 1, 0, data)
-    except frames.LengthError as err:
+        frames.make_frame(1, 1, 0, data)
+    except frames.RecordTooLongError as err:
         return err.line
     return None
 
 
-def _most(rows: list[Row], make: Callable[[list[Row]], bytes]) -> int:
+def _most(rows: list[EndpointRow], make: Callable[[list[EndpointRow]], bytes]) -> int:
     """The longest beginning of a list whose record fits."""
     counts = range(1, len(rows) + 1)
     return bisect.bisect_left(counts, True, key=lambda count: _refused(make(rows[:count])) is not None)
--- /dev/null
+++ b/balancer/net/durable_adapter.py
@@ -0,0 +1,113 @@
+"""Adapter between the node's types and the records of the durable store.
+
+Imported only if the fleet file has `[durable]` with a directory.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from pathlib import Path
+
+from balancer import interface as api
+from balancer.durable.records import (
+    BanLifted,
+    BanSet,
+    EndpointListReceived,
+    EndpointRow,
+    IncarnationStarted,
+    LearnedSample,
+)
+from balancer.durable.store import DurableStore
+from balancer.durable.timestamp import Timestamp
+from balancer.net.config import Member, News
+
+
+class DurableAdapter:
+    """The durable state of one process of a node; `recovered` is what an earlier process left."""
+
+    def __init__(self, directory: Path, node: str) -> None:
+        """Open the directory and recover the state in it."""
+        self.store = DurableStore.open(directory, node)
+        self.recovered = self.store.recover()
+
+    def take_over(self, incarnation: int) -> None:
+        """Become the writer; `incarnation` is this process's number in the membership."""
+        self.store.take_over()
+        self.store.append_unsynced(IncarnationStarted(incarnation, Timestamp.now().unix_ms))
+
+    def newest_list(self, configured: News) -> News:
+        """Return the endpoint list to start with: the recovered or the configured one, whichever is newer."""
+        recovered = self.recovered
+        if not recovered.endpoints or recovered.list_revision <= configured.revision:
+            return configured
+        members = tuple(map(_member_of, recovered.endpoints.values()))
+        return News(recovered.list_revision, True, members)
+
+    def recovered_learned(self) -> api.Recovered | None:
+        """Return what an earlier process had learned, with its minimum age."""
+        sample = self.recovered.learned_sample
+        if sample is None:
+            return None
+        age_ms = sample.taken_at.age_ms(Timestamp.now())
+        if not math.isfinite(age_ms):
+            return None
+        return api.Recovered(sample.learned, age_ms)
+
+    def save_list(self, update: News, kind: api.ListKind) -> None:
+        """Save the endpoint list that discovery has sent, or a change of it."""
+        rows = list(map(_row_of, update.members))
+        is_complete = kind is api.ListKind.FULL
+        received_at_ms = Timestamp.now().unix_ms
+        self.store.append_unsynced(EndpointListReceived(update.revision, is_complete, received_at_ms, rows))
+
+    def save_learned(
+        self, sample: Callable[[float], api.Learned], now_ms: float, request_rate: float
+    ) -> None:
+        """Save a sample of what has been learned, unless the disk is behind: the next sample will do.
+
+        Args:
+            sample: Returns what the decision module has learned at a time of the node's clock.
+            now_ms: That time.
+            request_rate: Requests per second of the node.
+        """
+        if self.store.is_idle:
+            taken_at = Timestamp.now()
+            self.store.append_unsynced(LearnedSample(taken_at, sample(now_ms), request_rate))
+
+    async def save_ban(self, backend: str, is_banned: bool, at_ms: float) -> None:
+        """Save a ban or its end; return once it is on disk, at once if the store is disabled.
+
+        Raises:
+            BalancerError: It may not be on disk.
+        """
+        if self.store.disabled_by is None:
+            await self.store.append(BanSet(backend, at_ms) if is_banned else BanLifted(backend, at_ms))
+
+
+def _row_of(member: Member) -> EndpointRow:
+    host, port = member.address
+    return EndpointRow(
+        member.backend,
+        host,
+        port,
+        member.zone,
+        member.kind,
+        member.cell,
+        member.weight,
+        member.phase.value,
+        member.started_at,
+    )
+
+
+def _member_of(row: EndpointRow) -> Member:
+    return Member(
+        row.backend,
+        row.zone,
+        row.cell,
+        row.weight,
+        api.Phase(row.phase),
+        row.started_at_ms,
+        row.kind,
+        f"{row.host}:{row.port}",
+    )
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from balancer.membership.port import Port
     from balancer.membership.shell import MembershipShell
-    from balancer.net.keeping import Keeping
+    from balancer.net.durable_adapter import DurableAdapter
     from balancer.net.node import Node, Watcher
     from balancer.net.returning import Returning
 
@@ -120,13 +120,13 @@
 
     def __init__(self, env: Mapping[str, str], held: config.Config) -> None:
         table = read(Path(env[VARIABLE]))
-        self.keeping: Keeping | None = None
+        self.durable: DurableAdapter | None = None
         if table.durable is not None and not table.durable.directory:
             log.warning("state: durable.directory is not given: nothing outlasts a crash")
         elif table.durable is not None:
-            from balancer.net.keeping import Keeping
+            from balancer.net.durable_adapter import DurableAdapter
 
-            self.keeping = Keeping(Path(table.durable.directory), held.name)
+            self.durable = DurableAdapter(Path(table.durable.directory), held.name)
         self.port: Port | None = None
         self.membership: MembershipShell | None = None
         self.returning: Returning | None = None
@@ -140,7 +140,7 @@
             from balancer.membership.shell import MembershipShell, scaled
 
             times = scaled(table.membership.period_ms)
-            least = self.keeping.kept.life + 1 if self.keeping is not None else 1
+            least = self.durable.recovered.incarnation + 1 if self.durable is not None else 1
             self.port = Port(listen, peers, everybody)
             self.membership = MembershipShell(times, me, self.port, held.seed, least)
 
@@ -153,7 +153,7 @@
             return watcher
         from balancer.net.returning import Returning
 
-        disk = self.keeping.durable if self.keeping is not None else None
+        disk = self.durable.store if self.durable is not None else None
         self.returning = Returning(node, watcher, known, self.port, self.membership.life, disk)
         self.membership.viewed = self.returning.shell.members
         return self.returning
@@ -183,27 +183,29 @@
 
     def take_over(self) -> None:
         """Keep the node's state from here on: before a successor is ready, or when it has ended by itself."""
-        if self.keeping is not None:
-            self.keeping.take_over(self.membership.life if self.membership is not None else 0)
+        if self.durable is not None:
+            self.durable.take_over(self.membership.life if self.membership is not None else 0)
         if self.returning is not None and self.returning.shell.serving.is_set():
             self.returning.resume()
 
     def known(self, told: config.News) -> config.News:
         """The list to begin with: the one told at the start, or a newer one that was kept."""
-        return told if self.keeping is None else self.keeping.known(told)
+        return told if self.durable is None else self.durable.newest_list(told)
 
     def recovered(self) -> api.Recovered | None:
         """What an earlier process had learned, where that was kept."""
-        return None if self.keeping is None else self.keeping.recovered()
+        return None if self.durable is None else self.durable.recovered_learned()
 
     def bans(self) -> tuple[dict[str, float], dict[str, float]]:
         """What the operators had taken out and put back, as it was kept: id to time."""
-        return ({}, {}) if self.keeping is None else (self.keeping.kept.out, self.keeping.kept.back)
+        if self.durable is None:
+            return {}, {}
+        return self.durable.recovered.banned, self.durable.recovered.lifted
 
     def listed(self, news: config.News, kind: api.ListKind) -> None:
         """Discovery has told the list, or a change of it."""
-        if self.keeping is not None:
-            self.keeping.listed(news, kind)
+        if self.durable is not None:
+            self.durable.save_list(news, kind)
         if self.returning is not None:
             self.returning.listed(news, kind)
 
@@ -215,15 +217,15 @@
     def learned(self, what: Callable[[float], api.Learned], now: float) -> None:
         """What the module has learned may be had."""
         rate = self.returning.pulse() if self.returning is not None else 0.0
-        if self.keeping is not None:
-            self.keeping.learned(what, now, rate)
+        if self.durable is not None:
+            self.durable.save_learned(what, now, rate)
 
     async def banned(self, backend: str, out: bool, at: float, changes: bool) -> None:
         """Returns once a ban or a return will outlast a crash, where that is wanted. Raises BalancerError."""
         if self.returning is not None:  # to be called again is news there: the call is this node's own now
             await self.returning.banned(backend, out)
-        elif self.keeping is not None and changes:
-            await self.keeping.banned(backend, out, at)
+        elif self.durable is not None and changes:
+            await self.durable.save_ban(backend, out, at)
 
     def start(self) -> None:
         """Be present, unless it is so already. A successor calls this when its predecessor has ended."""
@@ -275,8 +277,8 @@
             self.membership.close()
         if self.port is not None:
             self.port.close()
-        if self.keeping is not None:
-            self.keeping.durable.close()
+        if self.durable is not None:
+            self.durable.store.close()
 
     def stats(self) -> dict[str, object]:
         """The `fleet` object of `/stats`."""
@@ -287,6 +289,6 @@
             out["port"] = self.port.stats()
         if self.returning is not None:
             out["recovery"] = self.returning.shell.stats()
-        if self.keeping is not None:
-            out["durable"] = self.keeping.durable.stats()
+        if self.durable is not None:
+            out["durable"] = self.durable.store.stats()
         return out
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from balancer import interface as api
-from balancer.durable.records import Kept
-from balancer.durable.shell import Durable
+from balancer.durable.state import DurableState
+from balancer.durable.store import DurableStore
 from balancer.errors import BalancerError
 from balancer.membership.port import Port
 from balancer.net import handover
@@ -43,16 +43,17 @@
     """The return of one process of a node; to the module it is what brings the list."""
 
     def __init__(
-        self, node: Node, watcher: Watcher, known: News, port: Port, life: int, disk: Durable | None
+        self, node: Node, watcher: Watcher, known: News, port: Port, life: int, disk: DurableStore | None
     ) -> None:
         self.node, self.watcher, self.disk = node, watcher, disk
-        self.kept = disk.kept if disk is not None else Kept()
+        self.kept = disk.state if disk is not None else DurableState()
         settings = node.settings
         self.shell = RecoveryShell(
             Config(ramp_time=settings.ramp_time), settings.me, life, node.config.seed, port, self, disk
         )
         self._lately = 0.0  # requests a second that were completed
-        self.rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
+        sample = self.kept.learned_sample
+        self.rate = sample.request_rate if sample is not None else 0.0
         self._pulsed: tuple[float, int, int] | None = None  # when, what had come, and was completed
         self._turn = False  # it may call discovery
         self._whole = False  # the module wants the whole list
@@ -71,8 +72,9 @@
         if beside:
             # A predecessor from before the room is one that has served: nothing is cold.
             self.shell.inherit(left or Left(Phase.FULL, Way.UPGRADE, -math.inf, ()))
-            if self.disk is not None and self.disk.off is None:  # it has had calls since this process began
-                self.kept = self.disk.look()
+            # The predecessor has had calls since this process began.
+            if self.disk is not None and self.disk.disabled_by is None:
+                self.kept = self.disk.reread()
         self.shell.begin(self.kept)
         await self.shell.served()
         if not beside:
@@ -82,12 +84,13 @@
 
     def resume(self) -> None:
         """A successor has come to nothing; what was called there stands on the disk."""
-        if self.disk is not None and self.disk.off is None:
-            self.shell.rejoin(self.disk.look())
+        if self.disk is not None and self.disk.disabled_by is None:
+            self.shell.rejoin(self.disk.reread())
 
     async def _reconcile(self) -> None:
         """Bans that stand in `$TMPDIR` alone: a disk that holds has the last word, else they are taken up."""
-        holds = self.disk is not None and self.disk.off is None and not (self.disk.lost or self.disk.fresh)
+        disk = self.disk
+        holds = disk is not None and disk.disabled_by is None and not (disk.has_lost_records or disk.is_new)
         for backend in sorted(self.node.bans.record.out):
             if self.shell.banned(backend):
                 continue
--- a/balancer/recovery/events.py
+++ b/balancer/recovery/events.py
@@ -21,7 +21,7 @@
     sound: bool  # false: damaged, another node's, or none; nothing of it is used
     fresh_disk: bool  # nothing was ever kept on it
     life: int = 0
-    age_ms: float = 0.0  # of what is kept, by `durable.records.Stamp.age`
+    age_ms: float = 0.0  # of what is kept, by `durable.timestamp.Timestamp.age_ms`
     rows: tuple[Row, ...] = ()
     revision: int = 0  # of the saved list
     rate: float = 0.0  # requests a second that this node carried when warm; 0: not known
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -13,8 +13,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from balancer.durable.records import Back, Flag, Flagged, Kept, Out, stamp
-from balancer.durable.shell import Durable
+from balancer.durable.records import BanLifted, BanSet, RegisterRow, RegisterRowsChanged
+from balancer.durable.state import DurableState
+from balancer.durable.store import DurableStore
+from balancer.durable.timestamp import Timestamp
 from balancer.errors import BalancerError
 from balancer.membership.port import RECOVERY, Moved, Port
 from balancer.recovery import events
@@ -80,7 +82,14 @@
     """The room of one process of a node."""
 
     def __init__(
-        self, config: Config, me: int, life: int, seed: int, port: Port, node: Steered, disk: Durable | None
+        self,
+        config: Config,
+        me: int,
+        life: int,
+        seed: int,
+        port: Port,
+        node: Steered,
+        disk: DurableStore | None,
     ) -> None:
         self.config, self.port, self.node, self.disk = config, port, node, disk
         self.loop = asyncio.get_running_loop()
@@ -101,27 +110,27 @@
 
     # --- the start
 
-    def begin(self, kept: Kept) -> None:
+    def begin(self, kept: DurableState) -> None:
         """The node starts from what its disk has kept."""
         disk = self.disk
         rows = rows_of(kept)
-        sampled = kept.sampled
+        sampled = kept.learned_sample
         self.tell(events.Kept(
-            sound=disk is None or (disk.off is None and not disk.lost),
-            fresh_disk=disk is None or disk.fresh,
-            life=kept.life,
-            age_ms=sampled.at.age(stamp()) if sampled is not None else float("inf"),
+            sound=disk is None or (disk.disabled_by is None and not disk.has_lost_records),
+            fresh_disk=disk is None or disk.is_new,
+            life=kept.incarnation,
+            age_ms=sampled.taken_at.age_ms(Timestamp.now()) if sampled is not None else float("inf"),
             rows=rows,
-            revision=kept.revision,
-            rate=sampled.rate if sampled is not None else 0.0,
+            revision=kept.list_revision,
+            rate=sampled.request_rate if sampled is not None else 0.0,
         ))  # fmt: skip
-        self._earlier = [self._call(backend, out)[0] for backend, out in calls(kept.out, rows)]
+        self._earlier = [self._call(backend, out)[0] for backend, out in calls(kept.banned, rows)]
 
     def inherit(self, left: Left) -> None:
         """The node goes on from where the process before it was."""
         self.tell(events.Inherited(left.phase, left.path, left.cold_since, left.rows))
 
-    def rejoin(self, kept: Kept) -> None:
+    def rejoin(self, kept: DurableState) -> None:
         """Another process of the node, which is gone, may have had calls that only the disk knows."""
         self.tell(events.Inherited(Phase.VERIFY, Path.UPGRADE, self.core.cold_since, rows_of(kept)))
 
@@ -205,7 +214,8 @@
                 self._words.put_nowait((action, answers))
                 if self.disk is not None:  # for a start without this room
                     at = max(0.0, action.since_ms)
-                    self.disk.note(Out(action.backend, at) if action.out else Back(action.backend, at))
+                    kind = BanSet if action.out else BanLifted
+                    self.disk.append_unsynced(kind(action.backend, at))
             case events.AskList():
                 self.node.ask()
             case events.Restrict():
@@ -262,21 +272,22 @@
         return call, token
 
     def _keep(self, action: events.Keep) -> None:
-        record = Flagged([Flag(r.backend, r.node, r.life, r.seq, r.live, r.at) for r in action.rows])
+        rows = [RegisterRow(r.backend, r.node, r.life, r.seq, r.live, r.at) for r in action.rows]
+        record = RegisterRowsChanged(rows)
         if action.token is None:
             if self.disk is not None:
-                self.disk.note(record)
+                self.disk.append_unsynced(record)
             return
         if (call := self._calls.get(action.token)) is not None:
             call.waits = True
-        put = self.disk.put(record) if self.disk is not None and action.rows else None
+        put = self.disk.submit(record) if self.disk is not None and action.rows else None
         task = self.loop.create_task(self._sync(action.token, put))
         self._syncing.add(task)
         task.add_done_callback(self._syncing.discard)
 
     async def _sync(self, token: int, put: asyncio.Future[None] | None) -> None:
         why: BalancerError | None = None
-        if put is not None and self.disk is not None and self.disk.off is None:
+        if put is not None and self.disk is not None and self.disk.disabled_by is None:
             try:
                 await put
             except BalancerError as err:
@@ -329,7 +340,7 @@
         return {**self.core.stats(), "failed": self.failed}
 
 
-def rows_of(kept: Kept) -> tuple[Row, ...]:
+def rows_of(kept: DurableState) -> tuple[Row, ...]:
     """The register as the disk has it."""
-    flags = (flag for held in kept.flags.values() for flag in held.values())
-    return tuple(Row(f.backend, f.node, f.life, f.seq, f.live, f.at) for f in flags)
+    flags = (flag for held in kept.register.values() for flag in held.values())
+    return tuple(Row(f.backend, f.node, f.incarnation, f.sequence, f.is_active, f.at_ms) for f in flags)
--- a/balancer/recovery/trust.py
+++ b/balancer/recovery/trust.py
@@ -38,7 +38,7 @@
     """One line of the table."""
 
     verdict: Verdict
-    most_age: float = math.inf  # ms since it was written, by `durable.records.Stamp.age`
+    most_age: float = math.inf  # ms since it was written, by `durable.timestamp.Timestamp.age_ms`
 
 
 HOUR = 3_600_000.0
--- a/balancer/sim/disk.py
+++ b/balancer/sim/disk.py
@@ -1,9 +1,11 @@
-"""A disk that can be cut off from power: the store's file layer in memory, and what it may hold afterwards.
+"""Simulated disk that can lose power: the write-ahead log's directory in memory, and its crash states.
+
+What a power cut can leave: the data of a file survives as far as it was synced; of what was written since,
+any block of `BLOCK_BYTES` may be missing (zeros, or cut off at the end) and the first may be torn. A name
+created, changed or removed since the directory was last synced may have reached the disk or not, each by
+itself, as POSIX promises no order. A rename is atomic. After a failed sync nothing more of that file becomes
+durable.
 
-Limits of what is played: a file's data outlasts a cut as far as it was synced; of what was written since, any
-block of `BLOCK` bytes may be missing (zeros, or cut off at the end) and the first may be torn. A name made,
-changed or removed since the directory was last synced may or may not be so, each by itself, as POSIX promises
-no order. A rename is whole or not done. A failed sync leaves what it was for as good as unwritten for ever.
 Source: the crash states of ALICE (Pillai et al. 2014).
 """
 
@@ -15,192 +17,256 @@
 import random
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
+from enum import Enum, auto
+
+from balancer.durable.filesystem import AppendFile
+
+BLOCK_BYTES = 512
+MAX_EXHAUSTIVE_NAME_CHANGES = 6  # unsynced name changes of which every subset is explored
+
+DiskImage = dict[str, bytes]
+NameTable = dict[str, "Inode"]
+
 
-from balancer.durable.files import File
+class PowerCutError(Exception):
+    """Power was cut; the call did not return."""
 
-BLOCK = 512
-MOST_NAMES = 6  # name changes not synced of which every subset is played
 
-Image = dict[str, bytes]
+class DiskCall(Enum):
+    """Calls of the file system interface that reach the disk."""
 
+    READ = auto()
+    CREATE = auto()
+    WRITE = auto()
+    SYNC = auto()
+    RENAME = auto()
+    REMOVE = auto()
+    SYNC_NAMES = auto()
 
-class PowerCut(Exception):
-    """The machine is off; the call did not return."""
+
+CallHook = Callable[[int, DiskCall, str], None]
+
+
+def no_fault(count: int, call: DiskCall, name: str) -> None:
+    """Let every call succeed."""
 
 
 @dataclass
 class Inode:
-    """A file's bytes, and how many of them are sure."""
+    """The bytes of a file, and how many of them are durable."""
 
     data: bytearray = field(default_factory=bytearray)
-    synced: int = 0
-    spoilt: bool = False  # a sync has failed: nothing more becomes sure
-
-    def variants(self) -> list[bytes]:
-        """What of it may be there after a cut."""
-        sure, whole = bytes(self.data[: self.synced]), bytes(self.data)
-        if len(sure) == len(whole):
-            return [whole]
-        edge = (self.synced // BLOCK + 1) * BLOCK
-        edges = list(range(edge, len(whole), BLOCK))
-        torn = {self.synced + 1, (self.synced + min(edge, len(whole))) // 2, min(edge, len(whole)) - 1}
-        cuts = sorted({*edges, *(t for t in torn if self.synced < t < len(whole))})
-        out = [sure, whole, *(whole[:cut] for cut in cuts)]
-        out.append(sure + bytes(len(whole) - len(sure)))  # the size came, the data did not
-        for begin, end in itertools.pairwise([self.synced, *edges, len(whole)]):
-            out.append(whole[:begin] + bytes(end - begin) + whole[end:])  # a later block came first
-        return list(dict.fromkeys(out))
-
-
-class Disk:
-    """One directory. `fail` is asked before each call and may raise OSError or PowerCut in its place."""
-
-    def __init__(self, image: Image | None = None) -> None:
-        self.now = {name: Inode(bytearray(data), len(data)) for name, data in (image or {}).items()}
-        self.sure = dict(self.now)
-        self.pending: list[tuple[str, str, Inode | None]] = []  # name, former name, what it stands for
-        self.calls = 0
-        self.fail: Callable[[int, str, str], None] = lambda call, what, name: None
-        self.held = False
-
-    def call(self, what: str, name: str) -> None:
-        """One more call reaches the disk."""
-        self.calls += 1
-        self.fail(self.calls, what, name)
-
-    def image(self) -> Image:
-        """What is there while power lasts."""
-        return {name: bytes(inode.data) for name, inode in self.now.items()}
-
-    def images(self, dice: random.Random, most: int) -> Iterator[Image]:
-        """What may be there after a cut now: all of it, or `most` drawn ones where it would be more."""
-        tables = self._names()
-        choices = []
-        total = 0
+    durable_bytes: int = 0
+    has_sync_failed: bool = False  # nothing more becomes durable
+
+    def crash_variants(self) -> list[bytes]:
+        """Return the contents that a power cut may leave."""
+        durable = bytes(self.data[: self.durable_bytes])
+        complete = bytes(self.data)
+        size = len(complete)
+        if len(durable) == size:
+            return [complete]
+        first_edge = (self.durable_bytes // BLOCK_BYTES + 1) * BLOCK_BYTES
+        edges = list(range(first_edge, size, BLOCK_BYTES))
+        first_end = min(first_edge, size)
+        torn = {self.durable_bytes + 1, (self.durable_bytes + first_end) // 2, first_end - 1}
+        cuts = sorted({*edges, *(cut for cut in torn if self.durable_bytes < cut < size)})
+        variants = [durable, complete, *(complete[:cut] for cut in cuts)]
+        variants.append(durable + bytes(size - len(durable)))  # the size is durable, the data is not
+        for begin, end in itertools.pairwise([self.durable_bytes, *edges, size]):
+            variants.append(
+                complete[:begin] + bytes(end - begin) + complete[end:]
+            )  # a later block came first
+        return list(dict.fromkeys(variants))
+
+
+@dataclass(frozen=True)
+class NameChange:
+    """A change of the directory that is not durable yet."""
+
+    name: str
+    former_name: str  # equal to `name` unless it is a rename
+    inode: Inode | None  # None: the name was removed
+
+    def apply(self, table: NameTable) -> None:
+        """Make the change in a table of names."""
+        if self.inode is None:
+            table.pop(self.name, None)
+        else:
+            table.pop(self.former_name, None)
+            table[self.name] = self.inode
+
+
+@dataclass(frozen=True)
+class CrashTable:
+    """A table of names that may be left, with the variants of each file in it."""
+
+    names: NameTable
+    variants: dict[int, list[bytes]]  # by id of the inode
+
+    @classmethod
+    def of(cls, names: NameTable) -> CrashTable:
+        """Return the table with the variants of its files."""
+        return cls(names, {id(inode): inode.crash_variants() for inode in names.values()})
+
+    @property
+    def state_count(self) -> int:
+        """Return how many images the table stands for."""
+        count = 1
+        for variants in self.variants.values():
+            count *= len(variants)
+        return count
+
+    def images(self) -> Iterator[DiskImage]:
+        """Yield each image."""
+        for choice in itertools.product(*self.variants.values()):
+            contents = dict(zip(self.variants, choice, strict=True))
+            yield {name: contents[id(inode)] for name, inode in self.names.items()}
+
+
+class SimulatedDisk:
+    """One directory on a disk. `before_call` may raise OSError or PowerCutError in place of a call."""
+
+    def __init__(self, image: DiskImage | None = None) -> None:
+        """Start with the durable contents of `image`."""
+        self.files: NameTable = {
+            name: Inode(bytearray(data), len(data)) for name, data in (image or {}).items()
+        }
+        self.durable_names: NameTable = dict(self.files)
+        self.pending: list[NameChange] = []
+        self.call_count = 0
+        self.before_call: CallHook = no_fault
+        self.is_locked = False
+
+    def record_call(self, call: DiskCall, name: str) -> None:
+        """Count a call and run the hook."""
+        self.call_count += 1
+        self.before_call(self.call_count, call, name)
+
+    def image(self) -> DiskImage:
+        """Return the contents of the directory while power lasts."""
+        return {name: bytes(inode.data) for name, inode in self.files.items()}
+
+    def crash_images(self, rng: random.Random, limit: int) -> Iterator[DiskImage]:
+        """Yield the images that a power cut now may leave: all, or about `limit` drawn ones of more."""
+        tables = [CrashTable.of(names) for names in self._crash_tables()]
+        total = sum(table.state_count for table in tables)
         for table in tables:
-            inodes = list(dict.fromkeys(map(id, table.values())))
-            kept = {id(i): i.variants() for i in table.values()}
-            choices.append((table, inodes, kept))
-            count = 1
-            for number in inodes:
-                count *= len(kept[number])
-            total += count
-        for table, inodes, kept in choices:
-            every = itertools.product(*(kept[number] for number in inodes))
-            for picks in every:
-                if total > most and dice.random() * total >= most:
+            for image in table.images():
+                if total > limit and rng.random() * total >= limit:
                     continue
-                data = dict(zip(inodes, picks, strict=True))
-                yield {name: data[id(inode)] for name, inode in table.items()}
+                yield image
 
-    def _names(self) -> list[dict[str, Inode]]:
-        """Which names there may be."""
+    def _crash_tables(self) -> list[NameTable]:
+        """Return the tables of names that a power cut may leave."""
         count = len(self.pending)
-        if count <= MOST_NAMES:
-            picks = list(itertools.product((False, True), repeat=count))
-        else:  # none, all, all but one, and each beginning
-            picks = [tuple(i < n for i in range(count)) for n in range(count + 1)]
-            picks += [tuple(i != n for i in range(count)) for n in range(count)]
-        out: dict[tuple[tuple[str, int], ...], dict[str, Inode]] = {}
-        for pick in picks:
-            table = dict(self.sure)
-            for done, (name, former, inode) in zip(pick, self.pending, strict=True):
-                if not done:
-                    continue
-                if inode is None:
-                    table.pop(name, None)
-                else:
-                    table.pop(former, None)
-                    table[name] = inode
-            out[tuple(sorted((n, id(i)) for n, i in table.items()))] = table
-        return list(out.values())
-
-
-class DiskFile:
-    """A file that is being written."""
-
-    def __init__(self, disk: Disk, name: str, inode: Inode) -> None:
-        self.disk, self.name, self.inode = disk, name, inode
+        if count <= MAX_EXHAUSTIVE_NAME_CHANGES:
+            subsets = list(itertools.product((False, True), repeat=count))
+        else:  # each prefix, and all but one
+            subsets = [tuple(index < length for index in range(count)) for length in range(count + 1)]
+            subsets += [tuple(index != left_out for index in range(count)) for left_out in range(count)]
+        tables: dict[tuple[tuple[str, int], ...], NameTable] = {}
+        for subset in subsets:
+            table = dict(self.durable_names)
+            for is_durable, change in zip(subset, self.pending, strict=True):
+                if is_durable:
+                    change.apply(table)
+            tables[tuple(sorted((name, id(inode)) for name, inode in table.items()))] = table
+        return list(tables.values())
+
+
+class SimulatedFile:
+    """A file that is being appended to."""
+
+    def __init__(self, disk: SimulatedDisk, name: str, inode: Inode) -> None:
+        """Append to an inode of the disk."""
+        self._disk = disk
+        self._name = name
+        self._inode = inode
 
     def write(self, data: bytes) -> None:
-        """Append; a cut in its midst leaves any part of it."""
-        before = len(self.inode.data)
-        self.inode.data += data
+        """Append; a power cut during the call leaves any part of it, an error half."""
+        size = len(self._inode.data)
+        self._inode.data += data
         try:
-            self.disk.call("write", self.name)
+            self._disk.record_call(DiskCall.WRITE, self._name)
         except OSError:
-            del self.inode.data[before + len(data) // 2 :]  # it was half done
+            del self._inode.data[size + len(data) // 2 :]
             raise
 
     def sync(self) -> None:
-        """All of it is sure from here on."""
+        """Make the contents durable."""
         try:
-            self.disk.call("sync", self.name)
+            self._disk.record_call(DiskCall.SYNC, self._name)
         except OSError:
-            self.inode.spoilt = True
+            self._inode.has_sync_failed = True
             raise
-        if not self.inode.spoilt:
-            self.inode.synced = len(self.inode.data)
+        if not self._inode.has_sync_failed:
+            self._inode.durable_bytes = len(self._inode.data)
 
     def close(self) -> None:
-        """Nothing to give back."""
+        """Do nothing: a simulated file holds no descriptor."""
 
 
-class DiskFiles:
-    """The file layer over such a disk."""
+class SimulatedDirectory:
+    """The file system interface on a simulated disk."""
 
-    def __init__(self, disk: Disk) -> None:
+    def __init__(self, disk: SimulatedDisk) -> None:
+        """Use the one directory of a disk."""
         self.disk = disk
 
-    def names(self) -> list[str]:
-        """What is there, in order."""
-        return sorted(self.disk.now)
+    def list_names(self) -> list[str]:
+        """Return the names of all files, sorted."""
+        return sorted(self.disk.files)
 
     def read(self, name: str) -> bytes:
-        """A whole file."""
-        self.disk.call("read", name)
-        if name not in self.disk.now:
-            raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return bytes(self.disk.now[name].data)
-
-    def create(self, name: str) -> File:
-        """A new, empty file."""
-        self.disk.call("create", name)
-        if name in self.disk.now:
-            raise FileExistsError(errno.EEXIST, "it is there", name)
-        inode = self.disk.now[name] = Inode()
-        self.disk.pending.append((name, name, inode))
-        return DiskFile(self.disk, name, inode)
+        """Return the contents of a file."""
+        self.disk.record_call(DiskCall.READ, name)
+        return bytes(self._inode(name).data)
+
+    def create(self, name: str) -> AppendFile:
+        """Create an empty file."""
+        self.disk.record_call(DiskCall.CREATE, name)
+        if name in self.disk.files:
+            raise FileExistsError(errno.EEXIST, "file exists", name)
+        inode = Inode()
+        self.disk.files[name] = inode
+        self.disk.pending.append(NameChange(name, name, inode))
+        return SimulatedFile(self.disk, name, inode)
 
     def rename(self, old: str, new: str) -> None:
-        """Whole or not done."""
-        self.disk.call("rename", new)
-        if old not in self.disk.now:
-            raise FileNotFoundError(errno.ENOENT, "no such file", old)
-        inode = self.disk.now.pop(old)
-        self.disk.now[new] = inode
-        self.disk.pending.append((new, old, inode))
+        """Rename a file, replacing any other file of the new name."""
+        self.disk.record_call(DiskCall.RENAME, new)
+        inode = self._inode(old)
+        del self.disk.files[old]
+        self.disk.files[new] = inode
+        self.disk.pending.append(NameChange(new, old, inode))
 
     def remove(self, name: str) -> None:
-        """Take a file away."""
-        self.disk.call("remove", name)
-        if name not in self.disk.now:
-            raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        del self.disk.now[name]
-        self.disk.pending.append((name, name, None))
+        """Remove a file."""
+        self.disk.record_call(DiskCall.REMOVE, name)
+        self._inode(name)
+        del self.disk.files[name]
+        self.disk.pending.append(NameChange(name, name, None))
 
     def sync_names(self) -> None:
-        """Names are sure from here on."""
-        self.disk.call("sync_names", "")
-        self.disk.sure, self.disk.pending = dict(self.disk.now), []
+        """Make all names durable."""
+        self.disk.record_call(DiskCall.SYNC_NAMES, "")
+        self.disk.durable_names = dict(self.disk.files)
+        self.disk.pending = []
 
     @contextlib.contextmanager
-    def locked(self) -> Iterator[None]:
-        """Alone; a lock goes with its process, so with the power too."""
-        if self.disk.held:
+    def writer_lock(self) -> Iterator[None]:
+        """Hold the lock, which does not survive its process."""
+        if self.disk.is_locked:
             raise BlockingIOError
-        self.disk.held = True
+        self.disk.is_locked = True
         try:
             yield
         finally:
-            self.disk.held = False
+            self.disk.is_locked = False
+
+    def _inode(self, name: str) -> Inode:
+        if name not in self.disk.files:
+            raise FileNotFoundError(errno.ENOENT, "no such file", name)
+        return self.disk.files[name]
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -20,8 +20,11 @@
 from balancer import interface as api
 from balancer import wire
 from balancer.durable import records
-from balancer.durable.files import RealFiles
-from balancer.durable.store import Store, load
+from balancer.durable.filesystem import SystemDirectory
+from balancer.durable.reader import read_directory
+from balancer.durable.state import DurableState, replay
+from balancer.durable.timestamp import Timestamp
+from balancer.durable.writer import LogWriter
 from balancer.membership.core import Config as MembershipConfig
 from balancer.membership.messages import State
 from balancer.net import bans, handover, returning
@@ -164,23 +167,32 @@
 def write_files(folder: Path) -> None:
     """Write a state directory, a file of bans, and what a process leaves to its successor."""
     learned = api.Learned(7.5, 0.75, 0.125, {"c0": (20.0, 3.0, -0.5)}, {"b1": (5.0, 1.5, 2.0, 3, 250.0)})
-    moment = records.Stamp(NOW_S * 1000, "boot", 4_000.0)
-    flags = [records.Flag("b2", 1, 7, 3, True, 900.0), records.Flag("b2", 0, 6, 1, False, 800.0)]
-    rows = [records.Row("b1", "10.0.0.1", 80, "a", "m2", 3, 1.5, "up", 5.0),
-            records.Row("b2", "10.0.0.2", 80, "b", "m2", 4, 1.0, "draining", 0.0)]  # fmt: skip
+    moment = Timestamp(NOW_S * 1000, "boot", 4_000.0)
+    flags = [
+        records.RegisterRow("b2", 1, 7, 3, True, 900.0),
+        records.RegisterRow("b2", 0, 6, 1, False, 800.0),
+    ]
+    rows = [records.EndpointRow("b1", "10.0.0.1", 80, "a", "m2", 3, 1.5, "up", 5.0),
+            records.EndpointRow("b2", "10.0.0.2", 80, "b", "m2", 4, 1.0, "draining", 0.0)]  # fmt: skip
     with ExitStack() as stack:
         stack.enter_context(mock.patch.object(time, "time", lambda: NOW_S))
-        files = RealFiles(folder / "state")
+        files = SystemDirectory(folder / "state")
         files.make()
-        store = Store(files, "n0", "fresh", lambda loaded: records.total(None, []).encode())
+        store = LogWriter(files, "n0", "fresh", lambda loaded: replay(None, []).encode_snapshot())
         for record in (
-            records.Started(7, 1_000.0), records.Listed(41, True, 1_100.0, rows), records.Out("b1", 1_200.0),
-            records.Flagged(flags), records.Sampled(moment, learned, 12.5), records.Back("b1", 1_300.0),
-            records.Out("b3", 1_400.0),
-        ):  # fmt: skip
-            store.append([records.encode(record)], sync=True)
-        store.rotate(_kept(folder).encode())
-        store.append([records.encode(records.Listed(42, False, 1_500.0, rows[:1]))], sync=True)
+            records.IncarnationStarted(7, 1_000.0),
+            records.EndpointListReceived(41, True, 1_100.0, rows),
+            records.BanSet("b1", 1_200.0),
+            records.RegisterRowsChanged(flags),
+            records.LearnedSample(moment, learned, 12.5),
+            records.BanLifted("b1", 1_300.0),
+            records.BanSet("b3", 1_400.0),
+        ):
+            store.append([records.encode_record(record)], sync=True)
+        store.rotate(_kept(folder).encode_snapshot())
+        store.append(
+            [records.encode_record(records.EndpointListReceived(42, False, 1_500.0, rows[:1]))], sync=True
+        )
         store.close()
         stem = bans.stem({"TMPDIR": str(folder)}, "n0")
         handover.give(stem.with_suffix(handover.SUFFIX), learned)
@@ -199,18 +211,19 @@
     table.stop()
 
 
-def _kept(folder: Path) -> records.Kept:
-    loaded = load(RealFiles(folder / "state"), "n0")
-    return records.total(loaded.snapshot, loaded.records)
+def _kept(folder: Path) -> DurableState:
+    loaded = read_directory(SystemDirectory(folder / "state"), "n0")
+    return replay(loaded.snapshot, loaded.records)
 
 
 def read_files(folder: Path) -> Iterator[str]:
     """Yield what this revision makes of files that a revision has written; some go as they are read."""
     with mock.patch.object(time, "time", lambda: NOW_S + 1.0):
-        loaded = load(RealFiles(folder / "state"), "n0")
-        kept = records.total(loaded.snapshot, loaded.records)
-        yield f"{loaded.number} {loaded.fence} {loaded.generation} {loaded.lost} {loaded.notes}"
-        yield kept.encode().hex()
+        loaded = read_directory(SystemDirectory(folder / "state"), "n0")
+        kept = replay(loaded.snapshot, loaded.records)
+        health = f"{loaded.has_lost_records} {loaded.problems}"
+        yield f"{loaded.last_number} {loaded.fence} {loaded.generation} {health}"
+        yield kept.encode_snapshot().hex()
         stem = bans.stem({"TMPDIR": str(folder)}, "n0")
         record = bans.parse(stem.with_suffix(".bans").read_text("utf-8"))
         yield f"{sorted(record.out)} {sorted(record.back.items())}"
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -8,8 +8,10 @@
 
 import pytest
 
-from balancer.durable.records import Listed, Out, encode, total
-from balancer.durable.store import Loaded, Store, load
+from balancer.durable.reader import DirectoryContents, read_directory
+from balancer.durable.records import BanSet, EndpointListReceived, encode_record
+from balancer.durable.state import replay
+from balancer.durable.writer import LogWriter
 from balancer.lab import power, records
 from balancer.lab.programs import Program
 from balancer.lab.returning import forgotten, returning
@@ -17,7 +19,7 @@
 from balancer.lab.spec import Backends, DiskLeft, Experiment, Fleet, Link, Load, Power
 from balancer.lab.spec import load as load_spec
 from balancer.lab.timeline import Step, over, timeline
-from balancer.sim.disk import Disk, DiskFiles, PowerCut
+from balancer.sim.disk import DiskCall, PowerCutError, SimulatedDirectory, SimulatedDisk, no_fault
 from tests.test_lab_run import file, lab
 
 SMALL = Experiment(
@@ -31,31 +33,32 @@
     return spec.faults[0]
 
 
-def killed(at: int, seed: int) -> tuple[Disk, list[str]]:
+def killed(at: int, seed: int) -> tuple[SimulatedDisk, list[str]]:
     """A store whose process dies at its `at`-th call of the disk, and the bans it had said yes to by then."""
-    disk, dice, acked = Disk(), random.Random(seed), []
+    disk, dice, acked = SimulatedDisk(), random.Random(seed), []
 
-    def fail(call: int, what: str, name: str) -> None:
-        if call == at:
-            raise PowerCut
+    def fail(count: int, call: DiskCall, name: str) -> None:
+        if count == at:
+            raise PowerCutError
 
-    disk.fail = fail
+    disk.before_call = fail
 
-    def snapshot(found: Loaded) -> bytes:
-        return total(found.snapshot, found.records).encode()
+    def snapshot(found: DirectoryContents) -> bytes:
+        return replay(found.snapshot, found.records).encode_snapshot()
 
     try:
-        store = Store(DiskFiles(disk), "n0", "s", snapshot)
+        store = LogWriter(SimulatedDirectory(disk), "n0", "s", snapshot)
         for number in range(12):
             ban = dice.random() < 0.5
             name = f"b{number}"
-            store.append([encode(Out(name, 1.0) if ban else Listed(number, True, 1.0, []))], sync=ban)
+            record = BanSet(name, 1.0) if ban else EndpointListReceived(number, True, 1.0, [])
+            store.append([encode_record(record)], sync=ban)
             acked += [name] if ban else []
             if number == 7:
-                store.rotate(snapshot(load(DiskFiles(disk))))
-    except PowerCut:
+                store.rotate(snapshot(read_directory(SimulatedDirectory(disk))))
+    except PowerCutError:
         pass
-    disk.fail = lambda call, what, name: None
+    disk.before_call = no_fault
     return disk, acked
 
 
@@ -66,12 +69,19 @@
             disk, acked = killed(at, seed)
             image = disk.image()
             left = power.cut(image, random.Random(seed))
-            found = load(DiskFiles(Disk(left)))
-            assert acked == [n for n in total(found.snapshot, found.records).out if n in acked], (at, seed)
-            for name, inode in disk.sure.items():  # what the disk itself knows to be synced is whole
+            found = read_directory(SimulatedDirectory(SimulatedDisk(left)))
+            assert acked == [n for n in replay(found.snapshot, found.records).banned if n in acked], (
+                at,
+                seed,
+            )
+            for name, inode in disk.durable_names.items():  # what the disk itself knows to be synced is whole
                 alone = name.startswith("snap") and name.replace("snap", "log") not in image
-                if disk.now.get(name) is inode and not (alone and name not in left):
-                    assert left[name][: inode.synced] == bytes(inode.data[: inode.synced]), (at, seed, name)
+                if disk.files.get(name) is inode and not (alone and name not in left):
+                    assert left[name][: inode.durable_bytes] == bytes(inode.data[: inode.durable_bytes]), (
+                        at,
+                        seed,
+                        name,
+                    )
             shorter += left != image
     assert shorter > 100  # it does take what it may
 
@@ -87,7 +97,9 @@
     assert (left["n0"], left["n1"]) == ({}, {"fence": b"of old"})
     assert (left["n2"], left["n3"]) == (plain["n3"], plain["n2"])
     bad = power.damage(plain["n2"], random.Random(1))
-    assert [n for n in bad if bad[n] != plain["n2"][n]] and load(DiskFiles(Disk(bad))).notes
+    assert [n for n in bad if bad[n] != plain["n2"][n]] and read_directory(
+        SimulatedDirectory(SimulatedDisk(bad))
+    ).problems
 
 
 def test_all_come_back_but_those_that_never_do_and_a_second_cut_keeps_who_had_not_yet() -> None:
@@ -206,7 +218,7 @@
     assert max(lives[n, 0].ended for n in range(3)) < min(lives[n, 1].started for n in range(3))
     logs = {n: (out / "logs" / f"n{n}-1.log").read_text() for n in range(3)}
     said = {ban.node for ban in found.bans if ban.begun < lives[ban.node, 0].killed}  # a busy console may not
-    kept = {n for n in range(3) if ", 1 out," in logs[n]}
+    kept = {n for n in range(3) if ": 1 backends in maintenance," in logs[n]}
     assert kept == said - {1}  # its disk is empty
     stamps = [logs[n][11:16] for n in (0, 2)]  # HH:MM
     minutes = [int(s[:2]) * 60 + int(s[3:]) for s in stamps]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,9 +17,9 @@
 import pytest
 
 from balancer import interface as api
-from balancer.durable.files import RealFiles
-from balancer.durable.records import Kept, total
-from balancer.durable.store import load
+from balancer.durable.filesystem import SystemDirectory
+from balancer.durable.reader import read_directory
+from balancer.durable.state import DurableState, replay
 from balancer.lab.programs import ROOT
 from tests.helpers import BASE, SAFE, entry, node
 from tests.sockets import Backend, FakeDiscovery, Rig, configuration, happens, started
@@ -41,15 +41,15 @@
         """The durable directory."""
         return self.folder / "state"
 
-    def kept(self) -> Kept:
+    def kept(self) -> DurableState:
         """What is in it now."""
-        loaded = load(RealFiles(self.state))
-        return total(loaded.snapshot, loaded.records)
+        loaded = read_directory(SystemDirectory(self.state))
+        return replay(loaded.snapshot, loaded.records)
 
     def kept_number(self) -> int:
         """How many records are in it."""
         with contextlib.suppress(OSError):  # a generation may go while it is read
-            return load(RealFiles(self.state)).number
+            return read_directory(SystemDirectory(self.state)).last_number
         return 0
 
     async def has_kept(self, number: int) -> bool:
@@ -128,7 +128,7 @@
                 await calls
             kept = place.kept()
             for name, out in said.items():
-                assert (name in kept.out) == out, (name, out)
+                assert (name in kept.banned) == out, (name, out)
 
 
 async def test_a_process_that_sleeps_through_the_hand_over_cannot_undo_it(tmp_path: Path) -> None:
@@ -147,7 +147,7 @@
             assert (await new.call("/backends/b1/maint", "POST")).code == 200
             old.process.send_signal(signal.SIGCONT)
             assert (await old.call("/backends/b2/maint", "POST")).code == 503
-            assert set(place.kept().out) == {"b0", "b1"}
+            assert set(place.kept().banned) == {"b0", "b1"}
             new.process.kill()
         await old.logged("is out")
 
@@ -155,7 +155,7 @@
             return (await old.call("/backends/b3/maint", "POST")).code == 200
 
         await happens(taken_out)  # the successor is gone: the old one keeps the state again
-        assert {"b0", "b1", "b3"} <= set(place.kept().out)
+        assert {"b0", "b1", "b3"} <= set(place.kept().banned)
 
 
 def test_nothing_of_a_room_is_imported_that_the_fleet_file_does_not_name() -> None:
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -8,13 +8,14 @@
 import pytest
 
 from balancer.durable import frames
-from balancer.durable.records import Kept, Listed, encode, total
+from balancer.durable.records import EndpointListReceived, encode_record
+from balancer.durable.state import DurableState, replay
 from balancer.lab.scale import returns, stores, tiers
 from balancer.lab.scale.control import Run, plays
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import BACKENDS, NODES
 from balancer.recovery.core import Config
-from balancer.sim.disk import Disk
+from balancer.sim.disk import SimulatedDisk
 from balancer.sim.members import Net
 from balancer.sim.recovery_schedule import BACKENDS as LISTED
 
@@ -109,23 +110,23 @@
 
 
 def test_a_start_reads_the_list_that_was_kept() -> None:
-    disk, rows = Disk(), stores.listed(50, 1)
+    disk, rows = SimulatedDisk(), stores.listed(50, 1)
     node = stores.Node(disk)
-    size = node.keep(Listed(7, True, 0.0, rows))
+    size = node.keep(EndpointListReceived(7, True, 0.0, rows))
     node.store.close()
-    assert size == frames.HEAD.size + len(encode(Listed(7, True, 0.0, rows)))
-    again = stores.Node(Disk(disk.image()))
-    assert again.kept.revision == 7 and list(again.kept.rows.values()) == rows
+    assert size == frames.HEADER.size + len(encode_record(EndpointListReceived(7, True, 0.0, rows)))
+    again = stores.Node(SimulatedDisk(disk.image()))
+    assert again.kept.list_revision == 7 and list(again.kept.endpoints.values()) == rows
 
 
 def test_one_entry_above_the_limit_does_not_fit(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frames, "LONGEST", 4_000)
+    monkeypatch.setattr(frames, "MAX_PAYLOAD_BYTES", 4_000)
     found = {p.figure: int(p.value) for p in stores.limits((200,), 1)}
     assert "most_learned_of_a_quarter" not in found  # all 200 fit
     rows = stores.listed(200, 1)
 
     def record(count: int) -> bytes:
-        return encode(Listed(1, True, stores.WALL_MS, rows[:count]))
+        return encode_record(EndpointListReceived(1, True, stores.WALL_MS, rows[:count]))
 
     most = found["most_list"]
     assert len(record(most)) <= 4_000 < len(record(most + 1))
@@ -133,7 +134,7 @@
 
 
 def test_a_list_that_does_not_fit_leaves_out_its_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frames, "LONGEST", 4_000)
+    monkeypatch.setattr(frames, "MAX_PAYLOAD_BYTES", 4_000)
     items = list(stores.stores((100,), 1))
     figures = {item.figure for item in items if isinstance(item, Point)}
     assert "list_record" in figures and "start_read" not in figures
@@ -142,5 +143,5 @@
 
 def test_a_snapshot_of_what_is_kept_reads_back() -> None:
     rows = stores.listed(20, 1)
-    kept = Kept(rows={row.backend: row for row in rows}, sampled=stores.sampled(rows))
-    assert total(kept.encode(), []).sampled == stores.sampled(rows)
+    kept = DurableState(endpoints={row.backend: row for row in rows}, learned_sample=stores.sampled(rows))
+    assert replay(kept.encode_snapshot(), []).learned_sample == stores.sampled(rows)
