--- a/balancer/durable/layout.py
+++ b/balancer/durable/layout.py
@@ -156,6 +156,6 @@
                 f"it is of version {version}, this program reads up to {VERSION}"
             )
         header = msgspec.msgpack.decode(payload, type=Header)
-    except (msgspec.MsgspecError, UnicodeDecodeError, IndexError):
+    except (msgspec.MsgspecError, IndexError):
         raise InvalidFileError("its header is invalid") from None
     return FileStart(header, len(magic) + frames.HEADER.size + len(payload))
