--- a/balancer/lab/scale/tiers.py
+++ b/balancer/lab/scale/tiers.py
@@ -17,7 +17,7 @@
 
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import DAY_S, HEADERS, RACK_MACHINES, REGIONS, RESTARTS_A_DAY
-from balancer.membership.core import Membership, View
+from balancer.membership.core import Membership
 from balancer.membership.events import DatagramReceived, Event, SendDatagram, Tick
 from balancer.membership.messages import (
     DIGEST_STRUCT,
@@ -32,6 +32,7 @@
     decode,
     encode,
 )
+from balancer.membership.view import View
 from balancer.sim.members import GENERATION_UNIT_MS, Net, World
 
 ROLE = "membership"
@@ -81,7 +82,7 @@
                 self.config, node, self.count, generation, self.seeds.getrandbits(64), self.now
             )
             host.core.handle(self.now, Tick())
-            host.core.view = View(list(view.records), view.present, view.state_hash, list(view.bucket_hashes))
+            host.core.adopt_view(view.copy())
             self._plan(node, host.core.next_wakeup_ms)
 
     @property
@@ -115,7 +116,7 @@
 
 def _agreed(count: int, generation: int) -> View:
     """Of a node that knows all to be present in lives of one number."""
-    view = View([Update(member, 0, 0, MemberState.UNKNOWN) for member in range(count)])
+    view = View.of_unknown(count)
     for member in range(count):
         view.put(Update(member, generation, 0, MemberState.ALIVE))
     return view
@@ -261,7 +262,7 @@
     """Whether on each side all hold just their own side for present."""
     for side in sides:
         cores = [core for node in side if (core := world.hosts[node].core) is not None]
-        if len({(core.view.state_hash, core.view.present) for core in cores}) > 1:
+        if len({(core.view.state_hash, core.view.present_count) for core in cores}) > 1:
             return False
         if cores and cores[0].present_members() != list(side):
             return False
@@ -306,7 +307,7 @@
 
     def agree(self) -> None:
         """It has known all for long, and has nothing to tell that is new."""
-        self.core.view = _agreed(self.count, 1)
+        self.core.adopt_view(_agreed(self.count, 1))
         for peer in range(1, self.count):
             self.hear(peer, MessageKind.ACK)
 
@@ -348,7 +349,7 @@
         lone.run(lone.now + QUIET_MS)
         lone.core_ns = 0
         lone.run(lone.now + QUIET_MS)
-        period = lone.core_ns / 1000 / (QUIET_MS / lone.core.config.probe_interval_ms)
+        period = lone.core_ns / 1000 / (QUIET_MS / lone.core.node.config.probe_interval_ms)
         yield of.machine("core_period", "us", period)
         yield of.machine("core_datagram", "us", _reading(lone))
         yield from _repair(lone, of)
@@ -360,7 +361,7 @@
     wrong = (~salted & 0xFFFF for salted in lone.core.view.digest(0))
     lone.hear(1, MessageKind.DIGEST, extra=DIGEST_STRUCT.pack(True, *wrong))
     ends = begun
-    while lone.now < ends + 2 * lone.core.config.probe_interval_ms:
+    while lone.now < ends + 2 * lone.core.node.config.probe_interval_ms:
         before = len(lone.heard)
         lone.run(lone.now + STEP_MS)
         if any(m.kind == MessageKind.GOSSIP and m.subject == 1 for m in lone.heard[before:]):
--- /dev/null
+++ b/balancer/membership/peer_views.py
@@ -0,0 +1,79 @@
+"""What peers last reported of their views, and whether these agree with this node's."""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+from balancer.membership.events import DisagreementChanged
+from balancer.membership.local_node import LocalNode
+from balancer.membership.messages import PRESENT_STATES
+
+RECENT_PERIODS = 15  # probe intervals for which a report counts
+
+
+class ViewReport(NamedTuple):
+    """The state hash of a peer's view, as its last datagram had it."""
+
+    received_ms: float
+    state_hash: int
+
+
+class PeerViews:
+    """The reports of all peers, and a monitor of lasting disagreement."""
+
+    def __init__(self, node: LocalNode) -> None:
+        """Start without any report."""
+        self.reports: dict[int, ViewReport] = {}
+        self._node = node
+        self._disagreeing_since_ms: float | None = None
+        self._is_alerted = False
+
+    def record(self, member: int, state_hash: int) -> None:
+        """Note the view that a datagram of a peer reported."""
+        self.reports[member] = ViewReport(self._node.now_ms, state_hash)
+
+    def forget(self, member: int) -> None:
+        """Drop the report of a peer."""
+        self.reports.pop(member, None)
+
+    def last_heard_ms(self, member: int) -> float:
+        """Return when a peer's last datagram came; minus infinity if none did."""
+        report = self.reports.get(member)
+        return -math.inf if report is None else report.received_ms
+
+    def agreement_ratio(self) -> float:
+        """Return the share of the present peers heard recently that have the same view.
+
+        Only reports since this node's own view changed count.
+        """
+        agreements = self._recent_agreements()
+        return sum(agreements) / len(agreements) if agreements else 1.0
+
+    def check_disagreement(self) -> None:
+        """Emit DisagreementChanged once peers have disagreed for long, and once they agree again."""
+        node = self._node
+        agreements = self._recent_agreements()
+        ratio = sum(agreements) / len(agreements) if agreements else 1.0
+        if ratio < 1.0:
+            if self._disagreeing_since_ms is None:
+                self._disagreeing_since_ms = node.now_ms
+            lasted_ms = node.now_ms - self._disagreeing_since_ms
+            if not self._is_alerted and lasted_ms >= node.config.disagreement_alert_ms:
+                self._is_alerted = True
+                node.emit(DisagreementChanged(True, ratio))
+        elif agreements:
+            self._disagreeing_since_ms = None
+            if self._is_alerted:
+                self._is_alerted = False
+                node.emit(DisagreementChanged(False, ratio))
+
+    def _recent_agreements(self) -> list[bool]:
+        node = self._node
+        since_ms = max(node.now_ms - RECENT_PERIODS * node.config.probe_interval_ms, node.view_changed_ms)
+        records = node.view.records
+        return [
+            report.state_hash == node.view.state_hash
+            for member, report in self.reports.items()
+            if report.received_ms >= since_ms and records[member].state in PRESENT_STATES
+        ]
--- a/balancer/membership/shell.py
+++ b/balancer/membership/shell.py
@@ -174,24 +174,24 @@
         now = self._now()
         members = []
         for r in core.view.records:
-            said = core.said_by(r.member)
-            view = None if said is None else f"{said[1]:08x}"
+            said = core.peer_views.reports.get(r.member)
+            view = None if said is None else f"{said.state_hash:08x}"
             members.append([r.state.name.lower(), r.generation, r.incarnation,
                             round(now - self._changed_at[r.member]), view])  # fmt: skip
         return {
             "present": True,
             "me": self.me,
-            "nodes": core.count,
-            "present_nodes": core.view.present,
-            "life": core.generation,
-            "incarnation": core.incarnation,
+            "nodes": core.node.node_count,
+            "present_nodes": core.view.present_count,
+            "life": core.node.generation,
+            "incarnation": core.node.incarnation,
             "view": f"{core.view.state_hash:08x}",
             "view_for_ms": round(now - self._viewed_at),
             "view_reason": self._viewed.reason if self._viewed is not None else "",
             "agreement": round(core.agreement_ratio(), 3),
             "quorum": core.has_quorum(),
-            "health": core.health,
+            "health": core.health.score,
             "columns": list(COLUMNS),
             "members": members,  # by the node's number, the fields in the order of `columns`
-            "counts": dict(core.counts) | {"foreign": self.port.counts["foreign"]},
+            "counts": dict(core.node.counts) | {"foreign": self.port.counts["foreign"]},
         }
--- a/balancer/sim/members.py
+++ b/balancer/sim/members.py
@@ -109,7 +109,7 @@
     def agreed(self) -> bool:
         """Whether every node that lives holds just those that live for present, and the same lives."""
         cores = [h.core for h in self.hosts if h.core is not None]
-        views = {(c.view.state_hash, c.view.present) for c in cores}
+        views = {(c.view.state_hash, c.view.present_count) for c in cores}
         return len(views) == 1 and cores[0].present_members() == self.alive()
 
     def settle(self, most: float, step: float = 50.0) -> float:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from balancer.membership.config import Config
-from balancer.membership.core import Membership, Queue, View
+from balancer.membership.core import Membership
+from balancer.membership.dissemination import TransmitLimitedQueue
 from balancer.membership.events import (
     Action,
     DatagramReceived,
@@ -34,6 +35,7 @@
     decode,
     encode,
 )
+from balancer.membership.view import View
 from balancer.sim.members import GENERATION_UNIT_MS, Net, World
 
 COUNT = 6
@@ -119,11 +121,11 @@
         after = [r.key for r in core.view.records]
         assert all(b >= a for a, b in zip(before, after, strict=True))
         assert core.view.records[0].state is MemberState.ALIVE and core.view.records[0].key >= (
-            core.generation,
-            core.incarnation,
+            core.node.generation,
+            core.node.incarnation,
             1,
         )
-        assert len(core._rumours) <= COUNT and len(core._timers) <= 4096
+        assert len(core.sender.queue) <= COUNT and len(core.node.timers) <= 4096
         before = after
 
 
@@ -132,23 +134,23 @@
     core.handle(0.5, Tick())
     message = Message(MessageKind.PING, 2, 50, 0, 1, 0, 0)
     assert core.handle(1.0, DatagramReceived(3, encode(message))) == []
-    assert core.counts["wrong_sender"] == 1 and core.present_members() == [0]
+    assert core.node.counts["wrong_sender"] == 1 and core.present_members() == [0]
 
 
 def test_a_suspicion_of_oneself_is_refuted_and_one_of_a_former_life_is_not_worth_it() -> None:
     core = lone()
     core.handle(1.0, said(1, MessageKind.GOSSIP, Update(0, 100, 0, MemberState.SUSPECT, 1)))
-    assert core.incarnation == 1
+    assert core.node.incarnation == 1
     assert core.handle(2.0, said(1, MessageKind.GOSSIP, Update(0, 99, 5, MemberState.DEAD))) == []
-    assert (core.generation, core.incarnation) == (100, 1)
+    assert (core.node.generation, core.node.incarnation) == (100, 1)
     core.handle(
         3.0, said(1, MessageKind.GOSSIP, Update(0, 200, 5, MemberState.LEFT))
     )  # this generation began with too low a number
-    assert (core.generation, core.incarnation) == (201, 0)
+    assert (core.node.generation, core.node.incarnation) == (201, 0)
     core.handle(
         4.0, said(1, MessageKind.GOSSIP, Update(0, MAX_GENERATION, 5, MemberState.DEAD))
     )  # nothing is above it
-    assert (core.generation, core.incarnation, core.counts["outbid"]) == (201, 0, 1)
+    assert (core.node.generation, core.node.incarnation, core.node.counts["outbid"]) == (201, 0, 1)
 
 
 def test_a_refuted_suspicion_never_becomes_death() -> None:
@@ -183,7 +185,11 @@
     slow.handle(2.0, said(1, MessageKind.GOSSIP, Update(5, 50, 0, MemberState.SUSPECT, 1)))
     for accuser in (1, 2, 3, 4):
         fast.handle(2.0, said(accuser, MessageKind.GOSSIP, Update(5, 50, 0, MemberState.SUSPECT, accuser)))
-    assert fast._suspicions[5].until < slow._suspicions[5].until == 2.0 + Config().max_suspicion_ms
+    assert (
+        fast.suspicions.active[5].deadline_ms
+        < slow.suspicions.active[5].deadline_ms
+        == 2.0 + Config().max_suspicion_ms
+    )
 
 
 def test_a_minority_knows_that_it_is_one() -> None:
@@ -212,7 +218,7 @@
 
 def test_the_queue_tells_first_what_was_told_least_and_forgets_what_was_told_enough() -> None:
     view = View([Update(m, 1, 0, MemberState.ALIVE) for m in range(4)])
-    queue = Queue(2)
+    queue = TransmitLimitedQueue(2)
     for member in (2, 0, 1):
         queue.put(member)
     order = [queue.take(view, 9, None)[0].member for _ in range(5)]
@@ -244,7 +250,7 @@
             Update(2, 50, 0, MemberState.DEAD),
         ),
     )
-    assert core.incarnation == 1 and core.view.records[2].state is MemberState.ALIVE
+    assert core.node.incarnation == 1 and core.view.records[2].state is MemberState.ALIVE
     answers = [(a.node, decode(a.data).kind) for a in acts if isinstance(a, SendDatagram)]
     assert answers == [(1, MessageKind.ACK)]
 
@@ -252,9 +258,9 @@
 def test_what_was_heard_on_a_page_is_hardly_told_on() -> None:
     core = met(1, 2)
     core.handle(2.0, said(1, MessageKind.GOSSIP, Update(3, 50, 0, MemberState.ALIVE)))
-    before = core._rumours.told[3]
+    before = core.sender.queue.transmits[3]
     core.handle(3.0, said(2, MessageKind.BULK_UPDATE, Update(3, 50, 0, MemberState.ALIVE), subject=NO_MEMBER))
-    assert core._rumours.told[3] >= before + 2
+    assert core.sender.queue.transmits[3] >= before + 2
 
 
 def test_a_member_whose_death_was_none_gets_more_time_until_a_new_life() -> None:
@@ -262,14 +268,14 @@
     spans = []
     for turn in range(3):
         core.handle(10.0 + turn, said(1, MessageKind.GOSSIP, Update(3, 50, turn, MemberState.SUSPECT, 1)))
-        spans.append(core._suspicions[3].least)
+        spans.append(core.suspicions.active[3].min_timeout_ms)
         core.handle(10.2 + turn, said(1, MessageKind.GOSSIP, Update(3, 50, turn, MemberState.DEAD)))
         core.handle(10.4 + turn, said(1, MessageKind.GOSSIP, Update(3, 50, turn + 1, MemberState.ALIVE)))
     base = Config().min_suspicion_ms
     assert spans == [base, 2 * base, 4 * base]
     core.handle(20.0, said(3, generation=51))
     core.handle(20.1, said(1, MessageKind.GOSSIP, Update(3, 51, 0, MemberState.SUSPECT, 1)))
-    assert core._suspicions[3].least == base
+    assert core.suspicions.active[3].min_timeout_ms == base
 
 
 def test_a_change_of_the_view_is_one_event_with_its_reason() -> None:
