--- a/balancer/membership/core.py
+++ b/balancer/membership/core.py
@@ -281,6 +281,6 @@
     """Describe in a few words why the view has changed."""
     changes = [action for action in actions if isinstance(action, MemberChanged)]
     if not changes:
-        return "a new life"
+        return "a member restarted"
     first = f"node {changes[0].member} {changes[0].after.name.lower()}"
     return first if len(changes) == 1 else f"{first} and {len(changes) - 1} more"
--- a/balancer/membership/shell.py
+++ b/balancer/membership/shell.py
@@ -1,15 +1,18 @@
-"""The membership on the tier's port: datagrams in, datagrams out, one timer. It decides nothing."""
+"""The membership protocol on a real socket and clock: datagrams in and out, one timer. It decides nothing."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+import math
 import time
 from collections.abc import Callable
 
+from balancer.membership.change_log import ChangeLog
 from balancer.membership.config import Config
 from balancer.membership.core import Membership
 from balancer.membership.events import (
+    Action,
     DatagramReceived,
     DisagreementChanged,
     Event,
@@ -21,177 +24,157 @@
     Tick,
     ViewChanged,
 )
-from balancer.membership.messages import PRESENT_STATES, MemberState
-from balancer.membership.port import MEMBERSHIP, Moved, Port
+from balancer.membership.messages import MAX_GENERATION, PRESENT_STATES, Update
+from balancer.membership.peer_socket import MEMBERSHIP_KINDS, PeerListChange, PeerSocket
 
 log = logging.getLogger(__name__)
 
-EPOCH = 1_577_836_800.0  # s, Unix time: the year 2020, from which lives are counted
+EPOCH_S = 1_577_836_800.0  # Unix time of the year 2020, from which generations are counted
 GENERATION_UNIT_S = 0.256  # a generation fits four bytes until 2054, and a process takes longer to start
 COLUMNS = ("state", "life", "incarnation", "changed_ms", "view")  # of a member in `stats`
-LINES, SPAN = 100, 10.0  # log lines of one kind at most in so many seconds
-WORDS = {
-    MemberState.ALIVE: "is present",
-    MemberState.SUSPECT: "is suspected",
-    MemberState.DEAD: "is dead",
-    MemberState.LEFT: "has left",
-}
 
 
 def current_generation() -> int:
     """Return the generation of a process that starts now; it grows with the wall clock."""
-    return max(1, int((time.time() - EPOCH) / GENERATION_UNIT_S)) & 0xFFFFFFFF
+    return max(1, int((time.time() - EPOCH_S) / GENERATION_UNIT_S)) & MAX_GENERATION
 
 
 class MembershipShell:
-    """One node's membership, on the tier's port."""
-
-    def __init__(self, config: Config, me: int, port: Port, seed: int, generation: int = 0) -> None:
-        self.config, self.me, self.port, self.seed = config, me, port, seed
-        self.generation = max(generation, current_generation())  # `generation` is the least that it may be
-        self.loop = asyncio.get_running_loop()
+    """One node's membership, on the socket between nodes."""
+
+    def __init__(
+        self, config: Config, node_id: int, peer_socket: PeerSocket, seed: int, min_generation: int = 0
+    ) -> None:
+        """Register for the datagrams of membership; the protocol runs from `start` on."""
+        self.config = config
+        self.node_id = node_id
+        self.generation = max(min_generation, current_generation())
         self.core: Membership | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.due = float("inf")
-        self.viewed: Callable[[dict[int, int], bool], None] = lambda lives, quorum: None
-        self._lines: dict[MemberState, list[float]] = {}
-        self._unsaid = 0
-        self._refuted_at = -SPAN
-        self._viewed: ViewChanged | None = None
-        self._viewed_at = 0.0  # ms, as `_now`
-        self._changed_at: list[float] = []  # ms, when the state of each member last changed
-        port.register(MEMBERSHIP, self._received, first=True)
-
-    def begin(self) -> None:
-        """Be present from now on: the port has its socket."""
-        count = len(self.port.peers)
-        self.core = Membership(self.config, self.me, count, self.generation, self.seed, self._now())
-        self._viewed_at = self._now()
-        self._changed_at = [self._viewed_at] * count
-        log.info("membership: node %d of %d on %s:%d", self.me, count, *self.port.listen)
+        self.on_view_changed: Callable[[dict[int, int], bool], None] = lambda generations, has_quorum: None
+        self._socket = peer_socket
+        self._seed = seed
+        self._loop = asyncio.get_running_loop()
+        self._timer: asyncio.TimerHandle | None = None
+        self._wakeup_ms = math.inf
+        self._log = ChangeLog()
+        self._view_reason = ""
+        self._view_changed_ms = 0.0
+        self._member_changed_ms: list[float] = []  # when the state of each member last changed
+        peer_socket.register(MEMBERSHIP_KINDS, self._receive, has_priority=True)
+
+    def start(self) -> None:
+        """Take part from now on: the socket is bound."""
+        node_count = len(self._socket.peers)
+        now_ms = _now_ms()
+        self.core = Membership(self.config, self.node_id, node_count, self.generation, self._seed, now_ms)
+        self._view_changed_ms = now_ms
+        self._member_changed_ms = [now_ms] * node_count
+        log.info("membership: node %d of %d on %s:%d", self.node_id, node_count, *self._socket.listen)
         self._handle(Tick())
 
-    def _now(self) -> float:
-        return time.monotonic() * 1000
-
-    def _received(self, node: int, data: bytes) -> None:
-        self._handle(DatagramReceived(node, data))
-
-    def _handle(self, event: Event) -> None:
-        if self.core is None:
-            return
-        for action in self.core.handle(self._now(), event):
-            match action:
-                case SendDatagram():
-                    self.port.send(action.node, action.data)
-                case MemberChanged():
-                    if action.member < len(self._changed_at):  # else it is no longer of the tier
-                        self._changed_at[action.member] = self._now()
-                    self._say(action)
-                case ViewChanged():
-                    self._view(action)
-                case DisagreementChanged():
-                    self._disagreed(action)
-                case SuspicionRefuted():
-                    self._refuted(action)
-        if self.core.next_wakeup_ms < self.due:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.due = self.core.next_wakeup_ms
-            self.timer = self.loop.call_later(max(0.0, self.due - self._now()) / 1000, self._tick)
-
-    def _tick(self) -> None:
-        self.due, self.timer = float("inf"), None
-        self._handle(Tick())
-
-    def _say(self, change: MemberChanged) -> None:
-        """A line for each change, but no flood of them."""
-        now = self.loop.time()
-        lately = [t for t in self._lines.get(change.after, ()) if t > now - SPAN]
-        self._lines[change.after] = lately
-        if len(lately) >= LINES:
-            self._unsaid += 1
-            return
-        lately.append(now)
-        if self._unsaid:
-            log.info("membership: %d more changes", self._unsaid)
-            self._unsaid = 0
-        log.info("membership: node %d %s", change.member, WORDS.get(change.after, change.after.name))
-
-    def _view(self, change: ViewChanged) -> None:
-        """Who is present has changed. Whether this node is of a minority now is worth a line."""
-        before, self._viewed, self._viewed_at = self._viewed, change, self._now()
-        if self.core is not None:  # another room is told of it: who is present in which generation
-            self.viewed(
-                {r.member: r.generation for r in self.core.view.records if r.state in PRESENT_STATES},
-                change.has_quorum,
-            )
-        if before is not None and before.has_quorum != change.has_quorum:
-            words = "more than half again" if change.has_quorum else "a minority now"
-            log.info("membership: %s with %d of %d present (%s)", words,
-                     change.present_count, len(self.port.peers), change.reason)  # fmt: skip
-
-    def _refuted(self, refuted: SuspicionRefuted) -> None:
-        """One line in `SPAN` at most: a node that is often doubted has a bad link, or stands still."""
-        now = self.loop.time()
-        if now >= self._refuted_at + SPAN:
-            self._refuted_at = now
-            held = "dead" if refuted.claimed in (MemberState.DEAD, MemberState.LEFT) else "suspected"
-            log.info("membership: others held this node for %s; it has said that it lives", held)
-
-    def _disagreed(self, change: DisagreementChanged) -> None:
-        """The core says it once, and once when it is over."""
-        if change.is_active:
-            log.warning("membership: views differ for over %.0f s, %.0f%% of the peers heard lately agree",
-                        self.config.disagreement_alert_ms / 1000, 100 * change.agreement_ratio)  # fmt: skip
-        else:
-            log.info("membership: views agree again")
-
-    def moved(self, moved: Moved) -> None:
-        """The port has another list of addresses; this node keeps its number and its own address."""
-        fewer, before = self._changed_at[: moved.count], len(self._changed_at)
-        self._changed_at = fewer + [self._now()] * (moved.count - len(fewer))
-        replaced = moved.replaced - {self.me}
-        log.info("membership: %d nodes by the new list, %d of them others than before",
-                 moved.count, len(replaced) + max(0, moved.count - before))  # fmt: skip
-        self._handle(PeersChanged(moved.count, replaced))
+    def change_peers(self, change: PeerListChange) -> None:
+        """Follow another list of addresses, in which this node has the same number and address."""
+        count_before = len(self._member_changed_ms)
+        kept = self._member_changed_ms[: change.count]
+        self._member_changed_ms = kept + [_now_ms()] * (change.count - len(kept))
+        replaced = change.replaced - {self.node_id}
+        self._log.peers_changed(change.count, len(replaced) + max(0, change.count - count_before))
+        self._handle(PeersChanged(change.count, replaced))
 
     def leave(self) -> None:
-        """Say that this node leaves; it goes on answering until `close`."""
+        """Tell peers that this node leaves; it goes on answering until `close`."""
         self._handle(Leave())
 
     def close(self) -> None:
-        """Fall silent."""
-        if self.timer is not None:
-            self.timer.cancel()
+        """Stop the protocol without a datagram."""
+        if self._timer is not None:
+            self._timer.cancel()
         self.core = None
 
     def stats(self) -> dict[str, object]:
-        """What operators are shown."""
+        """Return the figures that operators are shown."""
         core = self.core
         if core is None:
             return {"present": False}
-        now = self._now()
-        members = []
-        for r in core.view.records:
-            said = core.peer_views.reports.get(r.member)
-            view = None if said is None else f"{said.state_hash:08x}"
-            members.append([r.state.name.lower(), r.generation, r.incarnation,
-                            round(now - self._changed_at[r.member]), view])  # fmt: skip
+        node = core.node
+        view = core.view
         return {
             "present": True,
-            "me": self.me,
-            "nodes": core.node.node_count,
-            "present_nodes": core.view.present_count,
-            "life": core.node.generation,
-            "incarnation": core.node.incarnation,
-            "view": f"{core.view.state_hash:08x}",
-            "view_for_ms": round(now - self._viewed_at),
-            "view_reason": self._viewed.reason if self._viewed is not None else "",
+            "me": self.node_id,
+            "nodes": node.node_count,
+            "present_nodes": view.present_count,
+            "life": node.generation,
+            "incarnation": node.incarnation,
+            "view": f"{view.state_hash:08x}",
+            "view_for_ms": round(_now_ms() - self._view_changed_ms),
+            "view_reason": self._view_reason,
             "agreement": round(core.agreement_ratio(), 3),
             "quorum": core.has_quorum(),
             "health": core.health.score,
             "columns": list(COLUMNS),
-            "members": members,  # by the node's number, the fields in the order of `columns`
-            "counts": dict(core.node.counts) | {"foreign": self.port.counts["foreign"]},
+            "members": [self._member_row(core, record) for record in view.records],  # by number
+            "counts": dict(node.counts) | {"foreign": self._socket.counts["foreign"]},
         }
+
+    def _member_row(self, core: Membership, record: Update) -> list[object]:
+        """Return the fields of a member in the order of `COLUMNS`."""
+        report = core.peer_views.reports.get(record.member)
+        return [
+            record.state.name.lower(),
+            record.generation,
+            record.incarnation,
+            round(_now_ms() - self._member_changed_ms[record.member]),
+            None if report is None else f"{report.state_hash:08x}",
+        ]
+
+    def _receive(self, node: int, data: bytes) -> None:
+        self._handle(DatagramReceived(node, data))
+
+    def _handle(self, event: Event) -> None:
+        if self.core is None:
+            return
+        for action in self.core.handle(_now_ms(), event):
+            self._perform(action, self.core)
+        self._set_timer(self.core.next_wakeup_ms)
+
+    def _perform(self, action: Action, core: Membership) -> None:
+        match action:
+            case SendDatagram():
+                self._socket.send(action.node, action.data)
+            case MemberChanged():
+                if action.member < len(self._member_changed_ms):  # else it was removed from the peer list
+                    self._member_changed_ms[action.member] = _now_ms()
+                self._log.member_changed(action, self._loop.time())
+            case ViewChanged():
+                self._view_reason = action.reason
+                self._view_changed_ms = _now_ms()
+                self.on_view_changed(_generations(core), action.has_quorum)
+                self._log.view_changed(action, len(self._socket.peers))
+            case DisagreementChanged():
+                self._log.disagreement_changed(action, self.config.disagreement_alert_ms)
+            case SuspicionRefuted():
+                self._log.refuted(action, self._loop.time())
+
+    def _set_timer(self, wakeup_ms: float) -> None:
+        """Wake up at a time unless the timer is due sooner."""
+        if wakeup_ms >= self._wakeup_ms:
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+        self._wakeup_ms = wakeup_ms
+        delay_s = max(0.0, wakeup_ms - _now_ms()) / 1000
+        self._timer = self._loop.call_later(delay_s, self._tick)
+
+    def _tick(self) -> None:
+        self._wakeup_ms = math.inf
+        self._timer = None
+        self._handle(Tick())
+
+
+def _now_ms() -> float:
+    return time.monotonic() * 1000
+
+
+def _generations(core: Membership) -> dict[int, int]:
+    """Return the generations of the present members."""
+    return {r.member: r.generation for r in core.view.records if r.state in PRESENT_STATES}
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -21,7 +21,7 @@
 from balancer.net.config import Address, ConfigError, address, address_at
 
 if TYPE_CHECKING:
-    from balancer.membership.port import Port
+    from balancer.membership.peer_socket import PeerSocket
     from balancer.membership.shell import MembershipShell
     from balancer.net.keeping import Keeping
     from balancer.net.node import Node, Watcher
@@ -127,7 +127,7 @@
             from balancer.net.keeping import Keeping
 
             self.keeping = Keeping(Path(table.durable.directory), held.name)
-        self.port: Port | None = None
+        self.port: PeerSocket | None = None
         self.membership: MembershipShell | None = None
         self.returning: Returning | None = None
         self._returns = table.recovery is not None
@@ -137,12 +137,12 @@
             me = held.settings.me
             _numbered(me, peers)
             from balancer.membership.config import Config as MembershipConfig
-            from balancer.membership.port import Port
+            from balancer.membership.peer_socket import PeerSocket
             from balancer.membership.shell import MembershipShell
 
             times = MembershipConfig.with_probe_interval(table.membership.period_ms)
             least = self.keeping.kept.life + 1 if self.keeping is not None else 1
-            self.port = Port(listen, peers, everybody)
+            self.port = PeerSocket(listen, peers, everybody)
             self.membership = MembershipShell(times, me, self.port, held.seed, least)
 
     def steer(self, node: Node, watcher: Watcher, known: config.News) -> Watcher:
@@ -156,7 +156,7 @@
 
         disk = self.keeping.durable if self.keeping is not None else None
         self.returning = Returning(node, watcher, known, self.port, self.membership.generation, disk)
-        self.membership.viewed = self.returning.shell.members
+        self.membership.on_view_changed = self.returning.shell.members
         return self.returning
 
     async def returned(self, beside: bool) -> None:
@@ -237,27 +237,29 @@
         if port is None or shell is None:
             return lambda: None
         listen, peers, everybody = _peers(config.read(env))
-        if new.settings.me != shell.me:
-            raise FixedError(f"settings: me cannot change from {shell.me} to {new.settings.me} in one life")
-        _numbered(shell.me, peers)
+        if new.settings.me != shell.node_id:
+            raise FixedError(
+                f"settings: me cannot change from {shell.node_id} to {new.settings.me} in one life"
+            )
+        _numbered(shell.node_id, peers)
         if listen != port.listen:
             raise FixedError("peer_listen cannot change in one life")
         return partial(self._move, port, peers, everybody)
 
-    def _move(self, port: Port, peers: list[Address], everybody: Address) -> None:
-        if (moved := port.move(peers, everybody)) is not None and self.membership is not None:
-            self.membership.moved(moved)
+    def _move(self, port: PeerSocket, peers: list[Address], everybody: Address) -> None:
+        if (moved := port.change_peers(peers, everybody)) is not None and self.membership is not None:
+            self.membership.change_peers(moved)
             if self.returning is not None:
                 self.returning.shell.moved(moved)
 
-    async def _open(self, port: Port) -> None:
+    async def _open(self, port: PeerSocket) -> None:
         try:
             await port.bind()
         except BalancerError as err:  # the node serves without: alone, as without the file
             log.warning("membership: %s; the node goes on alone", err.line)
             return
         if self.membership is not None:
-            self.membership.begin()
+            self.membership.start()
 
     def leave(self) -> None:
         """The node ends, and nobody takes its place."""
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -17,7 +17,7 @@
 from balancer.durable.records import Kept
 from balancer.durable.shell import Durable
 from balancer.errors import BalancerError
-from balancer.membership.port import Port
+from balancer.membership.peer_socket import PeerSocket
 from balancer.net import handover
 from balancer.net.config import Member, News
 from balancer.net.figures import End
@@ -43,7 +43,7 @@
     """The return of one process of a node; to the module it is what brings the list."""
 
     def __init__(
-        self, node: Node, watcher: Watcher, known: News, port: Port, life: int, disk: Durable | None
+        self, node: Node, watcher: Watcher, known: News, port: PeerSocket, life: int, disk: Durable | None
     ) -> None:
         self.node, self.watcher, self.disk = node, watcher, disk
         self.kept = disk.kept if disk is not None else Kept()
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -16,7 +16,7 @@
 from balancer.durable.records import Back, Flag, Flagged, Kept, Out, stamp
 from balancer.durable.shell import Durable
 from balancer.errors import BalancerError
-from balancer.membership.port import RECOVERY, Moved, Port
+from balancer.membership.peer_socket import RECOVERY_KINDS, PeerListChange, PeerSocket
 from balancer.recovery import events
 from balancer.recovery.core import Config, Recovery
 from balancer.recovery.earlier import calls
@@ -80,7 +80,14 @@
     """The room of one process of a node."""
 
     def __init__(
-        self, config: Config, me: int, life: int, seed: int, port: Port, node: Steered, disk: Durable | None
+        self,
+        config: Config,
+        me: int,
+        life: int,
+        seed: int,
+        port: PeerSocket,
+        node: Steered,
+        disk: Durable | None,
     ) -> None:
         self.config, self.port, self.node, self.disk = config, port, node, disk
         self.loop = asyncio.get_running_loop()
@@ -97,7 +104,7 @@
         self._words: asyncio.Queue[tuple[events.Apply, Call | None]] = asyncio.Queue()
         self._follower = self.loop.create_task(self._follow())
         self._syncing: set[asyncio.Task[None]] = set()
-        port.register(RECOVERY, lambda source, data: self.tell(events.Received(source, data)))
+        port.register(RECOVERY_KINDS, lambda source, data: self.tell(events.Received(source, data)))
 
     # --- the start
 
@@ -163,7 +170,7 @@
         """Who is present, by the membership."""
         self.tell(events.Members(lives, quorum))
 
-    def moved(self, moved: Moved) -> None:
+    def moved(self, moved: PeerListChange) -> None:
         """The port has another list of addresses."""
         self.tell(events.Peers(moved.count, moved.replaced))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,7 +26,7 @@
 from balancer.lab.spec import load
 from balancer.membership.config import Config
 from balancer.membership.messages import Message, MessageKind, encode
-from balancer.membership.port import MOST, RECOVERY, Port
+from balancer.membership.peer_socket import MAX_DATAGRAMS_PER_S, RECOVERY_KINDS, PeerSocket
 from balancer.membership.shell import MembershipShell
 from balancer.net import config
 from balancer.net.config import Address, ConfigError
@@ -196,24 +196,24 @@
     await happens(same)
 
 
-Present = tuple[Port, MembershipShell]
+Present = tuple[PeerSocket, MembershipShell]
 
 
 async def present(node: int, listen: Address, peers: list[Address], seed: int) -> Present:
     """A node that is present, with quick times."""
     quick = Config.with_probe_interval(70.0)
-    port = Port(listen, peers, listen)
+    port = PeerSocket(listen, peers, listen)
     shell = MembershipShell(quick, node, port, seed)
     await port.bind()
-    shell.begin()
+    shell.start()
     return port, shell
 
 
 def move(one: Present, peers: list[Address]) -> None:
     """Give it another list."""
-    moved = one[0].move(peers, one[0].everybody)
+    moved = one[0].change_peers(peers, one[0].broadcast_address)
     assert moved is not None
-    one[1].moved(moved)
+    one[1].change_peers(moved)
 
 
 def close(one: Present) -> None:
@@ -249,16 +249,16 @@
     async def body() -> None:
         block = Block(2, 1)
         peers = [block.places.peer(node) for node in range(2)]
-        here, there = Port(peers[0], peers, peers[1]), Port(peers[1], peers, peers[0])
+        here, there = PeerSocket(peers[0], peers, peers[1]), PeerSocket(peers[1], peers, peers[0])
         foreign = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         got: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
         ping = encode(Message(MessageKind.PING, 0, 1, 1, 1, 0))
-        roll = ping[:5] + bytes([RECOVERY[0]]) + ping[6:]
-        later = ping[:5] + bytes([RECOVERY.stop]) + ping[6:]
+        roll = ping[:5] + bytes([RECOVERY_KINDS[0]]) + ping[6:]
+        later = ping[:5] + bytes([RECOVERY_KINDS.stop]) + ping[6:]
         for port in (here, there):
-            port.register(range(16), lambda node, data: got.put_nowait((node, data)), first=True)
-        here.register(RECOVERY, lambda node, data: None)
-        here.register(range(RECOVERY.stop, RECOVERY.stop + 1), lambda node, data: None)
+            port.register(range(16), lambda node, data: got.put_nowait((node, data)), has_priority=True)
+        here.register(RECOVERY_KINDS, lambda node, data: None)
+        here.register(range(RECOVERY_KINDS.stop, RECOVERY_KINDS.stop + 1), lambda node, data: None)
         try:
             await here.bind()
             await there.bind()
@@ -268,9 +268,12 @@
             here.send(1, ping)
             assert await asyncio.wait_for(got.get(), 20) == (0, ping)
             assert there.stats()["foreign"] == 1 and there.stats()["unknown"] == 2
-            for _ in range(2 * int(MOST)):
+            for _ in range(2 * int(MAX_DATAGRAMS_PER_S)):
                 here.send(1, roll)
-            assert here.stats()["sent"] < 0.6 * MOST and here.stats()["over_budget"] > MOST
+            assert (
+                here.stats()["sent"] < 0.6 * MAX_DATAGRAMS_PER_S
+                and here.stats()["over_budget"] > MAX_DATAGRAMS_PER_S
+            )
             here.send(None, ping)
             assert await asyncio.wait_for(got.get(), 20) == (0, ping)
         finally:
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -10,7 +10,7 @@
 import pytest
 
 from balancer import interface as api
-from balancer.membership.port import Port
+from balancer.membership.peer_socket import PeerSocket
 from balancer.net.config import News
 from balancer.net.node import Node
 from balancer.net.returning import Returning
@@ -56,7 +56,7 @@
         settings=BASE, config=SimpleNamespace(seed=1), now=lambda: 1000.0, list=take, event=lambda event: None
     )
     watcher = Watcher()
-    out = Returning(cast(Node, one), watcher, news(41, *names), Port(HERE, [HERE], HERE), 1, None)
+    out = Returning(cast(Node, one), watcher, news(41, *names), PeerSocket(HERE, [HERE], HERE), 1, None)
     try:
         yield out, watcher, told
     finally:
