--- a/balancer/lab/scale/returns.py
+++ b/balancer/lab/scale/returns.py
@@ -22,12 +22,12 @@
 from balancer.recovery.phases import Phase
 from balancer.recovery.register import Row
 from balancer.recovery.turns import Turns
-from balancer.sim.agenda import Agenda
-from balancer.sim.members import GENERATION_UNIT_MS, Net
+from balancer.sim.members import GENERATION_UNIT_MS, Network
 from balancer.sim.recovery_disks import Condition
 from balancer.sim.recovery_outside import Discovery
 from balancer.sim.recovery_schedule import BACKENDS
 from balancer.sim.recovery_world import DAY_MS, Tier
+from balancer.sim.scheduler import EventScheduler
 
 ROLE = "recovery"
 DARK_MS, SPREAD_MS = 1_000.0, 2_000.0  # from the cut until power is back; over which nodes start then
@@ -43,7 +43,7 @@
     """A tier whose nodes all have sound disks of a moment ago, and start as power comes back."""
 
     def __init__(self, count: int, seed: int, config: Config) -> None:
-        super().__init__(count, seed, Net(loss=LOSS), config, Recovery, BACKENDS)
+        super().__init__(count, seed, Network(loss_rate=LOSS), config, Recovery, BACKENDS)
         self.meter = Meter()
         life = int(self.now / GENERATION_UNIT_MS)
         ban = Row(BACKENDS[0], 0, life, 1, True, self.now)
@@ -117,7 +117,7 @@
         yield of.machine("turns_plan", "ms", took)
 
 
-class Restarted(Agenda):
+class Restarted(EventScheduler):
     """One node that comes back alone into a tier of hollow peers that went on, FULL, each seeing all."""
 
     def __init__(self, count: int, seed: int) -> None:
@@ -132,7 +132,7 @@
         """Run until it is FULL and has been told the list, or the longest time is over."""
         while self.now < MOST_MS and max(self.full, self.told) == math.inf:
             self.at(min(self.core.due, MOST_MS), partial(self._give, room.Tick()))
-            self.run(self.queue[0][0])
+            self.run(self.next_event)
 
     def _give(self, event: room.Event) -> None:
         for action in self.core.handle(self.now, event):
--- a/balancer/lab/scale/tiers.py
+++ b/balancer/lab/scale/tiers.py
@@ -33,7 +33,7 @@
     encode,
 )
 from balancer.membership.view import View
-from balancer.sim.members import GENERATION_UNIT_MS, Net, World
+from balancer.sim.members import GENERATION_UNIT_MS, Network, World
 
 ROLE = "membership"
 LOSS = 0.01
@@ -68,8 +68,8 @@
 class Metered(World):
     """A tier that counts what its nodes receive and the processor time of their cores."""
 
-    def __init__(self, count: int, seed: int, net: Net) -> None:
-        super().__init__(count, seed, net=net)
+    def __init__(self, count: int, seed: int, network: Network) -> None:
+        super().__init__(count, seed, network=network)
         self.meter, self.core_ns = Meter(), 0
 
     def start_agreed(self) -> None:
@@ -83,7 +83,7 @@
             )
             host.core.handle(self.now, Tick())
             host.core.adopt_view(view.copy())
-            self._plan(node, host.core.next_wakeup_ms)
+            self._schedule_tick(node, host.core.next_wakeup_ms)
 
     @property
     def core_us(self) -> float:
@@ -93,7 +93,7 @@
     def measure(self) -> None:
         """Count from here on."""
         self.meter, self.core_ns = Meter(), 0
-        self.sent.clear()
+        self.sent_by_node.clear()
 
     def _handle(self, node: int, event: Event) -> None:
         if (core := self.hosts[node].core) is None:
@@ -102,8 +102,8 @@
         actions = core.handle(self.now + self.hosts[node].shift, event)
         self.core_ns += time.thread_time_ns() - begun
         for action in actions:
-            self._act(node, action)
-        self._plan(node, core.next_wakeup_ms)
+            self._perform(node, action)
+        self._schedule_tick(node, core.next_wakeup_ms)
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
         if self.hosts[target].core is not None:
@@ -124,7 +124,7 @@
 
 def tier(count: int, seed: int) -> Metered:
     """A tier that agrees, at the usual loss, whose first updates are told."""
-    world = Metered(count, seed, Net(loss=LOSS))
+    world = Metered(count, seed, Network(loss_rate=LOSS))
     world.start_agreed()
     world.run(world.now + WARM_MS)
     world.measure()
@@ -175,7 +175,7 @@
     yield of.counted(f"{when}_datagrams", "datagrams/s", meter.datagrams * share)
     yield of.counted(f"{when}_bytes", "bytes/s", meter.size * share)
     yield of.counted(f"{when}_worst_second", "bytes/s", _worst(world))
-    yield of.counted(f"{when}_sent", "datagrams/s", sum(world.sent.values()) * share)
+    yield of.counted(f"{when}_sent", "datagrams/s", sum(world.sent_by_node.values()) * share)
     yield of.machine(f"{when}_processor", "us", world.core_us / seconds)
 
 
@@ -188,11 +188,11 @@
 def cold_start(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
     """All come up within one moment and know nobody."""
     for count in sizes:
-        world, of = Metered(count, seed, Net(loss=LOSS)), Figures(ROLE, count)
+        world, of = Metered(count, seed, Network(loss_rate=LOSS)), Figures(ROLE, count)
         begun = time.thread_time()
         for node in range(count):
             world.start(node)
-        took = world.settle(MOST_MS, STEP_MS)
+        took = world.run_until_converged(MOST_MS, STEP_MS)
         whole = time.thread_time() - begun
         meter = world.meter
         yield from of.took("cold_start_time", took)
@@ -213,7 +213,7 @@
     took = []
     for node in range(DEATHS):
         world.kill(node)
-        took.append(world.settle(MOST_MS, STEP_MS))
+        took.append(world.run_until_converged(MOST_MS, STEP_MS))
     yield from of.took("death_time", statistics.median(took))
     yield of.counted("death_worst_second", "bytes/s", _worst(world))
 
@@ -221,7 +221,7 @@
 def _rack(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
     for node in range(max(1, min(RACK_MACHINES, world.count // RACK_PART))):
         world.kill(node)
-    took = world.settle(MOST_MS, STEP_MS)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     yield from of.took("rack_time", took)
     yield of.counted("rack_worst_second", "bytes/s", _worst(world))
 
@@ -233,7 +233,7 @@
     world.run(world.now + AFTER_MS)
     for node in gone:
         world.start(node)
-    took = world.settle(MOST_MS, STEP_MS)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     yield from of.took("tenth_time", took)
     yield of.counted("tenth_worst_second", "bytes/s", _worst(world))
 
@@ -241,7 +241,7 @@
 def _region(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
     far = world.count // REGIONS
     sides = (range(far), range(far, world.count))
-    world.net.cut = lambda source, target: (source < far) != (target < far)
+    world.network.is_cut = lambda source, target: (source < far) != (target < far)
     begun = world.now
     while not _sides_agree(world, sides) and world.now < begun + MOST_MS:
         world.run(world.now + STEP_MS)
@@ -249,9 +249,9 @@
     yield from of.took("cut_time", apart)
     yield of.counted("cut_worst_second", "bytes/s", _worst(world))
     yield of.machine("cut_processor", "us", world.core_us)
-    world.net.cut = lambda source, target: False
+    world.network.is_cut = lambda source, target: False
     world.measure()
-    took = world.settle(MOST_MS, STEP_MS)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     yield from of.took("heal_time", took)
     yield of.counted("heal_bytes", "bytes", world.meter.size / world.count)
     yield of.counted("heal_worst_second", "bytes/s", _worst(world))
--- a/balancer/sim/members.py
+++ b/balancer/sim/members.py
@@ -1,12 +1,13 @@
-"""A tier's memberships in one process: virtual time, a network that loses and delays, nodes that die and
-stall.
+"""A tier of membership protocols in one process, under virtual time.
 
-Nothing here decides anything: it moves the datagrams of the very cores that `run` uses. All randomness comes
-from the seed, one stream a part; two worlds of one seed do the same.
+Simulated are the network, which loses, delays, repeats and corrupts datagrams, and nodes that die and stall.
+The protocol is the very one that real nodes run. All randomness comes from the seed, one stream for the
+network and one for the nodes; two simulations of one seed are equal.
 """
 
 from __future__ import annotations
 
+import math
 import random
 from collections import Counter
 from collections.abc import Callable
@@ -25,167 +26,194 @@
     Tick,
 )
 from balancer.membership.messages import MemberState
-from balancer.sim.agenda import Agenda
+from balancer.sim.scheduler import EventScheduler
 
-ROUNDING = 1e-6  # ms later than due a tick comes: between two clocks it must not be early by a rounding
-GENERATION_UNIT_MS = 256.0  # ms of the start's time that one generation number stands for
+CLOCK_ROUNDING_MS = 1e-6  # added to a tick, so that rounding between two clocks does not make it early
+GENERATION_UNIT_MS = 256.0
+LATE_MS = 10_000.0  # the longest delay of a late datagram
+START_MS = 1e6
 
 
 @dataclass
-class Net:
-    """The way between nodes; shares of datagrams, times in ms."""
+class Network:
+    """The network between nodes; rates are shares of datagrams."""
 
-    least: float = 4.0
-    most: float = 40.0
-    loss: float = 0.0
-    duplicate: float = 0.0
-    late: float = 0.0  # of those that come up to ten seconds late
-    corrupt: float = 0.0
-    cut: Callable[[int, int], bool] = lambda source, target: False  # one way
+    min_delay_ms: float = 4.0
+    max_delay_ms: float = 40.0
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
+    late_rate: float = 0.0
+    corrupt_rate: float = 0.0
+    is_cut: Callable[[int, int], bool] = lambda source, target: False  # in one direction
 
 
 @dataclass
 class Host:
-    """One node: its core while it lives, and whether it stands still."""
+    """A machine and its process, if one runs."""
 
     core: Membership | None = None
-    number: int = 0  # of its generation, for what is still under way to an earlier one
+    number: int = 0  # of its processes so far: what was scheduled for an earlier one is ignored
     stalled_until: float = 0.0
-    inbox: list[tuple[int, bytes]] = field(default_factory=list)
-    tick_at: float = float("inf")
-    shift: float = 0.0  # of its monotonic clock against the world's: no core may compare two nodes' clocks
+    inbox: list[tuple[int, bytes]] = field(default_factory=list)  # sources and datagrams, while it stalls
+    next_tick: float = math.inf
+    shift: float = 0.0  # of its monotonic clock against virtual time
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
-    """What one node came to think of another."""
+class Observation:
+    """A change in one node's view, at a virtual time."""
 
     at: float
     node: int
     change: MemberChanged
 
 
-class World(Agenda):
-    """`count` nodes; `at` plans what happens, `run` lets it."""
+class World(EventScheduler):
+    """A tier of `count` nodes and its network; all times are virtual, in ms."""
 
-    def __init__(self, count: int, seed: int, config: Config | None = None, net: Net | None = None) -> None:
-        self.count, self.config, self.net = count, config or Config(), net or Net()
-        super().__init__(1e6)
-        self.random, self.seeds = random.Random(f"net {seed}"), random.Random(f"nodes {seed}")
+    def __init__(
+        self, count: int, seed: int, config: Config | None = None, network: Network | None = None
+    ) -> None:
+        """Create hosts of which none runs a process."""
+        super().__init__(START_MS)
+        self.count = count
+        self.config = config or Config()
+        self.network = network or Network()
+        self.random = random.Random(f"net {seed}")
+        self.seeds = random.Random(f"nodes {seed}")
         self.hosts = [Host() for _ in range(count)]
-        self.seen: list[Seen] = []
-        self.sent: Counter[int] = Counter()  # datagrams by node; one to all counts once
+        self.observations: list[Observation] = []
+        self.sent_by_node: Counter[int] = Counter()  # datagrams; a broadcast counts once
+        self.sent_by_second: Counter[int] = Counter()
         self.delivered = 0
-        self.per_second: Counter[int] = Counter()
 
     def start(self, node: int, generation: int | None = None) -> None:
-        """A node comes up with a new generation, by the time unless another is given."""
+        """Start a process, whose generation follows from the time unless it is given."""
         host = self.hosts[node]
         host.number += 1
-        host.stalled_until, host.inbox, host.tick_at = 0.0, [], float("inf")
-        generation = int(self.now / GENERATION_UNIT_MS) if generation is None else generation
+        host.stalled_until = 0.0
+        host.inbox = []
+        host.next_tick = math.inf
+        if generation is None:
+            generation = int(self.now / GENERATION_UNIT_MS)
         seed = self.seeds.getrandbits(64)
         host.core = Membership(self.config, node, self.count, generation, seed, self.now + host.shift)
         self._handle(node, Tick())
 
     def kill(self, node: int) -> None:
-        """It is gone without a word."""
+        """End a process without a datagram."""
         self.hosts[node].core = None
 
-    def leave(self, node: int, then: float = 800.0) -> None:
-        """It says that it leaves, and ends a little later."""
+    def leave(self, node: int, shutdown: float = 800.0) -> None:
+        """Shut a process down gracefully; it ends `shutdown` ms later."""
         self._handle(node, Leave())
-        self.at(self.now + then, partial(self.kill, node))
-
-    def stall(self, node: int, wait: float) -> None:
-        """It stands still; what comes meanwhile waits in its socket."""
-        self.hosts[node].stalled_until = self.now + wait
-        self.at(self.now + wait, partial(self._wake, node, self.hosts[node].number))
-
-    def alive(self) -> list[int]:
-        """The nodes that live."""
-        return [i for i, h in enumerate(self.hosts) if h.core is not None]
-
-    def agreed(self) -> bool:
-        """Whether every node that lives holds just those that live for present, and the same lives."""
-        cores = [h.core for h in self.hosts if h.core is not None]
-        views = {(c.view.state_hash, c.view.present_count) for c in cores}
-        return len(views) == 1 and cores[0].present_members() == self.alive()
-
-    def settle(self, most: float, step: float = 50.0) -> float:
-        """Run until all agree; the ms it took, infinity if it took longer than `most`."""
-        begun = self.now
-        while self.now < begun + most:
-            self.run(self.now + step)
-            if self.agreed():
-                return self.now - begun
-        return float("inf")
-
-    def deaths(self, since: float = 0.0) -> list[Seen]:
-        """Each time that a node came to hold another for dead."""
-        return [s for s in self.seen if s.at >= since and s.change.after is MemberState.DEAD]
-
-    # --- what moves
+        self.at(self.now + shutdown, partial(self.kill, node))
 
-    def _wake(self, node: int, number: int) -> None:
+    def stall(self, node: int, duration: float) -> None:
+        """Stall a process; what arrives meanwhile waits in its socket."""
+        host = self.hosts[node]
+        host.stalled_until = self.now + duration
+        self.at(self.now + duration, partial(self._resume, node, host.number))
+
+    def running_nodes(self) -> list[int]:
+        """Return the nodes whose processes run."""
+        return [node for node, host in enumerate(self.hosts) if host.core is not None]
+
+    def has_converged(self) -> bool:
+        """Return whether all running nodes have the same view: just the running ones are present."""
+        cores = [host.core for host in self.hosts if host.core is not None]
+        views = {(core.view.state_hash, core.view.present_count) for core in cores}
+        return len(views) == 1 and cores[0].present_members() == self.running_nodes()
+
+    def run_until_converged(self, timeout: float, step: float = 50.0) -> float:
+        """Return the ms that convergence took; infinity if it took longer than `timeout`."""
+        begin = self.now
+        while self.now < begin + timeout:
+            self.run(self.now + step)
+            if self.has_converged():
+                return self.now - begin
+        return math.inf
+
+    def deaths_declared(self, since: float = 0.0) -> list[Observation]:
+        """Return each time at which a node came to hold another for dead."""
+        return [
+            observation
+            for observation in self.observations
+            if observation.at >= since and observation.change.after is MemberState.DEAD
+        ]
+
+    def _resume(self, node: int, number: int) -> None:
         host = self.hosts[node]
-        if host.core is None or host.number != number or host.stalled_until > self.now:
+        if not self._is_responsive(host, number):
             return
-        inbox, host.inbox = host.inbox, []
-        for source, data in inbox:  # the socket is read before timers run, as an event loop does
+        inbox = host.inbox
+        host.inbox = []
+        for source, data in inbox:  # an event loop reads sockets before it runs timers
             self._handle(node, DatagramReceived(source, data))
         self._handle(node, Tick())
 
     def _tick(self, node: int, number: int) -> None:
         host = self.hosts[node]
-        if host.core is None or host.number != number or host.stalled_until > self.now:
-            return
-        if host.tick_at <= self.now:
-            host.tick_at = float("inf")
+        if self._is_responsive(host, number) and host.next_tick <= self.now:
+            host.next_tick = math.inf
             self._handle(node, Tick())
 
+    def _is_responsive(self, host: Host, number: int) -> bool:
+        return host.core is not None and host.number == number and host.stalled_until <= self.now
+
     def _handle(self, node: int, event: Event) -> None:
         host = self.hosts[node]
         if host.core is None:
             return
         for action in host.core.handle(self.now + host.shift, event):
-            self._act(node, action)
-        self._plan(node, host.core.next_wakeup_ms)
-
-    def _act(self, node: int, action: Action) -> None:
-        if isinstance(action, MemberChanged):
-            self.seen.append(Seen(self.now, node, action))
-        if isinstance(action, SendDatagram):
-            self._tell(node, action.node, action.data)
-
-    def _plan(self, node: int, due: float) -> None:
-        """A tick at `due` by the node's own clock, if none comes sooner."""
+            self._perform(node, action)
+        self._schedule_tick(node, host.core.next_wakeup_ms)
+
+    def _perform(self, node: int, action: Action) -> None:
+        match action:
+            case MemberChanged():
+                self.observations.append(Observation(self.now, node, action))
+            case SendDatagram():
+                self._transmit(node, action.node, action.data)
+
+    def _schedule_tick(self, node: int, due: float) -> None:
+        """Schedule a tick at a time of the node's own clock, unless one is due sooner."""
         host = self.hosts[node]
-        due -= host.shift - ROUNDING
-        if due < host.tick_at:
-            host.tick_at = due
+        due -= host.shift - CLOCK_ROUNDING_MS
+        if due < host.next_tick:
+            host.next_tick = due
             self.at(max(due, self.now), partial(self._tick, node, host.number))
 
-    def _tell(self, node: int, to: int | None, data: bytes) -> None:
-        """To one, or to all where `to` is None."""
-        self.sent[node] += 1
-        self.per_second[int(self.now / 1000)] += 1
-        for target in range(self.count) if to is None else (to,):
-            if target != node:
-                self._send(node, target, data)
+    def _transmit(self, node: int, target: int | None, data: bytes) -> None:
+        """Send a datagram to one node, or to all others where `target` is None."""
+        self.sent_by_node[node] += 1
+        self.sent_by_second[int(self.now / 1000)] += 1
+        for receiver in range(self.count) if target is None else (target,):
+            if receiver != node:
+                self._send(node, receiver, data)
 
     def _send(self, source: int, target: int, data: bytes) -> None:
-        net, dice = self.net, self.random
-        if net.cut(source, target) or (net.loss and dice.random() < net.loss):
+        network = self.network
+        if network.is_cut(source, target) or self._draw(network.loss_rate):
             return
-        if net.corrupt and dice.random() < net.corrupt:
-            spot = dice.randrange(len(data))
-            data = data[:spot] + bytes([data[spot] ^ 1 << dice.randrange(8)]) + data[spot + 1 :]
-        for _ in range(2 if net.duplicate and dice.random() < net.duplicate else 1):
-            wait = dice.uniform(net.least, net.most)
-            if net.late and dice.random() < net.late:
-                wait = dice.uniform(0, 10_000)
-            self.at(self.now + wait, partial(self._arrive, source, target, data))
+        if self._draw(network.corrupt_rate):
+            data = self._corrupted(data)
+        copies = 2 if self._draw(network.duplicate_rate) else 1
+        for _ in range(copies):
+            delay = self.random.uniform(network.min_delay_ms, network.max_delay_ms)
+            if self._draw(network.late_rate):
+                delay = self.random.uniform(0, LATE_MS)
+            self.at(self.now + delay, partial(self._arrive, source, target, data))
+
+    def _draw(self, rate: float) -> bool:
+        """Return True with a probability; a rate of 0 draws no random number."""
+        return rate > 0 and self.random.random() < rate
+
+    def _corrupted(self, data: bytes) -> bytes:
+        """Return a datagram with one bit flipped."""
+        index = self.random.randrange(len(data))
+        bit = 1 << self.random.randrange(8)
+        return data[:index] + bytes([data[index] ^ bit]) + data[index + 1 :]
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
         host = self.hosts[target]
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -77,7 +77,7 @@
 
     def __init__(self, tier: Tier, learn_ms: float) -> None:
         self.tier, self.learn_ms = tier, learn_ms
-        self.lossy = bool(tier.net.loss or tier.net.late or tier.net.corrupt)
+        self.lossy = bool(tier.network.loss_rate or tier.network.late_rate or tier.network.corrupt_rate)
         self.breaches: list[Breach] = []
         self.bans: list[Ban] = []
         self.floors: list[dict[Key, Row]] = [{} for _ in range(tier.count)]
--- a/balancer/sim/recovery_schedule.py
+++ b/balancer/sim/recovery_schedule.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from balancer.recovery.core import Config, Recovery
-from balancer.sim.members import Net
+from balancer.sim.members import Network
 from balancer.sim.recovery_disks import Condition
 from balancer.sim.recovery_observer import Breach, Observer
 from balancer.sim.recovery_world import Make, Partition, Tier
@@ -237,10 +237,10 @@
 def play(schedule: Schedule, make: Make = Recovery) -> Played:
     """Let a schedule happen; stops soon after the last fault where all is well."""
     config = Config(window=schedule.window, slot=schedule.slot)
-    net = Net(loss=schedule.loss, duplicate=schedule.duplicate, late=schedule.late)
+    network = Network(loss_rate=schedule.loss, duplicate_rate=schedule.duplicate, late_rate=schedule.late)
     begun = 1e6
     parted = tuple(Partition(begun + a, begun + b, side) for a, b, side in schedule.partitions)
-    tier = Tier(schedule.count, schedule.seed, net, config, make, BACKENDS, parted)
+    tier = Tier(schedule.count, schedule.seed, network, config, make, BACKENDS, parted)
     tier.discovery.serve_ms, tier.sync_fails = schedule.serve_ms, schedule.sync_fails
     tier.discovery.down = tuple((begun + a, begun + b) for a, b in schedule.down)
     tier.wall_ms = schedule.wall_ms
@@ -258,7 +258,7 @@
     if not observer.breaches:
         observer.judge_end()
     budget = max(backend.worst for backend in tier.backends.values())
-    datagrams, calls = tier.per_second, tier.discovery.per_second
+    datagrams, calls = tier.sent_by_second, tier.discovery.per_second
     return Played(schedule, observer.breaches, tier.log, begun, full, datagrams, calls, observer.yes, budget)
 
 
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -21,7 +21,7 @@
 from balancer.recovery.messages import FIRST_KIND
 from balancer.recovery.phases import Path, Phase
 from balancer.recovery.register import Row
-from balancer.sim.members import GENERATION_UNIT_MS, Net, World
+from balancer.sim.members import GENERATION_UNIT_MS, Network, World
 from balancer.sim.recovery_disks import Condition, Disk, Found
 from balancer.sim.recovery_outside import Backend, Discovery
 
@@ -108,12 +108,12 @@
 class Tier(World):
     """`count` nodes with disks; `start`, `kill`, `cut`, `call` and the like are the schedule's."""
 
-    def __init__(self, count: int, seed: int, net: Net, config: Config, make: Make,
+    def __init__(self, count: int, seed: int, network: Network, config: Config, make: Make,
                  backends: tuple[str, ...], partitions: tuple[Partition, ...] = (),
                  write_ms: tuple[float, float] = (1.0, 30.0)) -> None:  # fmt: skip
-        super().__init__(count, seed, net=net)
+        super().__init__(count, seed, network=network)
         self.room_config, self.make, self.partitions, self.write_ms = config, make, partitions, write_ms
-        self.net.cut = self._parted
+        self.network.is_cut = self._parted
         self.dice = random.Random(f"tier {seed}")
         self.disks = [Disk() for _ in range(count)]
         self.processes: list[Process | None] = [None] * count
@@ -240,7 +240,7 @@
         self.handled = event.token if isinstance(event, room.Called | room.Synced) else 0
         for action in process.core.handle(self.now + self.hosts[node].shift, event):
             self._do(node, process, action)
-        self._plan(node, process.core.due)
+        self._schedule_tick(node, process.core.due)
 
     # --- what moves
 
@@ -289,8 +289,8 @@
         if isinstance(event, membership.Tick):
             self.tell(node, room.Tick())
 
-    def _act(self, node: int, action: membership.Action) -> None:
-        super()._act(node, action)
+    def _perform(self, node: int, action: membership.Action) -> None:
+        super()._perform(node, action)
         if isinstance(action, membership.ViewChanged):
             self._members(node)
 
@@ -305,7 +305,7 @@
         match action:
             case room.Tell():
                 self.room_sent[int(self.now / 1000)] += 1
-                self._tell(node, action.node, action.data)
+                self._transmit(node, action.node, action.data)
             case room.Keep():
                 process.writing[action.token] += 1
                 self._write(node, number, action)
--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -24,7 +24,7 @@
 from balancer.lab.spec import Experiment
 from balancer.lab.streams import stream
 from balancer.policy import Balancer
-from balancer.sim.agenda import Agenda
+from balancer.sim.scheduler import EventScheduler
 
 DEMAND = 0.8  # of a node's share that follows what it was asked for; the rest is the same for all
 MARGIN = 10.0  # ms before its client's limit at which a node answers at the latest
@@ -128,7 +128,7 @@
     idle: Counter[str] = field(default_factory=Counter)  # connections to each backend
 
 
-class World(Agenda):
+class World(EventScheduler):
     """All nodes, backends and clients of an experiment, in ms since its begin."""
 
     def __init__(self, spec: Experiment, seed: int, cut: Cut, room: bool) -> None:
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -121,8 +121,10 @@
 
 def membership(seed: int) -> Iterator[str]:
     """Yield each datagram of a tier whose nodes die, stall, leave and come back, in order."""
-    lossy = members.Net(loss=0.1, duplicate=0.05, late=0.02, corrupt=0.01)
-    world = members.World(5 + 4 * (seed % 5), seed, MembershipConfig(), members.Net() if seed % 2 else lossy)
+    lossy = members.Network(loss_rate=0.1, duplicate_rate=0.05, late_rate=0.02, corrupt_rate=0.01)
+    world = members.World(
+        5 + 4 * (seed % 5), seed, MembershipConfig(), members.Network() if seed % 2 else lossy
+    )
     sent: list[str] = []
     original = members.World._send
 
@@ -138,12 +140,13 @@
         world.at(begin + 7_000, partial(world.stall, 2, 2_500.0))
         world.at(begin + 9_000, partial(world.leave, 3))
         world.at(begin + 12_000, partial(world.start, 1))
-        world.at(begin + 13_000, partial(setattr, world.net, "cut", lambda a, b: (a < 2) != (b < 2)))
-        world.at(begin + 20_000, partial(setattr, world.net, "cut", lambda a, b: False))
+        world.at(begin + 13_000, partial(setattr, world.network, "is_cut", lambda a, b: (a < 2) != (b < 2)))
+        world.at(begin + 20_000, partial(setattr, world.network, "is_cut", lambda a, b: False))
         world.run(begin + 30_000)
     yield from sent
     yield from (
-        f"{s.at:.3f} {s.node} {s.change.member} {MemberState(s.change.after).value}" for s in world.seen
+        f"{s.at:.3f} {s.node} {s.change.member} {MemberState(s.change.after).value}"
+        for s in world.observations
     )
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,7 +36,7 @@
     encode,
 )
 from balancer.membership.view import View
-from balancer.sim.members import GENERATION_UNIT_MS, Net, World
+from balancer.sim.members import GENERATION_UNIT_MS, Network, World
 
 COUNT = 6
 SOON = 15_000.0  # ms after which a small tier has settled
@@ -65,10 +65,10 @@
 
 def world(count: int, seed: int = 1, **over: object) -> World:
     """A tier that has come up and agrees."""
-    out = World(count, seed, net=Net(**over))  # type: ignore[arg-type]
+    out = World(count, seed, network=Network(**over))  # type: ignore[arg-type]
     for node in range(count):
         out.start(node)
-    assert out.settle(SOON) < SOON
+    assert out.run_until_converged(SOON) < SOON
     return out
 
 
@@ -327,34 +327,34 @@
 
 
 def test_a_tier_comes_up_cold_and_a_killed_node_is_known_to_all() -> None:
-    tier = world(24, loss=0.1)
+    tier = world(24, loss_rate=0.1)
     tier.kill(5)
-    assert tier.settle(SOON) < SOON
+    assert tier.run_until_converged(SOON) < SOON
     tier.run(tier.now + SOON)  # until everybody has heard everybody
     assert all(h.core.agreement_ratio() == 1.0 for h in tier.hosts if h.core is not None)
 
 
 def test_a_restart_is_not_buried_by_rumours_of_the_life_before() -> None:
-    tier = world(12, loss=0.05, duplicate=0.2, late=0.2)
+    tier = world(12, loss_rate=0.05, duplicate_rate=0.2, late_rate=0.2)
     for _ in range(3):
         tier.kill(4)
         tier.run(tier.now + GENERATION_UNIT_MS + 400)
         tier.start(4)
         tier.run(tier.now + 2500)
-    tier.net.late = 0.0
-    assert tier.settle(2 * SOON) < 2 * SOON
+    tier.network.late_rate = 0.0
+    assert tier.run_until_converged(2 * SOON) < 2 * SOON
     lives = {h.core.view.records[4].generation for h in tier.hosts if h.core is not None}
     assert len(lives) == 1
 
 
 def test_one_that_leaves_is_left_and_never_comes_back_by_rumour() -> None:
-    tier = world(12, loss=0.1, duplicate=0.1, late=0.2)
+    tier = world(12, loss_rate=0.1, duplicate_rate=0.1, late_rate=0.2)
     begun = tier.now
     tier.leave(7)
     tier.run(begun + 3 * SOON)
     states = {h.core.view.records[7].state for h in tier.hosts if h.core is not None}
-    assert states == {MemberState.LEFT} and 7 not in {s.change.member for s in tier.deaths(begun)}
-    back = [s for s in tier.seen if s.change.member == 7 and s.change.before is MemberState.LEFT]
+    assert states == {MemberState.LEFT} and 7 not in {s.change.member for s in tier.deaths_declared(begun)}
+    back = [s for s in tier.observations if s.change.member == 7 and s.change.before is MemberState.LEFT]
     assert back == []
 
 
@@ -370,34 +370,38 @@
     tier.start(3)
     tier.run(tier.now + SOON)
     for node in (0, 2, 4):
-        told = [s.change.after for s in tier.seen if (s.node, s.change.member) == (node, 3) and s.at >= begun]
+        told = [
+            s.change.after
+            for s in tier.observations
+            if (s.node, s.change.member) == (node, 3) and s.at >= begun
+        ]
         assert told == [MemberState.LEFT, MemberState.ALIVE]
 
 
 def test_a_partition_splits_the_views_and_heals() -> None:
     tier = world(15)
-    tier.net.cut = lambda a, b: (a % 3 == 0) != (b % 3 == 0)
+    tier.network.is_cut = lambda a, b: (a % 3 == 0) != (b % 3 == 0)
     tier.run(tier.now + 2 * SOON)
     small, large = tier.hosts[0].core, tier.hosts[1].core
     assert small is not None and large is not None
     assert small.present_members() == [0, 3, 6, 9, 12] and not small.has_quorum() and large.has_quorum()
-    tier.net.cut = lambda a, b: False
-    assert tier.settle(2 * SOON) < 2 * SOON
+    tier.network.is_cut = lambda a, b: False
+    assert tier.run_until_converged(2 * SOON) < 2 * SOON
 
 
 def test_a_healed_partition_is_agreed_on_without_a_flood() -> None:
-    tier = world(60, loss=0.03)
+    tier = world(60, loss_rate=0.03)
     tier.run(tier.now + SOON)
-    tier.sent.clear()
+    tier.sent_by_node.clear()
     tier.run(tier.now + SOON)
-    usual = sum(tier.sent.values()) / SOON * 1000
-    tier.net.cut = lambda a, b: (a % 3 == 0) != (b % 3 == 0)
+    usual = sum(tier.sent_by_node.values()) / SOON * 1000
+    tier.network.is_cut = lambda a, b: (a % 3 == 0) != (b % 3 == 0)
     tier.run(tier.now + 2 * SOON)
-    tier.net.cut = lambda a, b: False
-    tier.per_second.clear()
-    assert tier.settle(5000) <= 5000
+    tier.network.is_cut = lambda a, b: False
+    tier.sent_by_second.clear()
+    assert tier.run_until_converged(5000) <= 5000
     tier.run(tier.now + 5000)
-    assert max(tier.per_second.values()) <= 2 * usual
+    assert max(tier.sent_by_second.values()) <= 2 * usual
 
 
 def test_a_node_that_stalls_again_and_again_is_buried_less_and_less() -> None:
@@ -406,44 +410,44 @@
     for step in range(12):
         tier.at(begun + 10_000 * step, lambda: tier.stall(2, 2000.0))
     tier.run(begun + 120_000)
-    early = [s for s in tier.deaths(begun) if s.at < begun + 40_000]
-    late = [s for s in tier.deaths(begun) if s.at >= begun + 80_000]
+    early = [s for s in tier.deaths_declared(begun) if s.at < begun + 40_000]
+    late = [s for s in tier.deaths_declared(begun) if s.at >= begun + 80_000]
     assert len(late) < len(early) / 2
 
 
 def test_a_node_that_only_hears_is_reached_by_way_of_others() -> None:
     tier = world(12)
     begun = tier.now
-    tier.net.cut = lambda a, b: (a, b) == (3, 8)  # 3 does not reach 8, 8 reaches 3
+    tier.network.is_cut = lambda a, b: (a, b) == (3, 8)  # 3 does not reach 8, 8 reaches 3
     tier.run(begun + 3 * SOON)
-    assert tier.deaths(begun) == [] and tier.agreed()
+    assert tier.deaths_declared(begun) == [] and tier.has_converged()
 
 
 @pytest.mark.parametrize("seed", [1, 5])
 def test_a_node_that_hears_little_buries_no_healthy_one(seed: int) -> None:
-    tier = world(24, seed, loss=0.05)
+    tier = world(24, seed, loss_rate=0.05)
     tier.run(tier.now + 5000)
     begun, dice = tier.now, random.Random(seed)
-    tier.net.cut = lambda a, b: (5 in (a, b) and dice.random() < 0.9) or (a, b) == (3, 8)
+    tier.network.is_cut = lambda a, b: (5 in (a, b) and dice.random() < 0.9) or (a, b) == (3, 8)
     tier.run(begun + 60_000)
-    assert [s for s in tier.deaths(begun) if s.change.member != 5 and s.node != 5] == []
+    assert [s for s in tier.deaths_declared(begun) if s.change.member != 5 and s.node != 5] == []
 
 
 def test_nodes_that_stall_do_not_bury_the_healthy() -> None:
-    tier = world(20, loss=0.05)
+    tier = world(20, loss_rate=0.05)
     begun = tier.now
     for step in range(6):
         tier.at(begun + 10_000 * step, lambda: tier.stall(2, 2000.0))
     tier.run(begun + 60_000)
-    assert [s for s in tier.deaths(begun) if s.change.member != 2] == []
+    assert [s for s in tier.deaths_declared(begun) if s.change.member != 2] == []
 
 
 def test_one_seed_is_one_run() -> None:
     def trace(seed: int) -> list[tuple[float, int, int, MemberState]]:
-        tier = world(10, seed, loss=0.1, corrupt=0.02, duplicate=0.1)
+        tier = world(10, seed, loss_rate=0.1, corrupt_rate=0.02, duplicate_rate=0.1)
         tier.kill(3)
         tier.run(tier.now + SOON)
-        return [(s.at, s.node, s.change.member, s.change.after) for s in tier.seen]
+        return [(s.at, s.node, s.change.member, s.change.after) for s in tier.observations]
 
     assert trace(5) == trace(5) != trace(6)
 
@@ -453,9 +457,9 @@
     for count in (10, 60):
         tier = world(count)
         tier.run(tier.now + SOON)
-        tier.sent.clear()
+        tier.sent_by_node.clear()
         tier.run(tier.now + SOON)
-        rates.append(sum(tier.sent.values()) / count / SOON * 1000)
+        rates.append(sum(tier.sent_by_node.values()) / count / SOON * 1000)
     assert rates[1] < 1.3 * rates[0] and rates[1] < 4.0
 
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -15,7 +15,7 @@
 from balancer.lab.scale.size import BACKENDS, NODES
 from balancer.recovery.core import Config
 from balancer.sim.disk import Disk
-from balancer.sim.members import Net
+from balancer.sim.members import Network
 from balancer.sim.recovery_schedule import BACKENDS as LISTED
 
 UNITS = {"ms", "us", "bytes", "bytes/s", "datagrams/s", "s", "entries"}
@@ -60,11 +60,11 @@
 
 
 def test_a_tier_that_starts_agreed_stays_so() -> None:
-    world = tiers.Metered(12, 1, Net())
+    world = tiers.Metered(12, 1, Network())
     world.start_agreed()
-    assert world.agreed()
+    assert world.has_converged()
     world.run(world.now + 20_000.0)
-    assert world.agreed() and not world.seen
+    assert world.has_converged() and not world.observations
     assert world.meter.datagrams == world.delivered > 0
 
 
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -22,7 +22,7 @@
 from balancer.net.turns import Turns
 from balancer.net.upstream import Pool
 from balancer.policy import Balancer
-from balancer.sim.agenda import Agenda
+from balancer.sim.scheduler import EventScheduler
 from tests.helpers import BASE, ColdBudget, RuleChecker
 from tests.helpers import member as listed_at
 
@@ -49,7 +49,7 @@
     return listed_at(entry, "127.0.0.1:9")
 
 
-class World(Agenda):
+class World(EventScheduler):
     """One node's list, pool and module on a virtual clock: a turn of the list, then what is due before it."""
 
     def __init__(self) -> None:
