--- a/balancer/lab/scale/tiers.py
+++ b/balancer/lab/scale/tiers.py
@@ -77,7 +77,7 @@
         generation = int(self.now / GENERATION_UNIT_MS) - 1
         view = _agreed(self.count, generation)
         for node, host in enumerate(self.hosts):
-            host.number += 1
+            host.process_number += 1
             host.core = Membership(
                 self.config, node, self.count, generation, self.seeds.getrandbits(64), self.now
             )
@@ -99,7 +99,7 @@
         if (core := self.hosts[node].core) is None:
             return
         begun = time.thread_time_ns()
-        actions = core.handle(self.now + self.hosts[node].shift, event)
+        actions = core.handle(self.now + self.hosts[node].clock_offset, event)
         self.core_ns += time.thread_time_ns() - begun
         for action in actions:
             self._perform(node, action)
--- a/balancer/sim/members.py
+++ b/balancer/sim/members.py
@@ -52,11 +52,11 @@
     """A machine and its process, if one runs."""
 
     core: Membership | None = None
-    number: int = 0  # of its processes so far: what was scheduled for an earlier one is ignored
+    process_number: int = 0  # of its processes so far: what was scheduled for an earlier one is ignored
     stalled_until: float = 0.0
     inbox: list[tuple[int, bytes]] = field(default_factory=list)  # sources and datagrams, while it stalls
     next_tick: float = math.inf
-    shift: float = 0.0  # of its monotonic clock against virtual time
+    clock_offset: float = 0.0  # of its monotonic clock against virtual time
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,14 +90,14 @@
     def start(self, node: int, generation: int | None = None) -> None:
         """Start a process, whose generation follows from the time unless it is given."""
         host = self.hosts[node]
-        host.number += 1
+        host.process_number += 1
         host.stalled_until = 0.0
         host.inbox = []
         host.next_tick = math.inf
         if generation is None:
             generation = int(self.now / GENERATION_UNIT_MS)
         seed = self.seeds.getrandbits(64)
-        host.core = Membership(self.config, node, self.count, generation, seed, self.now + host.shift)
+        host.core = Membership(self.config, node, self.count, generation, seed, self.now + host.clock_offset)
         self._handle(node, Tick())
 
     def kill(self, node: int) -> None:
@@ -113,7 +113,7 @@
         """Stall a process; what arrives meanwhile waits in its socket."""
         host = self.hosts[node]
         host.stalled_until = self.now + duration
-        self.at(self.now + duration, partial(self._resume, node, host.number))
+        self.at(self.now + duration, partial(self._resume, node, host.process_number))
 
     def running_nodes(self) -> list[int]:
         """Return the nodes whose processes run."""
@@ -159,13 +159,13 @@
             self._handle(node, Tick())
 
     def _is_responsive(self, host: Host, number: int) -> bool:
-        return host.core is not None and host.number == number and host.stalled_until <= self.now
+        return host.core is not None and host.process_number == number and host.stalled_until <= self.now
 
     def _handle(self, node: int, event: Event) -> None:
         host = self.hosts[node]
         if host.core is None:
             return
-        for action in host.core.handle(self.now + host.shift, event):
+        for action in host.core.handle(self.now + host.clock_offset, event):
             self._perform(node, action)
         self._schedule_tick(node, host.core.next_wakeup_ms)
 
@@ -179,10 +179,10 @@
     def _schedule_tick(self, node: int, due: float) -> None:
         """Schedule a tick at a time of the node's own clock, unless one is due sooner."""
         host = self.hosts[node]
-        due -= host.shift - CLOCK_ROUNDING_MS
+        due -= host.clock_offset - CLOCK_ROUNDING_MS
         if due < host.next_tick:
             host.next_tick = due
-            self.at(max(due, self.now), partial(self._tick, node, host.number))
+            self.at(max(due, self.now), partial(self._tick, node, host.process_number))
 
     def _transmit(self, node: int, target: int | None, data: bytes) -> None:
         """Send a datagram to one node, or to all others where `target` is None."""
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -193,7 +193,7 @@
         """Compare what a process knows with what it has known, and what it keeps out with what it knows."""
         process = self._process(node)
         register = process.core.register
-        stamp = (self.tier.hosts[node].number, register.hash, len(process.banned), process.serves)
+        stamp = (self.tier.hosts[node].process_number, register.hash, len(process.banned), process.serves)
         if stamp == self.stamps[node]:
             return
         self.stamps[node], rows = stamp, register.rows()
@@ -215,7 +215,7 @@
             if process is None or process.phase is Phase.VERIFY:
                 continue
             if self._knows(node, ban):
-                knowing.append((node, ban.known.setdefault((node, tier.hosts[node].number), now)))
+                knowing.append((node, ban.known.setdefault((node, tier.hosts[node].process_number), now)))
             elif process.serves and ban.backend not in process.banned:
                 breakers.append(node)
         for node in breakers:
@@ -245,7 +245,7 @@
                 continue
             for (peer, number), since in ban.known.items():
                 touch = tier.touch_since(node, peer)
-                if touch is None or tier.hosts[peer].number != number or peer == node:
+                if touch is None or tier.hosts[peer].process_number != number or peer == node:
                     continue
                 if touch <= process.ask_began and since <= process.ask_began - NEWS_MS:
                     self._breach("ban", f"n{node} begins to serve after {asked:.0f} ms of asking without the "
@@ -279,7 +279,7 @@
             return None
         if process.phase is Phase.FULL or process.admits is None:
             return float("inf")
-        return now + self.tier.hosts[node].shift - process.admits.cold_since
+        return now + self.tier.hosts[node].clock_offset - process.admits.cold_since
 
     def _breach(self, invariant: str, text: str) -> None:
         self.tier.note(f"BREACH {invariant}: {text}")
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -143,7 +143,7 @@
         self.processes[node] = Process(core, self.now, power_cut=dark, saved=frozenset(found.saved))
         self.start(node, life)
         when = self.now + self.dice.uniform(1, 200)
-        self.at(when, partial(self._was_read, node, self.hosts[node].number, found))
+        self.at(when, partial(self._was_read, node, self.hosts[node].process_number, found))
 
     def succeed(self, node: int) -> None:
         """A successor takes the node over from its process, in the middle of whatever it does."""
@@ -198,7 +198,7 @@
         for node, process in enumerate(self.processes):
             if process is not None and process.told:  # who has a list has a watch
                 when = self.discovery.up_again() + self.dice.uniform(5, 200)
-                self.at(when, partial(self._listed, node, self.hosts[node].number))
+                self.at(when, partial(self._listed, node, self.hosts[node].process_number))
 
     def call(self, node: int, backend: str, out: bool) -> None:
         """An operator calls `maint` or `ready` at a node."""
@@ -213,7 +213,7 @@
         self.note(f"n{node} is called: {backend} {'out' if out else 'in'}")
         if self.watcher is not None:
             self.watcher.called(call)
-        self.tell(node, room.Called(backend, out, self.now + self.hosts[node].shift, call.token))
+        self.tell(node, room.Called(backend, out, self.now + self.hosts[node].clock_offset, call.token))
 
     def note(self, text: str) -> None:
         """A line for whoever reads a failed schedule."""
@@ -238,7 +238,7 @@
         if process is None or self.hosts[node].core is None:
             return
         self.handled = event.token if isinstance(event, room.Called | room.Synced) else 0
-        for action in process.core.handle(self.now + self.hosts[node].shift, event):
+        for action in process.core.handle(self.now + self.hosts[node].clock_offset, event):
             self._do(node, process, action)
         self._schedule_tick(node, process.core.due)
 
@@ -250,7 +250,7 @@
         return tuple(row._replace(at=row.at + by) for row in rows)
 
     def _fresh(self, node: int, life: int) -> Recovery:
-        now = self.now + self.hosts[node].shift
+        now = self.now + self.hosts[node].clock_offset
         return self.make(self.room_config, node, self.count, life, self.seeds.getrandbits(64), now)
 
     def _parted(self, source: int, target: int) -> bool:
@@ -260,7 +260,7 @@
         """What a new process finds on its disk, and the number of its life; its clocks are others."""
         disk, host = self.disks[node], self.hosts[node]
         self.walls[node] = self.dice.uniform(-self.wall_ms, self.wall_ms)
-        host.shift = self.dice.uniform(-9e5, 9e5)
+        host.clock_offset = self.dice.uniform(-9e5, 9e5)
         wall = self.now + self.walls[node]
         found = disk.read(condition, wall, self.dice)
         life = max(int(wall / GENERATION_UNIT_MS), found.life + 1)
@@ -269,11 +269,11 @@
         return found, life
 
     def _kept(self, node: int, found: Found) -> room.Kept:
-        rows = self._moved(found.rows, self.hosts[node].shift - self.walls[node])
+        rows = self._moved(found.rows, self.hosts[node].clock_offset - self.walls[node])
         return room.Kept(found.sound, found.fresh, found.life, found.age_ms, rows, found.revision, found.rate)
 
     def _was_read(self, node: int, number: int, found: Found) -> None:
-        if self.hosts[node].number != number or self.processes[node] is None:
+        if self.hosts[node].process_number != number or self.processes[node] is None:
             return
         self.tell(node, room.SavedIds(found.saved))
         kept = self._kept(node, found)
@@ -301,7 +301,7 @@
             self.tell(node, room.Members(lives, core.has_quorum()))
 
     def _do(self, node: int, process: Process, action: room.Action) -> None:
-        number = self.hosts[node].number
+        number = self.hosts[node].process_number
         match action:
             case room.Tell():
                 self.room_sent[int(self.now / 1000)] += 1
@@ -350,7 +350,7 @@
 
     def _written(self, node: int, number: int, rows: tuple[Row, ...], token: int | None) -> None:
         process, disk = self.processes[node], self.disks[node]
-        if process is None or self.hosts[node].number != number:
+        if process is None or self.hosts[node].process_number != number:
             return
         process.writing[token] -= 1
         if token is not None and self.dice.random() < self.sync_fails:
@@ -358,7 +358,7 @@
             process.pending.pop(token, None)
             return
         if rows:
-            disk.unsure.append(self._moved(rows, self.walls[node] - self.hosts[node].shift))
+            disk.unsure.append(self._moved(rows, self.walls[node] - self.hosts[node].clock_offset))
         disk.written_wall = self.now + self.walls[node]
         if token is None:
             return
@@ -369,9 +369,9 @@
 
     def _listed(self, node: int, number: int) -> None:
         process = self.processes[node]
-        if process is None or self.hosts[node].number != number:
+        if process is None or self.hosts[node].process_number != number:
             return
-        shift, disk = self.hosts[node].shift, self.disks[node]
+        shift, disk = self.hosts[node].clock_offset, self.disks[node]
         disk.revision, disk.saved = self.discovery.revision, tuple(self.backends)
         process.told = {name: backend.start for name, backend in self.backends.items()}
         process.restricted = frozenset()
@@ -380,7 +380,7 @@
         self.tell(node, room.Listed(self.discovery.revision, starts, tuple(self.backends)))
 
     def _failed(self, node: int, number: int) -> None:
-        if self.hosts[node].number == number:
+        if self.hosts[node].process_number == number:
             self.tell(node, room.ListFailed())
 
     def _look(self) -> None:
