--- a/balancer/membership/dissemination.py
+++ b/balancer/membership/dissemination.py
@@ -99,5 +99,5 @@
         return True
 
     def reserve(self, tokens: float) -> None:
-        """Provide for so many broadcasts that are no refutations, whatever was spent before."""
+        """Provide for so many broadcasts that are no refutations, at most those of a second."""
         self._tokens[False] = max(self._tokens[False], tokens)
