--- a/balancer/membership/__init__.py
+++ b/balancer/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is present among a tier's nodes: SWIM with Lifeguard's extensions over the platform's datagrams."""
+"""Membership of a tier: SWIM with Lifeguard's extensions, over datagrams between nodes."""
--- a/balancer/membership/anti_entropy.py
+++ b/balancer/membership/anti_entropy.py
@@ -1,8 +1,8 @@
 """Anti-entropy: peers compare digests of their views and send each other the records that differ.
 
-A death that anti-entropy reports of a member that seems alive is not believed at once: after a partition each
-side holds the other for dead, and would declare its own neighbours dead on the other's word. The member is
-probed with the report first, and refutes it if it lives.
+A death reported by anti-entropy of a member that seems alive is not applied at once: after a partition each
+side believes that the other is dead, and either would adopt the other's deaths of its own neighbours. The
+member is probed with the report first, and refutes it if it is alive.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
         self._node = node
         self._sender = sender
         self._transfers: dict[int, list[int]] = {}  # by receiver, the members whose records it lacks
-        self._differing_since_ms = math.inf  # since when every view heard has differed
+        self._differing_since_ms = math.inf  # since when every reported view has differed
         self._synced_ms = node.now_ms  # when a digest was last sent for a view that differed
         self._unconfirmed_deaths: dict[int, Update] = {}  # by member
 
@@ -47,7 +47,7 @@
             self.send_digest(peer, wants_reply=True)
 
     def sync_with_random_peer(self) -> None:
-        """Send a digest to a random present peer, even if all views seem the same."""
+        """Send a digest to a random present peer, even without a sign of a difference."""
         peers = self._node.present_peers()
         if peers:
             self.send_digest(self._node.random.choice(peers), wants_reply=True)
@@ -60,7 +60,7 @@
         self._sender.send(member, MessageKind.DIGEST, sequence, member, extra=extra)
 
     def on_view_reported(self, message: Message) -> None:
-        """Send a digest where all views heard have differed for long; updates may settle it sooner."""
+        """Send a digest if all reported views have differed for long; gossip may end that sooner."""
         node = self._node
         if message.view == node.view.state_hash:
             self._differing_since_ms = math.inf
--- a/balancer/membership/config.py
+++ b/balancer/membership/config.py
@@ -26,7 +26,7 @@
     reconnect_periods: int = 4  # probe intervals between two pings of an absent member
     anti_entropy_periods: int = 40  # probe intervals between two digests to a random peer
     local_health_enabled: bool = True  # Lifeguard's LHA-Probe
-    buddy_system_enabled: bool = True  # Lifeguard's Buddy System: a suspect is told first
+    buddy_system_enabled: bool = True  # Lifeguard's Buddy System: a suspect is notified first
     dynamic_suspicion_enabled: bool = True  # Lifeguard's LHA-Suspicion
     ping_retry_enabled: bool = True
     flap_damping_ms: float = 120_000.0  # for which a falsely declared death lengthens suspicions; 0: never
--- a/balancer/membership/core.py
+++ b/balancer/membership/core.py
@@ -278,7 +278,7 @@
 
 
 def _change_reason(actions: list[Action]) -> str:
-    """Describe in a few words why the view has changed."""
+    """Describe briefly why the view has changed."""
     changes = [action for action in actions if isinstance(action, MemberChanged)]
     if not changes:
         return "a member restarted"
--- a/balancer/membership/events.py
+++ b/balancer/membership/events.py
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SuspicionRefuted:
-    """Others claimed that this node is suspect, dead or gone; it has refuted that."""
+    """Others claimed that this node is suspect, dead or has left; it has refuted that."""
 
     claimed: MemberState
 
--- a/balancer/membership/failure_detector.py
+++ b/balancer/membership/failure_detector.py
@@ -133,7 +133,7 @@
         self._call_later(self._node.config.indirect_timeout_ms, self._fail, sequence)
 
     def _helpers(self, target: int) -> list[int]:
-        """Return who can be asked to probe; where many have died at once, only those heard recently."""
+        """Return the peers that can probe a target: those heard recently, if there are any."""
         node = self._node
         peers = node.present_peers(excluded=target)
         if not node.config.local_health_enabled:
--- a/balancer/membership/liveness_query.py
+++ b/balancer/membership/liveness_query.py
@@ -1,8 +1,8 @@
-"""Broadcast queries to members held for dead, once one of them turned out to be alive.
+"""Broadcast queries to members believed dead, once one of them turned out to be alive.
 
-After a partition each side holds the other for dead. The named members that live refute their death to the
-sender, whose next bulk update tells all. Gossip about the deaths instead would let their own neighbours
-declare them dead before they can refute it.
+After a partition each side believes that the other is dead. The queried members that are alive refute their
+death to the sender, whose next bulk update informs all. Gossip about the deaths instead would reach their
+neighbours, too, before they can refute it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class LivenessQuery:
-    """Asks members held for dead to refute it; a member that anybody has asked lately is passed over."""
+    """Asks members believed dead to refute it, except those that any node has asked recently."""
 
     def __init__(self, node: LocalNode, sender: MessageSender, bulk: BulkDissemination) -> None:
         """Create the queries of a node, of which none is due."""
@@ -27,16 +27,16 @@
         self._sender = sender
         self._bulk = bulk
         self._timer = RandomizedTimer(node, self._query)
-        self._queried_ms: dict[int, float] = {}  # by member, when it was last asked
+        self._queried_ms: dict[int, float] = {}  # by member, time of the last query
         self._ends_ms = -math.inf
 
     def start(self) -> None:
-        """Query for a while: a member that was held for dead is alive."""
+        """Query for a while: a member believed dead is alive."""
         self._ends_ms = self._node.now_ms + self._requery_ms
         self._timer.start()
 
     def note_queried(self, member: int) -> None:
-        """Pass over a member for a while that a peer has asked."""
+        """Skip a member for a while, as a peer has asked it."""
         self._queried_ms[member] = self._node.now_ms
 
     def forget(self, member: int) -> None:
--- a/balancer/membership/messages.py
+++ b/balancer/membership/messages.py
@@ -7,6 +7,9 @@
 All numbers are big-endian. A datagram of a later version has its new fields in `extra`; an unknown kind or
 state leaves the rest of the datagram readable. Not msgpack: its integers take 9 bytes for a generation and
 would leave space for half as many updates.
+
+A generation numbers the starts of a node's process (operators call it the incarnation of a process, `/stats`
+its life). SWIM's incarnation counts the refutations within a generation.
 """
 
 from __future__ import annotations
@@ -55,11 +58,11 @@
     PING = 1
     ACK = 2
     PING_REQ = 3  # a request to ping `subject` on the sender's behalf
-    NACK = 4  # `subject` has not answered the helper so far
+    NACK = 4  # `subject` has not answered the helper in time
     DIGEST = 5  # bucket hashes of the sender's view, in `extra`
     GOSSIP = 6  # updates alone
     BULK_UPDATE = 7  # broadcast of updates that many lack
-    LIVENESS_QUERY = 8  # broadcast that asks the named members, which the sender holds for dead, to refute
+    LIVENESS_QUERY = 8  # broadcast that asks members believed dead to refute it
 
 
 class Update(NamedTuple):
--- a/balancer/membership/peer_socket.py
+++ b/balancer/membership/peer_socket.py
@@ -5,7 +5,7 @@
 a peer of a later version may run protocols that this one lacks.
 
 One rate limit bounds what a node sends. Membership has priority: the other protocols may spend half of a
-burst, so that their trouble never makes the node look dead.
+burst, so that their load never makes the node look dead.
 """
 
 from __future__ import annotations
--- a/balancer/membership/ping_relay.py
+++ b/balancer/membership/ping_relay.py
@@ -9,7 +9,7 @@
 from balancer.membership.messages import Message, MessageKind
 from balancer.membership.sender import MessageSender
 
-NACK_SHARE = 0.8  # of the ping timeout, after which the requester is told that there was no answer
+NACK_SHARE = 0.8  # of the ping timeout, after which the requester is sent a nack
 
 
 @dataclass(slots=True, frozen=True)
--- a/balancer/membership/sender.py
+++ b/balancer/membership/sender.py
@@ -40,7 +40,7 @@
     ) -> None:
         """Send a message with piggybacked updates, `first` ahead of all.
 
-        Without `first`, a member held for suspect or dead is told so first (Lifeguard's Buddy System).
+        Without `first`, a member believed suspect or dead is notified of that (Lifeguard's Buddy System).
         """
         record = self._node.view.records[member]
         if (
--- a/balancer/membership/shell.py
+++ b/balancer/membership/shell.py
@@ -75,14 +75,14 @@
     def change_peers(self, change: PeerListChange) -> None:
         """Follow another list of addresses, in which this node has the same number and address."""
         count_before = len(self._member_changed_ms)
-        kept = self._member_changed_ms[: change.count]
-        self._member_changed_ms = kept + [_now_ms()] * (change.count - len(kept))
+        remaining = self._member_changed_ms[: change.count]
+        self._member_changed_ms = remaining + [_now_ms()] * (change.count - len(remaining))
         replaced = change.replaced - {self.node_id}
         self._log.peers_changed(change.count, len(replaced) + max(0, change.count - count_before))
         self._handle(PeersChanged(change.count, replaced))
 
     def leave(self) -> None:
-        """Tell peers that this node leaves; it goes on answering until `close`."""
+        """Announce that this node leaves; it goes on answering until `close`."""
         self._handle(Leave())
 
     def close(self) -> None:
--- a/balancer/membership/view.py
+++ b/balancer/membership/view.py
@@ -16,7 +16,7 @@
 
 
 def unknown(member: int) -> Update:
-    """Return the record of a member that nothing was heard of."""
+    """Return the record of a member of which nothing is known."""
     return Update(member, 0, 0, MemberState.UNKNOWN)
 
 
@@ -31,7 +31,7 @@
 
     @classmethod
     def of_unknown(cls, node_count: int) -> View:
-        """Return the view of a node that has not heard of anybody."""
+        """Return a view in which all members are unknown."""
         return cls([unknown(member) for member in range(node_count)])
 
     def copy(self) -> View:
--- a/balancer/sim/members.py
+++ b/balancer/sim/members.py
@@ -135,7 +135,7 @@
         return math.inf
 
     def deaths_declared(self, since: float = 0.0) -> list[Observation]:
-        """Return each time at which a node came to hold another for dead."""
+        """Return each change by which a node came to believe another dead."""
         return [
             observation
             for observation in self.observations
