--- a/balancer/lab/scale/tiers.py
+++ b/balancer/lab/scale/tiers.py
@@ -17,21 +17,23 @@
 
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import DAY_S, HEADERS, RACK_MACHINES, REGIONS, RESTARTS_A_DAY
-from balancer.membership.core import Event, Membership, Received, Tell, Tick, View
+from balancer.membership.core import Membership
+from balancer.membership.events import DatagramReceived, Event, SendDatagram, Tick
 from balancer.membership.messages import (
-    DIGEST,
-    HEAD,
-    NOBODY,
-    ROOM,
-    RUMOUR,
-    Kind,
+    DIGEST_STRUCT,
+    HEADER_STRUCT,
+    NO_MEMBER,
+    PAYLOAD_BYTES,
+    UPDATE_STRUCT,
+    MemberState,
     Message,
-    Rumour,
-    State,
+    MessageKind,
+    Update,
     decode,
     encode,
 )
-from balancer.sim.members import LIFE_UNIT, Net, World
+from balancer.membership.view import View
+from balancer.sim.members import GENERATION_UNIT_MS, Network, World
 
 ROLE = "membership"
 LOSS = 0.01
@@ -52,7 +54,7 @@
 
     datagrams: int = 0
     size: int = 0  # bytes
-    rumours: int = 0
+    updates: int = 0
     by_second: Counter[int] = field(default_factory=Counter)  # bytes
 
     def heard(self, now: float, data: bytes) -> None:
@@ -66,20 +68,22 @@
 class Metered(World):
     """A tier that counts what its nodes receive and the processor time of their cores."""
 
-    def __init__(self, count: int, seed: int, net: Net) -> None:
-        super().__init__(count, seed, net=net)
+    def __init__(self, count: int, seed: int, network: Network) -> None:
+        super().__init__(count, seed, network=network)
         self.meter, self.core_ns = Meter(), 0
 
     def start_agreed(self) -> None:
         """All are up and agree, as after a long quiet; the digests to join with are not sent."""
-        life = int(self.now / LIFE_UNIT) - 1
-        view = _agreed(self.count, life)
+        generation = int(self.now / GENERATION_UNIT_MS) - 1
+        view = _agreed(self.count, generation)
         for node, host in enumerate(self.hosts):
-            host.number += 1
-            host.core = Membership(self.config, node, self.count, life, self.seeds.getrandbits(64), self.now)
+            host.process_number += 1
+            host.core = Membership(
+                self.config, node, self.count, generation, self.seeds.getrandbits(64), self.now
+            )
             host.core.handle(self.now, Tick())
-            host.core.view = View(list(view.known), view.present, view.hash, list(view.buckets))
-            self._plan(node, host.core.due)
+            host.core.adopt_view(view.copy())
+            self._schedule_tick(node, host.core.next_wakeup_ms)
 
     @property
     def core_us(self) -> float:
@@ -89,36 +93,38 @@
     def measure(self) -> None:
         """Count from here on."""
         self.meter, self.core_ns = Meter(), 0
-        self.sent.clear()
+        self.sent_by_node.clear()
 
     def _handle(self, node: int, event: Event) -> None:
         if (core := self.hosts[node].core) is None:
             return
         begun = time.thread_time_ns()
-        actions = core.handle(self.now + self.hosts[node].shift, event)
+        actions = core.handle(self.now + self.hosts[node].clock_offset, event)
         self.core_ns += time.thread_time_ns() - begun
         for action in actions:
-            self._act(node, action)
-        self._plan(node, core.due)
+            self._perform(node, action)
+        self._schedule_tick(node, core.next_wakeup_ms)
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
         if self.hosts[target].core is not None:
             self.meter.heard(self.now, data)
-            self.meter.rumours += (len(data) - HEAD.size - data[HEAD.size - 1]) // RUMOUR.size
+            self.meter.updates += (
+                len(data) - HEADER_STRUCT.size - data[HEADER_STRUCT.size - 1]
+            ) // UPDATE_STRUCT.size
         super()._arrive(source, target, data)
 
 
-def _agreed(count: int, life: int) -> View:
+def _agreed(count: int, generation: int) -> View:
     """Of a node that knows all to be present in lives of one number."""
-    view = View([Rumour(member, 0, 0, State.UNKNOWN) for member in range(count)])
+    view = View.of_unknown(count)
     for member in range(count):
-        view.put(Rumour(member, life, 0, State.ALIVE))
+        view.put(Update(member, generation, 0, MemberState.ALIVE))
     return view
 
 
 def tier(count: int, seed: int) -> Metered:
-    """A tier that agrees, at the usual loss, whose first rumours are told."""
-    world = Metered(count, seed, Net(loss=LOSS))
+    """A tier that agrees, at the usual loss, whose first updates are told."""
+    world = Metered(count, seed, Network(loss_rate=LOSS))
     world.start_agreed()
     world.run(world.now + WARM_MS)
     world.measure()
@@ -169,7 +175,7 @@
     yield of.counted(f"{when}_datagrams", "datagrams/s", meter.datagrams * share)
     yield of.counted(f"{when}_bytes", "bytes/s", meter.size * share)
     yield of.counted(f"{when}_worst_second", "bytes/s", _worst(world))
-    yield of.counted(f"{when}_sent", "datagrams/s", sum(world.sent.values()) * share)
+    yield of.counted(f"{when}_sent", "datagrams/s", sum(world.sent_by_node.values()) * share)
     yield of.machine(f"{when}_processor", "us", world.core_us / seconds)
 
 
@@ -182,18 +188,18 @@
 def cold_start(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
     """All come up within one moment and know nobody."""
     for count in sizes:
-        world, of = Metered(count, seed, Net(loss=LOSS)), Figures(ROLE, count)
+        world, of = Metered(count, seed, Network(loss_rate=LOSS)), Figures(ROLE, count)
         begun = time.thread_time()
         for node in range(count):
             world.start(node)
-        took = world.settle(MOST_MS, STEP_MS)
+        took = world.run_until_converged(MOST_MS, STEP_MS)
         whole = time.thread_time() - begun
         meter = world.meter
         yield from of.took("cold_start_time", took)
         yield of.counted("cold_start_bytes", "bytes", meter.size / count)
         yield of.counted("cold_start_worst_second", "bytes/s", _worst(world))
         yield of.counted("cold_start_datagrams", "entries", meter.datagrams / count)
-        yield of.counted("cold_start_rumours", "entries", meter.rumours / count)
+        yield of.counted("cold_start_rumours", "entries", meter.updates / count)
         yield of.machine("cold_start_processor", "us", world.core_us)
         yield of.machine("cold_start_world", "s", whole)
 
@@ -207,7 +213,7 @@
     took = []
     for node in range(DEATHS):
         world.kill(node)
-        took.append(world.settle(MOST_MS, STEP_MS))
+        took.append(world.run_until_converged(MOST_MS, STEP_MS))
     yield from of.took("death_time", statistics.median(took))
     yield of.counted("death_worst_second", "bytes/s", _worst(world))
 
@@ -215,7 +221,7 @@
 def _rack(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
     for node in range(max(1, min(RACK_MACHINES, world.count // RACK_PART))):
         world.kill(node)
-    took = world.settle(MOST_MS, STEP_MS)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     yield from of.took("rack_time", took)
     yield of.counted("rack_worst_second", "bytes/s", _worst(world))
 
@@ -227,7 +233,7 @@
     world.run(world.now + AFTER_MS)
     for node in gone:
         world.start(node)
-    took = world.settle(MOST_MS, STEP_MS)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     yield from of.took("tenth_time", took)
     yield of.counted("tenth_worst_second", "bytes/s", _worst(world))
 
@@ -235,7 +241,7 @@
 def _region(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
     far = world.count // REGIONS
     sides = (range(far), range(far, world.count))
-    world.net.cut = lambda source, target: (source < far) != (target < far)
+    world.network.is_cut = lambda source, target: (source < far) != (target < far)
     begun = world.now
     while not _sides_agree(world, sides) and world.now < begun + MOST_MS:
         world.run(world.now + STEP_MS)
@@ -243,9 +249,9 @@
     yield from of.took("cut_time", apart)
     yield of.counted("cut_worst_second", "bytes/s", _worst(world))
     yield of.machine("cut_processor", "us", world.core_us)
-    world.net.cut = lambda source, target: False
+    world.network.is_cut = lambda source, target: False
     world.measure()
-    took = world.settle(MOST_MS, STEP_MS)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     yield from of.took("heal_time", took)
     yield of.counted("heal_bytes", "bytes", world.meter.size / world.count)
     yield of.counted("heal_worst_second", "bytes/s", _worst(world))
@@ -256,9 +262,9 @@
     """Whether on each side all hold just their own side for present."""
     for side in sides:
         cores = [core for node in side if (core := world.hosts[node].core) is not None]
-        if len({(core.view.hash, core.view.present) for core in cores}) > 1:
+        if len({(core.view.state_hash, core.view.present_count) for core in cores}) > 1:
             return False
-        if cores and cores[0].members() != list(side):
+        if cores and cores[0].present_members() != list(side):
             return False
     return True
 
@@ -291,41 +297,43 @@
 
     def meet(self) -> None:
         """It hears of all, from each of them, and agrees with them."""
-        each = ROOM // RUMOUR.size
+        each = PAYLOAD_BYTES // UPDATE_STRUCT.size
         for first in range(0, self.count, each):
             named = range(max(1, first), min(first + each, self.count))
-            page = tuple(Rumour(member, 1, 0, State.ALIVE) for member in named)
-            self.hear(1, Kind.PAGE, page)
+            page = tuple(Update(member, 1, 0, MemberState.ALIVE) for member in named)
+            self.hear(1, MessageKind.BULK_UPDATE, page)
         for peer in range(1, self.count):
-            self.hear(peer, Kind.PAGE)
+            self.hear(peer, MessageKind.BULK_UPDATE)
 
     def agree(self) -> None:
         """It has known all for long, and has nothing to tell that is new."""
-        self.core.view = _agreed(self.count, 1)
+        self.core.adopt_view(_agreed(self.count, 1))
         for peer in range(1, self.count):
-            self.hear(peer, Kind.ACK)
+            self.hear(peer, MessageKind.ACK)
 
-    def hear(self, peer: int, kind: Kind, rumours: tuple[Rumour, ...] = (), extra: bytes = b"") -> None:
+    def hear(
+        self, peer: int, kind: MessageKind, updates: tuple[Update, ...] = (), extra: bytes = b""
+    ) -> None:
         """A datagram to all from a peer whose view is the same."""
-        message = Message(kind, peer, 1, 0, 0, self.core.view.hash, NOBODY, extra, rumours)
-        self.give(Received(peer, encode(message)))
+        message = Message(kind, peer, 1, 0, 0, self.core.view.state_hash, NO_MEMBER, extra, updates)
+        self.give(DatagramReceived(peer, encode(message)))
 
     def give(self, event: Event) -> None:
         """An event for the core; a probe is answered at once."""
         begun = time.thread_time_ns()
         actions = self.core.handle(self.now, event)
         self.core_ns += time.thread_time_ns() - begun
-        told = [(a.node, decode(a.data)) for a in actions if isinstance(a, Tell)]
+        told = [(a.node, decode(a.data)) for a in actions if isinstance(a, SendDatagram)]
         self.heard += [message for _, message in told]
         for peer, message in told:
-            if peer is not None and message.kind == Kind.PING:
-                ack = Message(Kind.ACK, peer, 1, 0, message.sequence, self.core.view.hash, peer)
-                self.give(Received(peer, encode(ack)))
+            if peer is not None and message.kind == MessageKind.PING:
+                ack = Message(MessageKind.ACK, peer, 1, 0, message.sequence, self.core.view.state_hash, peer)
+                self.give(DatagramReceived(peer, encode(ack)))
 
     def run(self, until: float) -> None:
         """Let time pass."""
-        while self.core.due <= until:
-            self.now = max(self.now, self.core.due)
+        while self.core.next_wakeup_ms <= until:
+            self.now = max(self.now, self.core.next_wakeup_ms)
             self.give(Tick())
         self.now = until
 
@@ -341,7 +349,7 @@
         lone.run(lone.now + QUIET_MS)
         lone.core_ns = 0
         lone.run(lone.now + QUIET_MS)
-        period = lone.core_ns / 1000 / (QUIET_MS / lone.core.config.period)
+        period = lone.core_ns / 1000 / (QUIET_MS / lone.core.node.config.probe_interval_ms)
         yield of.machine("core_period", "us", period)
         yield of.machine("core_datagram", "us", _reading(lone))
         yield from _repair(lone, of)
@@ -351,17 +359,17 @@
     """A peer's digest differs in all its buckets; what it is sent is paced."""
     first, begun = len(lone.heard), lone.now
     wrong = (~salted & 0xFFFF for salted in lone.core.view.digest(0))
-    lone.hear(1, Kind.DIGEST, extra=DIGEST.pack(True, *wrong))
+    lone.hear(1, MessageKind.DIGEST, extra=DIGEST_STRUCT.pack(True, *wrong))
     ends = begun
-    while lone.now < ends + 2 * lone.core.config.period:
+    while lone.now < ends + 2 * lone.core.node.config.probe_interval_ms:
         before = len(lone.heard)
         lone.run(lone.now + STEP_MS)
-        if any(m.kind == Kind.GOSSIP and m.subject == 1 for m in lone.heard[before:]):
+        if any(m.kind == MessageKind.GOSSIP and m.subject == 1 for m in lone.heard[before:]):
             ends = lone.now
-    sent = [m for m in lone.heard[first:] if m.kind == Kind.GOSSIP and m.subject == 1]
+    sent = [m for m in lone.heard[first:] if m.kind == MessageKind.GOSSIP and m.subject == 1]
     yield from of.took("repair_time", ends - begun)
     yield of.counted("repair_datagrams", "entries", len(sent))
-    yield of.counted("repair_rumours", "entries", sum(len(m.rumours) for m in sent))
+    yield of.counted("repair_rumours", "entries", sum(len(m.updates) for m in sent))
 
 
 def _met(count: int, seed: int) -> Lone:
@@ -371,12 +379,12 @@
 
 
 def _reading(lone: Lone) -> float:
-    """Processor time in us of a datagram with six rumours that are no news."""
-    known = lone.core.view.known
+    """Processor time in us of a datagram with six updates that are no news."""
+    known = lone.core.view.records
     lone.core_ns = 0
     for at in range(DATAGRAMS):
         peer = 1 + at % (lone.count - 1)
-        lone.hear(peer, Kind.GOSSIP, tuple(known[1 + (at + i) % (lone.count - 1)] for i in range(6)))
+        lone.hear(peer, MessageKind.GOSSIP, tuple(known[1 + (at + i) % (lone.count - 1)] for i in range(6)))
     return lone.core_ns / 1000 / DATAGRAMS
 
 
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -18,7 +18,7 @@
 from balancer.durable.store import DurableStore
 from balancer.durable.timestamp import Timestamp
 from balancer.errors import BalancerError
-from balancer.membership.port import RECOVERY, Moved, Port
+from balancer.membership.peer_socket import RECOVERY_KINDS, PeerListChange, PeerSocket
 from balancer.recovery import events
 from balancer.recovery.core import Config, Recovery
 from balancer.recovery.earlier import calls
@@ -87,7 +87,7 @@
         me: int,
         life: int,
         seed: int,
-        port: Port,
+        port: PeerSocket,
         node: Steered,
         disk: DurableStore | None,
     ) -> None:
@@ -106,7 +106,7 @@
         self._words: asyncio.Queue[tuple[events.Apply, Call | None]] = asyncio.Queue()
         self._follower = self.loop.create_task(self._follow())
         self._syncing: set[asyncio.Task[None]] = set()
-        port.register(RECOVERY, lambda source, data: self.tell(events.Received(source, data)))
+        port.register(RECOVERY_KINDS, lambda source, data: self.tell(events.Received(source, data)))
 
     # --- the start
 
@@ -172,7 +172,7 @@
         """Who is present, by the membership."""
         self.tell(events.Members(lives, quorum))
 
-    def moved(self, moved: Moved) -> None:
+    def moved(self, moved: PeerListChange) -> None:
         """The port has another list of addresses."""
         self.tell(events.Peers(moved.count, moved.replaced))
 
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -15,13 +15,13 @@
 from functools import partial
 from typing import Protocol
 
-from balancer.membership import core as membership
+from balancer.membership import events as membership
 from balancer.recovery import events as room
 from balancer.recovery.core import Config, Recovery
 from balancer.recovery.messages import FIRST_KIND
 from balancer.recovery.phases import Path, Phase
 from balancer.recovery.register import Row
-from balancer.sim.members import LIFE_UNIT, Net, World
+from balancer.sim.members import GENERATION_UNIT_MS, Network, World
 from balancer.sim.recovery_disks import Condition, Disk, Found
 from balancer.sim.recovery_outside import Backend, Discovery
 
@@ -108,12 +108,12 @@
 class Tier(World):
     """`count` nodes with disks; `start`, `kill`, `cut`, `call` and the like are the schedule's."""
 
-    def __init__(self, count: int, seed: int, net: Net, config: Config, make: Make,
+    def __init__(self, count: int, seed: int, network: Network, config: Config, make: Make,
                  backends: tuple[str, ...], partitions: tuple[Partition, ...] = (),
                  write_ms: tuple[float, float] = (1.0, 30.0)) -> None:  # fmt: skip
-        super().__init__(count, seed, net=net)
+        super().__init__(count, seed, network=network)
         self.room_config, self.make, self.partitions, self.write_ms = config, make, partitions, write_ms
-        self.net.cut = self._parted
+        self.network.is_cut = self._parted
         self.dice = random.Random(f"tier {seed}")
         self.disks = [Disk() for _ in range(count)]
         self.processes: list[Process | None] = [None] * count
@@ -143,7 +143,7 @@
         self.processes[node] = Process(core, self.now, power_cut=dark, saved=frozenset(found.saved))
         self.start(node, life)
         when = self.now + self.dice.uniform(1, 200)
-        self.at(when, partial(self._was_read, node, self.hosts[node].number, found))
+        self.at(when, partial(self._was_read, node, self.hosts[node].process_number, found))
 
     def succeed(self, node: int) -> None:
         """A successor takes the node over from its process, in the middle of whatever it does."""
@@ -198,7 +198,7 @@
         for node, process in enumerate(self.processes):
             if process is not None and process.told:  # who has a list has a watch
                 when = self.discovery.up_again() + self.dice.uniform(5, 200)
-                self.at(when, partial(self._listed, node, self.hosts[node].number))
+                self.at(when, partial(self._listed, node, self.hosts[node].process_number))
 
     def call(self, node: int, backend: str, out: bool) -> None:
         """An operator calls `maint` or `ready` at a node."""
@@ -213,7 +213,7 @@
         self.note(f"n{node} is called: {backend} {'out' if out else 'in'}")
         if self.watcher is not None:
             self.watcher.called(call)
-        self.tell(node, room.Called(backend, out, self.now + self.hosts[node].shift, call.token))
+        self.tell(node, room.Called(backend, out, self.now + self.hosts[node].clock_offset, call.token))
 
     def note(self, text: str) -> None:
         """A line for whoever reads a failed schedule."""
@@ -238,9 +238,9 @@
         if process is None or self.hosts[node].core is None:
             return
         self.handled = event.token if isinstance(event, room.Called | room.Synced) else 0
-        for action in process.core.handle(self.now + self.hosts[node].shift, event):
+        for action in process.core.handle(self.now + self.hosts[node].clock_offset, event):
             self._do(node, process, action)
-        self._plan(node, process.core.due)
+        self._schedule_tick(node, process.core.due)
 
     # --- what moves
 
@@ -250,7 +250,7 @@
         return tuple(row._replace(at=row.at + by) for row in rows)
 
     def _fresh(self, node: int, life: int) -> Recovery:
-        now = self.now + self.hosts[node].shift
+        now = self.now + self.hosts[node].clock_offset
         return self.make(self.room_config, node, self.count, life, self.seeds.getrandbits(64), now)
 
     def _parted(self, source: int, target: int) -> bool:
@@ -260,20 +260,20 @@
         """What a new process finds on its disk, and the number of its life; its clocks are others."""
         disk, host = self.disks[node], self.hosts[node]
         self.walls[node] = self.dice.uniform(-self.wall_ms, self.wall_ms)
-        host.shift = self.dice.uniform(-9e5, 9e5)
+        host.clock_offset = self.dice.uniform(-9e5, 9e5)
         wall = self.now + self.walls[node]
         found = disk.read(condition, wall, self.dice)
-        life = max(int(wall / LIFE_UNIT), found.life + 1)
+        life = max(int(wall / GENERATION_UNIT_MS), found.life + 1)
         disk.life, disk.written_wall = life, wall
         self.note(f"n{node} starts, disk {condition.value}, {len(found.rows)} rows, life {life}")
         return found, life
 
     def _kept(self, node: int, found: Found) -> room.Kept:
-        rows = self._moved(found.rows, self.hosts[node].shift - self.walls[node])
+        rows = self._moved(found.rows, self.hosts[node].clock_offset - self.walls[node])
         return room.Kept(found.sound, found.fresh, found.life, found.age_ms, rows, found.revision, found.rate)
 
     def _was_read(self, node: int, number: int, found: Found) -> None:
-        if self.hosts[node].number != number or self.processes[node] is None:
+        if self.hosts[node].process_number != number or self.processes[node] is None:
             return
         self.tell(node, room.SavedIds(found.saved))
         kept = self._kept(node, found)
@@ -282,30 +282,30 @@
             self.watcher.began(node, kept.rows)
 
     def _handle(self, node: int, event: membership.Event) -> None:
-        if isinstance(event, membership.Received) and event.data[KIND_AT] >= FIRST_KIND:
+        if isinstance(event, membership.DatagramReceived) and event.data[KIND_AT] >= FIRST_KIND:
             self.tell(node, room.Received(event.source, event.data))
             return
         super()._handle(node, event)
         if isinstance(event, membership.Tick):
             self.tell(node, room.Tick())
 
-    def _act(self, node: int, action: membership.Action) -> None:
-        super()._act(node, action)
+    def _perform(self, node: int, action: membership.Action) -> None:
+        super()._perform(node, action)
         if isinstance(action, membership.ViewChanged):
             self._members(node)
 
     def _members(self, node: int) -> None:
         core = self.hosts[node].core
         if core is not None:
-            lives = {member: core.view.known[member].life for member in core.members()}
-            self.tell(node, room.Members(lives, core.quorum()))
+            lives = {member: core.view.records[member].generation for member in core.present_members()}
+            self.tell(node, room.Members(lives, core.has_quorum()))
 
     def _do(self, node: int, process: Process, action: room.Action) -> None:
-        number = self.hosts[node].number
+        number = self.hosts[node].process_number
         match action:
             case room.Tell():
                 self.room_sent[int(self.now / 1000)] += 1
-                self._tell(node, action.node, action.data)
+                self._transmit(node, action.node, action.data)
             case room.Keep():
                 process.writing[action.token] += 1
                 self._write(node, number, action)
@@ -350,7 +350,7 @@
 
     def _written(self, node: int, number: int, rows: tuple[Row, ...], token: int | None) -> None:
         process, disk = self.processes[node], self.disks[node]
-        if process is None or self.hosts[node].number != number:
+        if process is None or self.hosts[node].process_number != number:
             return
         process.writing[token] -= 1
         if token is not None and self.dice.random() < self.sync_fails:
@@ -358,7 +358,7 @@
             process.pending.pop(token, None)
             return
         if rows:
-            disk.unsure.append(self._moved(rows, self.walls[node] - self.hosts[node].shift))
+            disk.unsure.append(self._moved(rows, self.walls[node] - self.hosts[node].clock_offset))
         disk.written_wall = self.now + self.walls[node]
         if token is None:
             return
@@ -369,9 +369,9 @@
 
     def _listed(self, node: int, number: int) -> None:
         process = self.processes[node]
-        if process is None or self.hosts[node].number != number:
+        if process is None or self.hosts[node].process_number != number:
             return
-        shift, disk = self.hosts[node].shift, self.disks[node]
+        shift, disk = self.hosts[node].clock_offset, self.disks[node]
         disk.revision, disk.saved = self.discovery.revision, tuple(self.backends)
         process.told = {name: backend.start for name, backend in self.backends.items()}
         process.restricted = frozenset()
@@ -380,7 +380,7 @@
         self.tell(node, room.Listed(self.discovery.revision, starts, tuple(self.backends)))
 
     def _failed(self, node: int, number: int) -> None:
-        if self.hosts[node].number == number:
+        if self.hosts[node].process_number == number:
             self.tell(node, room.ListFailed())
 
     def _look(self) -> None:
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -25,8 +25,8 @@
 from balancer.durable.state import DurableState, replay
 from balancer.durable.timestamp import Timestamp
 from balancer.durable.writer import LogWriter
-from balancer.membership.core import Config as MembershipConfig
-from balancer.membership.messages import State
+from balancer.membership.config import Config as MembershipConfig
+from balancer.membership.messages import MemberState
 from balancer.net import bans, handover, returning
 from balancer.policy import Balancer
 from balancer.recovery.phases import Path as RecoveryPath
@@ -124,13 +124,10 @@
 
 def membership(seed: int) -> Iterator[str]:
     """Yield each datagram of a tier whose nodes die, stall, leave and come back, in order."""
-    lossy = members.Net(loss=0.1, duplicate=0.05, late=0.02, corrupt=0.01)
-    world = members.World(
-        120 if seed % 10 == 0 else 5 + 4 * (seed % 5),
-        seed,
-        MembershipConfig(),
-        members.Net() if seed % 2 else lossy,
-    )
+    lossy = members.Network(loss_rate=0.1, duplicate_rate=0.05, late_rate=0.02, corrupt_rate=0.01)
+    count = 120 if seed % 10 == 0 else 5 + 4 * (seed % 5)
+    network = members.Network() if seed % 2 else lossy
+    world = members.World(count, seed, MembershipConfig(), network)
     sent: list[str] = []
     original = members.World._send
 
@@ -146,11 +143,14 @@
         world.at(begin + 7_000, partial(world.stall, 2, 2_500.0))
         world.at(begin + 9_000, partial(world.leave, 3))
         world.at(begin + 12_000, partial(world.start, 1))
-        world.at(begin + 13_000, partial(setattr, world.net, "cut", lambda a, b: (a < 2) != (b < 2)))
-        world.at(begin + 20_000, partial(setattr, world.net, "cut", lambda a, b: False))
+        world.at(begin + 13_000, partial(setattr, world.network, "is_cut", lambda a, b: (a < 2) != (b < 2)))
+        world.at(begin + 20_000, partial(setattr, world.network, "is_cut", lambda a, b: False))
         world.run(begin + 30_000)
     yield from sent
-    yield from (f"{s.at:.3f} {s.node} {s.change.member} {State(s.change.after).value}" for s in world.seen)
+    yield from (
+        f"{s.at:.3f} {s.node} {s.change.member} {MemberState(s.change.after).value}"
+        for s in world.observations
+    )
 
 
 def recovery(seed: int) -> Iterator[str]:
