--- a/balancer/membership/peer_socket.py
+++ b/balancer/membership/peer_socket.py
@@ -43,8 +43,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Protocol:
-    """A registered protocol; it sends only while more than `reserve` tokens are left for others."""
+class RegisteredProtocol:
+    """Who handles datagrams of a kind, and how many tokens must remain for others when it sends."""
 
     handler: DatagramHandler
     reserve: float
@@ -62,14 +62,14 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
         self._node_by_address = {address: node for node, address in enumerate(peers)}
-        self._protocols: dict[int, Protocol] = {}  # by kind
+        self._protocols: dict[int, RegisteredProtocol] = {}  # by kind
         self._tokens = MAX_DATAGRAMS_PER_S
         self._refilled_s = self._loop.time()
 
     def register(self, kinds: range, handler: DatagramHandler, has_priority: bool = False) -> None:
         """Give datagrams of these kinds to a protocol; one with priority may spend the whole rate limit."""
         reserve = 0.0 if has_priority else RESERVED_FOR_PRIORITY
-        self._protocols |= dict.fromkeys(kinds, Protocol(handler, reserve))
+        self._protocols |= dict.fromkeys(kinds, RegisteredProtocol(handler, reserve))
 
     @property
     def is_open(self) -> bool:
--- a/tests/test_membership_tier.py
+++ b/tests/test_membership_tier.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from balancer.membership.config import Config
 from balancer.membership.core import Membership
 from balancer.membership.messages import MemberState
 from balancer.sim.members import GENERATION_UNIT_MS, Network, World
@@ -186,3 +187,13 @@
     small, large = rates_per_s
     assert large < 1.3 * small
     assert large < 4.0
+
+
+def test_plain_swim_detects_a_death_without_broadcasts() -> None:
+    tier = World(12, 1, Config.plain_swim())
+    for node in range(tier.count):
+        tier.start(node)
+    assert tier.run_until_converged(4 * SETTLE_MS) < 4 * SETTLE_MS
+    tier.kill(5)
+    assert tier.run_until_converged(4 * SETTLE_MS) < 4 * SETTLE_MS
+    assert all(core.node.counts["broadcasts"] == 0 for core in running(tier))
