--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -18,7 +18,7 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from balancer.cli import fleet, returning, state
+from balancer.cli import fleet, recovery, state
 from balancer.cli.output import Exit, stop
 from balancer.errors import BalancerError
 from balancer.lab import records
@@ -36,7 +36,7 @@
     help="Experiments: real nodes, stand-ins round them, faults between them.", no_args_is_help=True
 )
 app.add_typer(lab, name="lab")
-fleet.app.command()(returning.recovery)
+fleet.app.command()(recovery.recovery)
 app.add_typer(fleet.app, name="fleet")
 app.add_typer(state.app, name="state")
 console = Console(stderr=True)
--- a/balancer/lab/scale/returns.py
+++ b/balancer/lab/scale/returns.py
@@ -17,15 +17,15 @@
 from balancer.lab.scale.size import HEADERS
 from balancer.lab.scale.tiers import LOSS, Figures, Meter
 from balancer.recovery import events as room
-from balancer.recovery.core import ANSWERS, Config, Recovery
-from balancer.recovery.messages import Flag, Kind, Message, State, bits_of, decode, encode
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.core import EXPECTED_SURVEY_REPLIES, Recovery, RecoveryConfig
+from balancer.recovery.messages import Message, MessageKind, NodeStatus, StatusFlag, decode, encode, node_bits
 from balancer.recovery.phases import Phase
-from balancer.recovery.register import Row
-from balancer.recovery.turns import Turns
+from balancer.recovery.poll_schedule import PollSchedule
 from balancer.sim.agenda import Agenda
 from balancer.sim.members import LIFE_UNIT, Net
 from balancer.sim.recovery_disks import Condition
-from balancer.sim.recovery_outside import Discovery
+from balancer.sim.recovery_environment import Discovery
 from balancer.sim.recovery_schedule import BACKENDS
 from balancer.sim.recovery_world import DAY_MS, Tier
 
@@ -42,11 +42,11 @@
 class Returning(Tier):
     """A tier whose nodes all have sound disks of a moment ago, and start as power comes back."""
 
-    def __init__(self, count: int, seed: int, config: Config) -> None:
+    def __init__(self, count: int, seed: int, config: RecoveryConfig) -> None:
         super().__init__(count, seed, Net(loss=LOSS), config, Recovery, BACKENDS)
         self.meter = Meter()
         life = int(self.now / LIFE_UNIT)
-        ban = Row(BACKENDS[0], 0, life, 1, True, self.now)
+        ban = BanEntry(BACKENDS[0], 0, life, 1, True, self.now)
         for disk in self.disks:
             disk.used, disk.life, disk.written_wall = True, life, self.now
             disk.rows, disk.revision, disk.saved = [(ban,)], self.discovery.revision, BACKENDS
@@ -82,7 +82,7 @@
     """All nodes of a tier lose power and return over two seconds, at the usual loss of datagrams."""
     for count in sizes:
         of, begun = Figures(ROLE, count), time.thread_time()
-        tier = Returning(count, seed, Config())
+        tier = Returning(count, seed, RecoveryConfig())
         tier.finish()
         meter, full, told = tier.meter, _last(tier.full, count), _last(tier.told, count)
         yield from of.took("return_full", full)
@@ -100,19 +100,19 @@
     """Discovery's turns where each of a few nodes takes those of many, so that a round is as long."""
     for count in sizes:
         of, each = Figures(ROLE, count), count / STAND_IN
-        tier = Returning(STAND_IN, seed, Config(slot=Config().slot * each))
+        tier = Returning(STAND_IN, seed, RecoveryConfig(slot=RecoveryConfig().slot * each))
         tier.finish()
         early = sum(tier.full[node] < at for node, at in tier.told.items() if node in tier.full)
         told = _last(tier.told, STAND_IN)
         yield from of.took("turns_told", told)
         yield of.counted("turns_early", "entries", early * each)
-        one = Turns(0, Config().slot)
+        one = PollSchedule(0, RecoveryConfig().slot)
         one.taken(0.0, count)
         one.failed(0.0, count)
         yield from of.took("turns_again", one.due)
         begun = time.thread_time()
         for node in range(PLANS):
-            Turns(node, Config().slot).plan(0.0, range(count))
+            PollSchedule(node, RecoveryConfig().slot).plan(0.0, range(count))
         took = (time.thread_time() - begun) * 1000 / PLANS
         yield of.machine("turns_plan", "ms", took)
 
@@ -123,10 +123,10 @@
     def __init__(self, count: int, seed: int) -> None:
         super().__init__(0.0)
         self.count, self.dice = count, random.Random(f"restart {seed}")
-        self.core = Recovery(Config(), 0, count, 2, seed, self.now)
+        self.core = Recovery(RecoveryConfig(), 0, count, 2, seed, self.now)
         self.full = self.told = math.inf
-        self._give(room.Kept(True, False, 1, DARK_MS, (), 1, RATE))
-        self._give(room.Members(dict.fromkeys(range(count), 1), True))
+        self._give(room.DiskRead(True, False, 1, DARK_MS, (), 1, RATE))
+        self._give(room.MembershipChanged(dict.fromkeys(range(count), 1), True))
 
     def finish(self) -> None:
         """Run until it is FULL and has been told the list, or the longest time is over."""
@@ -137,21 +137,24 @@
     def _give(self, event: room.Event) -> None:
         for action in self.core.handle(self.now, event):
             match action:
-                case room.Tell() if decode(action.data, self.now).kind is Kind.ROLL:
-                    for peer in self.dice.sample(range(1, self.count), min(ANSWERS, self.count - 1)):
+                case room.SendDatagram() if decode(action.data, self.now).kind is MessageKind.SURVEY:
+                    for peer in self.dice.sample(
+                        range(1, self.count), min(EXPECTED_SURVEY_REPLIES, self.count - 1)
+                    ):
                         self.at(self.now + ANSWER_MS, partial(self._answer, peer))
-                case room.AskList():
-                    listed = room.Listed(1, (self.now - DAY_MS,), BACKENDS[:1])
+                case room.RequestList():
+                    listed = room.ListReceived(1, (self.now - DAY_MS,), BACKENDS[:1])
                     self.at(self.now + Discovery.serve_ms, partial(self._give, listed))
                     self.told = self.now + Discovery.serve_ms
-                case room.Entered(phase=Phase.FULL):
+                case room.PhaseEntered(phase=Phase.FULL):
                     self.full = self.now
 
     def _answer(self, peer: int) -> None:
-        state = State(1, DAY_MS, Phase.FULL, 0, Flag.SOUND | Flag.LISTED | Flag.WARM, 1, RATE, RATE, 0,
-                      bits_of(range(self.count)))  # fmt: skip
-        message = Message(Kind.ANSWER, peer, self.core.register.hash, state)
-        self._give(room.Received(peer, encode(message, self.now)))
+        flags = StatusFlag.SOUND | StatusFlag.LISTED | StatusFlag.WARM
+        seen = node_bits(range(self.count))
+        state = NodeStatus(1, DAY_MS, Phase.FULL, 0, flags, 1, RATE, RATE, 0, seen)
+        message = Message(MessageKind.STATUS, peer, self.core.register.hash, state)
+        self._give(room.DatagramReceived(peer, encode(message, self.now)))
 
 
 def restarts(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
@@ -168,12 +171,12 @@
     del seed  # nothing is drawn
     for count in sizes:
         of = Figures(ROLE, count)
-        state = State(1, 0.0, Phase.FULL, 0, Flag.SOUND, 1, RATE, RATE, 0, bits_of(range(count)))
+        state = NodeStatus(1, 0.0, Phase.FULL, 0, StatusFlag.SOUND, 1, RATE, RATE, 0, node_bits(range(count)))
         begun = time.thread_time()
-        data = encode(Message(Kind.ANSWER, 0, 0, state), 0.0)
+        data = encode(Message(MessageKind.STATUS, 0, 0, state), 0.0)
         body = decode(data, 0.0).body
         took = (time.thread_time() - begun) * 1e6
-        assert isinstance(body, State)
+        assert isinstance(body, NodeStatus)
         yield of.counted("answer_bytes", "bytes", len(data) + HEADERS)
         yield of.counted("answer_left_out", "entries", count - body.present)
         yield of.machine("answer_processor", "us", took)
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -25,7 +25,7 @@
     from balancer.membership.shell import MembershipShell
     from balancer.net.keeping import Keeping
     from balancer.net.node import Node, Watcher
-    from balancer.net.returning import Returning
+    from balancer.net.recovery_adapter import RecoveryAdapter
 
 log = logging.getLogger(__name__)
 
@@ -129,7 +129,7 @@
             self.keeping = Keeping(Path(table.durable.directory), held.name)
         self.port: Port | None = None
         self.membership: MembershipShell | None = None
-        self.returning: Returning | None = None
+        self.returning: RecoveryAdapter | None = None
         self._returns = table.recovery is not None
         self._opening: asyncio.Task[None] | None = None
         if table.membership is not None:
@@ -151,10 +151,10 @@
         """
         if not self._returns or self.port is None or self.membership is None:
             return watcher
-        from balancer.net.returning import Returning
+        from balancer.net.recovery_adapter import RecoveryAdapter
 
         disk = self.keeping.durable if self.keeping is not None else None
-        self.returning = Returning(node, watcher, known, self.port, self.membership.life, disk)
+        self.returning = RecoveryAdapter(node, watcher, known, self.port, self.membership.life, disk)
         self.membership.viewed = self.returning.shell.members
         return self.returning
 
--- a/balancer/net/returning.py
+++ b/balancer/net/recovery_adapter.py
@@ -23,14 +23,13 @@
 from balancer.net.figures import End
 from balancer.net.node import Node, Watcher
 from balancer.recovery import events
-from balancer.recovery.core import Config
-from balancer.recovery.phases import Path as Way
-from balancer.recovery.phases import Phase
-from balancer.recovery.register import Row
-from balancer.recovery.shell import CallError, Left, RecoveryShell
-from balancer.recovery.trust import Kind
-
-SUFFIX = ".return"  # of the file for a successor, beside the others by which a node's processes meet
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.core import RecoveryConfig
+from balancer.recovery.phases import Phase, RecoveryPath
+from balancer.recovery.shell import BanCallError, RecoveryHandover, RecoveryShell
+from balancer.recovery.trust import StateKind
+
+HANDOVER_SUFFIX = ".return"  # of the file for a successor, beside the others by which a node's processes meet
 LOOK, SOON = 0.02, 0.5  # s between two looks for it, and for which it is looked for
 SMOOTH = 0.5  # of the requests a second, a second
 FADES = 0.5 ** (1 / 600)  # of the most that was carried, a second: by half in 10 min
@@ -39,7 +38,7 @@
           Phase.FULL: api.RecoveryPhase.FULL}  # fmt: skip
 
 
-class Returning:
+class RecoveryAdapter:
     """The return of one process of a node; to the module it is what brings the list."""
 
     def __init__(
@@ -49,7 +48,13 @@
         self.kept = disk.kept if disk is not None else Kept()
         settings = node.settings
         self.shell = RecoveryShell(
-            Config(ramp_time=settings.ramp_time), settings.me, life, node.config.seed, port, self, disk
+            RecoveryConfig(ramp_time=settings.ramp_time),
+            settings.me,
+            life,
+            node.config.seed,
+            port,
+            self,
+            disk,
         )
         self._lately = 0.0  # requests a second that were completed
         self.rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
@@ -57,7 +62,10 @@
         self._turn = False  # it may call discovery
         self._whole = False  # the module wants the whole list
         self._fresh = False  # discovery has told the list
-        self._word: tuple[Phase, events.Admit | None] = (Phase.VERIFY, None)  # the module was told last
+        self._word: tuple[Phase, events.CapacityGranted | None] = (
+            Phase.VERIFY,
+            None,
+        )  # the module was told last
         self._saved = replace(known, members=tuple(map(_copy, known.members)))
         self._list = {m.backend: m for m in self._saved.members}
         self._restricted: frozenset[str] = frozenset()
@@ -66,18 +74,18 @@
 
     async def returned(self, beside: bool, recovered: api.Recovered | None) -> None:
         """Returns when the node may listen."""
-        self.shell.tell(events.SavedIds(tuple(self._list)))
+        self.shell.tell(events.SavedListLoaded(tuple(self._list)))
         left = await self._inherited() if beside else None
         if beside:
             # A predecessor from before the room is one that has served: nothing is cold.
-            self.shell.inherit(left or Left(Phase.FULL, Way.UPGRADE, -math.inf, ()))
+            self.shell.inherit(left or RecoveryHandover(Phase.FULL, RecoveryPath.UPGRADE, -math.inf, ()))
             if self.disk is not None and self.disk.off is None:  # it has had calls since this process began
                 self.kept = self.disk.look()
         self.shell.begin(self.kept)
         await self.shell.served()
         if not beside:
             await self._reconcile()
-        if recovered is not None and self.shell.trusts(Kind.LEARNED):
+        if recovered is not None and self.shell.trusts(StateKind.LEARNED):
             self.node.event(recovered)
 
     def resume(self) -> None:
@@ -97,17 +105,17 @@
                 with contextlib.suppress(BalancerError):
                     await self.shell.called(backend, True)
 
-    async def _inherited(self) -> Left | None:
+    async def _inherited(self) -> RecoveryHandover | None:
         """What the predecessor leaves, once it has seen this process."""
-        path = self.node.meeting.with_suffix(SUFFIX)
+        path = self.node.meeting.with_suffix(HANDOVER_SUFFIX)
         until = self.node.loop.time() + SOON
-        while (left := take(path, self._clock())) is None and self.node.loop.time() < until:
+        while (left := read_handover(path, self._clock())) is None and self.node.loop.time() < until:
             await asyncio.sleep(LOOK)
         return left
 
     def hand_over(self) -> None:
         """A successor has come."""
-        give(self.node.meeting.with_suffix(SUFFIX), self.shell.left(), self._clock())
+        write_handover(self.node.meeting.with_suffix(HANDOVER_SUFFIX), self.shell.left(), self._clock())
 
     def _clock(self) -> float:
         """The node's clock where the system's monotonic one is 0: that one all processes share."""
@@ -123,7 +131,7 @@
         """The bans follow the register, in both processes of an upgrade."""
         await self.node.bans.follow(backend, out, since, self.node.settings.ramp_time)
 
-    def admit(self, phase: Phase, admit: events.Admit | None) -> None:
+    def admit(self, phase: Phase, admit: events.CapacityGranted | None) -> None:
         """Tell the module. What the list says of the backends' starts counts once discovery has told one."""
         self._word = phase, admit
         if admit is None:
@@ -171,7 +179,7 @@
         if not self._fresh and self._turn and not self.shell.failed:
             self._turn = False
             self.watcher.watch(False)
-            self.shell.tell(events.ListFailed())
+            self.shell.tell(events.ListRequestFailed())
 
     def listed(self, news: News, kind: api.ListKind) -> None:
         """Discovery has told the list, or a change of it."""
@@ -183,7 +191,7 @@
         self._restricted -= {m.backend for m in news.members}
         up = [m for m in self._list.values() if m.phase is api.Phase.UP]
         starts = tuple(entry.started_at for entry in up)
-        self.shell.tell(events.Listed(news.revision, starts, tuple(entry.backend for entry in up)))
+        self.shell.tell(events.ListReceived(news.revision, starts, tuple(entry.backend for entry in up)))
         if first and self._word[0] is Phase.WARMING:  # it may have been so while discovery was silent
             self.admit(*self._word)
 
@@ -196,7 +204,7 @@
     async def banned(self, backend: str, out: bool) -> None:
         """Returns once a call is on record and in force. Raises BalancerError."""
         if await self.shell.called(backend, out) != out:
-            raise CallError("at another node it was taken out at the same time")
+            raise BanCallError("at another node it was taken out at the same time")
 
     def waiting(self) -> str:
         """Why the node does not listen yet."""
@@ -219,7 +227,7 @@
             self._lately += SMOOTH * (each[1] - self._lately)
             self.rate = max(FADES * self.rate, self._lately)
         else:
-            self.shell.tell(events.Demand(max(0.0, each[0])))
+            self.shell.tell(events.DemandMeasured(max(0.0, each[0])))
         return self.rate
 
 
@@ -228,22 +236,24 @@
     return replace(member)
 
 
-def give(path: Path, left: Left, clock: float) -> None:
+def write_handover(path: Path, left: RecoveryHandover, clock: float) -> None:
     """Leave it for the successor."""
     table = {"clock": clock, "phase": int(left.phase), "path": left.path.value,
              "cold_since": left.cold_since, "rows": left.rows}  # fmt: skip
     handover.leave(path, table, "recovery")
 
 
-def take(path: Path, clock: float) -> Left | None:
+def read_handover(path: Path, clock: float) -> RecoveryHandover | None:
     """What the predecessor has left, on this process's clock; None where there is nothing of use."""
 
-    def read(raw: Any, age: float) -> Left:
+    def read(raw: Any, age: float) -> RecoveryHandover:
         shift = clock - float(raw["clock"])
         rows = tuple(
-            Row(str(name), int(node), int(life), int(seq), bool(live), float(at) + shift)
+            BanEntry(str(name), int(node), int(life), int(seq), bool(live), float(at) + shift)
             for name, node, life, seq, live, at in raw["rows"]
         )
-        return Left(Phase(raw["phase"]), Way(raw["path"]), float(raw["cold_since"]) + shift, rows)
+        return RecoveryHandover(
+            Phase(raw["phase"]), RecoveryPath(raw["path"]), float(raw["cold_since"]) + shift, rows
+        )
 
     return handover.taken(path, read, "recovery")
--- a/balancer/recovery/earlier.py
+++ b/balancer/recovery/ban_migration.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Collection, Iterable
 
-from balancer.recovery.register import Row
+from balancer.recovery.ban_register import BanEntry
 
 
-def calls(out: Collection[str], rows: Iterable[Row]) -> list[tuple[str, bool]]:
+def calls(out: Collection[str], rows: Iterable[BanEntry]) -> list[tuple[str, bool]]:
     """What was called meanwhile, as (backend, whether it is out): it is called once more in the register.
 
     `out` is who is out by all records of the disk. As every row counts there too, what differs from the rows
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -17,53 +17,52 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from balancer.recovery.bans import Bans
+from balancer.recovery.ban_controller import BanController
+from balancer.recovery.ban_register import BanEntry, BanRegister
+from balancer.recovery.demand_share import demand_weighted_share
 from balancer.recovery.events import (
     Action,
-    Admit,
-    AskList,
-    Called,
-    Demand,
-    Entered,
+    BanRequested,
+    CapacityGranted,
+    DatagramReceived,
+    DemandMeasured,
+    DiskRead,
     Event,
-    Inherited,
-    Keep,
-    Kept,
-    Leave,
-    Listed,
-    ListFailed,
-    Members,
-    Peers,
-    Received,
-    Restrict,
-    SavedIds,
-    Synced,
-    Tell,
+    ListReceived,
+    ListRequestFailed,
+    MembershipChanged,
+    PeersChanged,
+    PersistEntries,
+    PhaseEntered,
+    RequestList,
+    RestrictSavedList,
+    SavedListLoaded,
+    SendDatagram,
+    ShutdownStarted,
+    StateInherited,
+    WriteCompleted,
 )
 from balancer.recovery.exchange import Exchange
-from balancer.recovery.filters import filter_of, outside
+from balancer.recovery.list_filter import build_filter, excluded_ids
 from balancer.recovery.messages import (
-    Filter,
-    Flag,
-    Kind,
+    ListFilter,
     Message,
     MessageError,
-    Rows,
-    State,
-    UnknownKind,
-    bits_of,
+    MessageKind,
+    NodeStatus,
+    RegisterPage,
+    StatusFlag,
+    UnknownKindError,
     decode,
     encode,
+    node_bits,
 )
-from balancer.recovery.phases import PATHS, Path, Phase, judge, settled_among
-from balancer.recovery.register import Register, Row
-from balancer.recovery.shares import share_of
-from balancer.recovery.trust import TABLE, Disk, Trust, trusts
-from balancer.recovery.trust import Kind as What
-from balancer.recovery.turns import Turns
-
-COLD = frozenset({Path.POWER, Path.SPLIT, Path.ALONE})  # every backend may be cold
-ANSWERS = 8  # of those that hear a roll call, on average
+from balancer.recovery.phases import PATHS, Phase, RecoveryPath, classify_recovery, established_peers
+from balancer.recovery.poll_schedule import PollSchedule
+from balancer.recovery.trust import TRUST_TABLE, DiskState, StateKind, TrustRule, is_trusted
+
+COLD = frozenset({RecoveryPath.POWER, RecoveryPath.SPLIT, RecoveryPath.ALONE})  # every backend may be cold
+EXPECTED_SURVEY_REPLIES = 8  # of those that hear a roll call, on average
 THROUGH = 4  # peers that have asked all others, from which no more are waited for
 ANSWER_SOON = 150.0  # ms in which a node that is returning itself gathers whom it owes an answer
 LATELY = 10_000.0  # ms for which a peer that was heard counts as present, and as returning
@@ -74,7 +73,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class RecoveryConfig:
     """Times in ms. The defaults hold the bounds in `docs/fleet-recovery.md`."""
 
     ramp_time: float = 8000.0  # after which a backend is warm, from the platform's settings
@@ -98,10 +97,10 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class PeerReport:
     """What a peer last said of itself."""
 
-    state: State
+    state: NodeStatus
     at: float
 
 
@@ -109,39 +108,39 @@
     """The return of node `me` of a tier of `count` nodes, in its life of that number."""
 
     def __init__(
-        self, config: Config, me: int, count: int, life: int, seed: int, now: float,
-        table: Mapping[What, Trust] = TABLE,
+        self, config: RecoveryConfig, me: int, count: int, life: int, seed: int, now: float,
+        table: Mapping[StateKind, TrustRule] = TRUST_TABLE,
     ) -> None:  # fmt: skip
         self.config, self.me, self.count, self.table = config, me, count, table
         self.random = random.Random(seed)
-        self.register = Register(me, life, self.random.randrange(1 << 24))
+        self.register = BanRegister(me, life, self.random.randrange(1 << 24))
         self.exchange = Exchange(
             me, self.register, self.random, config.datagrams, config.burst, config.roll, now
         )
-        self.turns = Turns(me, config.slot)
-        self.phase, self.path = Phase.VERIFY, Path.UNDECIDED
+        self.turns = PollSchedule(me, config.slot)
+        self.phase, self.path = Phase.VERIFY, RecoveryPath.UNDECIDED
         self.cold_since = self.started = self.now = now
-        self.disk = Disk()
+        self.disk = DiskState()
         self.counts: Counter[str] = Counter()
         self._acts: list[Action] = []
-        self.bans = Bans(self.register, self.exchange, config.ramp_time, self._acts)
+        self.bans = BanController(self.register, self.exchange, config.ramp_time, self._acts)
         self._since = now  # this phase
         self._asked_since = self._listed_since = now
         self._roll_at, self._roll_wait = math.inf, config.roll
-        self._heard: dict[int, Heard] = {}
+        self._heard: dict[int, PeerReport] = {}
         self._hearsay = 0  # bits of all whom peers say that they see
         self._settled = False  # whether peers were heard that did not return with this node
         self._members: frozenset[int] = frozenset({me})
         self._quorum_seen = False
-        self._held: list[Row] = []  # of the disk, until the peers are asked
+        self._held: list[BanEntry] = []  # of the disk, until the peers are asked
         self._revision = 0  # of the list that is served from
         self._rate = 0.0  # as this node kept it
-        self._fresh: Listed | None = None  # what discovery told in this process
+        self._fresh: ListReceived | None = None  # what discovery told in this process
         self._ahead_since = math.inf  # when it first told of a start ahead of this clock
-        self._filter: Filter | None = None  # the newest one heard
+        self._filter: ListFilter | None = None  # the newest one heard
         self._saved: tuple[str, ...] = ()
         self._restricted: frozenset[str] = frozenset()
-        self._admitted: Admit | None = None
+        self._admitted: CapacityGranted | None = None
         self._admit_at = now  # when it is looked at next
         self._demand = math.inf  # requests in the last second, at this node; infinite: nobody said
         self._warm = False  # by this node's clock
@@ -168,46 +167,46 @@
         """What to do about an event, at a time that never goes back."""
         self.now = max(self.now, now)
         match event:
-            case Kept():
+            case DiskRead():
                 self._kept(event)
-            case Inherited():
+            case StateInherited():
                 self._inherited(event)
-            case Received():
+            case DatagramReceived():
                 self._received(event)
-            case Members():
+            case MembershipChanged():
                 self._members = frozenset(m for m in event.lives if 0 <= m < self.count) | {self.me}
                 self._quorum_seen = event.quorum
                 self._admit_at = self.now
-            case Listed():
+            case ListReceived():
                 self._told(event)
-            case ListFailed():
+            case ListRequestFailed():
                 self.counts["list_failed"] += 1
                 self.turns.failed(self.now, self._turns_among())
-            case SavedIds():
+            case SavedListLoaded():
                 self._saved = event.ids
                 self._restrict()
-            case Called():
+            case BanRequested():
                 self.bans.called(event, self.now)
-            case Synced():
+            case WriteCompleted():
                 self.bans.synced(event, self.now)
-            case Demand():
+            case DemandMeasured():
                 self._demanded(event)
-            case Leave():
+            case ShutdownStarted():
                 self.exchange.leaving = True
                 self._roll_at = math.inf
                 self.turns.done()
-            case Peers():
+            case PeersChanged():
                 self._peers(event)
         self._go_on()
         out = list(self._acts)
         self._acts.clear()
         return out
 
-    def trusts(self, kind: What) -> bool:
+    def trusts(self, kind: StateKind) -> bool:
         """Whether what the disk kept of a kind may be used now, by the table."""
         asked = self.phase >= Phase.LISTED
-        better = kind in (What.LIST, What.REVISION) and self._fresh is not None
-        return trusts(kind, self.disk, asked, better, self.table)
+        better = kind in (StateKind.LIST, StateKind.REVISION) and self._fresh is not None
+        return is_trusted(kind, self.disk, asked, better, self.table)
 
     @property
     def share(self) -> float:
@@ -221,7 +220,7 @@
         since = self.now - FRESH
         others = [self._heard[n].state.demand if n in self._heard and self._heard[n].at >= since else math.inf
                   for n in sorted(present - {self.me})]  # fmt: skip
-        return most * share_of(self._demand, others)
+        return most * demand_weighted_share(self._demand, others)
 
     @property
     def rate(self) -> float:
@@ -242,7 +241,7 @@
             "since_ms": round(self.now - self._since),
             "share": round(self.share, 4),
             "trusted": {kind.value: self.table[kind].verdict.value if self.trusts(kind) else "no"
-                        for kind in What},
+                        for kind in StateKind},
             "asked": self.count - 1,
             "heard": len(self._heard),
             "waits_for": self._waits_for(),
@@ -267,7 +266,7 @@
         since = self.now - LATELY
         return sum(h.at >= since and h.state.phase < Phase.FULL for h in self._heard.values())
 
-    def _states(self) -> list[State]:
+    def _states(self) -> list[NodeStatus]:
         return [h.state for _, h in sorted(self._heard.items())]
 
     def _waits_for(self) -> list[int]:
@@ -278,14 +277,14 @@
 
     def _missing(self) -> list[int]:
         """Who should be there, by the membership or by what peers say, and has not been heard."""
-        seen = (self._hearsay | bits_of(self._members)) & ~bits_of((*self._heard, self.me))
+        seen = (self._hearsay | node_bits(self._members)) & ~node_bits((*self._heard, self.me))
         return [node for node in range(min(self.count, seen.bit_length())) if seen >> node & 1]
 
-    def _judged(self) -> tuple[Path, str]:
+    def _judged(self) -> tuple[RecoveryPath, str]:
         present = len(self._heard) + 1
         if self._quorum_seen:
             present = max(present, len(self._members))
-        return judge(self._states(), self.count, present, self.config.window)
+        return classify_recovery(self._states(), self.count, present, self.config.window)
 
     # --- phases
 
@@ -303,18 +302,18 @@
             self._admit()
         if self.now >= self.turns.due:
             self.turns.taken(self.now, self._turns_among())
-            self._acts.append(AskList())
+            self._acts.append(RequestList())
         if self.phase is Phase.VERIFY or self.now < self.exchange.due:
             return  # in VERIFY nothing that this node says would hold
         peers = sorted(self._present() - {self.me})
         for one in self.exchange.take(self.now, self._state, peers):
             message = Message(one.kind, self.me, self.register.hash, one.body)
-            self._acts.append(Tell(one.node, encode(message, self.now)))
+            self._acts.append(SendDatagram(one.node, encode(message, self.now)))
 
     def _enter(self, phase: Phase, reason: str) -> None:
         self.phase, self._since = phase, self.now
         self._admit_at = self.now
-        self._acts.append(Entered(phase, self.path, reason))
+        self._acts.append(PhaseEntered(phase, self.path, reason))
         if phase is Phase.FULL:
             self.exchange.owe(None, self.now)
 
@@ -339,16 +338,16 @@
             why += f", {lacking} know more"
         self._serve(f"{reason}; {why}")
 
-    def _asked_enough(self, path: Path) -> str | None:
+    def _asked_enough(self, path: RecoveryPath) -> str | None:
         """Why no more is waited for; None while it is."""
         config, asked = self.config, self.now - self._asked_since
         if self.count == 1:
             return "the tier has no other node"
         if asked >= config.ask_most:
             return "the longest time is over"
-        if path is Path.CRASH and not self.exchange.lacking():
+        if path is RecoveryPath.CRASH and not self.exchange.lacking():
             agree = [h.state for node, h in self._heard.items() if self.exchange.agrees(node)]
-            enough = len(settled_among(agree, self.count)) >= min(2, self.count - 1)
+            enough = len(established_peers(agree, self.count)) >= min(2, self.count - 1)
             return "they agree" if enough else None
         if not self._heard:
             return "nobody answers" if asked >= config.alone_after else None
@@ -383,11 +382,11 @@
 
     def _refine(self) -> None:
         """Others that come later tell more of what this return is. Who serves already has had no crash."""
-        if self.path in (Path.ALONE, Path.SPLIT):
+        if self.path in (RecoveryPath.ALONE, RecoveryPath.SPLIT):
             path, reason = self._judged()
-            if path in (Path.SPLIT, Path.POWER) and path is not self.path:
+            if path in (RecoveryPath.SPLIT, RecoveryPath.POWER) and path is not self.path:
                 self.path = path
-                self._acts.append(Entered(self.phase, path, reason))
+                self._acts.append(PhaseEntered(self.phase, path, reason))
 
     def _wait_for_list(self) -> None:
         if self._fresh is not None:
@@ -425,13 +424,13 @@
                 self.exchange.owe(None, self.now, ANSWER_SOON * self.random.random())
             since = self.now - FRESH
             told = [h.state for h in self._heard.values() if h.at >= since and h.state.phase >= Phase.LISTED]
-            cold = sum(s.phase < Phase.FULL and Flag.WARM not in s.flags for s in told)
+            cold = sum(s.phase < Phase.FULL and StatusFlag.WARM not in s.flags for s in told)
             if 2 * cold > len(told) > 1:
                 self._look_at = self.now + LOOK
             else:
                 self._enter(Phase.FULL, "every listed backend is warm")
 
-    def _demanded(self, event: Demand) -> None:
+    def _demanded(self, event: DemandMeasured) -> None:
         """All tell how much comes to them, as the work on cold backends is shared by that."""
         self._demand = max(0.0, event.per_s)
         self._admit_at = self.now
@@ -440,7 +439,7 @@
 
     def _admit(self) -> None:
         self._admit_at = self.now + LOOK
-        new, old = Admit(self.share, self.cold_since, self.rate), self._admitted
+        new, old = CapacityGranted(self.share, self.cold_since, self.rate), self._admitted
         same = old is not None and old.cold_since == new.cold_since
         if old is None or not same or _differ(old.share, new.share) or _differ(old.rate, new.rate):
             self._admitted = new
@@ -448,9 +447,9 @@
 
     # --- what was there before
 
-    def _kept(self, event: Kept) -> None:
-        self.disk = Disk(event.sound, event.fresh_disk, event.age_ms)
-        if self.trusts(What.LIFE):
+    def _kept(self, event: DiskRead) -> None:
+        self.disk = DiskState(event.sound, event.fresh_disk, event.age_ms)
+        if self.trusts(StateKind.LIFE):
             self.register.life = max(self.register.life, event.life)
         rows = event.rows if event.sound else ()
         late = [row._replace(at=min(row.at, self.now)) for row in rows]
@@ -466,25 +465,25 @@
                 found = f"{len(rows)} rows kept, {len(self.register.bans())} bans"
             self._begin_asking(found)
 
-    def _inherited(self, event: Inherited) -> None:
+    def _inherited(self, event: StateInherited) -> None:
         """A phase that this process has reached itself is not left for an earlier one."""
         if news := self.bans.restore(event.rows, self.now):
-            self._acts.append(Keep(tuple(news)))
+            self._acts.append(PersistEntries(tuple(news)))
         if event.phase < Phase.LISTED or event.phase <= self.phase:
             if self.phase is Phase.VERIFY:
                 self._begin_asking(f"the predecessor was in {event.phase.name.lower()}")
             return
-        self.path, self.cold_since, self._roll_at = Path.UPGRADE, event.cold_since, math.inf
+        self.path, self.cold_since, self._roll_at = RecoveryPath.UPGRADE, event.cold_since, math.inf
         self._listed_since = self.now if event.cold_since == -math.inf else event.cold_since
         self._enter(event.phase, f"the predecessor's, by the way of {event.path.value}")
         self.turns.at_once(self.now)
 
     # --- datagrams
 
-    def _received(self, event: Received) -> None:
+    def _received(self, event: DatagramReceived) -> None:
         try:
             message = decode(event.data, self.now)
-        except UnknownKind:
+        except UnknownKindError:
             self.counts["unknown_kinds"] += 1
             return
         except MessageError:
@@ -496,18 +495,18 @@
             return
         self.counts["received"] += 1
         match message.body:
-            case State() as state:
-                self._heard[node] = Heard(state, self.now)
+            case NodeStatus() as state:
+                self._heard[node] = PeerReport(state, self.now)
                 self._hearsay |= state.nodes
                 if self.phase <= Phase.ASK and not self._settled:
-                    self._settled = bool(settled_among(self._states(), self.count))
+                    self._settled = bool(established_peers(self._states(), self.count))
                 self.exchange.hears(node, message.hash, self.now, self._patience())
                 self._answer(message, state)
-            case Rows() as rows:
+            case RegisterPage() as rows:
                 changed = self.exchange.rows_came(node, message.hash, rows)
                 self.bans.learned(changed, rows.rows, self.now)
                 self.exchange.hears(node, message.hash, self.now, self._patience())
-            case Filter() as filter_:
+            case ListFilter() as filter_:
                 self.exchange.filter_came(filter_, self.now)
                 if self._filter is None or filter_.revision > self._filter.revision:
                     self._filter = filter_
@@ -523,37 +522,37 @@
             return 1000.0
         return 10.0 if self._settled else 160.0
 
-    def _answer(self, message: Message, state: State) -> None:
-        if message.kind is Kind.ROLL:
-            unheard = (bits_of(self._present()) & ~state.nodes).bit_count()  # by him
-            if not state.nodes >> self.me & 1 and self.random.random() * unheard < ANSWERS:
+    def _answer(self, message: Message, state: NodeStatus) -> None:
+        if message.kind is MessageKind.SURVEY:
+            unheard = (node_bits(self._present()) & ~state.nodes).bit_count()  # by him
+            if not state.nodes >> self.me & 1 and self.random.random() * unheard < EXPECTED_SURVEY_REPLIES:
                 wait = 0.0 if self.phase is Phase.FULL else ANSWER_SOON * self.random.uniform(0.5, 1.0)
                 self.exchange.owe(message.sender, self.now, wait)
-        elif Flag.REPLY not in state.flags and self.exchange.is_behind(message.sender):
+        elif StatusFlag.REPLY not in state.flags and self.exchange.is_behind(message.sender):
             self.exchange.owe(message.sender, self.now)  # by that he learns of it
-        if Flag.LISTED not in state.flags and self._fresh is not None and self.phase >= Phase.LISTED:
-            listed = sum(Flag.LISTED in s.flags for s in self._states())
+        if StatusFlag.LISTED not in state.flags and self._fresh is not None and self.phase >= Phase.LISTED:
+            listed = sum(StatusFlag.LISTED in s.flags for s in self._states())
             self.exchange.filter_wanted(self.now, listed)
 
-    def _state(self, flags: Flag) -> State:
+    def _state(self, flags: StatusFlag) -> NodeStatus:
         """What this node says of itself."""
-        flags |= Flag.SOUND if self.disk.sound else Flag(0)
-        flags |= Flag.FRESH if self.disk.fresh else Flag(0)
-        flags |= Flag.LISTED if self._fresh is not None else Flag(0)
-        flags |= Flag.WARM if self._warm else Flag(0)
+        flags |= StatusFlag.SOUND if self.disk.sound else StatusFlag(0)
+        flags |= StatusFlag.FRESH if self.disk.fresh else StatusFlag(0)
+        flags |= StatusFlag.LISTED if self._fresh is not None else StatusFlag(0)
+        flags |= StatusFlag.WARM if self._warm else StatusFlag(0)
         seen = self._present() if self.phase >= Phase.LISTED else {*self._heard, self.me}
-        known = self._revision if self._fresh is not None or self.trusts(What.REVISION) else 0
-        return State(
+        known = self._revision if self._fresh is not None or self.trusts(StateKind.REVISION) else 0
+        return NodeStatus(
             self.register.life, self.now - self.started, self.phase, PATHS.index(self.path), flags, known,
-            self._own_rate(), self._demand, self._young(), bits_of(seen),
+            self._own_rate(), self._demand, self._young(), node_bits(seen),
         )  # fmt: skip
 
     def _own_rate(self) -> float:
-        return self._rate if self.trusts(What.RATE) else 0.0
+        return self._rate if self.trusts(StateKind.RATE) else 0.0
 
     # --- the list
 
-    def _told(self, event: Listed) -> None:
+    def _told(self, event: ListReceived) -> None:
         first = self._fresh is None
         # What is ahead of this clock counts as of now, and goes on counting as of then.
         if self._ahead_since == math.inf and any(start > self.now for start in event.starts):
@@ -561,7 +560,7 @@
         starts = tuple(start if start <= self.now else self._ahead_since for start in event.starts)
         self._fresh, self._revision = replace(event, starts=starts), event.revision
         self.turns.done()
-        self.exchange.filter = filter_of(event.ids, event.revision)
+        self.exchange.filter = build_filter(event.ids, event.revision)
         if first:
             self._restrict()
 
@@ -569,32 +568,32 @@
         """Avoid what peers know to be gone, or a list that is not trusted, until discovery tells one."""
         ids: frozenset[str] = frozenset()
         if self._fresh is None and self.phase >= Phase.LISTED:
-            if not self.trusts(What.LIST):
+            if not self.trusts(StateKind.LIST):
                 ids = frozenset(self._saved)
             elif self._filter is not None:
-                own = self._revision if self.trusts(What.REVISION) else 0
+                own = self._revision if self.trusts(StateKind.REVISION) else 0
                 if self._filter.revision > own:
-                    ids = outside(self._filter, self._saved)
+                    ids = excluded_ids(self._filter, self._saved)
                     self.counts["restrictions"] += 1
         if ids != self._restricted:
             self._restricted = ids
-            self._acts.append(Restrict(ids))
+            self._acts.append(RestrictSavedList(ids))
 
     # --- another tier
 
-    def _peers(self, event: Peers) -> None:
+    def _peers(self, event: PeersChanged) -> None:
         """Rows of nodes that are gone stay: others, and disks, may still hold the like."""
         gone = {n for n in range(self.count) if n >= event.count or n in event.replaced} - {self.me}
         self.count = event.count
         self._members -= gone
-        self._hearsay &= ~bits_of(gone)
+        self._hearsay &= ~node_bits(gone)
         for node in gone:
             self._heard.pop(node, None)
             self.exchange.forget(node)
 
 
-def _kind(row: Row) -> What:
-    return What.BANS if row.live else What.RETURNS
+def _kind(row: BanEntry) -> StateKind:
+    return StateKind.BANS if row.live else StateKind.RETURNS
 
 
 def _differ(one: float, two: float) -> bool:
--- a/balancer/recovery/shares.py
+++ b/balancer/recovery/demand_share.py
@@ -9,7 +9,7 @@
 LARGEST = 4.0  # times all the rest, this node included, that one other counts at the most
 
 
-def share_of(own: float, others: Sequence[float]) -> float:
+def demand_weighted_share(own: float, others: Sequence[float]) -> float:
     """This node's part, by requests a second: its own and those of the others present; infinite: unknown.
 
     Who is unknown counts as the mean of the known ones. The largest of the others counts as four fifths of
--- a/balancer/recovery/events.py
+++ b/balancer/recovery/events.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from balancer.recovery.phases import Path, Phase
-from balancer.recovery.register import Row
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.phases import Phase, RecoveryPath
 
 
 @dataclass(slots=True, frozen=True)
@@ -15,30 +15,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
+class DiskRead:
     """The disk has been read: `VERIFY` is over."""
 
     sound: bool  # false: damaged, another node's, or none; nothing of it is used
     fresh_disk: bool  # nothing was ever kept on it
     life: int = 0
     age_ms: float = 0.0  # of what is kept, by `durable.records.Stamp.age`
-    rows: tuple[Row, ...] = ()
+    rows: tuple[BanEntry, ...] = ()
     revision: int = 0  # of the saved list
     rate: float = 0.0  # requests a second that this node carried when warm; 0: not known
 
 
 @dataclass(slots=True, frozen=True)
-class Inherited:
+class StateInherited:
     """This process takes the place of one of the same node that went on until now."""
 
     phase: Phase
-    path: Path
+    path: RecoveryPath
     cold_since: float
-    rows: tuple[Row, ...] = ()
+    rows: tuple[BanEntry, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Received:
+class DatagramReceived:
     """A datagram came from the address of node `source`."""
 
     source: int
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Members:
+class MembershipChanged:
     """Who is present by the membership, with their lives, this node included: a hint, no more."""
 
     lives: Mapping[int, int]
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListReceived:
     """Discovery itself has told the list in this process."""
 
     revision: int
@@ -63,19 +63,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ListFailed:
+class ListRequestFailed:
     """The call that an `AskList` brought about has failed."""
 
 
 @dataclass(slots=True, frozen=True)
-class SavedIds:
+class SavedListLoaded:
     """The backends of the saved list, from which this node serves until discovery has told one."""
 
     ids: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Called:
+class BanRequested:
     """An operator takes a backend out at this node, or puts it back; the answer waits for `Apply`."""
 
     backend: str
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Synced:
+class WriteCompleted:
     """The rows of `Keep(rows, token)` are on the disk, or failed to get there."""
 
     token: int
@@ -93,19 +93,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Demand:
+class DemandMeasured:
     """So many requests came to this node in the last second; told once a second until it is FULL."""
 
     per_s: float
 
 
 @dataclass(slots=True, frozen=True)
-class Leave:
+class ShutdownStarted:
     """The node is about to end in good order. It goes on answering until it does."""
 
 
 @dataclass(slots=True, frozen=True)
-class Peers:
+class PeersChanged:
     """The tier is of so many nodes now; at the numbers `replaced` others are at home than before."""
 
     count: int
@@ -113,15 +113,26 @@
 
 
 Event = (
-    Tick | Kept | Inherited | Received | Members | Listed | ListFailed | SavedIds | Called | Synced | Demand
-    | Leave | Peers
-)  # fmt: skip
+    Tick
+    | DiskRead
+    | StateInherited
+    | DatagramReceived
+    | MembershipChanged
+    | ListReceived
+    | ListRequestFailed
+    | SavedListLoaded
+    | BanRequested
+    | WriteCompleted
+    | DemandMeasured
+    | ShutdownStarted
+    | PeersChanged
+)
 
 # --- actions
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendDatagram:
     """Send a datagram to one node, or to all of the tier where `node` is None."""
 
     node: int | None
@@ -129,15 +140,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Keep:
+class PersistEntries:
     """Write rows. With a token they have to be synced, and `Synced` has to say so."""
 
-    rows: tuple[Row, ...]
+    rows: tuple[BanEntry, ...]
     token: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Apply:
+class ApplyBan:
     """The register's word on a backend: out, or back, since when. It also answers a `Called`."""
 
     backend: str
@@ -146,28 +157,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskList:
+class RequestList:
     """It is this node's turn to call discovery; `Listed` or `ListFailed` follows."""
 
 
 @dataclass(slots=True, frozen=True)
-class Restrict:
+class RestrictSavedList:
     """Of the saved list these are to be avoided, in place of any before; none once discovery has told it."""
 
     ids: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
-class Entered:
+class PhaseEntered:
     """A phase begins, or the path is known better within one; the reason is its evidence, for the log."""
 
     phase: Phase
-    path: Path
+    path: RecoveryPath
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
-class Admit:
+class CapacityGranted:
     """What this node may put on cold backends has changed noticeably."""
 
     share: float  # of what all nodes together may
@@ -175,4 +186,12 @@
     rate: float  # requests a second that the whole tier carried when warm; 0: nobody knows
 
 
-Action = Tell | Keep | Apply | AskList | Restrict | Entered | Admit
+Action = (
+    SendDatagram
+    | PersistEntries
+    | ApplyBan
+    | RequestList
+    | RestrictSavedList
+    | PhaseEntered
+    | CapacityGranted
+)
--- a/balancer/recovery/exchange.py
+++ b/balancer/recovery/exchange.py
@@ -16,10 +16,19 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from balancer.recovery.messages import ROWS_ROOM, Body, Filter, Flag, Kind, Rows, State, row_size
-from balancer.recovery.register import BUCKETS, Register, Row, shared
-
-ALL = (1 << BUCKETS) - 1
+from balancer.recovery.ban_register import BUCKET_COUNT, BanEntry, BanRegister, is_shareable
+from balancer.recovery.messages import (
+    MAX_ENTRIES_BYTES,
+    Body,
+    ListFilter,
+    MessageKind,
+    NodeStatus,
+    RegisterPage,
+    StatusFlag,
+    encoded_entry_size,
+)
+
+ALL = (1 << BUCKET_COUNT) - 1
 LOW = 0xFFFFFFFF
 MOST_COVERED = 4096  # hashes
 MOST_OWED = 256  # answers
@@ -35,13 +44,20 @@
 FILTERS = 2.0  # a second, of all nodes together
 FILTER_AGAIN = 5000.0  # ms between two of one tier
 TIMES = 2  # that a call's row is told to all
+COUNTER_NAMES = {
+    MessageKind.SURVEY: "sent_roll",
+    MessageKind.STATUS: "sent_answer",
+    MessageKind.DIGEST: "sent_digest",
+    MessageKind.ENTRIES: "sent_rows",
+    MessageKind.LIST_FILTER: "sent_filter",
+}  # keys of `/stats`
 
 
 class Out(NamedTuple):
     """A datagram to be sent."""
 
     node: int | None  # None: to all
-    kind: Kind
+    kind: MessageKind
     body: Body
 
 
@@ -60,7 +76,7 @@
     """Datagrams of node `me` about `register`; at most `rate` a second, `burst` at once."""
 
     def __init__(
-        self, me: int, register: Register, rand: random.Random, rate: float, burst: float, again: float,
+        self, me: int, register: BanRegister, rand: random.Random, rate: float, burst: float, again: float,
         now: float,
     ) -> None:  # fmt: skip
         self.me, self.register, self.random = me, register, rand
@@ -68,7 +84,7 @@
         self.counts: Counter[str] = Counter()
         self.said: dict[int, int] = {}  # the last register hash of each peer
         self.leaving = False
-        self.filter: Filter | None = None  # what this node could tell of a list of discovery's
+        self.filter: ListFilter | None = None  # what this node could tell of a list of discovery's
         self._tokens, self._earned = burst, now
         self._covered: dict[int, None] = {}  # hashes of registers that this one holds all rows of
         self._mine: dict[int, None] = {}  # lower halves of those that this one has had
@@ -81,21 +97,21 @@
         self._answer = self._pages = self._digest = self._filter = math.inf
         self._compare = now + COMPARE * rand.uniform(0.5, 1.5)
         self._filtered = -math.inf  # when a filter was last told to all
-        self._split: tuple[int, int, list[tuple[Row, ...]]] = (0, 0, [()])
+        self._split: tuple[int, int, list[tuple[BanEntry, ...]]] = (0, 0, [()])
         self._patience = again  # ms from one digest to the next
         self._cover(0)
         self.grown()
 
     # --- what this node knows
 
-    def grown(self, rows: Iterable[Row] = (), told: bool = False) -> None:
+    def grown(self, rows: Iterable[BanEntry] = (), told: bool = False) -> None:
         """The register has changed by these rows, that all were told or not."""
         self._mine[self.register.hash & LOW] = None
         _cap(self._mine, MOST_COVERED)
         self._cover(self.register.hash)
         self._patience = self.again
         for row in rows:
-            if not shared(row.backend):
+            if not is_shareable(row.backend):
                 continue
             if told:
                 self._untold.pop(row[:2], None)
@@ -133,10 +149,10 @@
             self._owed[node] = None
             self._answer = min(self._answer, now + wait)
 
-    def urge(self, rows: Iterable[Row], now: float) -> None:
+    def urge(self, rows: Iterable[BanEntry], now: float) -> None:
         """Tell rows to all at once, and once more."""
         for row in rows:
-            if not shared(row.backend):
+            if not is_shareable(row.backend):
                 self.counts["ids_not_shared"] += 1
             elif len(self._urgent) >= MOST_URGENT:  # it is told by digests then
                 self.counts["urgent_dropped"] += 1
@@ -158,7 +174,7 @@
         if hash_ != self.register.hash and self._pages == math.inf and self._worth_a_page():
             self._pages = now + PAGE_BASE + self._wait(PAGES)
 
-    def rows_came(self, node: int, hash_: int, rows: Rows) -> list[Row]:
+    def rows_came(self, node: int, hash_: int, rows: RegisterPage) -> list[BanEntry]:
         """Rows of a peer; returns those of this register that are other ones for it."""
         changed = self.register.join(rows.rows)
         self.grown(changed)
@@ -195,7 +211,7 @@
             rest = [tuple(row[:2] for row in part) for part in self._parts(mask)]
             self._repairs[node] = Repair(hash_ & LOW, mask, self.register.hash, rest, len(rest))
 
-    def filter_came(self, filter_: Filter, now: float) -> None:
+    def filter_came(self, filter_: ListFilter, now: float) -> None:
         """Somebody told all what this node would have told."""
         if self.filter is not None and filter_.revision >= self.filter.revision:
             self._filter, self._filtered = math.inf, now
@@ -218,7 +234,7 @@
         lacks = max(0.0, 1.0 - self._tokens)
         return max(wanted, self._earned + lacks / self.rate * 1000 + 1e-6)
 
-    def take(self, now: float, state: Callable[[Flag], State], peers: list[int]) -> list[Out]:
+    def take(self, now: float, state: Callable[[StatusFlag], NodeStatus], peers: list[int]) -> list[Out]:
         """What goes out now; `peers` are those present."""
         self._tokens = min(self.burst, self._tokens + (now - self._earned) / 1000 * self.rate)
         self._earned = now
@@ -226,25 +242,25 @@
         while self._tokens >= 1.0 and (one := self._next(now, state, peers)) is not None:
             self._tokens -= 1.0
             sent.append(one)
-            self.counts[f"sent_{one.kind.name.lower()}"] += 1
+            self.counts[COUNTER_NAMES[one.kind]] += 1
         return sent
 
-    def _next(self, now: float, state: Callable[[Flag], State], peers: list[int]) -> Out | None:
+    def _next(self, now: float, state: Callable[[StatusFlag], NodeStatus], peers: list[int]) -> Out | None:
         if (rows := self._take_urgent(now)) is not None:
-            return Out(None, Kind.ROWS, Rows(rows, to_all=True))
+            return Out(None, MessageKind.ENTRIES, RegisterPage(rows, to_all=True))
         if now >= self._pages and (page := self._take_page(now)) is not None:
             return page
         if self._roll:
             self._roll = False
             self._owed.clear()  # all hear it
             self._answer = math.inf
-            return Out(None, Kind.ROLL, state(Flag(0)))
+            return Out(None, MessageKind.SURVEY, state(StatusFlag(0)))
         if now >= self._digest:
             self._digest = math.inf
             if lacking := self.lacking():
                 self._digest = now + self._patience * self.random.uniform(1.0, 1.5)
                 self._patience = min(2 * self._patience, LONGEST)
-                return Out(self.random.choice(lacking), Kind.DIGEST, tuple(self.register.buckets))
+                return Out(self.random.choice(lacking), MessageKind.DIGEST, tuple(self.register.buckets))
         if (repair := self._take_repair()) is not None:
             return repair
         if now >= self._answer:
@@ -252,28 +268,28 @@
             some, self._answer = bool(self._owed), math.inf
             self._owed.clear()
             if some:
-                return Out(node, Kind.ANSWER, state(Flag.REPLY))
+                return Out(node, MessageKind.STATUS, state(StatusFlag.REPLY))
         if self.leaving:
             self._filter = self._compare = math.inf
             return None
         if now >= self._filter:
             self._filter, self._filtered = math.inf, now
             if self.filter is not None:
-                return Out(None, Kind.FILTER, self.filter)
+                return Out(None, MessageKind.LIST_FILTER, self.filter)
         if now >= self._compare:
             self._compare = now + COMPARE * self.random.uniform(0.75, 1.25)
             if peers:
-                return Out(self.random.choice(peers), Kind.ANSWER, state(Flag(0)))
+                return Out(self.random.choice(peers), MessageKind.STATUS, state(StatusFlag(0)))
         return None
 
-    def _take_urgent(self, now: float) -> tuple[Row, ...] | None:
-        rows, room = [], ROWS_ROOM
+    def _take_urgent(self, now: float) -> tuple[BanEntry, ...] | None:
+        rows, room = [], MAX_ENTRIES_BYTES
         for key, (at, times) in list(self._urgent.items()):
             row = self.register.get(*key)
-            if at > now or row is None or row_size(row) > room:
+            if at > now or row is None or encoded_entry_size(row) > room:
                 continue
             rows.append(row)
-            room -= row_size(row)
+            room -= encoded_entry_size(row)
             self._untold.pop(key, None)
             del self._urgent[key]
             if times > 1:
@@ -291,8 +307,8 @@
             self._repairs[node] = repair
         rows = tuple(row for key in keys if (row := self.register.get(*key)) is not None)
         if repair.hash != self.register.hash:
-            return Out(node, Kind.ROWS, Rows(rows))
-        return Out(node, Kind.ROWS, Rows(rows, repair.of, repair.mask, part, repair.parts))
+            return Out(node, MessageKind.ENTRIES, RegisterPage(rows))
+        return Out(node, MessageKind.ENTRIES, RegisterPage(rows, repair.of, repair.mask, part, repair.parts))
 
     def _take_page(self, now: float) -> Out | None:
         """The first part of the register that has rows which nobody told to all."""
@@ -304,7 +320,9 @@
                     self._untold.pop(row[:2], None)
                 if self._untold:
                     self._pages = now + self._wait(PAGES)
-                return Out(None, Kind.ROWS, Rows(rows, 0, ALL, part, len(parts), to_all=True))
+                return Out(
+                    None, MessageKind.ENTRIES, RegisterPage(rows, 0, ALL, part, len(parts), to_all=True)
+                )
         return None
 
     def _worth_a_page(self) -> bool:
@@ -316,18 +334,18 @@
         same = 1 + sum(hash_ == self.register.hash for hash_ in self.said.values())
         return self.random.expovariate(rate / same) * 1000
 
-    def _parts(self, mask: int) -> list[tuple[Row, ...]]:
+    def _parts(self, mask: int) -> list[tuple[BanEntry, ...]]:
         """The rows of some buckets, by datagrams: the same for the same hash, whoever asks."""
         if self._split[:2] != (self.register.hash, mask):
-            parts: list[tuple[Row, ...]] = []
-            page: list[Row] = []
-            room = ROWS_ROOM
+            parts: list[tuple[BanEntry, ...]] = []
+            page: list[BanEntry] = []
+            room = MAX_ENTRIES_BYTES
             for row in self.register.rows_in(mask):
-                if row_size(row) > room:
+                if encoded_entry_size(row) > room:
                     parts.append(tuple(page))
-                    page, room = [], ROWS_ROOM
+                    page, room = [], MAX_ENTRIES_BYTES
                 page.append(row)
-                room -= row_size(row)
+                room -= encoded_entry_size(row)
             self._split = (self.register.hash, mask, [*parts, tuple(page)])
         return self._split[2]
 
--- a/balancer/recovery/filters.py
+++ b/balancer/recovery/list_filter.py
@@ -9,26 +9,26 @@
 import math
 from collections.abc import Sequence
 
-from balancer.recovery.messages import MOST_FILTER, Filter
+from balancer.recovery.messages import MAX_FILTER_BYTES, ListFilter
 
 LEAST_BITS = 2.0  # for each id: with fewer, four in ten of the others pass, and it is not worth a datagram
 MOST_PART = 0.5  # of a saved list that is restricted on peers' word
 
 
-def filter_of(ids: Sequence[str], revision: int) -> Filter | None:
+def build_filter(ids: Sequence[str], revision: int) -> ListFilter | None:
     """The filter of some ids; None where there are none, or too many for a datagram."""
-    if not ids or len(ids) * LEAST_BITS > MOST_FILTER * 8:
+    if not ids or len(ids) * LEAST_BITS > MAX_FILTER_BYTES * 8:
         return None
-    size = min(MOST_FILTER, max(8, math.ceil(len(ids) * 1.5)))
+    size = min(MAX_FILTER_BYTES, max(8, math.ceil(len(ids) * 1.5)))
     hashes = max(1, min(8, round(size * 8 / len(ids) * math.log(2))))
     bits = bytearray(size)
     for name in ids:
         for at in _places(name, revision, hashes, size):
             bits[at // 8] |= 1 << at % 8
-    return Filter(revision, hashes, bytes(bits))
+    return ListFilter(revision, hashes, bytes(bits))
 
 
-def outside(filter_: Filter, ids: Sequence[str]) -> frozenset[str]:
+def excluded_ids(filter_: ListFilter, ids: Sequence[str]) -> frozenset[str]:
     """Those of `ids` that are certainly not in service; none where that would be too many to believe."""
     bits = filter_.bits
     out = {name for name in ids
--- a/balancer/recovery/phases.py
+++ b/balancer/recovery/phases.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from enum import Enum, IntEnum
 
-from balancer.recovery.messages import State
+from balancer.recovery.messages import NodeStatus
 
 
 class Phase(IntEnum):
@@ -18,7 +18,7 @@
     FULL = 4
 
 
-class Path(Enum):
+class RecoveryPath(Enum):
     """What a node returns from."""
 
     UNDECIDED = "undecided"
@@ -29,10 +29,12 @@
     UPGRADE = "upgrade"  # it takes the place of a process that went on until now
 
 
-PATHS = tuple(Path)
+PATHS = tuple(RecoveryPath)
 
 
-def judge(heard: Sequence[State], count: int, present: int, window: float) -> tuple[Path, str]:
+def classify_recovery(
+    heard: Sequence[NodeStatus], count: int, present: int, window: float
+) -> tuple[RecoveryPath, str]:
     """What this node returns from, and the evidence for it, by what peers say of themselves.
 
     Peers that say FULL, or that have run for longer than `window` (ms), did not return with this node; their
@@ -44,16 +46,16 @@
     old = [s for s in heard if s.phase >= Phase.FULL or s.running >= window]
     reason = f"{len(heard)} of {count - 1} heard, {len(heard) - len(old)} returning, {len(old)} not"
     if not heard:
-        return Path.ALONE, reason
-    settled = settled_among(heard, count)
+        return RecoveryPath.ALONE, reason
+    settled = established_peers(heard, count)
     if len(settled) >= min(2, count - 1) and 2 * len(old) >= len(heard):
-        return Path.CRASH, reason
+        return RecoveryPath.CRASH, reason
     if 2 * present > count and 2 * len(old) <= len(heard):
-        return Path.POWER, f"{reason}, {present} present"
-    return Path.SPLIT, f"{reason}, {present} present"
+        return RecoveryPath.POWER, f"{reason}, {present} present"
+    return RecoveryPath.SPLIT, f"{reason}, {present} present"
 
 
-def settled_among(heard: Sequence[State], count: int) -> list[State]:
+def established_peers(heard: Sequence[NodeStatus], count: int) -> list[NodeStatus]:
     """Those that say FULL while at least half of the tier runs and is not returning.
 
     By what each sees, or by how many say so here. Guards against an old view of each other: where one has
--- a/balancer/recovery/turns.py
+++ b/balancer/recovery/poll_schedule.py
@@ -10,7 +10,7 @@
 UNANSWERED = 5.0  # rounds after which a call that was never reported on counts as failed
 
 
-class Turns:
+class PollSchedule:
     """When node `me` may call discovery: with `slot` ms for each, 1000 / slot calls a second of all together.
 
     The places follow from the nodes' numbers, mixed, so that neighbours on one machine are not called on in
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -18,11 +18,11 @@
 from balancer.errors import BalancerError
 from balancer.membership.port import RECOVERY, Moved, Port
 from balancer.recovery import events
-from balancer.recovery.core import Config, Recovery
-from balancer.recovery.earlier import calls
-from balancer.recovery.phases import Path, Phase
-from balancer.recovery.register import Row
-from balancer.recovery.trust import Kind
+from balancer.recovery.ban_migration import calls
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.core import Recovery, RecoveryConfig
+from balancer.recovery.phases import Phase, RecoveryPath
+from balancer.recovery.trust import StateKind
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
 SYNC = 0.6  # s that a call waits for the disk, of the 1 s that its caller waits
 
 
-class Steered(Protocol):
+class RecoveryHost(Protocol):
     """The node, as far as its return steers it."""
 
     def now(self) -> float:
@@ -39,7 +39,7 @@
     async def follow(self, backend: str, out: bool, since: float) -> None:
         """Its bans follow the register; `since` is Unix time, ms, 0 where nobody knows."""
 
-    def admit(self, phase: Phase, admit: events.Admit | None) -> None:
+    def admit(self, phase: Phase, admit: events.CapacityGranted | None) -> None:
         """What it may put on cold backends; None: whatever it would without the room."""
 
     def ask(self) -> None:
@@ -60,16 +60,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
+class RecoveryHandover:
     """What a process leaves to its successor."""
 
     phase: Phase
-    path: Path
+    path: RecoveryPath
     cold_since: float  # ms, node clock
-    rows: tuple[Row, ...]
+    rows: tuple[BanEntry, ...]
 
 
-class CallError(BalancerError):
+class BanCallError(BalancerError):
     """A call could not be put on the record that the tier shares, so nothing is changed."""
 
     code = "RCV01"
@@ -80,24 +80,31 @@
     """The room of one process of a node."""
 
     def __init__(
-        self, config: Config, me: int, life: int, seed: int, port: Port, node: Steered, disk: Durable | None
+        self,
+        config: RecoveryConfig,
+        me: int,
+        life: int,
+        seed: int,
+        port: Port,
+        node: RecoveryHost,
+        disk: Durable | None,
     ) -> None:
         self.config, self.port, self.node, self.disk = config, port, node, disk
         self.loop = asyncio.get_running_loop()
         self.core = Recovery(config, me, len(port.peers), life, seed, node.now())
         self.failed = False
         self.serving = asyncio.Event()  # from the phase LISTED on
-        self._admit: events.Admit | None = None
-        self._said: tuple[Phase, events.Admit | None] = (Phase.FULL, None)
+        self._admit: events.CapacityGranted | None = None
+        self._said: tuple[Phase, events.CapacityGranted | None] = (Phase.FULL, None)
         self._timer: asyncio.TimerHandle | None = None
         self._due = float("inf")
         self._calls: dict[int, Call] = {}
         self._token = 0
         self._earlier: list[Call] = []  # of bans from before the register
-        self._words: asyncio.Queue[tuple[events.Apply, Call | None]] = asyncio.Queue()
+        self._words: asyncio.Queue[tuple[events.ApplyBan, Call | None]] = asyncio.Queue()
         self._follower = self.loop.create_task(self._follow())
         self._syncing: set[asyncio.Task[None]] = set()
-        port.register(RECOVERY, lambda source, data: self.tell(events.Received(source, data)))
+        port.register(RECOVERY, lambda source, data: self.tell(events.DatagramReceived(source, data)))
 
     # --- the start
 
@@ -106,7 +113,7 @@
         disk = self.disk
         rows = rows_of(kept)
         sampled = kept.sampled
-        self.tell(events.Kept(
+        self.tell(events.DiskRead(
             sound=disk is None or (disk.off is None and not disk.lost),
             fresh_disk=disk is None or disk.fresh,
             life=kept.life,
@@ -117,13 +124,15 @@
         ))  # fmt: skip
         self._earlier = [self._call(backend, out)[0] for backend, out in calls(kept.out, rows)]
 
-    def inherit(self, left: Left) -> None:
+    def inherit(self, left: RecoveryHandover) -> None:
         """The node goes on from where the process before it was."""
-        self.tell(events.Inherited(left.phase, left.path, left.cold_since, left.rows))
+        self.tell(events.StateInherited(left.phase, left.path, left.cold_since, left.rows))
 
     def rejoin(self, kept: Kept) -> None:
         """Another process of the node, which is gone, may have had calls that only the disk knows."""
-        self.tell(events.Inherited(Phase.VERIFY, Path.UPGRADE, self.core.cold_since, rows_of(kept)))
+        self.tell(
+            events.StateInherited(Phase.VERIFY, RecoveryPath.UPGRADE, self.core.cold_since, rows_of(kept))
+        )
 
     async def served(self) -> None:
         """Returns when the node may listen: the bans are learned and in force, or enough has been waited."""
@@ -137,10 +146,10 @@
             log.warning("recovery: no phase came in time; the node goes on alone")
             self.serving.set()
 
-    def left(self) -> Left:
+    def left(self) -> RecoveryHandover:
         """For a successor."""
         core = self.core
-        return Left(core.phase, core.path, core.cold_since, tuple(core.register.rows()))
+        return RecoveryHandover(core.phase, core.path, core.cold_since, tuple(core.register.rows()))
 
     # --- events
 
@@ -161,11 +170,11 @@
 
     def members(self, lives: Mapping[int, int], quorum: bool) -> None:
         """Who is present, by the membership."""
-        self.tell(events.Members(lives, quorum))
+        self.tell(events.MembershipChanged(lives, quorum))
 
     def moved(self, moved: Moved) -> None:
         """The port has another list of addresses."""
-        self.tell(events.Peers(moved.count, moved.replaced))
+        self.tell(events.PeersChanged(moved.count, moved.replaced))
 
     async def called(self, backend: str, out: bool) -> bool:
         """An operator's call; whether the backend is out, once that is on record. Raises BalancerError."""
@@ -175,10 +184,10 @@
                 return await asyncio.shield(call.done)
         except TimeoutError:
             if call.waits:
-                self._synced(token, CallError("the disk takes too long"))
+                self._synced(token, BanCallError("the disk takes too long"))
         return await call.done
 
-    def trusts(self, kind: Kind) -> bool:
+    def trusts(self, kind: StateKind) -> bool:
         """Whether what was kept of a kind may be used now."""
         return not self.failed and self.core.trusts(kind)
 
@@ -194,11 +203,11 @@
 
     def _act(self, action: events.Action, call: Call | None) -> None:
         match action:
-            case events.Tell():
+            case events.SendDatagram():
                 self.port.send(action.node, action.data)
-            case events.Keep():
+            case events.PersistEntries():
                 self._keep(action)
-            case events.Apply():
+            case events.ApplyBan():
                 answers = call if call is not None and call.backend == action.backend else None
                 if answers is not None:
                     answers.told = True
@@ -206,14 +215,14 @@
                 if self.disk is not None:  # for a start without this room
                     at = max(0.0, action.since_ms)
                     self.disk.note(Out(action.backend, at) if action.out else Back(action.backend, at))
-            case events.AskList():
+            case events.RequestList():
                 self.node.ask()
-            case events.Restrict():
+            case events.RestrictSavedList():
                 self.node.restrict(action.ids)
-            case events.Entered():
+            case events.PhaseEntered():
                 log.info("recovery: phase %s, path %s: %s", action.phase.name.lower(), action.path.value,
                          action.reason)  # fmt: skip
-            case events.Admit():
+            case events.CapacityGranted():
                 self._admit = action
 
     def _steer(self) -> None:
@@ -242,7 +251,7 @@
     def _give_up(self) -> None:
         self.failed = True
         for token in list(self._calls):
-            self._calls.pop(token).done.set_exception(CallError("the room of the return has failed"))
+            self._calls.pop(token).done.set_exception(BanCallError("the room of the return has failed"))
         self.node.restrict(frozenset())
         self.node.admit(Phase.FULL, None)
         self.node.ask()
@@ -256,12 +265,12 @@
         call = self._calls[token] = Call(backend, self.loop.create_future())
         call.done.add_done_callback(lambda done: done.exception())  # not every call is waited for
         if self.failed:
-            self._calls.pop(token).done.set_exception(CallError("the room of the return has failed"))
+            self._calls.pop(token).done.set_exception(BanCallError("the room of the return has failed"))
         else:
-            self.tell(events.Called(backend, out, self.node.now(), token))
+            self.tell(events.BanRequested(backend, out, self.node.now(), token))
         return call, token
 
-    def _keep(self, action: events.Keep) -> None:
+    def _keep(self, action: events.PersistEntries) -> None:
         record = Flagged([Flag(r.backend, r.node, r.life, r.seq, r.live, r.at) for r in action.rows])
         if action.token is None:
             if self.disk is not None:
@@ -290,7 +299,7 @@
         """The rows of a call are on the disk, or not; it may be that others have to be written for it."""
         call = self._calls[token]
         call.waits = False
-        self.tell(events.Synced(token, why is None), call)
+        self.tell(events.WriteCompleted(token, why is None), call)
         if call.waits:
             return
         self._calls.pop(token, None)
@@ -313,7 +322,7 @@
 
     def leave(self) -> None:
         """The node ends, and nobody takes its place."""
-        self.tell(events.Leave())
+        self.tell(events.ShutdownStarted())
 
     def close(self) -> None:
         """Fall silent."""
@@ -329,7 +338,7 @@
         return {**self.core.stats(), "failed": self.failed}
 
 
-def rows_of(kept: Kept) -> tuple[Row, ...]:
+def rows_of(kept: Kept) -> tuple[BanEntry, ...]:
     """The register as the disk has it."""
     flags = (flag for held in kept.flags.values() for flag in held.values())
-    return tuple(Row(f.backend, f.node, f.life, f.seq, f.live, f.at) for f in flags)
+    return tuple(BanEntry(f.backend, f.node, f.life, f.seq, f.live, f.at) for f in flags)
--- a/balancer/recovery/trust.py
+++ b/balancer/recovery/trust.py
@@ -13,7 +13,7 @@
 from types import MappingProxyType
 
 
-class Kind(Enum):
+class StateKind(Enum):
     """What is kept. Later rooms add theirs: quotas, configuration versions, release steps."""
 
     BANS = "bans"  # live rows of the register
@@ -25,7 +25,7 @@
     RATE = "rate"  # requests a second that this node carried when all was warm
 
 
-class Verdict(Enum):
+class TrustLevel(Enum):
     """When something kept may be used."""
 
     ALONE = "alone"  # at once, whoever else is there
@@ -34,30 +34,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trust:
+class TrustRule:
     """One line of the table."""
 
-    verdict: Verdict
+    verdict: TrustLevel
     most_age: float = math.inf  # ms since it was written, by `durable.records.Stamp.age`
 
 
 HOUR = 3_600_000.0
-TABLE: Mapping[Kind, Trust] = MappingProxyType(
+TRUST_TABLE: Mapping[StateKind, TrustRule] = MappingProxyType(
     {
-        Kind.BANS: Trust(Verdict.ALONE),  # said yes to: holds until a return that has seen it
-        Kind.RETURNS: Trust(Verdict.ALONE),  # proves that its ban was seen; a later ban has a greater counter
-        Kind.LIST: Trust(Verdict.UNLESS),  # any age: peers restrict it, discovery replaces it
-        Kind.REVISION: Trust(Verdict.UNLESS),
-        Kind.LIFE: Trust(Verdict.ALONE),  # a number too low is raised by rows of this node that peers know
+        StateKind.BANS: TrustRule(TrustLevel.ALONE),  # said yes to: holds until a return that has seen it
+        StateKind.RETURNS: TrustRule(
+            TrustLevel.ALONE
+        ),  # proves that its ban was seen; a later ban has a greater counter
+        StateKind.LIST: TrustRule(TrustLevel.UNLESS),  # any age: peers restrict it, discovery replaces it
+        StateKind.REVISION: TrustRule(TrustLevel.UNLESS),
+        StateKind.LIFE: TrustRule(
+            TrustLevel.ALONE
+        ),  # a number too low is raised by rows of this node that peers know
         # Its limit counts requests at once, which cold backends bear too; what restarted voids its own part.
-        Kind.LEARNED: Trust(Verdict.UNLESS, HOUR),
-        Kind.RATE: Trust(Verdict.ALONE, 24 * HOUR),  # the median of all that nodes kept is what counts
+        StateKind.LEARNED: TrustRule(TrustLevel.UNLESS, HOUR),
+        StateKind.RATE: TrustRule(
+            TrustLevel.ALONE, 24 * HOUR
+        ),  # the median of all that nodes kept is what counts
     }
 )
 
 
 @dataclass(slots=True, frozen=True)
-class Disk:
+class DiskState:
     """What the disk was found to be."""
 
     sound: bool = False
@@ -65,14 +71,18 @@
     age: float = math.inf  # ms, at the node's start
 
 
-def trusts(
-    kind: Kind, disk: Disk, asked: bool, better: bool = False, table: Mapping[Kind, Trust] = TABLE
+def is_trusted(
+    kind: StateKind,
+    disk: DiskState,
+    asked: bool,
+    better: bool = False,
+    table: Mapping[StateKind, TrustRule] = TRUST_TABLE,
 ) -> bool:
     """Whether what a disk kept of a kind may be used now.
 
     `asked`: the roll call is over, answered or not. `better`: a peer said what this kept state contradicts.
     """
     line = table[kind]
-    if not disk.sound or disk.fresh or disk.age > line.most_age or line.verdict is Verdict.NEVER:
+    if not disk.sound or disk.fresh or disk.age > line.most_age or line.verdict is TrustLevel.NEVER:
         return False
-    return line.verdict is Verdict.ALONE or (asked and not better)
+    return line.verdict is TrustLevel.ALONE or (asked and not better)
--- a/balancer/sim/recovery_disks.py
+++ b/balancer/sim/recovery_disks.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from balancer.recovery.register import Row
+from balancer.recovery.ban_register import BanEntry
 
 MONTH_MS = 30 * 24 * 3600 * 1000.0
 
@@ -34,7 +34,7 @@
     fresh: bool
     life: int
     age_ms: float  # by a wall clock that may have been stepped
-    rows: tuple[Row, ...]
+    rows: tuple[BanEntry, ...]
     revision: int
     saved: tuple[str, ...]
     rate: float
@@ -44,8 +44,8 @@
 class Disk:
     """One node's records. `epoch` goes up each time that something that was synced is gone."""
 
-    rows: list[tuple[Row, ...]] = field(default_factory=list)
-    unsure: list[tuple[Row, ...]] = field(default_factory=list)  # written, not synced
+    rows: list[tuple[BanEntry, ...]] = field(default_factory=list)
+    unsure: list[tuple[BanEntry, ...]] = field(default_factory=list)  # written, not synced
     life: int = 0
     written_wall: float = 0.0
     revision: int = 0
@@ -86,7 +86,7 @@
                 self.rows, self.epoch = self.rows[:records], self.epoch + 1
                 age += MONTH_MS
         fresh, self.used = not self.used, True
-        best: dict[tuple[str, int], Row] = {}
+        best: dict[tuple[str, int], BanEntry] = {}
         for row in (row for record in self.rows for row in record):  # an earlier one may be written later
             if (known := best.get(row[:2])) is None or row.key > known.key:
                 best[row[:2]] = row
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -9,17 +9,23 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from balancer.recovery.bans import Bans
+from balancer.recovery.ban_controller import BanController
+from balancer.recovery.ban_register import BanEntry, BanRegister
 from balancer.recovery.core import Recovery
-from balancer.recovery.events import Called, Kept, Listed, Members, Restrict
+from balancer.recovery.events import (
+    BanRequested,
+    DiskRead,
+    ListReceived,
+    MembershipChanged,
+    RestrictSavedList,
+)
 from balancer.recovery.exchange import Exchange
-from balancer.recovery.phases import Path, Phase
-from balancer.recovery.register import Register, Row
-from balancer.recovery.turns import Turns
+from balancer.recovery.phases import Phase, RecoveryPath
+from balancer.recovery.poll_schedule import PollSchedule
 
 
-class _ByTime(Register):
-    def join(self, rows: Iterable[Row]) -> list[Row]:
+class _ByTime(BanRegister):
+    def join(self, rows: Iterable[BanEntry]) -> list[BanEntry]:
         changed = []
         for row in rows:
             known = self.get(row.backend, row.node)
@@ -37,7 +43,7 @@
         self.register.__class__ = _ByTime
 
 
-class _ReturnWins(Register):
+class _ReturnWins(BanRegister):
     def banned(self, backend: str) -> bool:
         rows = self._rows.get(backend, {}).values()
         return bool(rows) and all(row.live for row in rows)
@@ -51,8 +57,8 @@
         self.register.__class__ = _ReturnWins
 
 
-class _LiveWins(Register):
-    def join(self, rows: Iterable[Row]) -> list[Row]:
+class _LiveWins(BanRegister):
+    def join(self, rows: Iterable[BanEntry]) -> list[BanEntry]:
         taken = []
         for row in rows:
             known = self.get(row.backend, row.node)
@@ -70,8 +76,8 @@
         self.register.__class__ = _LiveWins
 
 
-class _NeverAbove(Register):
-    def _outbid(self, row: Row) -> list[Row]:
+class _NeverAbove(BanRegister):
+    def _outbid(self, row: BanEntry) -> list[BanEntry]:
         return []
 
 
@@ -86,14 +92,14 @@
 class DropsCleared(Recovery):
     """Cleared rows are not taken from the disk: nothing is left that stops older disks."""
 
-    def _kept(self, event: Kept) -> None:
+    def _kept(self, event: DiskRead) -> None:
         super()._kept(replace(event, rows=tuple(row for row in event.rows if row.live)))
 
 
 class ServesAtOnce(Recovery):
     """It serves before it has asked anybody."""
 
-    def _asked_enough(self, path: Path) -> str | None:
+    def _asked_enough(self, path: RecoveryPath) -> str | None:
         return "no wait"
 
 
@@ -105,7 +111,7 @@
         """Later than now, as the time to serve at the latest has passed."""
         return max(super().due, self.now + 50.0)
 
-    def _asked_enough(self, path: Path) -> str | None:
+    def _asked_enough(self, path: RecoveryPath) -> str | None:
         return "all are there" if len(self._heard) == self.count - 1 else None
 
 
@@ -124,7 +130,7 @@
     def _ask(self) -> None:
         super()._ask()
         if self.phase is Phase.LISTED:
-            self.path = Path.CRASH
+            self.path = RecoveryPath.CRASH
             self._enter(Phase.WARMING, "as saved")
             self._enter(Phase.FULL, "as saved")
 
@@ -132,13 +138,13 @@
 class WarmsAgain(Recovery):
     """A restarted backend puts a node that is FULL back to WARMING."""
 
-    def _told(self, event: Listed) -> None:
+    def _told(self, event: ListReceived) -> None:
         super()._told(event)
         if self.phase is Phase.FULL and self.now - max(event.starts, default=0.0) < self.config.ramp_time:
             self._enter(Phase.WARMING, "a backend is cold")
 
 
-class _AtOnce(Turns):
+class _AtOnce(PollSchedule):
     def plan(self, now: float, nodes: Iterable[int]) -> None:
         self.at_once(now)
 
@@ -156,11 +162,11 @@
 
     def _restrict(self) -> None:
         if self._fresh is None and self._filter is not None and self._filter.revision > self._revision:
-            self._acts.append(Restrict(frozenset(self._saved)))
+            self._acts.append(RestrictSavedList(frozenset(self._saved)))
 
 
-class _YesFirst(Bans):
-    def called(self, event: Called, now: float) -> None:
+class _YesFirst(BanController):
+    def called(self, event: BanRequested, now: float) -> None:
         super().called(event, now)
         called, rows = self._pending[event.token]
         self.register.commit(rows)
@@ -188,8 +194,8 @@
         self.exchange.__class__ = _Deaf
 
 
-class _LateIgnored(Bans):
-    def _apply(self, changed: Iterable[Row], now: float) -> None:
+class _LateIgnored(BanController):
+    def _apply(self, changed: Iterable[BanEntry], now: float) -> None:
         return
 
 
@@ -209,7 +215,7 @@
 
     def handle(self, now: float, event: object) -> list[object]:  # type: ignore[override]
         """As the core's, but for a majority that is lost."""
-        lost = isinstance(event, Members) and not event.quorum and self.phase is Phase.FULL
+        lost = isinstance(event, MembershipChanged) and not event.quorum and self.phase is Phase.FULL
         if lost:
             self._enter(Phase.LISTED, "the majority is away")
         return list(super().handle(now, event))  # type: ignore[arg-type]
--- a/balancer/sim/recovery_figures.py
+++ b/balancer/sim/recovery_figures.py
@@ -13,7 +13,7 @@
 from balancer.recovery.core import Recovery
 from balancer.sim.members import World
 from balancer.sim.recovery_disks import Condition
-from balancer.sim.recovery_outside import Discovery, waits
+from balancer.sim.recovery_environment import Discovery, waits
 from balancer.sim.recovery_schedule import BACKENDS, Schedule, Step, play
 from balancer.sim.recovery_world import Make
 
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -28,10 +28,10 @@
 from dataclasses import dataclass, field
 
 from balancer.policy import COLD_PART
-from balancer.recovery.events import Entered
-from balancer.recovery.phases import Path, Phase
-from balancer.recovery.register import Row
-from balancer.sim.recovery_outside import FALL_MULTIPLE, warmth
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.events import PhaseEntered
+from balancer.recovery.phases import Phase, RecoveryPath
+from balancer.sim.recovery_environment import FALL_MULTIPLE, warmth
 from balancer.sim.recovery_world import LOOK_MS, Call, Process, Tier
 
 SOON_MS, SETTLED_MS = 3_000.0, 8_000.0
@@ -66,7 +66,7 @@
     covered: dict[int, float] = field(default_factory=dict)  # by node: since when a greater counter hides it
 
 
-def newer(now: Row, before: Row) -> bool:
+def newer(now: BanEntry, before: BanEntry) -> bool:
     """Whether `now` says all that `before` said."""
     one, other = (now.life, now.seq), (before.life, before.seq)
     return one > other or (one == other and now.live <= before.live)
@@ -80,14 +80,14 @@
         self.lossy = bool(tier.net.loss or tier.net.late or tier.net.corrupt)
         self.breaches: list[Breach] = []
         self.bans: list[Ban] = []
-        self.floors: list[dict[Key, Row]] = [{} for _ in range(tier.count)]
+        self.floors: list[dict[Key, BanEntry]] = [{} for _ in range(tier.count)]
         self.stamps: list[object] = [None] * tier.count
         self.yes = self.looks = 0
         tier.watcher = self
 
     # --- events
 
-    def began(self, node: int, rows: tuple[Row, ...]) -> None:
+    def began(self, node: int, rows: tuple[BanEntry, ...]) -> None:
         """A process has read its disk: what that held it knows from now on."""
         self.floors[node] = {(row.backend, row.node): row for row in rows}
         self.stamps[node] = None
@@ -97,7 +97,7 @@
             if ban.node == node and ban.epoch == epoch and not self._knows(node, ban):
                 self._breach("ban", f"n{node} forgot its own ban of {ban.backend} on a sound disk")
 
-    def entered(self, node: int, entered: Entered) -> None:
+    def entered(self, node: int, entered: PhaseEntered) -> None:
         """A phase begins: never an earlier one, and never service without what a peer at hand could tell."""
         process = self._process(node)
         known = process.phases[-1][2] if process.phases else entered.path
@@ -233,9 +233,11 @@
                                         f"and is in touch for {now - max(touch, since):.0f} ms")  # fmt: skip
                     break
 
-    def _begins_to_serve(self, node: int, process: Process, path: Path) -> None:
+    def _begins_to_serve(self, node: int, process: Process, path: RecoveryPath) -> None:
         tier = self.tier
-        if path is Path.CRASH and any(p.begin <= tier.now < p.until + self.learn_ms for p in tier.partitions):
+        if path is RecoveryPath.CRASH and any(
+            p.begin <= tier.now < p.until + self.learn_ms for p in tier.partitions
+        ):
             return
         asked = tier.now - process.ask_began
         if self.lossy or asked >= tier.room_config.ask_most - 1:
--- a/balancer/sim/recovery_schedule.py
+++ b/balancer/sim/recovery_schedule.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from balancer.recovery.core import Config, Recovery
+from balancer.recovery.core import Recovery, RecoveryConfig
 from balancer.sim.members import Net
 from balancer.sim.recovery_disks import Condition
 from balancer.sim.recovery_observer import Breach, Observer
@@ -226,7 +226,7 @@
 # --- played
 
 
-def bounds(schedule: Schedule, config: Config) -> tuple[float, float]:
+def bounds(schedule: Schedule, config: RecoveryConfig) -> tuple[float, float]:
     """Stated times in ms: until a ban is known to all in touch; from the last fault until all are full."""
     slow = 1.0 / (1.0 - schedule.loss) ** 2
     learn = 15_000.0 * slow if schedule.loss or schedule.late else 12_000.0
@@ -236,7 +236,7 @@
 
 def play(schedule: Schedule, make: Make = Recovery) -> Played:
     """Let a schedule happen; stops soon after the last fault where all is well."""
-    config = Config(window=schedule.window, slot=schedule.slot)
+    config = RecoveryConfig(window=schedule.window, slot=schedule.slot)
     net = Net(loss=schedule.loss, duplicate=schedule.duplicate, late=schedule.late)
     begun = 1e6
     parted = tuple(Partition(begun + a, begun + b, side) for a, b, side in schedule.partitions)
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -17,20 +17,20 @@
 
 from balancer.membership import core as membership
 from balancer.recovery import events as room
-from balancer.recovery.core import Config, Recovery
-from balancer.recovery.messages import FIRST_KIND
-from balancer.recovery.phases import Path, Phase
-from balancer.recovery.register import Row
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.core import Recovery, RecoveryConfig
+from balancer.recovery.messages import FIRST_MESSAGE_KIND
+from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.sim.members import LIFE_UNIT, Net, World
 from balancer.sim.recovery_disks import Condition, Disk, Found
-from balancer.sim.recovery_outside import Backend, Discovery
+from balancer.sim.recovery_environment import Backend, Discovery
 
 KIND_AT = 5  # the byte of a datagram that names its kind
 DAY_MS = 24 * 3600 * 1000.0
 LOOK_MS = 100.0  # between two looks of the observer
 DEMAND_LOOKS = 10  # a second
 
-Make = Callable[[Config, int, int, int, int, float], Recovery]
+Make = Callable[[RecoveryConfig, int, int, int, int, float], Recovery]
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,11 +52,11 @@
     core: Recovery
     began: float  # its predecessor's, where it is a successor
     phase: Phase = Phase.VERIFY
-    phases: list[tuple[float, Phase, Path]] = field(default_factory=list)
+    phases: list[tuple[float, Phase, RecoveryPath]] = field(default_factory=list)
     banned: set[str] = field(default_factory=set)  # what its policy was told
     saved: frozenset[str] = frozenset()
     restricted: frozenset[str] = frozenset()
-    admits: room.Admit | None = None
+    admits: room.CapacityGranted | None = None
     told: dict[str, float] = field(default_factory=dict)  # starts from discovery itself in this life
     pending: dict[int, Call] = field(default_factory=dict)  # calls without an answer so far
     writing: Counter[int | None] = field(default_factory=Counter)  # rows under way to the disk, by token
@@ -73,10 +73,10 @@
 class Watcher(Protocol):
     """Sees all, decides nothing."""
 
-    def began(self, node: int, rows: tuple[Row, ...]) -> None:
+    def began(self, node: int, rows: tuple[BanEntry, ...]) -> None:
         """A process has read its disk."""
 
-    def entered(self, node: int, entered: room.Entered) -> None:
+    def entered(self, node: int, entered: room.PhaseEntered) -> None:
         """A phase has begun."""
 
     def called(self, call: Call) -> None:
@@ -108,7 +108,7 @@
 class Tier(World):
     """`count` nodes with disks; `start`, `kill`, `cut`, `call` and the like are the schedule's."""
 
-    def __init__(self, count: int, seed: int, net: Net, config: Config, make: Make,
+    def __init__(self, count: int, seed: int, net: Net, config: RecoveryConfig, make: Make,
                  backends: tuple[str, ...], partitions: tuple[Partition, ...] = (),
                  write_ms: tuple[float, float] = (1.0, 30.0)) -> None:  # fmt: skip
         super().__init__(count, seed, net=net)
@@ -151,7 +151,7 @@
         if old is None or old.phase < Phase.LISTED or self.hosts[node].core is None:
             return
         core, disk = old.core, self.disks[node]
-        left = room.Inherited(core.phase, core.path, core.cold_since, tuple(core.register.rows()))
+        left = room.StateInherited(core.phase, core.path, core.cold_since, tuple(core.register.rows()))
         self.note(f"n{node} has a successor")
         self.kill(node)
         found, life = self._turn_on(node, Condition.SOUND)
@@ -161,7 +161,7 @@
         new.told, new.banned, new.admits = old.told, set(old.banned), old.admits
         self.processes[node] = new
         self.start(node, life)
-        self.tell(node, room.SavedIds(disk.saved))
+        self.tell(node, room.SavedListLoaded(disk.saved))
         self.tell(node, left)
         self.tell(node, self._kept(node, found))
         if self.watcher is not None:
@@ -187,7 +187,7 @@
         if self.hosts[node].core is None:
             return
         self.note(f"n{node} has SIGTERM")
-        self.tell(node, room.Leave())
+        self.tell(node, room.ShutdownStarted())
         super().leave(node)
 
     def restart_backend(self, name: str) -> None:
@@ -213,7 +213,7 @@
         self.note(f"n{node} is called: {backend} {'out' if out else 'in'}")
         if self.watcher is not None:
             self.watcher.called(call)
-        self.tell(node, room.Called(backend, out, self.now + self.hosts[node].shift, call.token))
+        self.tell(node, room.BanRequested(backend, out, self.now + self.hosts[node].shift, call.token))
 
     def note(self, text: str) -> None:
         """A line for whoever reads a failed schedule."""
@@ -237,7 +237,7 @@
         process = self.processes[node]
         if process is None or self.hosts[node].core is None:
             return
-        self.handled = event.token if isinstance(event, room.Called | room.Synced) else 0
+        self.handled = event.token if isinstance(event, room.BanRequested | room.WriteCompleted) else 0
         for action in process.core.handle(self.now + self.hosts[node].shift, event):
             self._do(node, process, action)
         self._plan(node, process.core.due)
@@ -245,7 +245,7 @@
     # --- what moves
 
     @staticmethod
-    def _moved(rows: tuple[Row, ...], by: float) -> tuple[Row, ...]:
+    def _moved(rows: tuple[BanEntry, ...], by: float) -> tuple[BanEntry, ...]:
         """Rows with their times on another clock."""
         return tuple(row._replace(at=row.at + by) for row in rows)
 
@@ -268,22 +268,24 @@
         self.note(f"n{node} starts, disk {condition.value}, {len(found.rows)} rows, life {life}")
         return found, life
 
-    def _kept(self, node: int, found: Found) -> room.Kept:
+    def _kept(self, node: int, found: Found) -> room.DiskRead:
         rows = self._moved(found.rows, self.hosts[node].shift - self.walls[node])
-        return room.Kept(found.sound, found.fresh, found.life, found.age_ms, rows, found.revision, found.rate)
+        return room.DiskRead(
+            found.sound, found.fresh, found.life, found.age_ms, rows, found.revision, found.rate
+        )
 
     def _was_read(self, node: int, number: int, found: Found) -> None:
         if self.hosts[node].number != number or self.processes[node] is None:
             return
-        self.tell(node, room.SavedIds(found.saved))
+        self.tell(node, room.SavedListLoaded(found.saved))
         kept = self._kept(node, found)
         self.tell(node, kept)
         if self.watcher is not None:
             self.watcher.began(node, kept.rows)
 
     def _handle(self, node: int, event: membership.Event) -> None:
-        if isinstance(event, membership.Received) and event.data[KIND_AT] >= FIRST_KIND:
-            self.tell(node, room.Received(event.source, event.data))
+        if isinstance(event, membership.Received) and event.data[KIND_AT] >= FIRST_MESSAGE_KIND:
+            self.tell(node, room.DatagramReceived(event.source, event.data))
             return
         super()._handle(node, event)
         if isinstance(event, membership.Tick):
@@ -298,31 +300,31 @@
         core = self.hosts[node].core
         if core is not None:
             lives = {member: core.view.known[member].life for member in core.members()}
-            self.tell(node, room.Members(lives, core.quorum()))
+            self.tell(node, room.MembershipChanged(lives, core.quorum()))
 
     def _do(self, node: int, process: Process, action: room.Action) -> None:
         number = self.hosts[node].number
         match action:
-            case room.Tell():
+            case room.SendDatagram():
                 self.room_sent[int(self.now / 1000)] += 1
                 self._tell(node, action.node, action.data)
-            case room.Keep():
+            case room.PersistEntries():
                 process.writing[action.token] += 1
                 self._write(node, number, action)
-            case room.Apply():
+            case room.ApplyBan():
                 self._applied(process, action)
-            case room.AskList():
+            case room.RequestList():
                 self.discovery.call(partial(self._listed, node, number), partial(self._failed, node, number))
-            case room.Restrict():
+            case room.RestrictSavedList():
                 process.restricted = action.ids
                 if self.watcher is not None:
                     self.watcher.restricts(node, action.ids)
-            case room.Entered():
+            case room.PhaseEntered():
                 self._entered(node, process, action)
-            case room.Admit():
+            case room.CapacityGranted():
                 process.admits = action
 
-    def _entered(self, node: int, process: Process, action: room.Entered) -> None:
+    def _entered(self, node: int, process: Process, action: room.PhaseEntered) -> None:
         self.note(f"n{node} phase {action.phase.name.lower()}, path {action.path.value}: {action.reason}")
         if action.phase is Phase.ASK:
             process.ask_began = self.now
@@ -331,7 +333,7 @@
         process.phases.append((self.now, action.phase, action.path))
         process.phase = action.phase
 
-    def _applied(self, process: Process, action: room.Apply) -> None:
+    def _applied(self, process: Process, action: room.ApplyBan) -> None:
         (process.banned.add if action.out else process.banned.discard)(action.backend)
         call = process.pending.get(self.handled)
         if call is not None and (call.backend, call.out) == (action.backend, action.out):
@@ -343,18 +345,18 @@
         if self.watcher is not None:
             self.watcher.answered(call)
 
-    def _write(self, node: int, number: int, action: room.Keep) -> None:
+    def _write(self, node: int, number: int, action: room.PersistEntries) -> None:
         """Records are written in the order of their calls, by a thread that may be slow."""
         self.writes_until[node] = max(self.writes_until[node], self.now) + self.dice.uniform(*self.write_ms)
         self.at(self.writes_until[node], partial(self._written, node, number, action.rows, action.token))
 
-    def _written(self, node: int, number: int, rows: tuple[Row, ...], token: int | None) -> None:
+    def _written(self, node: int, number: int, rows: tuple[BanEntry, ...], token: int | None) -> None:
         process, disk = self.processes[node], self.disks[node]
         if process is None or self.hosts[node].number != number:
             return
         process.writing[token] -= 1
         if token is not None and self.dice.random() < self.sync_fails:
-            self.tell(node, room.Synced(token, False))
+            self.tell(node, room.WriteCompleted(token, False))
             process.pending.pop(token, None)
             return
         if rows:
@@ -363,7 +365,7 @@
         if token is None:
             return
         disk.sync()
-        self.tell(node, room.Synced(token, True))
+        self.tell(node, room.WriteCompleted(token, True))
         if token in process.pending and not process.writing[token]:  # nothing changed by it
             self._yes(process, process.pending[token])
 
@@ -377,11 +379,11 @@
         process.restricted = frozenset()
         off = shift + self.walls[node]  # starts are told by the wall clock
         starts = tuple(start + off for start in process.told.values())
-        self.tell(node, room.Listed(self.discovery.revision, starts, tuple(self.backends)))
+        self.tell(node, room.ListReceived(self.discovery.revision, starts, tuple(self.backends)))
 
     def _failed(self, node: int, number: int) -> None:
         if self.hosts[node].number == number:
-            self.tell(node, room.ListFailed())
+            self.tell(node, room.ListRequestFailed())
 
     def _look(self) -> None:
         if self.watcher is not None:
@@ -395,4 +397,4 @@
             return
         for node, process in enumerate(self.processes):
             if process is not None and Phase.LISTED <= process.phase < Phase.FULL:
-                self.tell(node, room.Demand(self.drawn[node] * self.dice.uniform(0.7, 1.4)))
+                self.tell(node, room.DemandMeasured(self.drawn[node] * self.dice.uniform(0.7, 1.4)))
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -24,12 +24,11 @@
 from balancer.durable.store import Store, load
 from balancer.membership.core import Config as MembershipConfig
 from balancer.membership.messages import State
-from balancer.net import bans, handover, returning
+from balancer.net import bans, handover, recovery_adapter
 from balancer.policy import Balancer
-from balancer.recovery.phases import Path as RecoveryPath
-from balancer.recovery.phases import Phase
-from balancer.recovery.register import Row
-from balancer.recovery.shell import Left
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.phases import Phase, RecoveryPath
+from balancer.recovery.shell import RecoveryHandover
 from balancer.sim import members, recovery_schedule
 
 PACKAGE = "balancer"
@@ -184,9 +183,9 @@
         store.close()
         stem = bans.stem({"TMPDIR": str(folder)}, "n0")
         handover.give(stem.with_suffix(handover.SUFFIX), learned)
-        register = (Row("b2", 1, 7, 3, True, 900.0), Row("b2", 0, 6, 1, False, 800.0))
-        left = Left(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
-        returning.give(stem.with_suffix(returning.SUFFIX), left, 50.0)
+        register = (BanEntry("b2", 1, 7, 3, True, 900.0), BanEntry("b2", 0, 6, 1, False, 800.0))
+        left = RecoveryHandover(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
+        recovery_adapter.write_handover(stem.with_suffix(recovery_adapter.HANDOVER_SUFFIX), left, 50.0)
         asyncio.run(_ban(stem))
 
 
@@ -217,6 +216,6 @@
         recovered = handover.take(stem.with_suffix(handover.SUFFIX))
         assert recovered is not None
         yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
-        left = returning.take(stem.with_suffix(returning.SUFFIX), 150.0)
+        left = recovery_adapter.read_handover(stem.with_suffix(recovery_adapter.HANDOVER_SUFFIX), 150.0)
         assert left is not None
         yield f"{left.phase.name} {left.path.value} {left.cold_since} {[tuple(row) for row in left.rows]}"
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -237,7 +237,7 @@
 NOT_OF_RUN = (
     "numpy", "structlog", "typer", "rich", "hdrh", "httpx", "google_crc32c", "balancer.lab", "balancer.cli",
     "balancer.sim", "balancer.membership", "balancer.durable", "balancer.recovery", "balancer.net.fleet",
-    "balancer.net.returning",
+    "balancer.net.recovery_adapter",
 )  # fmt: skip
 
 
--- a/tests/test_returning.py
+++ b/tests/test_recovery_adapter.py
@@ -13,9 +13,9 @@
 from balancer.membership.port import Port
 from balancer.net.config import News
 from balancer.net.node import Node
-from balancer.net.returning import Returning
+from balancer.net.recovery_adapter import RecoveryAdapter
 from balancer.recovery.phases import Phase
-from balancer.recovery.shell import CallError
+from balancer.recovery.shell import BanCallError
 from tests.helpers import BASE, entry, member
 
 HERE = ("127.0.0.1", 1)
@@ -45,7 +45,7 @@
 
 
 @contextlib.asynccontextmanager
-async def returning(*names: str) -> AsyncIterator[tuple[Returning, Watcher, Told]]:
+async def returning(*names: str) -> AsyncIterator[tuple[RecoveryAdapter, Watcher, Told]]:
     """The return of a tier's only node, with a saved list; and what its node was told of lists."""
     told: Told = []
 
@@ -56,7 +56,7 @@
         settings=BASE, config=SimpleNamespace(seed=1), now=lambda: 1000.0, list=take, event=lambda event: None
     )
     watcher = Watcher()
-    out = Returning(cast(Node, one), watcher, news(41, *names), Port(HERE, [HERE], HERE), 1, None)
+    out = RecoveryAdapter(cast(Node, one), watcher, news(41, *names), Port(HERE, [HERE], HERE), 1, None)
     try:
         yield out, watcher, told
     finally:
@@ -100,5 +100,5 @@
         one.shell.begin(one.kept)
         await one.shell.served()
         assert one.shell.failed and watcher.calls == ["watch True"]
-        with pytest.raises(CallError, match="failed"):
+        with pytest.raises(BanCallError, match="failed"):
             await one.banned("a", True)
--- a/tests/test_recovery_core.py
+++ b/tests/test_recovery_core.py
@@ -15,85 +15,104 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.recovery.core import Config, Recovery
+from balancer.recovery.ban_register import BUCKET_COUNT, BanEntry, BanRegister
+from balancer.recovery.core import Recovery, RecoveryConfig
+from balancer.recovery.demand_share import demand_weighted_share
 from balancer.recovery.events import (
     Action,
-    Admit,
-    Apply,
-    AskList,
-    Called,
-    Demand,
-    Entered,
+    ApplyBan,
+    BanRequested,
+    CapacityGranted,
+    DatagramReceived,
+    DemandMeasured,
+    DiskRead,
     Event,
-    Inherited,
-    Keep,
-    Kept,
-    Leave,
-    Listed,
-    Members,
-    Peers,
-    Received,
-    Restrict,
-    SavedIds,
-    Synced,
-    Tell,
+    ListReceived,
+    MembershipChanged,
+    PeersChanged,
+    PersistEntries,
+    PhaseEntered,
+    RequestList,
+    RestrictSavedList,
+    SavedListLoaded,
+    SendDatagram,
+    ShutdownStarted,
+    StateInherited,
     Tick,
+    WriteCompleted,
 )
 from balancer.recovery.messages import (
-    MOST,
-    Filter,
-    Flag,
-    Kind,
+    MAX_DATAGRAM_BYTES,
+    ListFilter,
     Message,
     MessageError,
-    Rows,
-    State,
-    UnknownKind,
+    MessageKind,
+    NodeStatus,
+    RegisterPage,
+    StatusFlag,
+    UnknownKindError,
     decode,
     encode,
 )
-from balancer.recovery.phases import Path, Phase, settled_among
-from balancer.recovery.register import BUCKETS, Register, Row
-from balancer.recovery.shares import share_of
-from balancer.recovery.trust import TABLE, Trust, Verdict
-from balancer.recovery.trust import Kind as What
-from balancer.recovery.turns import Turns
+from balancer.recovery.phases import Phase, RecoveryPath, established_peers
+from balancer.recovery.poll_schedule import PollSchedule
+from balancer.recovery.trust import TRUST_TABLE, StateKind, TrustLevel, TrustRule
 
 A = TypeVar("A", bound=Action)
 
 NOW = 100_000.0
 rows = st.builds(
-    Row, st.sampled_from(["a", "b", "c"]), st.integers(0, 3), st.integers(0, 2), st.integers(0, 3),
+    BanEntry, st.sampled_from(["a", "b", "c"]), st.integers(0, 3), st.integers(0, 2), st.integers(0, 3),
     st.booleans(), st.sampled_from([-math.inf, 0.0, NOW]),
 )  # fmt: skip
 many = st.lists(rows, max_size=12)
 u8, u16, u32 = st.integers(0, 255), st.integers(0, 2**16 - 1), st.integers(0, 2**32 - 1)
 states = st.builds(
-    State, u32, u32.map(float), u8, u8, st.integers(0, 31).map(Flag), u32, u32.map(lambda v: v / 10),
-    st.integers(0, 2**32 - 2).map(lambda v: v / 10) | st.just(math.inf), u16,
+    NodeStatus,
+    u32,
+    u32.map(float),
+    u8,
+    u8,
+    st.integers(0, 31).map(StatusFlag),
+    u32,
+    u32.map(lambda v: v / 10),
+    st.integers(0, 2**32 - 2).map(lambda v: v / 10) | st.just(math.inf),
+    u16,
     st.integers(0, 2**300),
-)  # fmt: skip
+)
 sent = st.builds(
-    Rows, st.lists(rows, max_size=9).map(tuple), u32, u16, st.integers(0, 3), st.integers(4, 9), st.booleans()
+    RegisterPage,
+    st.lists(rows, max_size=9).map(tuple),
+    u32,
+    u16,
+    st.integers(0, 3),
+    st.integers(4, 9),
+    st.booleans(),
 )
-filters = st.builds(Filter, u32, st.integers(1, 9), st.binary(min_size=1, max_size=200))
-digests = st.lists(u32, min_size=BUCKETS, max_size=BUCKETS).map(tuple)
+filters = st.builds(ListFilter, u32, st.integers(1, 9), st.binary(min_size=1, max_size=200))
+digests = st.lists(u32, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple)
 messages = st.one_of(
-    st.builds(Message, st.sampled_from([Kind.ROLL, Kind.ANSWER]), u16, st.integers(0, 2**64 - 1), states),
-    st.builds(Message, st.just(Kind.DIGEST), u16, st.integers(0, 2**64 - 1), digests),
-    st.builds(Message, st.just(Kind.ROWS), u16, st.integers(0, 2**64 - 1), sent),
-    st.builds(Message, st.just(Kind.FILTER), u16, st.integers(0, 2**64 - 1), filters),
+    st.builds(
+        Message,
+        st.sampled_from([MessageKind.SURVEY, MessageKind.STATUS]),
+        u16,
+        st.integers(0, 2**64 - 1),
+        states,
+    ),
+    st.builds(Message, st.just(MessageKind.DIGEST), u16, st.integers(0, 2**64 - 1), digests),
+    st.builds(Message, st.just(MessageKind.ENTRIES), u16, st.integers(0, 2**64 - 1), sent),
+    st.builds(Message, st.just(MessageKind.LIST_FILTER), u16, st.integers(0, 2**64 - 1), filters),
 )
 
 
-def register(*parts: list[Row]) -> Register:
-    out = Register(9, 1)
+def register(*parts: list[BanEntry]) -> BanRegister:
+    out = BanRegister(9, 1)
     for part in parts:
         out.join(part)
     return out
 
 
-def said(of: Register) -> list[tuple[object, ...]]:
+def said(of: BanRegister) -> list[tuple[object, ...]]:
     """All rows, but for their ages, which order nothing."""
     return [row[:5] for row in of.rows()]
 
@@ -102,20 +121,22 @@
 
 
 @given(many, many, many)
-def test_joins_commute_associate_and_are_idempotent(one: list[Row], two: list[Row], three: list[Row]) -> None:
+def test_joins_commute_associate_and_are_idempotent(
+    one: list[BanEntry], two: list[BanEntry], three: list[BanEntry]
+) -> None:
     a, b = register(one, two, three), register(three, two, one, two)
     assert said(a) == said(b) and a.hash == b.hash and a.buckets == b.buckets
     assert not a.join(b.rows()) and not b.join(one)  # an old state changes nothing
 
 
 @given(many, many)
-def test_hashes_are_equal_exactly_where_rows_are(one: list[Row], two: list[Row]) -> None:
+def test_hashes_are_equal_exactly_where_rows_are(one: list[BanEntry], two: list[BanEntry]) -> None:
     a, b = register(one), register(two)
     assert (a.hash == b.hash) == (a.buckets == b.buckets) == (said(a) == said(b))
 
 
 def test_a_ban_and_a_return_at_the_same_time_end_in_the_ban() -> None:
-    one, two = Register(1, 1), Register(2, 1)
+    one, two = BanRegister(1, 1), BanRegister(2, 1)
     one.commit([one.ban("a", 0.0)])
     two.join(one.rows())
     again = one.ban("a", 5.0)  # a second word, that the return below does not know of
@@ -130,9 +151,9 @@
 
 
 @given(st.lists(rows.map(lambda r: r._replace(node=0)), max_size=9), st.integers(0, 3))
-def test_a_former_life_covers_no_ban_of_this_one(former: list[Row], life: int) -> None:
+def test_a_former_life_covers_no_ban_of_this_one(former: list[BanEntry], life: int) -> None:
     """The disk was lost, so lives begin anew: peers know rows of this node with greater counters."""
-    here, there = Register(0, life, seq=1), register(former)
+    here, there = BanRegister(0, life, seq=1), register(former)
     here.commit([here.ban("a", 0.0)])
     there.join(here.rows())
     here.join(former)
@@ -146,19 +167,19 @@
 
 
 def test_a_call_that_waits_for_the_disk_is_issued_anew_above_a_former_life() -> None:
-    here = Register(0, 1)
+    here = BanRegister(0, 1)
     waiting = here.ban("a", 0.0)
-    here.join([Row("a", 0, 7, 3, False, 0.0)])
+    here.join([BanEntry("a", 0, 7, 3, False, 0.0)])
     (again,) = here.commit([waiting])
     assert not here.banned("a") and again.counter > (7, 3)
     assert not here.commit([again]) and here.banned("a")
 
 
 def test_no_counter_can_keep_a_node_from_its_bans() -> None:
-    here = Register(0, 1)
-    here.join([Row("a", 0, 2**32 - 1, 0, False, 0.0), Row("a", 0, 5, 2**32 - 1, False, 0.0)])
+    here = BanRegister(0, 1)
+    here.join([BanEntry("a", 0, 2**32 - 1, 0, False, 0.0), BanEntry("a", 0, 5, 2**32 - 1, False, 0.0)])
     assert not here.rows() and here.counts["impossible"] == 2
-    here.join([Row("a", 0, 2**32 - 3, 2**32 - 2, False, 0.0)])
+    here.join([BanEntry("a", 0, 2**32 - 3, 2**32 - 2, False, 0.0)])
     here.commit([here.ban("a", 0.0)])
     assert here.banned("a")
 
@@ -169,7 +190,7 @@
 @given(messages)
 def test_a_datagram_is_read_as_it_was_written(message: Message) -> None:
     data = encode(message, NOW)
-    assert len(data) <= MOST and decode(data, NOW) == message
+    assert len(data) <= MAX_DATAGRAM_BYTES and decode(data, NOW) == message
     assert decode(data, NOW + 5).hash == message.hash
 
 
@@ -201,9 +222,9 @@
 def test_later_versions_are_read_as_far_as_they_are_known(message: Message, more: bytes) -> None:
     data = changed(encode(message, NOW), 4, 2)[4:] + more
     data = zlib.crc32(data).to_bytes(4, "big") + data
-    if len(data) <= MOST:
+    if len(data) <= MAX_DATAGRAM_BYTES:
         assert decode(data, NOW) == message
-    with pytest.raises(UnknownKind):
+    with pytest.raises(UnknownKindError):
         decode(changed(encode(message, NOW), 5, 30), NOW)
 
 
@@ -216,33 +237,35 @@
     def __init__(self, count: int, seed: int = 1, loss: float = 0.0) -> None:
         self.count, self.loss, self.random, self.now = count, loss, random.Random(seed), 0.0
         self.nodes: dict[int, Recovery] = {}
-        self.disks: dict[int, tuple[Row, ...]] = {}
+        self.disks: dict[int, tuple[BanEntry, ...]] = {}
         self.acts: dict[int, list[tuple[float, Action]]] = {n: [] for n in range(count)}
         self.side: dict[int, int] = {}  # partitions: nodes of different sides do not hear each other
         self.members = True
         self._mail: list[tuple[float, int, int, int, bytes]] = []
         self._number = 0
 
-    def start(self, node: int, number: int = 1, table: Mapping[What, Trust] = TABLE, **kept: Any) -> Recovery:
+    def start(
+        self, node: int, number: int = 1, table: Mapping[StateKind, TrustRule] = TRUST_TABLE, **kept: Any
+    ) -> Recovery:
         """A process of a node, in its life of that number."""
-        core = Recovery(Config(), node, self.count, number, node + 100 * number, self.now, table)
+        core = Recovery(RecoveryConfig(), node, self.count, number, node + 100 * number, self.now, table)
         self.nodes[node] = core
         self.acts[node] = []
         given: dict[str, Any] = {"sound": True, "fresh_disk": False, "rows": self.disks.get(node, ())}
-        self.event(node, Kept(**{**given, **kept}))
+        self.event(node, DiskRead(**{**given, **kept}))
         return core
 
     def event(self, node: int, event: Event) -> None:
         for act in self.nodes[node].handle(self.now, event):
             self.acts[node].append((self.now, act))
-            if isinstance(act, Tell):
+            if isinstance(act, SendDatagram):
                 self._send(node, act)
-            elif isinstance(act, Keep):
+            elif isinstance(act, PersistEntries):
                 self.disks[node] = (*self.disks.get(node, ()), *act.rows)
                 if act.token is not None:
-                    self.event(node, Synced(act.token, True))
+                    self.event(node, WriteCompleted(act.token, True))
 
-    def _send(self, sender: int, act: Tell) -> None:
+    def _send(self, sender: int, act: SendDatagram) -> None:
         for node in range(self.count) if act.node is None else [act.node]:
             apart = self.side.get(node, 0) != self.side.get(sender, 0)
             if node != sender and not apart and self.random.random() >= self.loss:
@@ -255,7 +278,7 @@
             there = {n: c.register.life for n, c in self.nodes.items()
                      if self.side.get(n, 0) == self.side.get(node, 0)}  # fmt: skip
             if core.phase > Phase.VERIFY:
-                self.event(node, Members(there, 2 * len(there) > self.count))
+                self.event(node, MembershipChanged(there, 2 * len(there) > self.count))
 
     def run(self, ms: float) -> None:
         until = self.now + ms
@@ -269,7 +292,7 @@
             while self._mail and self._mail[0][0] <= self.now:
                 _, _, node, sender, data = heapq.heappop(self._mail)
                 if node in self.nodes:
-                    self.event(node, Received(sender, data))
+                    self.event(node, DatagramReceived(sender, data))
             for node, core in sorted(self.nodes.items()):
                 if core.due <= self.now:
                     self.event(node, Tick())
@@ -285,7 +308,7 @@
     def phases(self) -> set[Phase]:
         return {core.phase for core in self.nodes.values()}
 
-    def paths(self) -> set[Path]:
+    def paths(self) -> set[RecoveryPath]:
         return {core.path for core in self.nodes.values()}
 
 
@@ -304,13 +327,13 @@
     """A tier that went on for long."""
     tier = returned(count, **kept)
     for node in range(count):
-        tier.event(node, Listed(5, (-20_000.0,), ("a", "b")))
+        tier.event(node, ListReceived(5, (-20_000.0,), ("a", "b")))
     tier.run(70_000)
     assert tier.phases() == {Phase.FULL}
     return tier
 
 
-OUT = Row("a", 3, 1, 7, True, -9000.0)
+OUT = BanEntry("a", 3, 1, 7, True, -9000.0)
 
 
 def test_a_tier_that_returns_together_learns_bans_that_one_disk_knew() -> None:
@@ -320,10 +343,12 @@
         tier.run(10)
     tier.see()
     tier.run(2_100)
-    assert tier.paths() == {Path.POWER} and tier.phases() == {Phase.LISTED}
+    assert tier.paths() == {RecoveryPath.POWER} and tier.phases() == {Phase.LISTED}
     for node in range(16):
-        (banned,) = [at for at, act in tier.acts[node] if isinstance(act, Apply)]
-        (listed,) = [at for at, act in tier.acts[node] if isinstance(act, Entered) and act.phase > Phase.ASK]
+        (banned,) = [at for at, act in tier.acts[node] if isinstance(act, ApplyBan)]
+        (listed,) = [
+            at for at, act in tier.acts[node] if isinstance(act, PhaseEntered) and act.phase > Phase.ASK
+        ]
         assert banned <= listed, node
 
 
@@ -331,14 +356,14 @@
     tier = returned(4)
     told = tier.now
     for node in range(4):
-        tier.event(node, Listed(5, (told - 1000.0,)))
+        tier.event(node, ListReceived(5, (told - 1000.0,)))
     assert tier.phases() == {Phase.WARMING}
-    assert [e.phase for e in tier.of(0, Entered)] == [Phase.ASK, Phase.LISTED, Phase.WARMING]
+    assert [e.phase for e in tier.of(0, PhaseEntered)] == [Phase.ASK, Phase.LISTED, Phase.WARMING]
     tier.run(6_990)
     assert all(core.phase is Phase.WARMING for core in tier.nodes.values())
     tier.run(20)
     assert tier.phases() == {Phase.FULL}
-    (admit,) = tier.of(3, Admit)
+    (admit,) = tier.of(3, CapacityGranted)
     assert admit.share == 0.25 and admit.cold_since == tier.nodes[3].started
 
 
@@ -348,14 +373,14 @@
     tier.run(999)
     assert tier.phases() == {Phase.ASK}
     tier.run(2)
-    assert (tier.nodes[0].phase, tier.nodes[0].path) == (Phase.LISTED, Path.ALONE)
+    assert (tier.nodes[0].phase, tier.nodes[0].path) == (Phase.LISTED, RecoveryPath.ALONE)
     tier.run(24_000)
     assert tier.nodes[0].phase is Phase.FULL
-    assert "nobody answers" in tier.of(0, Entered)[1].reason
-    assert "discovery is silent" in tier.of(0, Entered)[2].reason
-    calls = [at for at, act in tier.acts[0] if isinstance(act, AskList)]
+    assert "nobody answers" in tier.of(0, PhaseEntered)[1].reason
+    assert "discovery is silent" in tier.of(0, PhaseEntered)[2].reason
+    calls = [at for at, act in tier.acts[0] if isinstance(act, RequestList)]
     assert len(calls) > 2 and min(b - a for a, b in itertools.pairwise(calls)) >= 1000
-    (admit,) = tier.of(0, Admit)
+    (admit,) = tier.of(0, CapacityGranted)
     assert admit.share == 0.2
 
 
@@ -366,27 +391,34 @@
     since = tier.now
     core = tier.start(5, 2, rows=(), fresh_disk=True)
     tier.run(30)
-    assert (core.phase, core.path) == (Phase.FULL, Path.CRASH) and core.register.banned("a")
-    entered = [(at - since, act) for at, act in tier.acts[5] if isinstance(act, Entered)]
+    assert (core.phase, core.path) == (Phase.FULL, RecoveryPath.CRASH) and core.register.banned("a")
+    entered = [(at - since, act) for at, act in tier.acts[5] if isinstance(act, PhaseEntered)]
     assert [act.phase for _, act in entered] == [Phase.ASK, Phase.LISTED, Phase.WARMING, Phase.FULL]
-    assert entered[-1][0] < 20 and not tier.of(5, Admit) and len(tier.of(5, AskList)) == 1
+    assert entered[-1][0] < 20 and not tier.of(5, CapacityGranted) and len(tier.of(5, RequestList)) == 1
 
 
 def test_a_crash_is_told_though_one_peer_missed_that_the_other_is_full() -> None:
     """Guards against a `split` where a datagram was lost: that peer takes the other for returning."""
     tier = settled(3)
     del tier.nodes[2]
-    old = State(1, 100_000.0, Phase.WARMING, 0, Flag(0), 5, 0.0, math.inf, 0, 0b111)
-    tier.event(1, Received(0, encode(Message(Kind.ANSWER, 0, tier.nodes[0].register.hash, old), tier.now)))
+    old = NodeStatus(1, 100_000.0, Phase.WARMING, 0, StatusFlag(0), 5, 0.0, math.inf, 0, 0b111)
+    tier.event(
+        1,
+        DatagramReceived(
+            0, encode(Message(MessageKind.STATUS, 0, tier.nodes[0].register.hash, old), tier.now)
+        ),
+    )
     core = tier.start(2, 2)
     tier.run(300)
-    assert (core.phase, core.path) == (Phase.FULL, Path.CRASH)
+    assert (core.phase, core.path) == (Phase.FULL, RecoveryPath.CRASH)
 
 
 def test_who_says_full_counts_as_running_and_fewer_than_half_are_no_tier() -> None:
-    say = [State(1, 1e5, Phase.FULL, 0, Flag(0), 5, 0.0, math.inf, young, 0b111) for young in (2, 2)]
-    assert settled_among(say[:1], 3) == [] and settled_among(say, 3) == say
-    assert settled_among(say, 4) == say and settled_among(say, 5) == []
+    say = [
+        NodeStatus(1, 1e5, Phase.FULL, 0, StatusFlag(0), 5, 0.0, math.inf, young, 0b111) for young in (2, 2)
+    ]
+    assert established_peers(say[:1], 3) == [] and established_peers(say, 3) == say
+    assert established_peers(say, 4) == say and established_peers(say, 5) == []
 
 
 def test_a_restart_of_all_one_by_one_is_no_power_cut() -> None:
@@ -394,7 +426,7 @@
     for node in range(6):
         core = tier.start(node, 2)
         tier.run(1_500)
-        assert (core.phase, core.path) == (Phase.FULL, Path.CRASH)
+        assert (core.phase, core.path) == (Phase.FULL, RecoveryPath.CRASH)
 
 
 def test_two_that_lived_on_do_not_make_a_power_cut_a_crash() -> None:
@@ -407,7 +439,7 @@
         tier.start(node, 2)
         tier.run(100)
     tier.run(2_100)
-    assert all(tier.nodes[node].path in (Path.POWER, Path.SPLIT) for node in range(2, 8))
+    assert all(tier.nodes[node].path in (RecoveryPath.POWER, RecoveryPath.SPLIT) for node in range(2, 8))
 
 
 def test_halves_that_return_apart_are_split_until_they_meet() -> None:
@@ -418,31 +450,33 @@
         tier.start(node)
     tier.see()
     tier.run(2_100)
-    assert tier.paths() == {Path.SPLIT}
+    assert tier.paths() == {RecoveryPath.SPLIT}
     assert {core.share for core in tier.nodes.values()} == {1 / 8}
     assert not tier.nodes[1].register.bans()
     tier.side = {}
     tier.see()
     tier.run(8_000)
-    assert tier.paths() == {Path.POWER} and all(core.register.banned("a") for core in tier.nodes.values())
+    assert tier.paths() == {RecoveryPath.POWER} and all(
+        core.register.banned("a") for core in tier.nodes.values()
+    )
 
 
 def test_a_call_is_told_once_it_is_on_the_disk() -> None:
     tier = settled(3)
     core = tier.nodes[0]
-    (keep,) = core.handle(tier.now, Called("a", True, tier.now, 7))
-    assert isinstance(keep, Keep) and keep.token == 7 and not core.register.bans()
-    acts = core.handle(tier.now, Synced(7, True))
-    (tell,) = [act for act in acts if isinstance(act, Tell)]
-    assert tell.node is None and Apply("a", True, tier.now) in acts
-    tier.event(1, Received(0, tell.data))
-    assert tier.of(1, Apply)[-1].out and tier.of(1, Keep)[-1].token is None
+    (keep,) = core.handle(tier.now, BanRequested("a", True, tier.now, 7))
+    assert isinstance(keep, PersistEntries) and keep.token == 7 and not core.register.bans()
+    acts = core.handle(tier.now, WriteCompleted(7, True))
+    (tell,) = [act for act in acts if isinstance(act, SendDatagram)]
+    assert tell.node is None and ApplyBan("a", True, tier.now) in acts
+    tier.event(1, DatagramReceived(0, tell.data))
+    assert tier.of(1, ApplyBan)[-1].out and tier.of(1, PersistEntries)[-1].token is None
     tier.run(400)
     assert core.stats()["counts"]["sent_rows"] == 2 and tier.nodes[2].register.banned("a")
-    tier.event(2, Called("a", False, tier.now, 1))
+    tier.event(2, BanRequested("a", False, tier.now, 1))
     tier.run(10)
     assert not any(node.register.bans() for node in tier.nodes.values())
-    assert tier.of(0, Apply)[-1] == Apply("a", False, tier.now - 9)  # it took a millisecond
+    assert tier.of(0, ApplyBan)[-1] == ApplyBan("a", False, tier.now - 9)  # it took a millisecond
 
 
 @pytest.mark.parametrize("out", [True, False])
@@ -450,18 +484,18 @@
     tier = settled(3, rows=() if out else (OUT,))
     core = tier.nodes[0]
     before = core.register.bans()
-    (keep,) = core.handle(tier.now, Called("a", out, tier.now, 7))
-    acts = core.handle(tier.now, Synced(7, False))
-    assert core.register.bans() == before and not [act for act in acts if isinstance(act, Apply)]
-    assert isinstance(keep, Keep)
+    (keep,) = core.handle(tier.now, BanRequested("a", out, tier.now, 7))
+    acts = core.handle(tier.now, WriteCompleted(7, False))
+    assert core.register.bans() == before and not [act for act in acts if isinstance(act, ApplyBan)]
+    assert isinstance(keep, PersistEntries)
     disk = register([*(() if out else (OUT,)), *keep.rows])  # it got there all the same
-    disk.join([row for act in acts if isinstance(act, Keep) for row in act.rows])
+    disk.join([row for act in acts if isinstance(act, PersistEntries) for row in act.rows])
     assert disk.bans().keys() == before.keys()
 
 
 def test_ids_too_long_for_a_datagram_are_banned_here_alone() -> None:
     tier = settled(3)
-    tier.event(0, Called("x" * 97, True, tier.now, 1))
+    tier.event(0, BanRequested("x" * 97, True, tier.now, 1))
     tier.run(6_000)
     assert tier.nodes[0].register.bans() and not tier.nodes[1].register.bans()
     assert tier.nodes[0].stats()["counts"]["ids_not_shared"] == 1
@@ -470,11 +504,11 @@
 
 def test_a_peer_from_a_month_ago_changes_nothing_and_learns() -> None:
     tier = settled(5, rows=(OUT,))
-    tier.event(0, Called("a", False, tier.now, 1))
-    tier.event(0, Called("b", True, tier.now, 2))
+    tier.event(0, BanRequested("a", False, tier.now, 1))
+    tier.event(0, BanRequested("b", True, tier.now, 2))
     del tier.nodes[4]
     tier.run(1_000)
-    old = tier.start(4, 2, rows=(OUT, Row("b", 0, 1, 0, False, -math.inf)), age_ms=30 * 86_400_000.0)
+    old = tier.start(4, 2, rows=(OUT, BanEntry("b", 0, 1, 0, False, -math.inf)), age_ms=30 * 86_400_000.0)
     tier.run(300)
     assert {tuple(core.register.bans()) for core in tier.nodes.values()} == {("b",)}
     assert old.phase is Phase.FULL
@@ -483,69 +517,76 @@
 def test_large_registers_agree_by_digests_under_loss_and_the_budget() -> None:
     tier = Tier(8, loss=0.1)
     for node in range(8):
-        own = tuple(Row(f"{node}-{i}", node, 1, i, bool(i % 3), 0.0) for i in range(20))
+        own = tuple(BanEntry(f"{node}-{i}", node, 1, i, bool(i % 3), 0.0) for i in range(20))
         tier.start(node, rows=own)
     tier.see()
     tier.run(20_000)
     assert {len(core.register) for core in tier.nodes.values()} == {160}
     for node, acts in tier.acts.items():
-        sent = [at for at, act in acts if isinstance(act, Tell)]
+        sent = [at for at, act in acts if isinstance(act, SendDatagram)]
         worst = max(sum(at <= other < at + 1000 for other in sent) for at in sent)
-        assert worst <= Config().burst + Config().datagrams, node
+        assert worst <= RecoveryConfig().burst + RecoveryConfig().datagrams, node
 
 
 def test_the_trust_table_is_what_decides() -> None:
-    def start(kind: What, verdict: Verdict, **kept: Any) -> Tier:
+    def start(kind: StateKind, verdict: TrustLevel, **kept: Any) -> Tier:
         tier = Tier(3)
-        tier.start(0, table={**TABLE, kind: Trust(verdict)}, rows=(OUT,), **kept)
-        tier.event(0, SavedIds(("a", "b")))
+        tier.start(0, table={**TRUST_TABLE, kind: TrustRule(verdict)}, rows=(OUT,), **kept)
+        tier.event(0, SavedListLoaded(("a", "b")))
         return tier
 
-    early, late, never = (start(What.BANS, verdict) for verdict in Verdict)
-    assert early.of(0, Apply) and not late.of(0, Apply)
+    early, late, never = (start(StateKind.BANS, verdict) for verdict in TrustLevel)
+    assert early.of(0, ApplyBan) and not late.of(0, ApplyBan)
     for tier in (early, late, never):
         tier.run(1_100)
-    assert late.of(0, Apply) and not never.of(0, Apply)
-    tier = start(What.RETURNS, Verdict.NEVER, sound=True)
-    tier.event(0, Kept(True, False, rows=(OUT._replace(live=False),)))
+    assert late.of(0, ApplyBan) and not never.of(0, ApplyBan)
+    tier = start(StateKind.RETURNS, TrustLevel.NEVER, sound=True)
+    tier.event(0, DiskRead(True, False, rows=(OUT._replace(live=False),)))
     tier.run(1_100)
     assert tier.nodes[0].register.banned("a")
-    tier = start(What.LIST, Verdict.NEVER)
+    tier = start(StateKind.LIST, TrustLevel.NEVER)
     tier.run(1_100)
-    assert tier.of(0, Restrict) == [Restrict(frozenset("ab"))]
-    assert start(What.LIFE, Verdict.NEVER, life=9).nodes[0].register.life == 1
-    assert start(What.LIFE, Verdict.ALONE, life=9).nodes[0].register.life == 9
-    assert start(What.RATE, Verdict.NEVER, rate=10.0).nodes[0].rate == 0
-    assert start(What.RATE, Verdict.ALONE, rate=10.0).nodes[0].rate == 30
+    assert tier.of(0, RestrictSavedList) == [RestrictSavedList(frozenset("ab"))]
+    assert start(StateKind.LIFE, TrustLevel.NEVER, life=9).nodes[0].register.life == 1
+    assert start(StateKind.LIFE, TrustLevel.ALONE, life=9).nodes[0].register.life == 9
+    assert start(StateKind.RATE, TrustLevel.NEVER, rate=10.0).nodes[0].rate == 0
+    assert start(StateKind.RATE, TrustLevel.ALONE, rate=10.0).nodes[0].rate == 30
     for sound, fresh in ((False, False), (True, True)):
         tier = Tier(3)
         tier.start(0, rows=(OUT,), sound=sound, fresh_disk=fresh)
         tier.run(1_100)
-        assert not tier.of(0, Apply) and not any(tier.nodes[0].trusts(kind) for kind in What)
+        assert not tier.of(0, ApplyBan) and not any(tier.nodes[0].trusts(kind) for kind in StateKind)
     tier = Tier(3)
     tier.start(0, age_ms=2 * 3_600_000.0)
     tier.run(1_100)
-    assert tier.nodes[0].trusts(What.LIST) and not tier.nodes[0].trusts(What.LEARNED)
+    assert tier.nodes[0].trusts(StateKind.LIST) and not tier.nodes[0].trusts(StateKind.LEARNED)
 
 
 def test_peers_only_restrict_a_saved_list_and_half_of_it_at_most() -> None:
     tier = returned(3, revision=4)
-    tier.event(0, SavedIds(("a", "b", "c", "d")))
-    tier.event(1, SavedIds(("a", "w", "x", "y")))
-    tier.event(2, Listed(5, (0.0,), ("a", "b", "c", "new")))
+    tier.event(0, SavedListLoaded(("a", "b", "c", "d")))
+    tier.event(1, SavedListLoaded(("a", "w", "x", "y")))
+    tier.event(2, ListReceived(5, (0.0,), ("a", "b", "c", "new")))
     for node in (0, 1):
-        tier.event(node, Leave())  # as it serves on, it is told all the same
-    tier.event(2, Received(0, encode(Message(Kind.ANSWER, 0, 0, tier.nodes[0]._state(Flag.REPLY)), tier.now)))
+        tier.event(node, ShutdownStarted())  # as it serves on, it is told all the same
+    tier.event(
+        2,
+        DatagramReceived(
+            0, encode(Message(MessageKind.STATUS, 0, 0, tier.nodes[0]._state(StatusFlag.REPLY)), tier.now)
+        ),
+    )
     tier.run(5_000)
-    assert tier.of(0, Restrict) == [Restrict(frozenset("d"))] and not tier.of(1, Restrict)
-    tier.event(0, Listed(4, (0.0,), ("a",)))
-    assert tier.of(0, Restrict)[-1] == Restrict(frozenset())
+    assert tier.of(0, RestrictSavedList) == [RestrictSavedList(frozenset("d"))] and not tier.of(
+        1, RestrictSavedList
+    )
+    tier.event(0, ListReceived(4, (0.0,), ("a",)))
+    assert tier.of(0, RestrictSavedList)[-1] == RestrictSavedList(frozenset())
 
 
 def test_discovery_is_asked_in_turns() -> None:
     tier = returned(40, spread=0)
     tier.run(2_000)
-    first = [next(at for at, act in acts if isinstance(act, AskList)) for acts in tier.acts.values()]
+    first = [next(at for at, act in acts if isinstance(act, RequestList)) for acts in tier.acts.values()]
     assert max(sum(at <= other < at + 1000 for other in first) for at in first) <= 41
     assert max(first) - min(first) <= 40 * 25 + 300
 
@@ -556,7 +597,7 @@
     """From one call to the next: what discovery has by then is due 6 s after it is back."""
     calls = list[float]()
     for me in range(count):
-        turns = Turns(me, 25.0)
+        turns = PollSchedule(me, 25.0)
         turns.plan(0.0, range(count))
         own = list[float]()
         while (now := turns.due) < 40_000.0:
@@ -572,26 +613,28 @@
 def test_a_successor_takes_the_phase_over_and_leaves_it_only_forward() -> None:
     tier = returned(3, rows=(OUT,))
     old = tier.nodes[0]
-    heir = Recovery(Config(), 0, 3, 2, 9, tier.now)
-    acts = heir.handle(tier.now, Inherited(old.phase, old.path, old.cold_since, tuple(old.register.rows())))
-    assert (heir.phase, heir.path, heir.cold_since) == (Phase.LISTED, Path.UPGRADE, old.cold_since)
-    assert Apply("a", True, OUT.at) in acts and AskList() in acts
-    heir.handle(tier.now, Kept(True, False, rows=(OUT,)))
-    heir.handle(tier.now, Inherited(Phase.LISTED, old.path, old.cold_since))
-    heir.handle(tier.now, Listed(5, (tier.now - 9_000,)))
+    heir = Recovery(RecoveryConfig(), 0, 3, 2, 9, tier.now)
+    acts = heir.handle(
+        tier.now, StateInherited(old.phase, old.path, old.cold_since, tuple(old.register.rows()))
+    )
+    assert (heir.phase, heir.path, heir.cold_since) == (Phase.LISTED, RecoveryPath.UPGRADE, old.cold_since)
+    assert ApplyBan("a", True, OUT.at) in acts and RequestList() in acts
+    heir.handle(tier.now, DiskRead(True, False, rows=(OUT,)))
+    heir.handle(tier.now, StateInherited(Phase.LISTED, old.path, old.cold_since))
+    heir.handle(tier.now, ListReceived(5, (tier.now - 9_000,)))
     assert heir.phase is Phase.FULL
-    asking = Recovery(Config(), 0, 3, 2, 9, tier.now)
-    asking.handle(tier.now, Inherited(Phase.ASK, Path.UNDECIDED, 0.0))
+    asking = Recovery(RecoveryConfig(), 0, 3, 2, 9, tier.now)
+    asking.handle(tier.now, StateInherited(Phase.ASK, RecoveryPath.UNDECIDED, 0.0))
     assert asking.phase is Phase.ASK
 
 
 def test_strange_datagrams_are_counted_and_change_nothing() -> None:
     tier = settled(3)
     core = tier.nodes[0]
-    good = encode(Message(Kind.ROWS, 1, 0, Rows((OUT,))), tier.now)
+    good = encode(Message(MessageKind.ENTRIES, 1, 0, RegisterPage((OUT,))), tier.now)
     before = core.stats()
     for source, data in ((2, good), (1, good[:-1]), (1, changed(good, 5, 31)), (0, good), (7, good)):
-        core.handle(tier.now, Received(source, data))
+        core.handle(tier.now, DatagramReceived(source, data))
     assert not core.register.rows()
     new = Counter(core.stats()["counts"]) - Counter(before["counts"])
     assert new == {"wrong_sender": 3, "unreadable": 1, "unknown_kinds": 1}
@@ -605,8 +648,8 @@
 def test_another_tier_forgets_who_is_gone_but_no_bans() -> None:
     tier = returned(5, rows=(OUT,))
     core = tier.nodes[0]
-    core.handle(tier.now, Peers(3, frozenset({2})))
-    core.handle(tier.now, Members({0: 1, 1: 1}, True))
+    core.handle(tier.now, PeersChanged(3, frozenset({2})))
+    core.handle(tier.now, MembershipChanged({0: 1, 1: 1}, True))
     assert core.stats()["heard"] == 1 and core.register.banned("a") and core.share == 1 / 2
 
 
@@ -617,42 +660,49 @@
     for message in what:
         sender = message.sender % 3 + 1
         data = encode(Message(message.kind, sender, message.hash, message.body), tier.now)
-        tier.event(0, Received(sender, data))
+        tier.event(0, DatagramReceived(sender, data))
         tier.run(300 * ahead)
     tier.run(30_000)
     assert core.phase is Phase.FULL
-    assert [e.phase for e in tier.of(0, Entered)] == sorted(e.phase for e in tier.of(0, Entered))
+    assert [e.phase for e in tier.of(0, PhaseEntered)] == sorted(e.phase for e in tier.of(0, PhaseEntered))
 
 
 def test_the_share_follows_demand_and_no_peer_takes_all_of_it() -> None:
     tier = returned(4)
     for demand in (30.0, 30.0):
         for node in range(4):
-            tier.event(node, Demand(demand if node else 9 * demand))
+            tier.event(node, DemandMeasured(demand if node else 9 * demand))
         tier.run(1_000)
     shares = [tier.nodes[node].share for node in range(4)]
     assert shares == [pytest.approx(0.8 * 9 / 12 + 0.05), *[pytest.approx(0.8 / 12 + 0.05)] * 3]
-    assert tier.of(0, Admit)[-1].share == pytest.approx(shares[0], rel=0.05)
-    assert share_of(1.0, [1e9]) == pytest.approx(0.26) and share_of(0.0, [0.0, 0.0]) == pytest.approx(1 / 3)
-    assert share_of(math.inf, [2.0, math.inf]) == pytest.approx(1 / 3) and share_of(5.0, []) == 1.0
+    assert tier.of(0, CapacityGranted)[-1].share == pytest.approx(shares[0], rel=0.05)
+    assert demand_weighted_share(1.0, [1e9]) == pytest.approx(0.26) and demand_weighted_share(
+        0.0, [0.0, 0.0]
+    ) == pytest.approx(1 / 3)
+    assert (
+        demand_weighted_share(math.inf, [2.0, math.inf]) == pytest.approx(1 / 3)
+        and demand_weighted_share(5.0, []) == 1.0
+    )
 
 
 def test_a_node_whose_clock_is_off_goes_by_the_others() -> None:
     tier = returned(5)
     told = tier.now
     for node in range(5):
-        tier.event(node, Demand(1.0))
+        tier.event(node, DemandMeasured(1.0))
     tier.run(400)
     for node, shift in enumerate((0.0, 0.0, 0.0, -600_000.0, 600_000.0)):
-        tier.event(node, Listed(5, (told + shift,)))
-        tier.event(node, Demand(1.0))
+        tier.event(node, ListReceived(5, (told + shift,)))
+        tier.event(node, DemandMeasured(1.0))
     for _ in range(9):
         tier.run(1_000)
-        tier.event(4, Listed(5, (told + 600_000.0, told)))
+        tier.event(4, ListReceived(5, (told + 600_000.0, told)))
         for node in range(5):
-            tier.event(node, Demand(1.0))
-    full = [next(at for at, act in tier.acts[node] if isinstance(act, Entered) and act.phase is Phase.FULL)
-            for node in range(5)]  # fmt: skip
+            tier.event(node, DemandMeasured(1.0))
+    full = [
+        next(at for at, act in tier.acts[node] if isinstance(act, PhaseEntered) and act.phase is Phase.FULL)
+        for node in range(5)
+    ]
     assert min(full) >= told + 7_900 and max(full) <= told + 9_500
 
 
@@ -662,6 +712,8 @@
     tier.nodes[1].exchange.grown([OUT])
     core = tier.start(5, 2, fresh_disk=True)
     tier.run(1_000)
-    (banned,) = [at for at, act in tier.acts[5] if isinstance(act, Apply)]
-    assert core.path is Path.CRASH
-    assert banned <= min(at for at, act in tier.acts[5] if isinstance(act, Entered) and act.phase > Phase.ASK)
+    (banned,) = [at for at, act in tier.acts[5] if isinstance(act, ApplyBan)]
+    assert core.path is RecoveryPath.CRASH
+    assert banned <= min(
+        at for at, act in tier.acts[5] if isinstance(act, PhaseEntered) and act.phase > Phase.ASK
+    )
--- a/tests/test_recovery_sim.py
+++ b/tests/test_recovery_sim.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from balancer.recovery.register import Row
+from balancer.recovery.ban_register import BanEntry
 from balancer.sim.recovery_disks import Condition, Disk
+from balancer.sim.recovery_environment import Backend, Discovery, warmth
 from balancer.sim.recovery_faults import FAULTS
 from balancer.sim.recovery_figures import calls_without, mass_return
-from balancer.sim.recovery_outside import Backend, Discovery, warmth
 from balancer.sim.recovery_schedule import draw, explore, play, shrink
 
 SMALL = (3, 4, 5)
@@ -81,7 +81,7 @@
     (Condition.SWAPPED, 0, False), (Condition.MONTH, 1, True),
 ])  # fmt: skip
 def test_what_a_start_finds(condition: Condition, kept: int, sound: bool) -> None:
-    rows = [Row(f"b{i}", 0, 1, i, True, 0.0) for i in range(3)]
+    rows = [BanEntry(f"b{i}", 0, 1, i, True, 0.0) for i in range(3)]
     disk = Disk(rows=[(rows[0],)], used=True)
     disk.photograph()
     disk.rows += [(rows[1],), (rows[2],)]
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -13,7 +13,7 @@
 from balancer.lab.scale.control import Run, plays
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import BACKENDS, NODES
-from balancer.recovery.core import Config
+from balancer.recovery.core import RecoveryConfig
 from balancer.sim.disk import Disk
 from balancer.sim.members import Net
 from balancer.sim.recovery_schedule import BACKENDS as LISTED
@@ -101,7 +101,7 @@
 
 
 def test_a_returning_tier_begins_with_what_its_disks_kept() -> None:
-    tier = returns.Returning(5, 1, Config())
+    tier = returns.Returning(5, 1, RecoveryConfig())
     tier.finish()
     assert len(tier.full) == len(tier.told) == 5
     for process in tier.processes:
