--- a/balancer/lab/scale/returns.py
+++ b/balancer/lab/scale/returns.py
@@ -16,12 +16,14 @@
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import HEADERS
 from balancer.lab.scale.tiers import LOSS, Figures, Meter
-from balancer.recovery import events as room
+from balancer.recovery import actions, events
 from balancer.recovery.ban_register import BanEntry
-from balancer.recovery.core import EXPECTED_SURVEY_REPLIES, Recovery, RecoveryConfig
+from balancer.recovery.config import RecoveryConfig
+from balancer.recovery.core import Recovery
 from balancer.recovery.messages import Message, MessageKind, NodeStatus, StatusFlag, decode, encode, node_bits
 from balancer.recovery.phases import Phase
 from balancer.recovery.poll_schedule import PollSchedule
+from balancer.recovery.receiver import EXPECTED_SURVEY_REPLIES
 from balancer.sim.agenda import Agenda
 from balancer.sim.members import LIFE_UNIT, Net
 from balancer.sim.recovery_disks import Condition
@@ -100,19 +102,19 @@
     """Discovery's turns where each of a few nodes takes those of many, so that a round is as long."""
     for count in sizes:
         of, each = Figures(ROLE, count), count / STAND_IN
-        tier = Returning(STAND_IN, seed, RecoveryConfig(slot=RecoveryConfig().slot * each))
+        tier = Returning(STAND_IN, seed, RecoveryConfig(poll_slot=RecoveryConfig().poll_slot * each))
         tier.finish()
         early = sum(tier.full[node] < at for node, at in tier.told.items() if node in tier.full)
         told = _last(tier.told, STAND_IN)
         yield from of.took("turns_told", told)
         yield of.counted("turns_early", "entries", early * each)
-        one = PollSchedule(0, RecoveryConfig().slot)
-        one.taken(0.0, count)
-        one.failed(0.0, count)
-        yield from of.took("turns_again", one.due)
+        one = PollSchedule(0, RecoveryConfig().poll_slot)
+        one.poll_started(0.0, count)
+        one.poll_failed(0.0, count)
+        yield from of.took("turns_again", one.next_poll_at)
         begun = time.thread_time()
         for node in range(PLANS):
-            PollSchedule(node, RecoveryConfig().slot).plan(0.0, range(count))
+            PollSchedule(node, RecoveryConfig().poll_slot).schedule_first(0.0, range(count))
         took = (time.thread_time() - begun) * 1000 / PLANS
         yield of.machine("turns_plan", "ms", took)
 
@@ -125,28 +127,28 @@
         self.count, self.dice = count, random.Random(f"restart {seed}")
         self.core = Recovery(RecoveryConfig(), 0, count, 2, seed, self.now)
         self.full = self.told = math.inf
-        self._give(room.DiskRead(True, False, 1, DARK_MS, (), 1, RATE))
-        self._give(room.MembershipChanged(dict.fromkeys(range(count), 1), True))
+        self._give(events.DiskRead(True, False, 1, DARK_MS, (), 1, RATE))
+        self._give(events.MembershipChanged(dict.fromkeys(range(count), 1), True))
 
     def finish(self) -> None:
         """Run until it is FULL and has been told the list, or the longest time is over."""
         while self.now < MOST_MS and max(self.full, self.told) == math.inf:
-            self.at(min(self.core.due, MOST_MS), partial(self._give, room.Tick()))
+            self.at(min(self.core.next_wakeup, MOST_MS), partial(self._give, events.Tick()))
             self.run(self.queue[0][0])
 
-    def _give(self, event: room.Event) -> None:
+    def _give(self, event: events.Event) -> None:
         for action in self.core.handle(self.now, event):
             match action:
-                case room.SendDatagram() if decode(action.data, self.now).kind is MessageKind.SURVEY:
+                case actions.SendDatagram() if decode(action.data, self.now).kind is MessageKind.SURVEY:
                     for peer in self.dice.sample(
                         range(1, self.count), min(EXPECTED_SURVEY_REPLIES, self.count - 1)
                     ):
                         self.at(self.now + ANSWER_MS, partial(self._answer, peer))
-                case room.RequestList():
-                    listed = room.ListReceived(1, (self.now - DAY_MS,), BACKENDS[:1])
+                case actions.RequestList():
+                    listed = events.ListReceived(1, (self.now - DAY_MS,), BACKENDS[:1])
                     self.at(self.now + Discovery.serve_ms, partial(self._give, listed))
                     self.told = self.now + Discovery.serve_ms
-                case room.PhaseEntered(phase=Phase.FULL):
+                case actions.PhaseEntered(phase=Phase.FULL):
                     self.full = self.now
 
     def _answer(self, peer: int) -> None:
@@ -154,7 +156,7 @@
         seen = node_bits(range(self.count))
         state = NodeStatus(1, DAY_MS, Phase.FULL, 0, flags, 1, RATE, RATE, 0, seen)
         message = Message(MessageKind.STATUS, peer, self.core.register.hash, state)
-        self._give(room.DatagramReceived(peer, encode(message, self.now)))
+        self._give(events.DatagramReceived(peer, encode(message, self.now)))
 
 
 def restarts(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
@@ -178,7 +180,7 @@
         took = (time.thread_time() - begun) * 1e6
         assert isinstance(body, NodeStatus)
         yield of.counted("answer_bytes", "bytes", len(data) + HEADERS)
-        yield of.counted("answer_left_out", "entries", count - body.present)
+        yield of.counted("answer_left_out", "entries", count - body.present_count)
         yield of.machine("answer_processor", "us", took)
 
 
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -155,7 +155,7 @@
 
         disk = self.keeping.durable if self.keeping is not None else None
         self.returning = RecoveryAdapter(node, watcher, known, self.port, self.membership.life, disk)
-        self.membership.viewed = self.returning.shell.members
+        self.membership.viewed = self.returning.shell.members_changed
         return self.returning
 
     async def returned(self, beside: bool) -> None:
@@ -165,7 +165,7 @@
                 self.start()
             if self._opening is not None:  # else the first roll call would be lost
                 await asyncio.shield(self._opening)
-            await self.returning.returned(beside, self.recovered())
+            await self.returning.wait_until_serving(beside, self.recovered())
 
     def hand_over(self) -> None:
         """A successor has come."""
@@ -174,12 +174,12 @@
 
     def waiting(self) -> str:
         """Why the node does not listen yet; empty where that is not for its rooms."""
-        return self.returning.waiting() if self.returning is not None else ""
+        return self.returning.startup_status() if self.returning is not None else ""
 
     def list_failed(self) -> None:
         """A call of discovery has failed."""
         if self.returning is not None:
-            self.returning.list_failed()
+            self.returning.list_request_failed()
 
     def take_over(self) -> None:
         """Keep the node's state from here on: before a successor is ready, or when it has ended by itself."""
@@ -205,23 +205,23 @@
         if self.keeping is not None:
             self.keeping.listed(news, kind)
         if self.returning is not None:
-            self.returning.listed(news, kind)
+            self.returning.list_received(news, kind)
 
     def unchanged(self) -> None:
         """Discovery has said, before any news, that the list in force is the one that it has."""
         if self.returning is not None:
-            self.returning.unchanged()
+            self.returning.list_confirmed()
 
     def learned(self, what: Callable[[float], api.Learned], now: float) -> None:
         """What the module has learned may be had."""
-        rate = self.returning.pulse() if self.returning is not None else 0.0
+        rate = self.returning.measure_rate() if self.returning is not None else 0.0
         if self.keeping is not None:
             self.keeping.learned(what, now, rate)
 
     async def banned(self, backend: str, out: bool, at: float, changes: bool) -> None:
         """Returns once a ban or a return will outlast a crash, where that is wanted. Raises BalancerError."""
         if self.returning is not None:  # to be called again is news there: the call is this node's own now
-            await self.returning.banned(backend, out)
+            await self.returning.request_ban(backend, out)
         elif self.keeping is not None and changes:
             await self.keeping.banned(backend, out, at)
 
@@ -247,7 +247,7 @@
         if (moved := port.move(peers, everybody)) is not None and self.membership is not None:
             self.membership.moved(moved)
             if self.returning is not None:
-                self.returning.shell.moved(moved)
+                self.returning.shell.peers_changed(moved)
 
     async def _open(self, port: Port) -> None:
         try:
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -1,4 +1,4 @@
-"""The node's return with its tier: between its own types and those of the room. It decides nothing.
+"""Adapter between a node and its recovery: translates their types. It decides nothing.
 
 Imported only where the fleet file has `[recovery]`.
 """
@@ -9,251 +9,267 @@
 import contextlib
 import math
 import time
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
 
 from balancer import interface as api
 from balancer.durable.records import Kept
 from balancer.durable.shell import Durable
 from balancer.errors import BalancerError
 from balancer.membership.port import Port
-from balancer.net import handover
 from balancer.net.config import Member, News
 from balancer.net.figures import End
 from balancer.net.node import Node, Watcher
+from balancer.net.recovery_handover import HANDOVER_SUFFIX, read_handover, write_handover
 from balancer.recovery import events
-from balancer.recovery.ban_register import BanEntry
-from balancer.recovery.core import RecoveryConfig
+from balancer.recovery.actions import CapacityGranted
+from balancer.recovery.ban_requests import BanCallError
+from balancer.recovery.config import RecoveryConfig
 from balancer.recovery.phases import Phase, RecoveryPath
-from balancer.recovery.shell import BanCallError, RecoveryHandover, RecoveryShell
+from balancer.recovery.shell import RecoveryHandover, RecoveryShell
 from balancer.recovery.trust import StateKind
 
-HANDOVER_SUFFIX = ".return"  # of the file for a successor, beside the others by which a node's processes meet
-LOOK, SOON = 0.02, 0.5  # s between two looks for it, and for which it is looked for
-SMOOTH = 0.5  # of the requests a second, a second
-FADES = 0.5 ** (1 / 600)  # of the most that was carried, a second: by half in 10 min
+HANDOVER_POLL_S = 0.02  # between two looks for the predecessor's file
+HANDOVER_TIMEOUT_S = 0.5  # for which it is looked for
+RATE_SMOOTHING = 0.5  # weight of the last second
+PEAK_DECAY = 0.5 ** (1 / 600)  # of the peak rate, a second: by half in 10 min
 
-PHASES = {Phase.LISTED: api.RecoveryPhase.LISTED, Phase.WARMING: api.RecoveryPhase.WARMING,
-          Phase.FULL: api.RecoveryPhase.FULL}  # fmt: skip
+PHASES = {
+    Phase.LISTED: api.RecoveryPhase.LISTED,
+    Phase.WARMING: api.RecoveryPhase.WARMING,
+    Phase.FULL: api.RecoveryPhase.FULL,
+}
+
+
+@dataclass(slots=True, frozen=True)
+class RequestCounts:
+    """Requests of this process up to a moment."""
+
+    counted_at: float  # loop clock, s
+    arrived: int
+    completed: int
 
 
 class RecoveryAdapter:
-    """The return of one process of a node; to the module it is what brings the list."""
+    """Recovery of one process of a node; to the balancer it is what watches the list."""
 
     def __init__(
-        self, node: Node, watcher: Watcher, known: News, port: Port, life: int, disk: Durable | None
+        self, node: Node, watcher: Watcher, known: News, port: Port, incarnation: int, disk: Durable | None
     ) -> None:
-        self.node, self.watcher, self.disk = node, watcher, disk
+        """Create the adapter; `known` is the saved list."""
+        self.node = node
+        self.watcher = watcher
+        self.disk = disk
         self.kept = disk.kept if disk is not None else Kept()
         settings = node.settings
-        self.shell = RecoveryShell(
-            RecoveryConfig(ramp_time=settings.ramp_time),
-            settings.me,
-            life,
-            node.config.seed,
-            port,
-            self,
-            disk,
-        )
-        self._lately = 0.0  # requests a second that were completed
-        self.rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
-        self._pulsed: tuple[float, int, int] | None = None  # when, what had come, and was completed
-        self._turn = False  # it may call discovery
-        self._whole = False  # the module wants the whole list
-        self._fresh = False  # discovery has told the list
-        self._word: tuple[Phase, events.CapacityGranted | None] = (
-            Phase.VERIFY,
-            None,
-        )  # the module was told last
+        config = RecoveryConfig(ramp_time=settings.ramp_time)
+        self.shell = RecoveryShell(config, settings.me, incarnation, node.config.seed, port, self, disk)
+        self.peak_rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
+        self._smoothed_rate = 0.0  # completed requests a second
+        self._counts: RequestCounts | None = None
+        self._may_poll = False
+        self._fetch_wanted = False  # the balancer wants the complete list
+        self._has_fresh_list = False  # discovery has sent the list
+        self._phase = Phase.VERIFY  # that the balancer was told last
+        self._capacity: CapacityGranted | None = None  # that it was told last
         self._saved = replace(known, members=tuple(map(_copy, known.members)))
         self._list = {m.backend: m for m in self._saved.members}
         self._restricted: frozenset[str] = frozenset()
 
     # --- the start
 
-    async def returned(self, beside: bool, recovered: api.Recovered | None) -> None:
-        """Returns when the node may listen."""
-        self.shell.tell(events.SavedListLoaded(tuple(self._list)))
-        left = await self._inherited() if beside else None
-        if beside:
-            # A predecessor from before the room is one that has served: nothing is cold.
+    async def wait_until_serving(self, is_successor: bool, recovered: api.Recovered | None) -> None:
+        """Return when the node may listen.
+
+        Args:
+            is_successor: Whether a process of the node is running.
+            recovered: What the balancer had learned before.
+        """
+        self.shell.handle(events.SavedListLoaded(tuple(self._list)))
+        if is_successor:
+            # A predecessor that leaves nothing is from before recovery, and has served: nothing is cold.
+            left = await self._read_handover()
             self.shell.inherit(left or RecoveryHandover(Phase.FULL, RecoveryPath.UPGRADE, -math.inf, ()))
-            if self.disk is not None and self.disk.off is None:  # it has had calls since this process began
+            if self.disk is not None and self.disk.off is None:  # it has changed since this process began
                 self.kept = self.disk.look()
-        self.shell.begin(self.kept)
-        await self.shell.served()
-        if not beside:
-            await self._reconcile()
-        if recovered is not None and self.shell.trusts(StateKind.LEARNED):
+        self.shell.start(self.kept)
+        await self.shell.wait_until_serving()
+        if not is_successor:
+            await self._reconcile_bans()
+        if recovered is not None and self.shell.is_trusted(StateKind.LEARNED):
             self.node.event(recovered)
 
     def resume(self) -> None:
-        """A successor has come to nothing; what was called there stands on the disk."""
+        """Go on after a successor has ended; what operators called there is on the disk."""
         if self.disk is not None and self.disk.off is None:
             self.shell.rejoin(self.disk.look())
 
-    async def _reconcile(self) -> None:
-        """Bans that stand in `$TMPDIR` alone: a disk that holds has the last word, else they are taken up."""
-        holds = self.disk is not None and self.disk.off is None and not (self.disk.lost or self.disk.fresh)
+    def hand_over(self) -> None:
+        """Leave the state to a successor that has started."""
+        write_handover(self._handover_path, self.shell.handover(), self._clock_offset())
+
+    async def _reconcile_bans(self) -> None:
+        """Lift or record bans that stand in `$TMPDIR` alone: a disk that is sound has the last word."""
+        disk = self.disk
+        is_authoritative = disk is not None and disk.off is None and not (disk.lost or disk.fresh)
         for backend in sorted(self.node.bans.record.out):
-            if self.shell.banned(backend):
+            if self.shell.is_banned(backend):
                 continue
-            if holds or self.shell.knows(backend):
-                await self.follow(backend, False, 0.0)
+            if is_authoritative or self.shell.has_entries(backend):
+                await self.apply_ban(backend, False, 0.0)
             else:
                 with contextlib.suppress(BalancerError):
-                    await self.shell.called(backend, True)
-
-    async def _inherited(self) -> RecoveryHandover | None:
-        """What the predecessor leaves, once it has seen this process."""
-        path = self.node.meeting.with_suffix(HANDOVER_SUFFIX)
-        until = self.node.loop.time() + SOON
-        while (left := read_handover(path, self._clock())) is None and self.node.loop.time() < until:
-            await asyncio.sleep(LOOK)
+                    await self.shell.request_ban(backend, True)
+
+    async def _read_handover(self) -> RecoveryHandover | None:
+        """Return what the predecessor leaves, once it has seen this process."""
+        deadline = self.node.loop.time() + HANDOVER_TIMEOUT_S
+        while (left := read_handover(self._handover_path, self._clock_offset())) is None:
+            if self.node.loop.time() >= deadline:
+                break
+            await asyncio.sleep(HANDOVER_POLL_S)
         return left
 
-    def hand_over(self) -> None:
-        """A successor has come."""
-        write_handover(self.node.meeting.with_suffix(HANDOVER_SUFFIX), self.shell.left(), self._clock())
+    @property
+    def _handover_path(self) -> Path:
+        return self.node.meeting.with_suffix(HANDOVER_SUFFIX)
 
-    def _clock(self) -> float:
-        """The node's clock where the system's monotonic one is 0: that one all processes share."""
+    def _clock_offset(self) -> float:
+        """Return the node's clock (ms) where the system's monotonic one, which processes share, is 0."""
         return self.now() - time.monotonic() * 1000
 
-    # --- what steers the node
+    # --- for recovery: `RecoveryHost`
 
     def now(self) -> float:
-        """The node's clock, ms."""
+        """Return the node's clock, ms."""
         return self.node.now()
 
-    async def follow(self, backend: str, out: bool, since: float) -> None:
-        """The bans follow the register, in both processes of an upgrade."""
-        await self.node.bans.follow(backend, out, since, self.node.settings.ramp_time)
+    async def apply_ban(self, backend: str, banned: bool, since: float) -> None:
+        """Follow the register, in both processes of an upgrade."""
+        await self.node.bans.follow(backend, banned, since, self.node.settings.ramp_time)
 
-    def admit(self, phase: Phase, admit: events.CapacityGranted | None) -> None:
-        """Tell the module. What the list says of the backends' starts counts once discovery has told one."""
-        self._word = phase, admit
-        if admit is None:
+    def set_admission(self, phase: Phase, capacity: CapacityGranted | None) -> None:
+        """Tell the balancer. The list's start times of backends count once discovery has sent one."""
+        self._phase = phase
+        self._capacity = capacity
+        if capacity is None:
             self.node.event(api.Recovering(PHASES[phase], 1.0))
         else:
-            since = 0.0 if self._fresh else admit.cold_since
-            self.node.event(api.Recovering(PHASES[phase], admit.share, since, admit.rate))
+            cold_since = 0.0 if self._has_fresh_list else capacity.cold_since
+            self.node.event(api.Recovering(PHASES[phase], capacity.share, cold_since, capacity.rate))
 
-    def ask(self) -> None:
-        """Discovery may be called: at once, whenever the module asks, as the turns have spread the calls."""
-        self._turn = True
+    def allow_polling(self) -> None:
+        """Let polls of discovery through, as the schedule has spread them."""
+        self._may_poll = True
         self.watcher.watch(True)
-        if self._whole:
-            self._whole = False
+        if self._fetch_wanted:
+            self._fetch_wanted = False
             self.watcher.fetch()
 
-    def restrict(self, ids: frozenset[str]) -> None:
-        """The saved list anew, with these as leaving; once discovery has told one, what that did not name."""
-        before, self._restricted = self._restricted, ids
-        if not self._fresh:
-            drained = [
-                replace(m, phase=api.Phase.DRAINING)
-                if m.backend in ids else _copy(m) for m in self._saved.members
-            ]  # fmt: skip
-            self.node.list(News(self._saved.revision, True, tuple(drained)), api.ListKind.SAVED)
-        elif again := [_copy(m) for name, m in self._list.items() if name in before - ids]:
-            self.node.list(News(self._saved.revision, False, tuple(again), True), api.ListKind.CHANGES)
-
-    # --- what brings the list
+    def restrict_saved_list(self, ids: frozenset[str]) -> None:
+        """Send the saved list again, these as draining; after a list of discovery, what that did not name."""
+        released = self._restricted - ids
+        self._restricted = ids
+        if not self._has_fresh_list:
+            members = tuple(
+                replace(m, phase=api.Phase.DRAINING) if m.backend in ids else _copy(m)
+                for m in self._saved.members
+            )
+            self.node.list(News(self._saved.revision, True, members), api.ListKind.SAVED)
+            return
+        members = tuple(_copy(member) for name, member in self._list.items() if name in released)
+        if members:
+            self.node.list(News(self._saved.revision, False, members, True), api.ListKind.CHANGES)
+
+    # --- for the balancer: `Watcher`
 
     def watch(self, on: bool) -> None:
-        """The module wants the watch, or no more of it: it is held until this node's turn."""
-        if self._turn or not on:
+        """Start the watch in this node's slot, or end it."""
+        if self._may_poll or not on:
             self.watcher.watch(on)
 
     def fetch(self) -> None:
-        """The module wants the whole list."""
-        if self._turn:
+        """Fetch the complete list in this node's slot."""
+        if self._may_poll:
             self.watcher.fetch()
         else:
-            self._whole = True
+            self._fetch_wanted = True
 
-    def list_failed(self) -> None:
-        """A call has failed: the next one waits for the next turn, until the list has been told."""
-        if not self._fresh and self._turn and not self.shell.failed:
-            self._turn = False
+    # --- what discovery says
+
+    def list_request_failed(self) -> None:
+        """Wait for the next slot after a failed request, until the list has been sent."""
+        if not self._has_fresh_list and self._may_poll and not self.shell.has_failed:
+            self._may_poll = False
             self.watcher.watch(False)
-            self.shell.tell(events.ListRequestFailed())
+            self.shell.handle(events.ListRequestFailed())
 
-    def listed(self, news: News, kind: api.ListKind) -> None:
-        """Discovery has told the list, or a change of it."""
+    def list_received(self, news: News, kind: api.ListKind) -> None:
+        """Record the list that discovery has sent, or a change of it."""
         if kind is api.ListKind.FULL:
-            self._list, self._restricted = {}, frozenset()
-        first, self._fresh = not self._fresh, True
+            self._list = {}
+            self._restricted = frozenset()
+        is_first = not self._has_fresh_list
+        self._has_fresh_list = True
         self._saved = replace(self._saved, revision=news.revision)
         self._list |= {m.backend: _copy(m) for m in news.members}
         self._restricted -= {m.backend for m in news.members}
         up = [m for m in self._list.values() if m.phase is api.Phase.UP]
-        starts = tuple(entry.started_at for entry in up)
-        self.shell.tell(events.ListReceived(news.revision, starts, tuple(entry.backend for entry in up)))
-        if first and self._word[0] is Phase.WARMING:  # it may have been so while discovery was silent
-            self.admit(*self._word)
+        starts = tuple(member.started_at for member in up)
+        ids = tuple(member.backend for member in up)
+        self.shell.handle(events.ListReceived(news.revision, starts, ids))
+        if is_first and self._phase is Phase.WARMING:  # it may have been so while discovery was silent
+            self.set_admission(self._phase, self._capacity)
 
-    def unchanged(self) -> None:
-        """Discovery has told by a word that the saved list holds."""
-        self.listed(News(self._saved.revision, False, ()), api.ListKind.CHANGES)
+    def list_confirmed(self) -> None:
+        """Record that discovery has said that the saved list holds."""
+        self.list_received(News(self._saved.revision, False, ()), api.ListKind.CHANGES)
 
     # --- for the operators
 
-    async def banned(self, backend: str, out: bool) -> None:
-        """Returns once a call is on record and in force. Raises BalancerError."""
-        if await self.shell.called(backend, out) != out:
+    async def request_ban(self, backend: str, banned: bool) -> None:
+        """Return once a request is recorded and in force.
+
+        Raises:
+            BalancerError: If it is not.
+        """
+        if await self.shell.request_ban(backend, banned) != banned:
             raise BanCallError("at another node it was taken out at the same time")
 
-    def waiting(self) -> str:
-        """Why the node does not listen yet."""
+    def startup_status(self) -> str:
+        """Return why the node does not listen yet."""
         return f"recovering: {self.shell.core.phase.name.lower()}"
 
-    def pulse(self) -> float:
-        """Once a second: tell the room what came.
+    # --- demand
+
+    def measure_rate(self) -> float:
+        """Report the demand to recovery; to be called once a second.
 
-        Returns the most requests a second that the node has carried when warm; 0: unknown.
+        Returns:
+            The most requests a second that the node has carried when warm; 0: unknown.
         """
-        ends, now = self.node.figures.ends, self.node.loop.time()
-        pending = sum(not request.answered for request in self.node.open.values())
-        came = sum(counts.total() for counts in ends.values()) + pending
-        before, self._pulsed = self._pulsed, (now, came, ends[End.COMPLETED].total())
-        if before is None or now <= before[0]:
-            return self.rate
-        since = now - before[0]
-        each = [(b - a) / since for a, b in zip(before[1:], self._pulsed[1:], strict=True)]
+        before = self._counts
+        counts = self._counts = self._count_requests()
+        if before is None or counts.counted_at <= before.counted_at:
+            return self.peak_rate
+        elapsed = counts.counted_at - before.counted_at
         if self.shell.core.phase is Phase.FULL:
-            self._lately += SMOOTH * (each[1] - self._lately)
-            self.rate = max(FADES * self.rate, self._lately)
+            completed_per_s = (counts.completed - before.completed) / elapsed
+            self._smoothed_rate += RATE_SMOOTHING * (completed_per_s - self._smoothed_rate)
+            self.peak_rate = max(PEAK_DECAY * self.peak_rate, self._smoothed_rate)
         else:
-            self.shell.tell(events.DemandMeasured(max(0.0, each[0])))
-        return self.rate
+            arrived_per_s = (counts.arrived - before.arrived) / elapsed
+            self.shell.handle(events.DemandMeasured(max(0.0, arrived_per_s)))
+        return self.peak_rate
+
+    def _count_requests(self) -> RequestCounts:
+        ends = self.node.figures.ends
+        counted_at = self.node.loop.time()
+        pending = sum(not request.answered for request in self.node.open.values())
+        arrived = sum(counts.total() for counts in ends.values()) + pending
+        return RequestCounts(counted_at, arrived, ends[End.COMPLETED].total())
 
 
 def _copy(member: Member) -> Member:
-    """The module changes the entries that it is given."""
+    """Return a copy, as the balancer changes the entries that it is given."""
     return replace(member)
-
-
-def write_handover(path: Path, left: RecoveryHandover, clock: float) -> None:
-    """Leave it for the successor."""
-    table = {"clock": clock, "phase": int(left.phase), "path": left.path.value,
-             "cold_since": left.cold_since, "rows": left.rows}  # fmt: skip
-    handover.leave(path, table, "recovery")
-
-
-def read_handover(path: Path, clock: float) -> RecoveryHandover | None:
-    """What the predecessor has left, on this process's clock; None where there is nothing of use."""
-
-    def read(raw: Any, age: float) -> RecoveryHandover:
-        shift = clock - float(raw["clock"])
-        rows = tuple(
-            BanEntry(str(name), int(node), int(life), int(seq), bool(live), float(at) + shift)
-            for name, node, life, seq, live, at in raw["rows"]
-        )
-        return RecoveryHandover(
-            Phase(raw["phase"]), RecoveryPath(raw["path"]), float(raw["cold_since"]) + shift, rows
-        )
-
-    return handover.taken(path, read, "recovery")
--- a/balancer/recovery/__init__.py
+++ b/balancer/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""A whole tier's return from a power loss: what is trusted, what is asked, in which order service comes."""
+"""Recovery of a whole tier after a power loss: trust in saved state, peer survey, return to service."""
--- a/balancer/recovery/ban_controller.py
+++ b/balancer/recovery/ban_controller.py
@@ -1,7 +1,7 @@
-"""Bans and returns as this node lives by them: calls of its operators, rows of its peers and of its disk.
+"""Bans in force at this node: requests of its operators, entries of its peers and of its disk.
 
-A call is answered once its rows are on the disk, and only then told to others: what fails leaves nothing
-behind. A peer's rows apply at once.
+A request is answered once its entries are on the disk, and only then sent to peers: what fails leaves nothing
+behind. A peer's entries apply at once.
 """
 
 from __future__ import annotations
@@ -9,86 +9,123 @@
 import math
 from collections import Counter
 from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
 
+from balancer.recovery.actions import Action, ApplyBan, PersistEntries
 from balancer.recovery.ban_register import BanEntry, BanRegister
-from balancer.recovery.events import Action, ApplyBan, BanRequested, PersistEntries, WriteCompleted
+from balancer.recovery.events import BanRequested, WriteCompleted
 from balancer.recovery.exchange import Exchange
 
 
+@dataclass(slots=True, frozen=True)
+class PendingRequest:
+    """An operator's request whose entries are being written."""
+
+    request: BanRequested
+    entries: list[BanEntry]
+
+
+@dataclass(slots=True, frozen=True)
+class AppliedState:
+    """What was last put in force for a backend."""
+
+    banned: bool = False
+    since: float = -math.inf
+
+
+NEVER_APPLIED = AppliedState()
+
+
 class BanController:
-    """What follows from the register; `lately` is the time (ms) for which a backend that returned is cold."""
+    """Applies the register's changes and spreads them."""
 
-    def __init__(self, register: BanRegister, exchange: Exchange, lately: float, acts: list[Action]) -> None:
-        self.register, self.exchange, self.lately = register, exchange, lately
+    def __init__(
+        self, register: BanRegister, exchange: Exchange, ramp_time: float, actions: list[Action]
+    ) -> None:
+        """Create the controller; `ramp_time` (ms) is how long a backend that returned is cold."""
+        self.register = register
+        self.exchange = exchange
+        self.ramp_time = ramp_time
         self.counts: Counter[str] = Counter()
-        self._acts = acts  # where actions go
-        self._words: dict[str, tuple[bool, float]] = {}  # what was applied last of each backend
-        self._pending: dict[int, tuple[BanRequested, list[BanEntry]]] = {}  # calls that wait for the disk
-
-    def restore(self, rows: Sequence[BanEntry], now: float) -> list[BanEntry]:
-        """Rows of this node's own disk; returns those that were news."""
-        changed = self.register.restore(rows)
-        self.exchange.grown(changed)
-        self._apply(changed, now)
+        self.pending: dict[int, PendingRequest] = {}  # by token
+        self._actions = actions
+        self._applied: dict[str, AppliedState] = {}
+
+    def restore(self, entries: Sequence[BanEntry], now: float) -> list[BanEntry]:
+        """Merge entries of this node's own disk; return those that changed."""
+        changed = self.register.restore(entries)
+        self.exchange.register_changed(changed)
+        self.apply_changes(changed, now)
         return changed
 
-    def learned(self, changed: Sequence[BanEntry], came: Sequence[BanEntry], now: float) -> None:
-        """The register has changed by rows that came; what it answered them with goes to all."""
+    def entries_learned(self, changed: Sequence[BanEntry], received: Sequence[BanEntry], now: float) -> None:
+        """Persist and apply changes by entries that came; send to all what the register answered with."""
         if changed:
-            self._acts.append(PersistEntries(tuple(changed)))
-            self._apply(changed, now)
-            self.exchange.urge([row for row in changed if row not in came], now)
-
-    def called(self, event: BanRequested, now: float) -> None:
-        """An operator's call: its rows are to be synced first."""
-        at = min(event.at, now)
-        rows = [self.register.ban(event.backend, at)] if event.out else self.register.back(event.backend, at)
-        self._pending[event.token] = (event, rows)
-        self._acts.append(PersistEntries(tuple(rows), event.token))
-
-    def synced(self, event: WriteCompleted, now: float) -> None:
-        """They are, or are not."""
-        called, rows = self._pending.pop(event.token, (None, []))
-        if called is None:
+            self._actions.append(PersistEntries(tuple(changed)))
+            self.apply_changes(changed, now)
+            self.exchange.send_urgently([entry for entry in changed if entry not in received], now)
+
+    def request(self, event: BanRequested, now: float) -> None:
+        """Start an operator's request: its entries are written first."""
+        requested_at = min(event.requested_at, now)
+        if event.banned:
+            entries = [self.register.new_ban(event.backend, requested_at)]
+        else:
+            entries = self.register.new_lift(event.backend, requested_at)
+        self._write(PendingRequest(event, entries))
+
+    def write_completed(self, event: WriteCompleted, now: float) -> None:
+        """Commit a request whose entries are on the disk, or undo it."""
+        pending = self.pending.pop(event.token, None)
+        if pending is None:
             self.counts["unknown_tokens"] += 1
             return
-        if not event.ok:
-            self._undo(called, rows)
+        if not event.succeeded:
+            self._undo(pending)
             return
-        again = self.register.commit(rows)
-        done = [row for row in rows if self.register.get(row.backend, row.node) == row]
-        self.exchange.grown(done)
-        if again:  # a former life of this node counted further than its disk knew
-            self._pending[event.token] = (called, again)
-            self._acts.append(PersistEntries(tuple(again), event.token))
+        reissued = self.register.commit(pending.entries)
+        committed = [e for e in pending.entries if self.register.get(e.backend, e.node) == e]
+        self.exchange.register_changed(committed)
+        if reissued:  # a former incarnation of this node counted further than its disk knew
+            self._write(PendingRequest(pending.request, reissued))
             return
-        self.exchange.urge(done, now)
-        self._say(called.backend)
+        self.exchange.send_urgently(committed, now)
+        self.announce(pending.request.backend)
+
+    def apply_changes(self, changed: Iterable[BanEntry], now: float) -> None:
+        """Apply what differs from the last state; a recent lift counts, as that backend is cold."""
+        for backend in sorted({entry.backend for entry in changed}):
+            banned = self.register.is_banned(backend)
+            since = self.register.since(backend)
+            former = self._applied.get(backend, NEVER_APPLIED)
+            is_recent_lift = not banned and since > max(former.since, now - self.ramp_time)
+            if banned != former.banned or is_recent_lift:
+                self.announce(backend)
+
+    def announce(self, backend: str) -> None:
+        """Apply the register's state of a backend."""
+        state = AppliedState(self.register.is_banned(backend), self.register.since(backend))
+        self._applied[backend] = state
+        self._actions.append(ApplyBan(backend, state.banned, state.since))
+
+    def _write(self, pending: PendingRequest) -> None:
+        token = pending.request.token
+        self.pending[token] = pending
+        self._actions.append(PersistEntries(tuple(pending.entries), token))
 
-    def _undo(self, called: BanRequested, rows: list[BanEntry]) -> None:
-        """What may have got to the disk all the same, of a call that failed, must not come back."""
+    def _undo(self, pending: PendingRequest) -> None:
+        """Undo what may have got to the disk all the same, of a request that failed."""
         self.counts["calls_failed"] += 1
-        undo: list[BanEntry] = []
-        own = self.register.get(called.backend, self.register.me)
-        if called.out and own is not None and own.live:
-            undo = rows  # it was out by a call before, which goes on
-        elif called.out:
-            undo = [row._replace(live=False, at=-math.inf) for row in rows]
-        elif rows and self.register.banned(called.backend):
-            undo = [self.register.ban(called.backend, self.register.since(called.backend))]
-        self.register.commit(undo)
-        self.exchange.grown(undo)
-        if undo:
-            self._acts.append(PersistEntries(tuple(undo)))
-
-    def _apply(self, changed: Iterable[BanEntry], now: float) -> None:
-        """What is another word than the last one; a return of late counts, as that backend is cold."""
-        for name in sorted({row.backend for row in changed}):
-            out, since = self.register.banned(name), self.register.since(name)
-            was, when = self._words.get(name, (False, -math.inf))
-            if out != was or (not out and since > max(when, now - self.lately)):
-                self._say(name)
-
-    def _say(self, name: str) -> None:
-        self._words[name] = (self.register.banned(name), self.register.since(name))
-        self._acts.append(ApplyBan(name, *self._words[name]))
+        backend = pending.request.backend
+        own = self.register.get(backend, self.register.node)
+        undone: list[BanEntry] = []
+        if pending.request.banned and own is not None and own.active:
+            undone = pending.entries  # it was banned by a request before, which goes on
+        elif pending.request.banned:
+            undone = [entry._replace(active=False, changed_at=-math.inf) for entry in pending.entries]
+        elif pending.entries and self.register.is_banned(backend):
+            undone = [self.register.new_ban(backend, self.register.since(backend))]
+        self.register.commit(undone)
+        self.exchange.register_changed(undone)
+        if undone:
+            self._actions.append(PersistEntries(tuple(undone)))
--- a/balancer/recovery/ban_migration.py
+++ b/balancer/recovery/ban_migration.py
@@ -3,15 +3,28 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable
+from dataclasses import dataclass
 
 from balancer.recovery.ban_register import BanEntry
 
 
-def calls(out: Collection[str], rows: Iterable[BanEntry]) -> list[tuple[str, bool]]:
-    """What was called meanwhile, as (backend, whether it is out): it is called once more in the register.
+@dataclass(slots=True, frozen=True)
+class MissedCall:
+    """An operator's call that the register has not seen."""
 
-    `out` is who is out by all records of the disk. As every row counts there too, what differs from the rows
-    came after them.
+    backend: str
+    banned: bool
+
+
+def missed_calls(banned: Collection[str], entries: Iterable[BanEntry]) -> list[MissedCall]:
+    """Return the calls to be repeated in the register.
+
+    Args:
+        banned: Backends that are banned by all records of the disk. As every entry counts there too, what
+            differs from the entries came after them.
+        entries: Entries of the register on the same disk.
     """
-    live = {row.backend for row in rows if row.live}
-    return [(name, name not in live) for name in sorted(live.symmetric_difference(out))]
+    active = {entry.backend for entry in entries if entry.active}
+    return [
+        MissedCall(backend, backend not in active) for backend in sorted(active.symmetric_difference(banned))
+    ]
--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -1,11 +1,12 @@
-"""Bans and returns as a replicated register: joined in any order, on any node, to the same.
+"""Replicated register of bans: merged in any order, on any node, to the same state.
 
 An enable-wins flag for each backend (Shapiro et al. 2011, A comprehensive study of convergent and
-commutative replicated data types), kept as rows by (backend, node): a node raises its own row's counter with
-each ban that it is told; a return clears the live rows that its node knows of. The greater counter wins, and
-at the same counter a cleared row, for it has seen the ban. A backend is banned while any of its rows is live.
-So a ban and a return at the same time end in the ban, and whatever is joined a second time, late, or from a
-disk of last month changes nothing. No clock orders anything; `at` only says how long ago a backend returned.
+commutative replicated data types), kept as entries by (backend, node): a node raises its own entry's counter
+with each ban that an operator requests there; a lift clears the active entries that its node knows of. The
+greater counter wins, and at the same counter a lifted entry, for it has seen the ban. A backend is banned
+while any of its entries is active. So a concurrent ban and lift end in the ban, and whatever is merged a
+second time, late, or from a disk of last month changes nothing. No clock orders anything; `changed_at` only
+says how long ago a backend returned.
 """
 
 from __future__ import annotations
@@ -16,37 +17,48 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-MAX_ID_BYTES = 96  # bytes of a backend's id in a datagram
-MAX_REMOTE_ENTRIES = 4096  # that other nodes may have this one keep
-BUCKET_COUNT = 16
-COUNTER_LIMIT = (
-    0xFFFFFFFF  # neither a life nor a sequence comes so high: there is always a counter above a row's
-)
+MAX_ID_BYTES = 96  # of a backend's id in a datagram
+MAX_ENTRIES = 4096  # from which on entries of other nodes are dropped
+BUCKET_COUNT = 16  # of a digest
+COUNTER_LIMIT = 0xFFFFFFFF  # no incarnation or sequence comes so high: a greater counter always exists
+MAX_NODE = 0xFFFF
+
+
+class EntryKey(NamedTuple):
+    """Identity of an entry."""
+
+    backend: str
+    node: int
 
 
 class BanEntry(NamedTuple):
-    """What one node's last ban of a backend has come to."""
+    """The last ban of a backend by one node, and whether it has been lifted."""
 
     backend: str
     node: int
-    life: int
-    seq: int
-    live: bool  # a ban that no return has seen
-    at: float  # node clock, ms: when it was called, or cleared; -inf where nobody knows
+    incarnation: int
+    sequence: int
+    active: bool  # a ban that no lift has seen
+    changed_at: float  # node clock, ms: when it was requested, or lifted; -inf if unknown
+
+    @property
+    def key(self) -> EntryKey:
+        """Identity of the entry."""
+        return EntryKey(self.backend, self.node)
 
     @property
     def counter(self) -> tuple[int, int]:
-        """Orders all bans of one node."""
-        return self.life, self.seq
+        """Order of all bans of one node."""
+        return self.incarnation, self.sequence
 
     @property
-    def key(self) -> tuple[int, int, bool]:
-        """The greater one wins."""
-        return self.life, self.seq, not self.live
+    def version(self) -> tuple[int, int, bool]:
+        """Order of the states of one entry: the greater one wins."""
+        return self.incarnation, self.sequence, not self.active
 
 
 def is_shareable(backend: str) -> bool:
-    """Whether an id can be told to others. A ban of any other one holds at its own node alone."""
+    """Return whether an id fits into a datagram. A ban of any other one holds at its own node alone."""
     try:
         return 0 < len(backend.encode()) <= MAX_ID_BYTES
     except UnicodeEncodeError:
@@ -54,171 +66,197 @@
 
 
 def bucket_of(backend: str) -> int:
-    """Of the digests: all rows of a backend are in the same one."""
+    """Return the digest bucket that holds all entries of a backend."""
     return hashlib.blake2b(backend.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
-def _hash(row: BanEntry) -> int:
-    """Eight bytes that mix well: they are joined by exclusive or, so their order does not count."""
-    text = f"{row.node} {row.life} {row.seq} {row.live:d} {row.backend}".encode()
-    return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
+def _hash(entry: BanEntry) -> int:
+    """Return eight well-mixed bytes: they are joined by exclusive or, so their order does not count."""
+    fields = f"{entry.node} {entry.incarnation} {entry.sequence} {entry.active:d} {entry.backend}"
+    return int.from_bytes(hashlib.blake2b(fields.encode(), digest_size=8).digest(), "big")
 
 
 class BanRegister:
-    """The rows that one node knows. `seq` should differ between two processes of the same life."""
-
-    def __init__(self, me: int, life: int, seq: int = 0) -> None:
-        self.me, self.life, self.seq = me, life, seq
-        self.hash = 0  # of all rows that are shared; equal where the rows are
+    """The entries that one node knows."""
+
+    def __init__(self, node: int, incarnation: int, sequence: int = 0) -> None:
+        """Create an empty register; `sequence` should differ between two processes of one incarnation."""
+        self.node = node
+        self.incarnation = incarnation
+        self.sequence = sequence
+        self.hash = 0  # of all shareable entries; equal where the entries are
         self.buckets = [0] * BUCKET_COUNT
         self.counts: Counter[str] = Counter()
-        self._rows: dict[str, dict[int, BanEntry]] = {}
+        self._entries: dict[str, dict[int, BanEntry]] = {}
         self._size = 0
-        self._own: set[str] = set()  # backends whose own row this process has issued
-        self._restored: set[str] = set()  # those whose own row, a ban, the disk has brought back
+        self._issued: set[str] = set()  # backends whose own entry this process has issued
+        self._restored: set[str] = set()  # those whose own active entry was on the disk
 
     def __len__(self) -> int:
+        """Return the number of entries."""
         return self._size
 
-    # --- what it says
+    # --- queries
 
-    def rows(self) -> list[BanEntry]:
-        """All of them, in an order that is the same on every node."""
-        return [by[node] for _, by in sorted(self._rows.items()) for node in sorted(by)]
+    def entries(self) -> list[BanEntry]:
+        """Return all entries, in an order that is the same on every node."""
+        return [by_node[node] for _, by_node in sorted(self._entries.items()) for node in sorted(by_node)]
 
-    def rows_in(self, buckets: int) -> list[BanEntry]:
-        """Those that are told to others, of the buckets whose bits are set, in that order."""
-        return [r for r in self.rows() if is_shareable(r.backend) and buckets >> bucket_of(r.backend) & 1]
+    def entries_in(self, buckets: int) -> list[BanEntry]:
+        """Return the shareable entries of the buckets whose bits are set, in that order."""
+        return [
+            entry
+            for entry in self.entries()
+            if is_shareable(entry.backend) and buckets >> bucket_of(entry.backend) & 1
+        ]
+
+    def entries_of(self, backend: str) -> list[BanEntry]:
+        """Return the entries of a backend."""
+        return list(self._entries.get(backend, {}).values())
 
     def get(self, backend: str, node: int) -> BanEntry | None:
-        """One row."""
-        return self._rows.get(backend, {}).get(node)
+        """Return one entry."""
+        return self._entries.get(backend, {}).get(node)
 
-    def banned(self, backend: str) -> bool:
-        """Whether a backend is out."""
-        return any(row.live for row in self._rows.get(backend, {}).values())
+    def is_banned(self, backend: str) -> bool:
+        """Return whether a backend is banned."""
+        return any(entry.active for entry in self.entries_of(backend))
 
     def bans(self) -> dict[str, float]:
-        """Backends that are out, in order, and since when."""
-        return {name: self.since(name) for name in sorted(self._rows) if self.banned(name)}
+        """Return the banned backends, in order, and since when."""
+        return {backend: self.since(backend) for backend in sorted(self._entries) if self.is_banned(backend)}
 
     def since(self, backend: str) -> float:
-        """Since when it is out, or has been back; -inf where nobody knows."""
-        by = self._rows.get(backend, {}).values()
-        out = [row.at for row in by if row.live]
-        return min(out) if out else max((row.at for row in by), default=-math.inf)
+        """Return since when a backend is banned, or has been back; -inf if unknown."""
+        entries = self.entries_of(backend)
+        banned = [entry.changed_at for entry in entries if entry.active]
+        return min(banned) if banned else max((entry.changed_at for entry in entries), default=-math.inf)
 
-    # --- what an operator calls
+    # --- requests of operators
 
-    def ban(self, backend: str, at: float) -> BanEntry:
-        """The row of a ban called here, above all of this node so far. It is not joined yet."""
-        known = self.get(backend, self.me)
+    def new_ban(self, backend: str, requested_at: float) -> BanEntry:
+        """Return the entry of a ban requested here, above all of this node so far. It is not merged yet."""
+        known = self.get(backend, self.node)
         if known is not None:
-            self._above(known)
-        self._step()
-        return BanEntry(backend, self.me, self.life, self.seq, True, at)
+            self._advance_past(known)
+        self._increment()
+        return BanEntry(backend, self.node, self.incarnation, self.sequence, True, requested_at)
 
-    def back(self, backend: str, at: float) -> list[BanEntry]:
-        """The rows of a return called here: every ban that is known is cleared. Not joined yet."""
-        by = self._rows.get(backend, {})
-        return [by[node]._replace(live=False, at=at) for node in sorted(by) if by[node].live]
+    def new_lift(self, backend: str, requested_at: float) -> list[BanEntry]:
+        """Return the entries of a lift requested here: every known ban is lifted. Not merged yet."""
+        entries = sorted(self.entries_of(backend), key=lambda entry: entry.node)
+        return [entry._replace(active=False, changed_at=requested_at) for entry in entries if entry.active]
 
-    def commit(self, rows: Iterable[BanEntry]) -> list[BanEntry]:
-        """Join rows of calls here that are synced; returns those that have to be issued anew for it.
+    def commit(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
+        """Merge entries requested here that are on the disk; return those that have to be issued anew for it.
 
-        Meanwhile a row of a former life of this node may have come, that no disk here knew: a ban above it.
+        Meanwhile an entry of a former incarnation may have come that no disk here knew: a ban is issued above
+        it.
         """
-        again = []
-        for row in rows:
-            known = self.get(row.backend, row.node)
-            if row.live and known is not None and known.key > row.key:
-                again.append(self.ban(row.backend, row.at))
+        reissued = []
+        for entry in entries:
+            known = self.get(entry.backend, entry.node)
+            if entry.active and known is not None and known.version > entry.version:
+                reissued.append(self.new_ban(entry.backend, entry.changed_at))
                 continue
-            if row.live:
-                self._own.add(row.backend)
-            self._put(row)
-        return again
+            if entry.active:
+                self._issued.add(entry.backend)
+            self.put(entry)
+        return reissued
 
-    # --- what others say, and the disk
+    # --- entries of peers and of the disk
 
-    def restore(self, rows: Sequence[BanEntry]) -> list[BanEntry]:
-        """Take what this node's own disk has kept; returns the rows that are now another than before.
+    def restore(self, entries: Sequence[BanEntry]) -> list[BanEntry]:
+        """Merge what this node's own disk has; return the entries that changed.
 
-        Own bans among it are issued anew once a peer tells of a later life of this node than this one: either
-        the disk came after a lost one, by a clock that was behind, or it is an old one. In doubt they hold.
+        Own bans among it are issued anew once a peer shows a later incarnation of this node: either the disk
+        came after a lost one, by a clock that was behind, or it is an old one. In doubt they hold.
         """
-        own = [row for row in rows if row.node == self.me and self._possible(row)]
-        for row in own:
-            self._above(row)
-        changed = self.join(rows)
-        self._restored.update(row.backend for row in own if row.live)
+        own = [entry for entry in entries if entry.node == self.node and self._is_valid(entry)]
+        for entry in own:
+            self._advance_past(entry)
+        changed = self.merge(entries)
+        self._restored.update(entry.backend for entry in own if entry.active)
         return changed
 
-    def join(self, rows: Iterable[BanEntry]) -> list[BanEntry]:
-        """Take what is news; returns the rows that are now another than before, own ones issued anew too."""
-        changed: dict[tuple[str, int], BanEntry] = {}
-        for row in rows:
-            known = self.get(row.backend, row.node)
-            if not self._possible(row) or (known is None and self._full(row)):
+    def merge(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
+        """Merge newer entries; return those that changed, own ones that were issued anew included."""
+        changed: dict[EntryKey, BanEntry] = {}
+        for entry in entries:
+            known = self.get(entry.backend, entry.node)
+            if not self._is_valid(entry) or (known is None and self._is_full(entry)):
                 continue
-            if known is not None and row.key <= known.key:
+            if known is not None and entry.version <= known.version:
                 continue
-            ahead = row.counter > (self.life, self.seq)
-            if row.node == self.me and (ahead or row.backend in self._own):
-                if ahead:  # of a life that this disk has not seen: what it holds may come after that one
-                    self._own |= self._restored
-                for again in self._outbid(row):
-                    changed[again.backend, self.me] = again
-                known = self.get(row.backend, row.node)
-                if known is not None and known.key > row.key:
+            if entry.node == self.node:
+                for reissued in self._reissue_for(entry):
+                    changed[reissued.key] = reissued
+                known = self.get(entry.backend, entry.node)
+                if known is not None and known.version > entry.version:
                     continue
-            self._put(row)
-            changed[row.backend, row.node] = row
+            self.put(entry)
+            changed[entry.key] = entry
         return list(changed.values())
 
-    def _outbid(self, row: BanEntry) -> list[BanEntry]:
-        """A former life of this node counted further than this one: its bans must not cover ours."""
-        self._above(row)
+    def outbid(self, entry: BanEntry) -> list[BanEntry]:
+        """Issue own bans anew above an entry of a former incarnation, which must not cover them."""
+        self._advance_past(entry)
         self.counts["outbid"] += 1
-        out = []
-        for name in sorted(self._own):
-            known = self.get(name, self.me)
-            if known is not None and known.live and known.counter < row.counter:
-                out.append(self.ban(name, known.at))
-                self._put(out[-1])
-        return out
-
-    def _above(self, row: BanEntry) -> None:
-        """Count on in a life above: what follows `row` in its own life the former process may have used."""
-        if row.counter > (self.life, self.seq):
-            self.life = row.life + 1
-
-    def _step(self) -> None:
-        self.seq += 1
-        if self.seq >= COUNTER_LIMIT:
-            self.life, self.seq = self.life + 1, 0
-
-    def _possible(self, row: BanEntry) -> bool:
-        """Whether there is a counter above: else whoever says so could keep this node from its bans."""
-        sound = 0 <= row.life < COUNTER_LIMIT - 1 and 0 <= row.seq < COUNTER_LIMIT and 0 <= row.node <= 0xFFFF
-        if not sound:
+        reissued = []
+        for backend in sorted(self._issued):
+            known = self.get(backend, self.node)
+            if known is not None and known.active and known.counter < entry.counter:
+                reissued.append(self.new_ban(backend, known.changed_at))
+                self.put(reissued[-1])
+        return reissued
+
+    def put(self, entry: BanEntry) -> None:
+        """Store an entry in place of the one before, whatever that is."""
+        by_node = self._entries.setdefault(entry.backend, {})
+        former = by_node.get(entry.node)
+        by_node[entry.node] = entry
+        self._size += former is None
+        if not is_shareable(entry.backend):
+            return
+        bucket = bucket_of(entry.backend)
+        for changed in (former, entry):
+            if changed is not None:
+                value = _hash(changed)
+                self.hash ^= value
+                self.buckets[bucket] ^= value & 0xFFFFFFFF
+
+    def _reissue_for(self, entry: BanEntry) -> list[BanEntry]:
+        """Return own bans issued anew because of an entry of this node that a peer had."""
+        is_ahead = entry.counter > (self.incarnation, self.sequence)
+        if is_ahead:  # of an incarnation unknown to this disk: what the disk has may come after that one
+            self._issued |= self._restored
+        if not is_ahead and entry.backend not in self._issued:
+            return []
+        return self.outbid(entry)
+
+    def _advance_past(self, entry: BanEntry) -> None:
+        """Continue in an incarnation above: the former process may have used what follows in its own."""
+        if entry.counter > (self.incarnation, self.sequence):
+            self.incarnation = entry.incarnation + 1
+
+    def _increment(self) -> None:
+        self.sequence += 1
+        if self.sequence >= COUNTER_LIMIT:
+            self.incarnation += 1
+            self.sequence = 0
+
+    def _is_valid(self, entry: BanEntry) -> bool:
+        """Return whether a greater counter exists: else its sender could keep this node from its bans."""
+        valid = (
+            0 <= entry.incarnation < COUNTER_LIMIT - 1
+            and 0 <= entry.sequence < COUNTER_LIMIT
+            and 0 <= entry.node <= MAX_NODE
+        )
+        if not valid:
             self.counts["impossible"] += 1
-        return sound
+        return valid
 
-    def _full(self, row: BanEntry) -> bool:
-        full = self._size >= MAX_REMOTE_ENTRIES and row.node != self.me
+    def _is_full(self, entry: BanEntry) -> bool:
+        full = self._size >= MAX_ENTRIES and entry.node != self.node
         self.counts["rows_dropped"] += full
         return full
-
-    def _put(self, row: BanEntry) -> None:
-        by = self._rows.setdefault(row.backend, {})
-        old = by.get(row.node)
-        by[row.node] = row
-        self._size += old is None
-        if is_shareable(row.backend):
-            at = bucket_of(row.backend)
-            for one in (old, row):
-                if one is not None:
-                    value = _hash(one)
-                    self.hash ^= value
-                    self.buckets[at] ^= value & 0xFFFFFFFF
--- a/balancer/recovery/demand_share.py
+++ b/balancer/recovery/demand_share.py
@@ -1,29 +1,35 @@
-"""How the nodes of a tier share what cold backends bear: by what comes to each of them."""
+"""Division of the capacity of cold backends among the nodes of a tier, weighted by demand."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Sequence
 
-EVEN = 0.2  # of the whole is shared alike: who was sent nothing in the last second has something in the next
-LARGEST = 4.0  # times all the rest, this node included, that one other counts at the most
+EQUAL_PART = 0.2  # divided equally: a node without requests in the last second has some in the next
+MAX_PEER_DEMAND = 4.0  # times all the rest, this node included
 
 
-def demand_weighted_share(own: float, others: Sequence[float]) -> float:
-    """This node's part, by requests a second: its own and those of the others present; infinite: unknown.
+def demand_weighted_share(own_demand: float, peer_demands: Sequence[float]) -> float:
+    """Return this node's share, from 0 to 1.
 
-    Who is unknown counts as the mean of the known ones. The largest of the others counts as four fifths of
-    all at most, so that no single one can take more than that by what it says. It does not know of that: all
-    shares together come to 1.16 at the most, which partitions and views that lag double.
+    An unknown demand counts as the mean of the known ones. The largest peer counts as four fifths of all at
+    most, so that no single one can take more by what it reports. As it does not know of that, all shares
+    together come to 1.16 at most, which partitions and views that lag double.
+
+    Args:
+        own_demand: Requests a second at this node; infinite if unknown.
+        peer_demands: The same of each peer that is present.
     """
-    alike = 1.0 / (len(others) + 1)
-    known = [d for d in (own, *others) if d < math.inf]
+    equal_share = 1.0 / (len(peer_demands) + 1)
+    known = [demand for demand in (own_demand, *peer_demands) if demand < math.inf]
     if not known:
-        return alike
+        return equal_share
     mean = sum(known) / len(known)
-    mine = own if own < math.inf else mean
-    theirs = sorted(d if d < math.inf else mean for d in others)
-    if theirs:
-        theirs[-1] = min(theirs[-1], LARGEST * (mine + sum(theirs[:-1])))
-    total = mine + sum(theirs)
-    return (1.0 - EVEN) * mine / total + EVEN * alike if total > 0 else alike
+    own = own_demand if own_demand < math.inf else mean
+    peers = sorted(demand if demand < math.inf else mean for demand in peer_demands)
+    if peers:
+        peers[-1] = min(peers[-1], MAX_PEER_DEMAND * (own + sum(peers[:-1])))
+    total = own + sum(peers)
+    if total <= 0:
+        return equal_share
+    return (1.0 - EQUAL_PART) * own / total + EQUAL_PART * equal_share
--- a/balancer/recovery/list_filter.py
+++ b/balancer/recovery/list_filter.py
@@ -1,6 +1,6 @@
-"""Which backends of a list are in service, in one datagram: a Bloom filter (Bloom 1970), salted by revision.
+"""Set of a list's backends in service in one datagram: a Bloom filter (Bloom 1970), salted by revision.
 
-It may hold some that are not in service, never the other way round: so it can only restrict, and too little.
+It may hold some that are not in service, never the other way round: it can only restrict a list too little.
 """
 
 from __future__ import annotations
@@ -11,35 +11,42 @@
 
 from balancer.recovery.messages import MAX_FILTER_BYTES, ListFilter
 
-LEAST_BITS = 2.0  # for each id: with fewer, four in ten of the others pass, and it is not worth a datagram
-MOST_PART = 0.5  # of a saved list that is restricted on peers' word
+MIN_BITS_PER_ID = 2.0  # with fewer, four in ten of the others pass, and it is not worth a datagram
+MIN_FILTER_BYTES = 8
+BYTES_PER_ID = 1.5
+MAX_BUILT_HASHES = 8
+MAX_EXCLUDED_PART = 0.5  # of a saved list, on the word of peers
 
 
 def build_filter(ids: Sequence[str], revision: int) -> ListFilter | None:
-    """The filter of some ids; None where there are none, or too many for a datagram."""
-    if not ids or len(ids) * LEAST_BITS > MAX_FILTER_BYTES * 8:
+    """Return the filter of some ids; None if there are none, or too many for a datagram."""
+    if not ids or len(ids) * MIN_BITS_PER_ID > MAX_FILTER_BYTES * 8:
         return None
-    size = min(MAX_FILTER_BYTES, max(8, math.ceil(len(ids) * 1.5)))
-    hashes = max(1, min(8, round(size * 8 / len(ids) * math.log(2))))
+    size = min(MAX_FILTER_BYTES, max(MIN_FILTER_BYTES, math.ceil(len(ids) * BYTES_PER_ID)))
+    hashes = max(1, min(MAX_BUILT_HASHES, round(size * 8 / len(ids) * math.log(2))))
     bits = bytearray(size)
-    for name in ids:
-        for at in _places(name, revision, hashes, size):
-            bits[at // 8] |= 1 << at % 8
+    for backend in ids:
+        for position in _bit_positions(backend, revision, hashes, size):
+            bits[position // 8] |= 1 << position % 8
     return ListFilter(revision, hashes, bytes(bits))
 
 
-def excluded_ids(filter_: ListFilter, ids: Sequence[str]) -> frozenset[str]:
-    """Those of `ids` that are certainly not in service; none where that would be too many to believe."""
-    bits = filter_.bits
-    out = {name for name in ids
-           if any(not bits[at // 8] >> at % 8 & 1
-                  for at in _places(name, filter_.revision, filter_.hashes, len(bits)))}  # fmt: skip
-    return frozenset(out) if len(out) <= MOST_PART * len(ids) else frozenset()
+def excluded_ids(list_filter: ListFilter, ids: Sequence[str]) -> frozenset[str]:
+    """Return those of `ids` that are certainly not in service; none if that would be too many to believe."""
+    excluded = {backend for backend in ids if not _may_contain(list_filter, backend)}
+    return frozenset(excluded) if len(excluded) <= MAX_EXCLUDED_PART * len(ids) else frozenset()
 
 
-def _places(name: str, revision: int, hashes: int, size: int) -> list[int]:
-    """Bits by double hashing (Kirsch, Mitzenmacher 2006)."""
+def _may_contain(list_filter: ListFilter, backend: str) -> bool:
+    bits = list_filter.bits
+    positions = _bit_positions(backend, list_filter.revision, list_filter.hashes, len(bits))
+    return all(bits[position // 8] >> position % 8 & 1 for position in positions)
+
+
+def _bit_positions(backend: str, revision: int, hashes: int, size: int) -> list[int]:
+    """Return bit positions by double hashing (Kirsch, Mitzenmacher 2006)."""
     salt = (revision & 0xFFFFFFFF).to_bytes(4, "big")
-    digest = hashlib.blake2b(name.encode("utf-8", "surrogatepass"), digest_size=16, salt=salt).digest()
-    one, two = int.from_bytes(digest[:8], "big"), int.from_bytes(digest[8:], "big") | 1
-    return [(one + i * two) % (size * 8) for i in range(hashes)]
+    digest = hashlib.blake2b(backend.encode("utf-8", "surrogatepass"), digest_size=16, salt=salt).digest()
+    first = int.from_bytes(digest[:8], "big")
+    step = int.from_bytes(digest[8:], "big") | 1
+    return [(first + i * step) % (size * 8) for i in range(hashes)]
--- /dev/null
+++ b/balancer/recovery/phase_machine.py
@@ -0,0 +1,269 @@
+"""The phases of a recovery: when each one ends, and what begins the next."""
+
+from __future__ import annotations
+
+import math
+
+from balancer.recovery.actions import PhaseEntered
+from balancer.recovery.ban_controller import BanController
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.context import RecoveryContext
+from balancer.recovery.exchange import Exchange
+from balancer.recovery.messages import StatusFlag
+from balancer.recovery.phases import MIN_ESTABLISHED, Phase, RecoveryPath, established_peers
+from balancer.recovery.poll_schedule import PollSchedule
+from balancer.recovery.quota import CapacityQuota
+from balancer.recovery.saved_list import SavedList
+from balancer.recovery.survey import PeerSurvey
+from balancer.recovery.trust import StateKind
+
+COLD_PATHS = frozenset({RecoveryPath.POWER, RecoveryPath.SPLIT, RecoveryPath.ALONE})  # backends may be cold
+REFINED_PATHS = frozenset({RecoveryPath.SPLIT, RecoveryPath.POWER})  # of what seemed less than the tier
+MIN_SURVEYED_PEERS = 4  # that have completed their own survey, from which no more are waited for
+STATUS_SPREAD_MS = 150.0  # over which nodes send a status to all
+WARM_CHECK_INTERVAL_MS = 250.0  # between two looks at the clocks of peers
+
+
+class PhaseMachine:
+    """Leads a node from VERIFY to FULL."""
+
+    def __init__(
+        self,
+        context: RecoveryContext,
+        survey: PeerSurvey,
+        saved_list: SavedList,
+        quota: CapacityQuota,
+        bans: BanController,
+        exchange: Exchange,
+        schedule: PollSchedule,
+    ) -> None:
+        """Create the machine in VERIFY."""
+        self.context = context
+        self.survey = survey
+        self.saved_list = saved_list
+        self.quota = quota
+        self.bans = bans
+        self.exchange = exchange
+        self.schedule = schedule
+        self.next_survey_at = math.inf
+        self.survey_started_at = context.now
+        self.serving_since = context.now
+        self.is_warm = False  # by this node's clock
+        self.deferred_entries: list[BanEntry] = []  # of the disk, until the survey is over
+        self._survey_interval = context.config.survey_interval
+        self._warm_check_at = context.now
+
+    # --- times
+
+    @property
+    def next_transition_at(self) -> float:
+        """Time at which a phase may end."""
+        match self.context.phase:
+            case Phase.ASK:
+                return self._next_survey_deadline()
+            case Phase.WARMING:
+                return max(self.phase_ends_at(), self._warm_check_at)
+            case Phase.LISTED:
+                return self.phase_ends_at()
+        return math.inf
+
+    def phase_ends_at(self) -> float:
+        """Return when LISTED or WARMING ends at the latest, by what is known."""
+        config = self.context.config
+        latest = self.serving_since + config.max_warming
+        if self.context.phase is Phase.LISTED:
+            return self.serving_since + config.max_listed
+        if self.saved_list.fresh is None:
+            return latest
+        return min(latest, max(self.saved_list.fresh.starts, default=-math.inf) + config.ramp_time)
+
+    def deadline(self) -> float:
+        """Return when the present phase ends at the latest; infinite for VERIFY and FULL."""
+        match self.context.phase:
+            case Phase.VERIFY | Phase.FULL:
+                return math.inf
+            case Phase.ASK:
+                return self.survey_started_at + self.context.config.max_survey
+        return self.phase_ends_at()
+
+    def _next_survey_deadline(self) -> float:
+        config, now = self.context.config, self.context.now
+        waits = (config.survey_interval, config.isolation_timeout, config.max_survey)
+        deadlines = (self.survey_started_at + wait for wait in waits)
+        return min((deadline for deadline in deadlines if deadline > now), default=now)
+
+    # --- transitions
+
+    def advance(self) -> None:
+        """Make the transitions that are due."""
+        if self.context.phase is Phase.ASK:
+            self.run_survey()
+        if self.context.phase in (Phase.LISTED, Phase.WARMING):
+            self._refine_path()
+        if self.context.phase is Phase.LISTED:
+            self._await_list()
+        if self.context.phase is Phase.WARMING:
+            self._await_warm_backends()
+        if self.context.serves:
+            self.quota.review()
+
+    def enter(self, phase: Phase, reason: str) -> None:
+        """Enter a phase."""
+        self.context.phase = phase
+        self.context.phase_since = self.context.now
+        self.quota.review_soon()
+        self.context.actions.append(PhaseEntered(phase, self.context.path, reason))
+        if phase is Phase.FULL:
+            self.exchange.send_status(None, self.context.now)
+
+    def begin_survey(self, reason: str) -> None:
+        """Enter ASK."""
+        self.enter(Phase.ASK, reason)
+        self.survey_started_at = self.context.now
+        self.next_survey_at = self.context.now
+
+    def take_over(self, phase: Phase, path: RecoveryPath, cold_since: float) -> None:
+        """Continue where the process before this one was."""
+        self.context.path = RecoveryPath.UPGRADE
+        self.context.cold_since = cold_since
+        self.next_survey_at = math.inf
+        self.serving_since = self.context.now if cold_since == -math.inf else cold_since
+        self.enter(phase, f"the predecessor's, by the way of {path.value}")
+        self.schedule.poll_now(self.context.now)
+
+    # --- ASK
+
+    def run_survey(self) -> None:
+        """Ask the peers, and begin to serve once they have said enough."""
+        now = self.context.now
+        if now >= self.next_survey_at:
+            self.exchange.request_survey()
+            self.next_survey_at = now + self._survey_interval
+            self._survey_interval *= 2
+        is_first_round = now < self.survey_started_at + self.context.config.survey_interval
+        if self.survey.reports and is_first_round and not self.survey.has_established_peers:
+            return  # too early for anything but a crash
+        found = self.survey.classify()
+        result = self.survey_result(found.path)
+        if result is None:
+            return
+        self.next_survey_at = math.inf
+        self.context.path = found.path
+        ahead = len(self.exchange.agreement.peers_ahead())
+        if ahead:
+            result += f", {ahead} know more"
+        self.start_serving(f"{found.reason}; {result}")
+
+    def survey_result(self, path: RecoveryPath) -> str | None:
+        """Return why the survey is over; None while it is not."""
+        config = self.context.config
+        elapsed = self.context.now - self.survey_started_at
+        if self.context.node_count == 1:
+            return "the tier has no other node"
+        if elapsed >= config.max_survey:
+            return "the longest time is over"
+        is_agreed = not self.exchange.agreement.peers_ahead()
+        if path is RecoveryPath.CRASH and is_agreed:
+            return "they agree" if self._agreeing_peers_suffice() else None
+        if not self.survey.reports:
+            return "nobody answers" if elapsed >= config.isolation_timeout else None
+        if not is_agreed:
+            return None
+        if self._surveyed_peers() >= MIN_SURVEYED_PEERS:
+            return "those that have asked agree"
+        if self.awaited_peers():
+            return None
+        if 2 * (len(self.survey.reports) + 1) > self.context.node_count:
+            return "they agree" if elapsed >= config.survey_interval else None
+        return "they agree, the others are silent" if elapsed >= config.isolation_timeout else None
+
+    def awaited_peers(self) -> list[int]:
+        """Return, in ASK, who has not been heard, or has entries that this node lacks."""
+        if self.context.phase is not Phase.ASK:
+            return []
+        return sorted({*self.survey.missing(), *self.exchange.agreement.peers_ahead()})
+
+    def start_serving(self, reason: str) -> None:
+        """End the survey: the node listens from here on."""
+        now = self.context.now
+        self.serving_since = now
+        self.enter(Phase.LISTED, reason)
+        deferred = self.deferred_entries
+        self.deferred_entries = []
+        trusted = [entry for entry in deferred if self.context.is_trusted(entry_kind(entry))]
+        self.bans.restore(trusted, now)
+        if self.context.path in COLD_PATHS:
+            self.context.cold_since = self.context.started_at
+            nodes = self.survey.present() if self.survey.has_majority() else range(self.context.node_count)
+            self.schedule.schedule_first(now, nodes)
+            self.saved_list.restrict()
+        else:
+            self.schedule.poll_now(now)
+            self.saved_list.restrict()
+            self.enter(Phase.WARMING, "the tier went on")
+            self.enter(Phase.FULL, "the tier went on")
+        if self.saved_list.fresh is not None:
+            self.schedule.stop()
+
+    def _agreeing_peers_suffice(self) -> bool:
+        agreement = self.exchange.agreement
+        agreeing = [r.status for node, r in self.survey.reports.items() if agreement.agrees_with(node)]
+        established = established_peers(agreeing, self.context.node_count)
+        return len(established) >= min(MIN_ESTABLISHED, self.context.node_count - 1)
+
+    def _surveyed_peers(self) -> int:
+        """Return how many peers have completed their own survey and see a majority."""
+        statuses = [report.status for report in self.survey.reports.values()]
+        return sum(
+            status.phase >= Phase.LISTED and 2 * status.present_count > self.context.node_count
+            for status in statuses
+        )
+
+    # --- LISTED and WARMING
+
+    def _refine_path(self) -> None:
+        """Classify again by peers that come later. A node that serves already has had no crash."""
+        if self.context.path not in (RecoveryPath.ALONE, RecoveryPath.SPLIT):
+            return
+        found = self.survey.classify()
+        if found.path in REFINED_PATHS and found.path is not self.context.path:
+            self.context.path = found.path
+            self.context.actions.append(PhaseEntered(self.context.phase, found.path, found.reason))
+
+    def _await_list(self) -> None:
+        now = self.context.now
+        if self.saved_list.fresh is not None:
+            starts = self.saved_list.fresh.starts
+            last = f", the last started {now - max(starts):.0f} ms ago" if starts else ""
+            self.enter(Phase.WARMING, f"discovery has told {len(starts)} backends{last}")
+        elif now >= self.serving_since + self.context.config.max_listed:
+            self.enter(Phase.WARMING, "discovery is silent: by this node's own start alone")
+
+    def _await_warm_backends(self) -> None:
+        """Enter FULL once all is warm by this node's clock, and by no fewer than half of the peers'.
+
+        The starts that discovery sends are wall-clock times: to a clock that is ahead all is warm at once.
+        """
+        context = self.context
+        if context.now >= self.serving_since + context.config.max_warming:
+            self.enter(Phase.FULL, "the longest time is over")
+            return
+        if context.now < self.phase_ends_at():
+            return
+        if not self.is_warm:
+            self.is_warm = True
+            self.exchange.send_status(None, context.now, STATUS_SPREAD_MS * context.generator.random())
+        if self._is_cold_to_most_peers():
+            self._warm_check_at = context.now + WARM_CHECK_INTERVAL_MS
+        else:
+            self.enter(Phase.FULL, "every listed backend is warm")
+
+    def _is_cold_to_most_peers(self) -> bool:
+        serving = [status for status in self.survey.fresh_statuses() if status.phase >= Phase.LISTED]
+        cold = sum(status.phase < Phase.FULL and StatusFlag.WARM not in status.flags for status in serving)
+        return 2 * cold > len(serving) > 1
+
+
+def entry_kind(entry: BanEntry) -> StateKind:
+    """Return the kind of state that an entry is."""
+    return StateKind.BANS if entry.active else StateKind.LIFTED_BANS
--- a/balancer/recovery/phases.py
+++ b/balancer/recovery/phases.py
@@ -1,65 +1,83 @@
-"""Phases of a return, and what kind of return it is: decided by lives and by what peers say of themselves."""
+"""Phases of a recovery, and its classification by the uptime and phase that peers report."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 from enum import Enum, IntEnum
 
 from balancer.recovery.messages import NodeStatus
 
+MIN_ESTABLISHED = 2  # peers that together are believed when they say that the tier went on
+
 
 class Phase(IntEnum):
-    """How far a node's return has come; it never goes back."""
+    """Progress of a node's recovery; it never goes back."""
 
-    VERIFY = 0  # the disk is being read; no listening
-    ASK = 1  # bans are being learned; no listening
-    LISTED = 2  # serves from the saved list
-    WARMING = 3  # discovery has told the list: serves as much as cold backends bear
+    VERIFY = 0  # reading the disk; not listening
+    ASK = 1  # surveying the peers for bans; not listening
+    LISTED = 2  # serving from the saved endpoint list
+    WARMING = 3  # discovery has sent the list: serving within the capacity of cold backends
     FULL = 4
 
 
 class RecoveryPath(Enum):
-    """What a node returns from."""
+    """What a node recovers from. Its position is the code in datagrams."""
 
     UNDECIDED = "undecided"
-    CRASH = "crash"  # alone, among peers that went on
-    POWER = "power"  # with most of its tier
-    SPLIT = "split"  # with some: the others are late, or cut off
-    ALONE = "alone"  # nobody was heard
-    UPGRADE = "upgrade"  # it takes the place of a process that went on until now
+    CRASH = "crash"  # of this node alone, among peers that went on
+    POWER = "power"  # power loss of most of the tier
+    SPLIT = "split"  # restart with a minority: the others are late, or partitioned
+    ALONE = "alone"  # no peer answered
+    UPGRADE = "upgrade"  # takeover from a process that went on until now
 
 
 PATHS = tuple(RecoveryPath)
 
 
+@dataclass(slots=True, frozen=True)
+class Classification:
+    """A recovery path and the evidence for it."""
+
+    path: RecoveryPath
+    reason: str
+
+
 def classify_recovery(
-    heard: Sequence[NodeStatus], count: int, present: int, window: float
-) -> tuple[RecoveryPath, str]:
-    """What this node returns from, and the evidence for it, by what peers say of themselves.
-
-    Peers that say FULL, or that have run for longer than `window` (ms), did not return with this node; their
-    age alone is no sign, as a restart of all nodes one by one leaves only young ones. A crash it is only if
-    they are half of those heard and see half of the tier of `count` running: a power cut that a few survive
-    is none. `present` is how many nodes there seem to be, this one included: more than half of the tier make
-    it a return of all, fewer may be one side of a partition, or the first ones.
+    reported: Sequence[NodeStatus], node_count: int, present: int, established_after: float
+) -> Classification:
+    """Classify a recovery by what peers report of themselves.
+
+    Peers that say FULL, or have been up for longer than `established_after` (ms), did not restart with this
+    node; their uptime alone is no sign, as a rolling restart leaves only young nodes. It is a crash only if
+    they are half of those heard and see half of the tier running: a power cut that a few survive is none.
+
+    Args:
+        reported: Status of each peer that was heard.
+        node_count: Nodes of the tier.
+        present: Nodes that there seem to be, this one included: a majority makes it a power loss, fewer may
+            be one side of a partition, or the first ones.
+        established_after: Uptime (ms) from which a peer did not restart with this node.
     """
-    old = [s for s in heard if s.phase >= Phase.FULL or s.running >= window]
-    reason = f"{len(heard)} of {count - 1} heard, {len(heard) - len(old)} returning, {len(old)} not"
-    if not heard:
-        return RecoveryPath.ALONE, reason
-    settled = established_peers(heard, count)
-    if len(settled) >= min(2, count - 1) and 2 * len(old) >= len(heard):
-        return RecoveryPath.CRASH, reason
-    if 2 * present > count and 2 * len(old) <= len(heard):
-        return RecoveryPath.POWER, f"{reason}, {present} present"
-    return RecoveryPath.SPLIT, f"{reason}, {present} present"
-
-
-def established_peers(heard: Sequence[NodeStatus], count: int) -> list[NodeStatus]:
-    """Those that say FULL while at least half of the tier runs and is not returning.
-
-    By what each sees, or by how many say so here. Guards against an old view of each other: where one has
-    missed that another is FULL, it takes that one for returning until it is told again, seconds later.
+    running = [s for s in reported if s.phase >= Phase.FULL or s.uptime_ms >= established_after]
+    recovering = len(reported) - len(running)
+    reason = f"{len(reported)} of {node_count - 1} heard, {recovering} returning, {len(running)} not"
+    if not reported:
+        return Classification(RecoveryPath.ALONE, reason)
+    established = established_peers(reported, node_count)
+    enough = min(MIN_ESTABLISHED, node_count - 1)
+    if len(established) >= enough and 2 * len(running) >= len(reported):
+        return Classification(RecoveryPath.CRASH, reason)
+    if 2 * present > node_count and 2 * len(running) <= len(reported):
+        return Classification(RecoveryPath.POWER, f"{reason}, {present} present")
+    return Classification(RecoveryPath.SPLIT, f"{reason}, {present} present")
+
+
+def established_peers(reported: Sequence[NodeStatus], node_count: int) -> list[NodeStatus]:
+    """Return those that say FULL while at least half of the tier runs and is not recovering.
+
+    Counted is what each sees, or how many say so here: a peer that has missed that another one is FULL takes
+    that one for recovering until it hears from it again, seconds later.
     """
-    full = [s for s in heard if s.phase >= Phase.FULL]
-    return [s for s in full if 2 * max(s.present - s.young, len(full)) >= count]
+    full = [s for s in reported if s.phase >= Phase.FULL]
+    return [s for s in full if 2 * max(s.present_count - s.recovering, len(full)) >= node_count]
--- a/balancer/recovery/poll_schedule.py
+++ b/balancer/recovery/poll_schedule.py
@@ -1,4 +1,4 @@
-"""Discovery is asked in turns: every node waits for its place among those that are there."""
+"""Staggered schedule by which the nodes of a tier poll the discovery service."""
 
 from __future__ import annotations
 
@@ -6,48 +6,52 @@
 import math
 from collections.abc import Iterable
 
-LEAST_ROUND = 1000.0  # ms between two calls of one node
-UNANSWERED = 5.0  # rounds after which a call that was never reported on counts as failed
+MIN_ROUND_MS = 1000.0  # between two polls of one node
+UNANSWERED_ROUNDS = 5.0  # after which a poll without a result counts as failed
 
 
 class PollSchedule:
-    """When node `me` may call discovery: with `slot` ms for each, 1000 / slot calls a second of all together.
+    """Times at which a node may poll discovery: 1000 / `slot_ms` polls a second of the whole tier.
 
-    The places follow from the nodes' numbers, mixed, so that neighbours on one machine are not called on in
-    a row. Nodes that see different members may share a place; those that return later begin later anyway.
+    The slots follow from hashes of the node numbers, so that neighbours on one machine do not poll in a row.
+    Nodes that see different members may share a slot; those that restart later begin later anyway.
     """
 
-    def __init__(self, me: int, slot: float) -> None:
-        self.me, self.slot = me, slot
-        self.due = self.began = math.inf  # the next call, and the last one
-        self.asked = 0  # calls so far
+    def __init__(self, node: int, slot_ms: float) -> None:
+        """Create the schedule of a node; nothing is due before the first call of a method."""
+        self.node = node
+        self.slot_ms = slot_ms
+        self.next_poll_at = math.inf
+        self.polled_at = math.inf
+        self.poll_count = 0
 
-    def plan(self, now: float, nodes: Iterable[int]) -> None:
-        """The first turn, among `nodes`."""
-        order = sorted({*nodes, self.me}, key=_mixed)
-        self.due = now + order.index(self.me) * self.slot
+    def schedule_first(self, now: float, nodes: Iterable[int]) -> None:
+        """Take the first slot among `nodes`."""
+        order = sorted({*nodes, self.node}, key=_slot_order)
+        self.next_poll_at = now + order.index(self.node) * self.slot_ms
 
-    def at_once(self, now: float) -> None:
-        """Nobody else asks at this time."""
-        self.due = now
+    def poll_now(self, now: float) -> None:
+        """Schedule a poll at once, as no other node polls at this time."""
+        self.next_poll_at = now
 
-    def taken(self, now: float, nodes: int) -> None:
-        """The turn has come; the next one follows if nothing comes of it."""
-        self.asked, self.began = self.asked + 1, now
-        self.due = now + UNANSWERED * self._round(nodes)
+    def poll_started(self, now: float, node_count: int) -> None:
+        """Schedule the next poll for the case that this one brings no result."""
+        self.poll_count += 1
+        self.polled_at = now
+        self.next_poll_at = now + UNANSWERED_ROUNDS * self._round_ms(node_count)
 
-    def failed(self, now: float, nodes: int) -> None:
-        """Once more at this node's place in the next round of `nodes`, however long the call took to fail."""
-        if self.due < math.inf:
-            self.due = max(now, min(self.began, now) + self._round(nodes))
+    def poll_failed(self, now: float, node_count: int) -> None:
+        """Keep this node's slot in the next round of `node_count`, however long the poll took to fail."""
+        if self.next_poll_at < math.inf:
+            self.next_poll_at = max(now, min(self.polled_at, now) + self._round_ms(node_count))
 
-    def done(self) -> None:
-        """Discovery has told the list."""
-        self.due = math.inf
+    def stop(self) -> None:
+        """End polling: discovery has sent the list, or the node shuts down."""
+        self.next_poll_at = math.inf
 
-    def _round(self, nodes: int) -> float:
-        return max(LEAST_ROUND, nodes * self.slot)
+    def _round_ms(self, node_count: int) -> float:
+        return max(MIN_ROUND_MS, node_count * self.slot_ms)
 
 
-def _mixed(node: int) -> bytes:
+def _slot_order(node: int) -> bytes:
     return hashlib.blake2b(node.to_bytes(4, "big"), digest_size=8).digest()
--- a/balancer/recovery/trust.py
+++ b/balancer/recovery/trust.py
@@ -1,7 +1,7 @@
-"""What a node trusts of the state that it kept from before: one table, and the one function that enforces it.
+"""Trust in each kind of saved state: one table, and the one function that enforces it.
 
-What comes back is late, not right: a disk may be a month old, or empty, damaged, another node's. A disk that
-is not sound, or that is fresh, counts as nothing kept whatever the table says.
+Saved state is late, not right: a disk may be a month old, or empty, damaged, another node's. A disk that is
+not sound, or that is fresh, counts as empty whatever the table says.
 """
 
 from __future__ import annotations
@@ -14,75 +14,79 @@
 
 
 class StateKind(Enum):
-    """What is kept. Later rooms add theirs: quotas, configuration versions, release steps."""
+    """Kinds of saved state; the values are keys of `/stats`."""
 
-    BANS = "bans"  # live rows of the register
-    RETURNS = "returns"  # cleared rows: the memory that stops older disks
-    LIST = "list"  # the list of backends, to be served from before discovery has told it
+    BANS = "bans"  # active entries of the register
+    LIFTED_BANS = "returns"  # lifted entries: they stop older disks from banning again
+    LIST = "list"  # endpoint list, to be served from before discovery has sent one
     REVISION = "revision"  # of that list: a peer that names a greater one may restrict it
-    LIFE = "life"  # this node's number of its lives, by which its own bans are ordered
-    LEARNED = "learned"  # what the module knew of backends
-    RATE = "rate"  # requests a second that this node carried when all was warm
+    INCARNATION = "life"  # of this node, by which its own bans are ordered
+    LEARNED = "learned"  # what the balancer had learned of backends
+    WARM_RATE = "rate"  # requests a second that this node carried when all was warm
 
 
 class TrustLevel(Enum):
-    """When something kept may be used."""
+    """Condition under which saved state may be used; the values are shown in `/stats`."""
 
-    ALONE = "alone"  # at once, whoever else is there
-    UNLESS = "unless peers know better"  # only when peers were asked, and where none said otherwise
+    ALONE = "alone"  # at once
+    UNLESS_CONTRADICTED = "unless peers know better"  # after the peers were asked, if none contradicted
     NEVER = "never"
 
 
 @dataclass(slots=True, frozen=True)
 class TrustRule:
-    """One line of the table."""
+    """One row of the trust table."""
 
-    verdict: TrustLevel
-    most_age: float = math.inf  # ms since it was written, by `durable.records.Stamp.age`
+    level: TrustLevel
+    max_age_ms: float = math.inf  # since it was written, by `durable.records.Stamp.age`
 
 
-HOUR = 3_600_000.0
+HOUR_MS = 3_600_000.0
 TRUST_TABLE: Mapping[StateKind, TrustRule] = MappingProxyType(
     {
-        StateKind.BANS: TrustRule(TrustLevel.ALONE),  # said yes to: holds until a return that has seen it
-        StateKind.RETURNS: TrustRule(
-            TrustLevel.ALONE
-        ),  # proves that its ban was seen; a later ban has a greater counter
-        StateKind.LIST: TrustRule(TrustLevel.UNLESS),  # any age: peers restrict it, discovery replaces it
-        StateKind.REVISION: TrustRule(TrustLevel.UNLESS),
-        StateKind.LIFE: TrustRule(
-            TrustLevel.ALONE
-        ),  # a number too low is raised by rows of this node that peers know
-        # Its limit counts requests at once, which cold backends bear too; what restarted voids its own part.
-        StateKind.LEARNED: TrustRule(TrustLevel.UNLESS, HOUR),
-        StateKind.RATE: TrustRule(
-            TrustLevel.ALONE, 24 * HOUR
-        ),  # the median of all that nodes kept is what counts
+        # An acknowledged ban holds until a lift that has seen it.
+        StateKind.BANS: TrustRule(TrustLevel.ALONE),
+        # A lift proves that its ban was seen; a later ban has a greater counter.
+        StateKind.LIFTED_BANS: TrustRule(TrustLevel.ALONE),
+        # At any age: peers restrict the list, discovery replaces it.
+        StateKind.LIST: TrustRule(TrustLevel.UNLESS_CONTRADICTED),
+        StateKind.REVISION: TrustRule(TrustLevel.UNLESS_CONTRADICTED),
+        # A number too low is raised by entries of this node that peers have.
+        StateKind.INCARNATION: TrustRule(TrustLevel.ALONE),
+        # Its limit counts requests in flight, which cold backends bear too; restarted backends start anew.
+        StateKind.LEARNED: TrustRule(TrustLevel.UNLESS_CONTRADICTED, HOUR_MS),
+        # Only the median over all nodes counts.
+        StateKind.WARM_RATE: TrustRule(TrustLevel.ALONE, 24 * HOUR_MS),
     }
 )
 
 
 @dataclass(slots=True, frozen=True)
 class DiskState:
-    """What the disk was found to be."""
+    """Condition in which the disk was found."""
 
     sound: bool = False
-    fresh: bool = True  # nothing was ever kept on it
-    age: float = math.inf  # ms, at the node's start
+    fresh: bool = True  # nothing was ever written to it
+    age_ms: float = math.inf  # at the node's start
 
 
 def is_trusted(
     kind: StateKind,
     disk: DiskState,
-    asked: bool,
-    better: bool = False,
+    peers_asked: bool,
+    contradicted: bool = False,
     table: Mapping[StateKind, TrustRule] = TRUST_TABLE,
 ) -> bool:
-    """Whether what a disk kept of a kind may be used now.
-
-    `asked`: the roll call is over, answered or not. `better`: a peer said what this kept state contradicts.
+    """Return whether saved state of a kind may be used now.
+
+    Args:
+        kind: Kind of state.
+        disk: Condition of the disk that it was read from.
+        peers_asked: Whether the peer survey is over, answered or not.
+        contradicted: Whether a better source contradicts it.
+        table: Rules by kind.
     """
-    line = table[kind]
-    if not disk.sound or disk.fresh or disk.age > line.most_age or line.verdict is TrustLevel.NEVER:
+    rule = table[kind]
+    if not disk.sound or disk.fresh or disk.age_ms > rule.max_age_ms or rule.level is TrustLevel.NEVER:
         return False
-    return line.verdict is TrustLevel.ALONE or (asked and not better)
+    return rule.level is TrustLevel.ALONE or (peers_asked and not contradicted)
--- a/balancer/sim/recovery_disks.py
+++ b/balancer/sim/recovery_disks.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.ban_register import BanEntry, EntryKey
 
 MONTH_MS = 30 * 24 * 3600 * 1000.0
 
@@ -86,9 +86,9 @@
                 self.rows, self.epoch = self.rows[:records], self.epoch + 1
                 age += MONTH_MS
         fresh, self.used = not self.used, True
-        best: dict[tuple[str, int], BanEntry] = {}
+        best: dict[EntryKey, BanEntry] = {}
         for row in (row for record in self.rows for row in record):  # an earlier one may be written later
-            if (known := best.get(row[:2])) is None or row.key > known.key:
-                best[row[:2]] = row
+            if (known := best.get(row.key)) is None or row.version > known.version:
+                best[row.key] = row
         rows = tuple(best.values())
         return Found(True, fresh, self.life, age, rows, self.revision, self.saved, self.rate)
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the core of a tier's return: each must be found by the observer's invariants.
+"""Faults planted in the core of a tier's recovery: each must be found by the observer's invariants.
 
 A fault is a subclass of the core, or of one of its parts, that gets one thing wrong; `FAULTS` names them,
 with the invariants by which each may be found.
@@ -8,243 +8,254 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
+from functools import partial
 
+from balancer.recovery.actions import Action, RestrictSavedList
 from balancer.recovery.ban_controller import BanController
 from balancer.recovery.ban_register import BanEntry, BanRegister
-from balancer.recovery.core import Recovery
-from balancer.recovery.events import (
-    BanRequested,
-    DiskRead,
-    ListReceived,
-    MembershipChanged,
-    RestrictSavedList,
-)
+from balancer.recovery.core import Recovery, RecoveryParts
+from balancer.recovery.events import BanRequested, DiskRead, Event, ListReceived, MembershipChanged
 from balancer.recovery.exchange import Exchange
+from balancer.recovery.messages import Digest
+from balancer.recovery.phase_machine import PhaseMachine
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.poll_schedule import PollSchedule
+from balancer.recovery.quota import CapacityQuota
+from balancer.recovery.saved_list import SavedList
+from balancer.sim.recovery_world import MakeCore
 
+RETRY_MS = 50.0  # to the next wakeup of a core that is past its deadline
+CLOCK_TOLERANCE_MS = 1.0  # below which two times of an entry count as equal
 
-class _ByTime(BanRegister):
-    def join(self, rows: Iterable[BanEntry]) -> list[BanEntry]:
-        changed = []
-        for row in rows:
-            known = self.get(row.backend, row.node)
-            if known is None or row.at > known.at + 1.0:
-                self._put(row)
-                changed.append(row)
-        return changed
-
-
-class JoinsByTime(Recovery):
-    """The later row wins, by the clock of whoever wrote it."""
 
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
-        self.register.__class__ = _ByTime
-
-
-class _ReturnWins(BanRegister):
-    def banned(self, backend: str) -> bool:
-        rows = self._rows.get(backend, {}).values()
-        return bool(rows) and all(row.live for row in rows)
+class MergesByTime(BanRegister):
+    """The later entry wins, by the clock of whoever wrote it."""
 
+    def merge(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
+        """Merge by time."""
+        changed = []
+        for entry in entries:
+            known = self.get(entry.backend, entry.node)
+            if known is None or entry.changed_at > known.changed_at + CLOCK_TOLERANCE_MS:
+                self.put(entry)
+                changed.append(entry)
+        return changed
 
-class ReturnWins(Recovery):
-    """A return also ends bans that it has not seen."""
 
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
-        self.register.__class__ = _ReturnWins
+class LiftWins(BanRegister):
+    """A lift also ends bans that it has not seen."""
 
+    def is_banned(self, backend: str) -> bool:
+        """Return whether all entries are bans."""
+        entries = self.entries_of(backend)
+        return bool(entries) and all(entry.active for entry in entries)
 
-class _LiveWins(BanRegister):
-    def join(self, rows: Iterable[BanEntry]) -> list[BanEntry]:
-        taken = []
-        for row in rows:
-            known = self.get(row.backend, row.node)
-            if known is None or row.counter > known.counter or (row.counter == known.counter and row.live):
-                self._put(row)
-                taken.append(row)
-        return taken
 
+class ActiveWins(BanRegister):
+    """At the same counter the ban wins over the lift that has seen it: an old disk undoes a lift."""
 
-class LiveWins(Recovery):
-    """At the same counter the ban wins over the return that has seen it: an old disk undoes a return."""
+    def merge(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
+        """Merge so that a ban wins."""
+        changed = []
+        for entry in entries:
+            known = self.get(entry.backend, entry.node)
+            is_ban_again = known is not None and entry.counter == known.counter and entry.active
+            if known is None or entry.counter > known.counter or is_ban_again:
+                self.put(entry)
+                changed.append(entry)
+        return changed
 
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
-        self.register.__class__ = _LiveWins
 
+class NeverReissues(BanRegister):
+    """After a lost disk a node's bans are not issued anew above those of its former incarnations."""
 
-class _NeverAbove(BanRegister):
-    def _outbid(self, row: BanEntry) -> list[BanEntry]:
+    def outbid(self, entry: BanEntry) -> list[BanEntry]:
+        """Issue nothing."""
         return []
 
 
-class NeverAbove(Recovery):
-    """After a lost disk a node's bans are not issued anew above those of its former lives."""
-
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
-        self.register.__class__ = _NeverAbove
+class DropsLifted(Recovery):
+    """Lifted entries are not taken from the disk: nothing is left that stops older disks."""
 
+    def read_disk(self, event: DiskRead) -> None:
+        """Take bans alone."""
+        super().read_disk(replace(event, entries=tuple(e for e in event.entries if e.active)))
 
-class DropsCleared(Recovery):
-    """Cleared rows are not taken from the disk: nothing is left that stops older disks."""
 
-    def _kept(self, event: DiskRead) -> None:
-        super()._kept(replace(event, rows=tuple(row for row in event.rows if row.live)))
-
-
-class ServesAtOnce(Recovery):
+class ServesAtOnce(PhaseMachine):
     """It serves before it has asked anybody."""
 
-    def _asked_enough(self, path: RecoveryPath) -> str | None:
+    def survey_result(self, path: RecoveryPath) -> str | None:
+        """End the survey."""
         return "no wait"
 
 
-class WaitsForAll(Recovery):
+class AwaitsAll(PhaseMachine):
     """It does not serve before everybody has answered."""
 
-    @property
-    def due(self) -> float:
-        """Later than now, as the time to serve at the latest has passed."""
-        return max(super().due, self.now + 50.0)
+    def survey_result(self, path: RecoveryPath) -> str | None:
+        """End the survey once all were heard."""
+        return "all are there" if len(self.survey.reports) == self.context.node_count - 1 else None
 
-    def _asked_enough(self, path: RecoveryPath) -> str | None:
-        return "all are there" if len(self._heard) == self.count - 1 else None
 
+class AwaitingRecovery(Recovery):
+    """Wakes up later than now, as the time to serve at the latest has passed."""
 
-class ShareOfPresent(Recovery):
+    @property
+    def next_wakeup(self) -> float:
+        """When a `Tick` is wanted."""
+        return max(super().next_wakeup, self.context.now + RETRY_MS)
+
+
+class ShareOfPresent(CapacityQuota):
     """A minority shares the whole budget among those that it sees."""
 
     @property
     def share(self) -> float:
-        """Without the majority's condition."""
-        return 1.0 / len(self._present())
+        """Part of the budget, without the majority's condition."""
+        return 1.0 / len(self.survey.present())
 
 
-class TrustsStarts(Recovery):
-    """Starts of the saved list count after a power loss too: the return is handled as a crash."""
+class TrustsSavedStarts(PhaseMachine):
+    """Starts of the saved list count after a power loss too: the recovery is handled as a crash."""
 
-    def _ask(self) -> None:
-        super()._ask()
-        if self.phase is Phase.LISTED:
-            self.path = RecoveryPath.CRASH
-            self._enter(Phase.WARMING, "as saved")
-            self._enter(Phase.FULL, "as saved")
+    def run_survey(self) -> None:
+        """Enter FULL at the end of the survey."""
+        super().run_survey()
+        if self.context.phase is Phase.LISTED:
+            self.context.path = RecoveryPath.CRASH
+            self.enter(Phase.WARMING, "as saved")
+            self.enter(Phase.FULL, "as saved")
 
 
 class WarmsAgain(Recovery):
     """A restarted backend puts a node that is FULL back to WARMING."""
 
-    def _told(self, event: ListReceived) -> None:
-        super()._told(event)
-        if self.phase is Phase.FULL and self.now - max(event.starts, default=0.0) < self.config.ramp_time:
-            self._enter(Phase.WARMING, "a backend is cold")
-
+    def receive_list(self, event: ListReceived) -> None:
+        """Enter WARMING for a cold backend."""
+        super().receive_list(event)
+        context = self.context
+        age = context.now - max(event.starts, default=0.0)
+        if self.phase is Phase.FULL and age < context.config.ramp_time:
+            self.phases.enter(Phase.WARMING, "a backend is cold")
 
-class _AtOnce(PollSchedule):
-    def plan(self, now: float, nodes: Iterable[int]) -> None:
-        self.at_once(now)
 
+class PollsAtOnce(PollSchedule):
+    """Discovery is polled without slots."""
 
-class AsksAtOnce(Recovery):
-    """Discovery is called without turns."""
+    def schedule_first(self, now: float, nodes: Iterable[int]) -> None:
+        """Poll at once."""
+        self.poll_now(now)
 
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
-        self.turns.__class__ = _AtOnce
 
-
-class RestrictsAll(Recovery):
+class RestrictsAll(SavedList):
     """A peer's filter of a newer list takes away whatever it does not name, however much that is."""
 
-    def _restrict(self) -> None:
-        if self._fresh is None and self._filter is not None and self._filter.revision > self._revision:
-            self._acts.append(RestrictSavedList(frozenset(self._saved)))
-
-
-class _YesFirst(BanController):
-    def called(self, event: BanRequested, now: float) -> None:
-        super().called(event, now)
-        called, rows = self._pending[event.token]
-        self.register.commit(rows)
-        self._say(called.backend)
+    def restrict(self) -> None:
+        """Avoid the whole saved list."""
+        newest = self.newest_filter
+        if self.fresh is None and newest is not None and newest.revision > self.revision:
+            self.context.actions.append(RestrictSavedList(frozenset(self.saved_ids)))
 
 
-class YesFirst(Recovery):
-    """An operator is told yes before the rows of the call are synced."""
+class AnswersFirst(BanController):
+    """An operator's request is answered before its entries are synced."""
 
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
-        self.bans.__class__ = _YesFirst
+    def request(self, event: BanRequested, now: float) -> None:
+        """Answer at once."""
+        super().request(event, now)
+        self.register.commit(self.pending[event.token].entries)
+        self.announce(event.backend)
 
 
-class _Deaf(Exchange):
-    def digest_came(self, node: int, hash_: int, theirs: tuple[int, ...], now: float) -> None:
-        return
-
-
-class NeverRepairs(Recovery):
+class NeverRepairs(Exchange):
     """Digests are not answered: what differs by pairs stays so."""
 
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
-        self.exchange.__class__ = _Deaf
+    def digest_received(self, node: int, register_hash: int, digest: Digest, now: float) -> None:
+        """Send nothing."""
 
 
-class _LateIgnored(BanController):
-    def _apply(self, changed: Iterable[BanEntry], now: float) -> None:
-        return
+class IgnoresLateBans(BanController):
+    """A ban heard from a peer while this node serves is written down, and no more."""
 
+    is_serving = False
 
-class NotApplied(Recovery):
-    """A ban heard from a peer while this node serves is written down, and no more."""
+    def apply_changes(self, changed: Iterable[BanEntry], now: float) -> None:
+        """Apply what came before the node served."""
+        if not self.is_serving:
+            super().apply_changes(changed, now)
 
-    def __init__(self, *args: object, **more: object) -> None:
-        super().__init__(*args, **more)  # type: ignore[arg-type]
 
-    def _serve(self, reason: str) -> None:
-        super()._serve(reason)
-        self.bans.__class__ = _LateIgnored
+class MarksServing(PhaseMachine):
+    """Tells `IgnoresLateBans` that the node serves."""
+
+    def start_serving(self, reason: str) -> None:
+        """End the survey."""
+        super().start_serving(reason)
+        assert isinstance(self.bans, IgnoresLateBans)
+        self.bans.is_serving = True
 
 
 class FullByMembers(Recovery):
     """A node is FULL only while the membership sees a majority; one that loses it begins anew."""
 
-    def handle(self, now: float, event: object) -> list[object]:  # type: ignore[override]
-        """As the core's, but for a majority that is lost."""
-        lost = isinstance(event, MembershipChanged) and not event.quorum and self.phase is Phase.FULL
-        if lost:
-            self._enter(Phase.LISTED, "the majority is away")
-        return list(super().handle(now, event))  # type: ignore[arg-type]
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Return to LISTED when the majority is lost."""
+        if isinstance(event, MembershipChanged) and not event.quorum and self.phase is Phase.FULL:
+            self.phases.enter(Phase.LISTED, "the majority is away")
+        return super().handle(now, event)
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
     """A core with something wrong, and what finds it."""
 
-    make: type[Recovery]
+    make: MakeCore
     found_by: frozenset[str]
     counts: tuple[int, ...] = (3, 4, 5, 6)  # sizes of the tiers in which it is looked for, by `draw`
 
 
+def _planted(parts: RecoveryParts, core: type[Recovery] = Recovery) -> MakeCore:
+    return partial(core, parts=parts)
+
+
 FAULTS = {
-    "joins by wall time": Fault(JoinsByTime, frozenset({"known", "ban", "applied", "agree"})),
-    "a return wins over a ban at the same time": Fault(ReturnWins, frozenset({"applied", "ban"})),
-    "a ban wins over the return that saw it": Fault(LiveWins, frozenset({"known", "agree"})),
-    "own bans are not issued anew after a lost disk": Fault(NeverAbove, frozenset({"ban", "known"})),
-    "returns are dropped at a restart": Fault(DropsCleared, frozenset({"known"})),
-    "serves before asking": Fault(ServesAtOnce, frozenset({"ban"})),
-    "waits for everybody": Fault(WaitsForAll, frozenset({"full"})),
-    "a minority shares the whole budget": Fault(ShareOfPresent, frozenset({"budget"}), (5, 6, 8)),
-    "saved starts are trusted after a power loss": Fault(TrustsStarts, frozenset({"budget"})),
+    "joins by wall time": Fault(
+        _planted(RecoveryParts(register=MergesByTime)), frozenset({"known", "ban", "applied", "agree"})
+    ),
+    "a return wins over a ban at the same time": Fault(
+        _planted(RecoveryParts(register=LiftWins)), frozenset({"applied", "ban"})
+    ),
+    "a ban wins over the return that saw it": Fault(
+        _planted(RecoveryParts(register=ActiveWins)), frozenset({"known", "agree"})
+    ),
+    "own bans are not issued anew after a lost disk": Fault(
+        _planted(RecoveryParts(register=NeverReissues)), frozenset({"ban", "known"})
+    ),
+    "returns are dropped at a restart": Fault(DropsLifted, frozenset({"known"})),
+    "serves before asking": Fault(_planted(RecoveryParts(phases=ServesAtOnce)), frozenset({"ban"})),
+    "waits for everybody": Fault(
+        _planted(RecoveryParts(phases=AwaitsAll), AwaitingRecovery), frozenset({"full"})
+    ),
+    "a minority shares the whole budget": Fault(
+        _planted(RecoveryParts(quota=ShareOfPresent)), frozenset({"budget"}), (5, 6, 8)
+    ),
+    "saved starts are trusted after a power loss": Fault(
+        _planted(RecoveryParts(phases=TrustsSavedStarts)), frozenset({"budget"})
+    ),
     "a phase is entered again": Fault(WarmsAgain, frozenset({"phase"})),
     "a lost majority begins anew": Fault(FullByMembers, frozenset({"phase"})),
-    "discovery is asked at once": Fault(AsksAtOnce, frozenset({"turns"}), (200,)),  # or `mass_return`
-    "a peer's filter restricts everything": Fault(RestrictsAll, frozenset({"list"})),
-    "yes is said before the sync": Fault(YesFirst, frozenset({"ban"})),
-    "digests are not answered": Fault(NeverRepairs, frozenset({"ban", "agree"})),
-    "bans heard while serving are not applied": Fault(NotApplied, frozenset({"applied", "ban"})),
+    "discovery is asked at once": Fault(  # or by `mass_return`
+        _planted(RecoveryParts(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
+    ),
+    "a peer's filter restricts everything": Fault(
+        _planted(RecoveryParts(saved_list=RestrictsAll)), frozenset({"list"})
+    ),
+    "yes is said before the sync": Fault(_planted(RecoveryParts(bans=AnswersFirst)), frozenset({"ban"})),
+    "digests are not answered": Fault(
+        _planted(RecoveryParts(exchange=NeverRepairs)), frozenset({"ban", "agree"})
+    ),
+    "bans heard while serving are not applied": Fault(
+        _planted(RecoveryParts(bans=IgnoresLateBans, phases=MarksServing)), frozenset({"applied", "ban"})
+    ),
 }
--- a/balancer/sim/recovery_figures.py
+++ b/balancer/sim/recovery_figures.py
@@ -15,7 +15,7 @@
 from balancer.sim.recovery_disks import Condition
 from balancer.sim.recovery_environment import Discovery, waits
 from balancer.sim.recovery_schedule import BACKENDS, Schedule, Step, play
-from balancer.sim.recovery_world import Make
+from balancer.sim.recovery_world import MakeCore
 
 CUT_MS = 12_000.0  # the tier has come up and is quiet by then
 DARK_MS = 500.0  # until the first node is back
@@ -36,7 +36,7 @@
 
 
 def mass_return(count: int, seed: int, spread: float = 2_000.0, down: float = 0.0, loss: float = 0.0,
-                serve_ms: float = 4.0, slot: float = 25.0, make: Make = Recovery) -> Return:  # fmt: skip
+                serve_ms: float = 4.0, slot: float = 25.0, make: MakeCore = Recovery) -> Return:  # fmt: skip
     """All `count` nodes lose power and return over `spread` ms, discovery `down` ms after the cut."""
     schedule = _schedule(count, seed, spread, down)
     played = play(replace(schedule, loss=loss, serve_ms=serve_ms, slot=slot), make)
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -3,7 +3,8 @@
 - `ban`. A ban that was said yes to, and that no return since was called for at a node that knew of it, is
   kept by every node that serves and could have known. A node could have known if (a) it said yes itself and
   nothing that was synced has gone from its disk since, or its disk held the ban when it was read; (b) it
-  began to serve before `ask_most` had passed, on a network that loses nothing, though a live peer that had
+  began to serve before `RecoveryConfig.max_survey` had passed, on a network that loses nothing, though a live
+  peer that had
   known for `NEWS_MS` was in touch with it since it began to ask (not on the path of a crash within
   `learn_ms` of a heal: two peers that went on may not have heard it either); (c) it has been in touch with a
   live peer that knows for longer than `learn_ms`, or than `SOON_MS` on a network that loses nothing where
@@ -28,8 +29,8 @@
 from dataclasses import dataclass, field
 
 from balancer.policy import COLD_PART
+from balancer.recovery.actions import PhaseEntered
 from balancer.recovery.ban_register import BanEntry
-from balancer.recovery.events import PhaseEntered
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.sim.recovery_environment import FALL_MULTIPLE, warmth
 from balancer.sim.recovery_world import LOOK_MS, Call, Process, Tier
@@ -68,8 +69,8 @@
 
 def newer(now: BanEntry, before: BanEntry) -> bool:
     """Whether `now` says all that `before` said."""
-    one, other = (now.life, now.seq), (before.life, before.seq)
-    return one > other or (one == other and now.live <= before.live)
+    one, other = now.counter, before.counter
+    return one > other or (one == other and now.active <= before.active)
 
 
 class Observer:
@@ -128,9 +129,9 @@
             self._breach("ban", f"n{call.node} said yes to a ban of {call.backend} that it does not hold")
             return
         epoch = self.tier.disks[call.node].epoch
-        ban = Ban(call.backend, call.node, (own.life, own.seq), epoch, self.tier.now)
+        ban = Ban(call.backend, call.node, own.counter, epoch, self.tier.now)
         pending = self._process(call.node).pending.values()
-        ban.ended = not own.live or any(c.backend == call.backend and not c.out for c in pending)
+        ban.ended = not own.active or any(c.backend == call.backend and not c.out for c in pending)
         self.bans.append(ban)
 
     def restricts(self, node: int, ids: frozenset[str]) -> None:
@@ -163,9 +164,9 @@
         if late:
             self._breach("full", f"not full in time: {', '.join(late[:8])}")
         calls = max(self.tier.discovery.per_second.values(), default=0)
-        if calls > 2_000.0 / self.tier.room_config.slot:
+        if calls > 2_000.0 / self.tier.recovery_config.poll_slot:
             self._breach("turns", f"{calls} calls of discovery in one second")
-        views = {frozenset(row[:5] for row in p.core.register.rows()) for p in processes.values()}
+        views = {frozenset(row[:5] for row in p.core.register.entries()) for p in processes.values()}
         if len(views) > 1:
             self._breach("agree", f"{len(views)} different registers at the end")
 
@@ -182,12 +183,12 @@
     def _knows(self, node: int, ban: Ban) -> bool:
         """Whether a node's register has a ban that no return has seen, or one that took its place."""
         row = self._process(node).core.register.get(ban.backend, ban.node)
-        return row is not None and row.counter >= ban.counter and row.live
+        return row is not None and row.counter >= ban.counter and row.active
 
     def _covers(self, node: int, ban: Ban) -> bool:
         """Whether a node's register has a row of the ban's node above the ban, that a return has seen."""
         row = self._process(node).core.register.get(ban.backend, ban.node)
-        return row is not None and row.counter > ban.counter and not row.live
+        return row is not None and row.counter > ban.counter and not row.active
 
     def _hold(self, node: int) -> None:
         """Compare what a process knows with what it has known, and what it keeps out with what it knows."""
@@ -196,13 +197,13 @@
         stamp = (self.tier.hosts[node].number, register.hash, len(process.banned), process.serves)
         if stamp == self.stamps[node]:
             return
-        self.stamps[node], rows = stamp, register.rows()
+        self.stamps[node], rows = stamp, register.entries()
         now, floor = {(row.backend, row.node): row for row in rows}, self.floors[node]
         for key, before in floor.items():
             if key not in now or not newer(now[key], before):
                 self._breach("known", f"n{node} knew {before}, now {now.get(key)}")
         self.floors[node] = now
-        live = {row.backend for row in rows if row.live}
+        live = {row.backend for row in rows if row.active}
         if process.serves and live != process.banned:
             out = sorted(process.banned)
             self._breach("applied", f"n{node} keeps out {out}, its register has {sorted(live)}")
@@ -240,7 +241,7 @@
         ):
             return
         asked = tier.now - process.ask_began
-        if self.lossy or asked >= tier.room_config.ask_most - 1:
+        if self.lossy or asked >= tier.recovery_config.max_survey - 1:
             return
         for ban in self._lasting():
             if ban.backend in process.banned or self._covers(node, ban):
--- a/balancer/sim/recovery_schedule.py
+++ b/balancer/sim/recovery_schedule.py
@@ -13,11 +13,12 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from balancer.recovery.core import Recovery, RecoveryConfig
+from balancer.recovery.config import RecoveryConfig
+from balancer.recovery.core import Recovery
 from balancer.sim.members import Net
 from balancer.sim.recovery_disks import Condition
 from balancer.sim.recovery_observer import Breach, Observer
-from balancer.sim.recovery_world import Make, Partition, Tier
+from balancer.sim.recovery_world import MakeCore, Partition, Tier
 
 BACKENDS = tuple(f"b{i}" for i in range(6))
 COUNTS = (3, 3, 4, 5, 6, 8, 12, 16)  # nodes
@@ -230,13 +231,13 @@
     """Stated times in ms: until a ban is known to all in touch; from the last fault until all are full."""
     slow = 1.0 / (1.0 - schedule.loss) ** 2
     learn = 15_000.0 * slow if schedule.loss or schedule.late else 12_000.0
-    turns = max(1_000.0, schedule.count * config.slot) * 4 + 3 * schedule.count * schedule.serve_ms
-    return learn, config.ask_most + turns + config.warming_most + 2 * learn + 3_000.0
+    turns = max(1_000.0, schedule.count * config.poll_slot) * 4 + 3 * schedule.count * schedule.serve_ms
+    return learn, config.max_survey + turns + config.max_warming + 2 * learn + 3_000.0
 
 
-def play(schedule: Schedule, make: Make = Recovery) -> Played:
+def play(schedule: Schedule, make: MakeCore = Recovery) -> Played:
     """Let a schedule happen; stops soon after the last fault where all is well."""
-    config = RecoveryConfig(window=schedule.window, slot=schedule.slot)
+    config = RecoveryConfig(established_after=schedule.window, poll_slot=schedule.slot)
     net = Net(loss=schedule.loss, duplicate=schedule.duplicate, late=schedule.late)
     begun = 1e6
     parted = tuple(Partition(begun + a, begun + b, side) for a, b, side in schedule.partitions)
@@ -277,7 +278,7 @@
         return self.failures[0].breaches[0] if self.failures else None
 
 
-def explore(seeds: Iterable[int], counts: Iterable[int] = COUNTS, make: Make = Recovery,
+def explore(seeds: Iterable[int], counts: Iterable[int] = COUNTS, make: MakeCore = Recovery,
             stop: int = 5) -> Explored:  # fmt: skip
     """Play a schedule of each seed until `stop` have failed."""
     out, sizes = Explored(), tuple(counts)
@@ -294,7 +295,7 @@
     return out
 
 
-def shrink(failed: Played, make: Make = Recovery) -> Played:
+def shrink(failed: Played, make: MakeCore = Recovery) -> Played:
     """The same breach with less: troubles and steps are taken away, many at once and then few."""
     best, invariant = failed, failed.breaches[0].invariant
     plain = Schedule(best.schedule.seed, best.schedule.count, ())
@@ -315,6 +316,6 @@
     return best
 
 
-def _if_broken(schedule: Schedule, make: Make, invariant: str) -> Played | None:
+def _if_broken(schedule: Schedule, make: MakeCore, invariant: str) -> Played | None:
     played = play(schedule, make)
     return played if any(breach.invariant == invariant for breach in played.breaches) else None
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -16,9 +16,10 @@
 from typing import Protocol
 
 from balancer.membership import core as membership
-from balancer.recovery import events as room
+from balancer.recovery import actions, events
 from balancer.recovery.ban_register import BanEntry
-from balancer.recovery.core import Recovery, RecoveryConfig
+from balancer.recovery.config import RecoveryConfig
+from balancer.recovery.core import Recovery
 from balancer.recovery.messages import FIRST_MESSAGE_KIND
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.sim.members import LIFE_UNIT, Net, World
@@ -30,7 +31,7 @@
 LOOK_MS = 100.0  # between two looks of the observer
 DEMAND_LOOKS = 10  # a second
 
-Make = Callable[[RecoveryConfig, int, int, int, int, float], Recovery]
+MakeCore = Callable[[RecoveryConfig, int, int, int, int, float], Recovery]
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,7 +57,7 @@
     banned: set[str] = field(default_factory=set)  # what its policy was told
     saved: frozenset[str] = frozenset()
     restricted: frozenset[str] = frozenset()
-    admits: room.CapacityGranted | None = None
+    admits: actions.CapacityGranted | None = None
     told: dict[str, float] = field(default_factory=dict)  # starts from discovery itself in this life
     pending: dict[int, Call] = field(default_factory=dict)  # calls without an answer so far
     writing: Counter[int | None] = field(default_factory=Counter)  # rows under way to the disk, by token
@@ -76,7 +77,7 @@
     def began(self, node: int, rows: tuple[BanEntry, ...]) -> None:
         """A process has read its disk."""
 
-    def entered(self, node: int, entered: room.PhaseEntered) -> None:
+    def entered(self, node: int, entered: actions.PhaseEntered) -> None:
         """A phase has begun."""
 
     def called(self, call: Call) -> None:
@@ -108,11 +109,11 @@
 class Tier(World):
     """`count` nodes with disks; `start`, `kill`, `cut`, `call` and the like are the schedule's."""
 
-    def __init__(self, count: int, seed: int, net: Net, config: RecoveryConfig, make: Make,
+    def __init__(self, count: int, seed: int, net: Net, config: RecoveryConfig, make: MakeCore,
                  backends: tuple[str, ...], partitions: tuple[Partition, ...] = (),
                  write_ms: tuple[float, float] = (1.0, 30.0)) -> None:  # fmt: skip
         super().__init__(count, seed, net=net)
-        self.room_config, self.make, self.partitions, self.write_ms = config, make, partitions, write_ms
+        self.recovery_config, self.make, self.partitions, self.write_ms = config, make, partitions, write_ms
         self.net.cut = self._parted
         self.dice = random.Random(f"tier {seed}")
         self.disks = [Disk() for _ in range(count)]
@@ -125,7 +126,7 @@
         self.writes_until = [0.0] * count
         self.watcher: Watcher | None = None
         self.log: list[tuple[float, str]] = []
-        self.room_sent: Counter[int] = Counter()  # datagrams of the room by second
+        self.recovery_sent: Counter[int] = Counter()  # recovery datagrams by second
         self.tokens = self.handled = 0  # the last call's, and that of the event that a core is handling
         self.sync_fails = 0.0
         self.blacked_out: set[int] = set()  # nodes whose last process ended as all lost power
@@ -151,7 +152,7 @@
         if old is None or old.phase < Phase.LISTED or self.hosts[node].core is None:
             return
         core, disk = old.core, self.disks[node]
-        left = room.StateInherited(core.phase, core.path, core.cold_since, tuple(core.register.rows()))
+        left = events.StateInherited(core.phase, core.path, core.cold_since, tuple(core.register.entries()))
         self.note(f"n{node} has a successor")
         self.kill(node)
         found, life = self._turn_on(node, Condition.SOUND)
@@ -161,11 +162,11 @@
         new.told, new.banned, new.admits = old.told, set(old.banned), old.admits
         self.processes[node] = new
         self.start(node, life)
-        self.tell(node, room.SavedListLoaded(disk.saved))
+        self.tell(node, events.SavedListLoaded(disk.saved))
         self.tell(node, left)
         self.tell(node, self._kept(node, found))
         if self.watcher is not None:
-            self.watcher.began(node, left.rows)
+            self.watcher.began(node, left.entries)
 
     def kill(self, node: int) -> None:
         """Its process ends without a word; the page cache stays."""
@@ -187,7 +188,7 @@
         if self.hosts[node].core is None:
             return
         self.note(f"n{node} has SIGTERM")
-        self.tell(node, room.ShutdownStarted())
+        self.tell(node, events.ShutdownStarted())
         super().leave(node)
 
     def restart_backend(self, name: str) -> None:
@@ -206,14 +207,16 @@
         if process is None or process.phase < Phase.ASK:
             return
         self.tokens += 1
-        rows = process.core.register.rows()
-        seen = frozenset((row.node, row.life, row.seq) for row in rows if row.backend == backend and row.live)
+        rows = process.core.register.entries()
+        seen = frozenset(
+            (row.node, row.incarnation, row.sequence) for row in rows if row.backend == backend and row.active
+        )
         call = Call(self.tokens, node, backend, out, self.now, seen)
         process.pending[call.token] = call
         self.note(f"n{node} is called: {backend} {'out' if out else 'in'}")
         if self.watcher is not None:
             self.watcher.called(call)
-        self.tell(node, room.BanRequested(backend, out, self.now + self.hosts[node].shift, call.token))
+        self.tell(node, events.BanRequested(backend, out, self.now + self.hosts[node].shift, call.token))
 
     def note(self, text: str) -> None:
         """A line for whoever reads a failed schedule."""
@@ -232,26 +235,26 @@
                 since = max(since, partition.until)
         return since
 
-    def tell(self, node: int, event: room.Event) -> None:
+    def tell(self, node: int, event: events.Event) -> None:
         """An event for a node's core of the room; what it asks for is done."""
         process = self.processes[node]
         if process is None or self.hosts[node].core is None:
             return
-        self.handled = event.token if isinstance(event, room.BanRequested | room.WriteCompleted) else 0
+        self.handled = event.token if isinstance(event, events.BanRequested | events.WriteCompleted) else 0
         for action in process.core.handle(self.now + self.hosts[node].shift, event):
             self._do(node, process, action)
-        self._plan(node, process.core.due)
+        self._plan(node, process.core.next_wakeup)
 
     # --- what moves
 
     @staticmethod
     def _moved(rows: tuple[BanEntry, ...], by: float) -> tuple[BanEntry, ...]:
         """Rows with their times on another clock."""
-        return tuple(row._replace(at=row.at + by) for row in rows)
+        return tuple(row._replace(changed_at=row.changed_at + by) for row in rows)
 
     def _fresh(self, node: int, life: int) -> Recovery:
         now = self.now + self.hosts[node].shift
-        return self.make(self.room_config, node, self.count, life, self.seeds.getrandbits(64), now)
+        return self.make(self.recovery_config, node, self.count, life, self.seeds.getrandbits(64), now)
 
     def _parted(self, source: int, target: int) -> bool:
         return any(p.begin <= self.now < p.until and p.parts(source, target) for p in self.partitions)
@@ -268,28 +271,28 @@
         self.note(f"n{node} starts, disk {condition.value}, {len(found.rows)} rows, life {life}")
         return found, life
 
-    def _kept(self, node: int, found: Found) -> room.DiskRead:
+    def _kept(self, node: int, found: Found) -> events.DiskRead:
         rows = self._moved(found.rows, self.hosts[node].shift - self.walls[node])
-        return room.DiskRead(
+        return events.DiskRead(
             found.sound, found.fresh, found.life, found.age_ms, rows, found.revision, found.rate
         )
 
     def _was_read(self, node: int, number: int, found: Found) -> None:
         if self.hosts[node].number != number or self.processes[node] is None:
             return
-        self.tell(node, room.SavedListLoaded(found.saved))
+        self.tell(node, events.SavedListLoaded(found.saved))
         kept = self._kept(node, found)
         self.tell(node, kept)
         if self.watcher is not None:
-            self.watcher.began(node, kept.rows)
+            self.watcher.began(node, kept.entries)
 
     def _handle(self, node: int, event: membership.Event) -> None:
         if isinstance(event, membership.Received) and event.data[KIND_AT] >= FIRST_MESSAGE_KIND:
-            self.tell(node, room.DatagramReceived(event.source, event.data))
+            self.tell(node, events.DatagramReceived(event.source, event.data))
             return
         super()._handle(node, event)
         if isinstance(event, membership.Tick):
-            self.tell(node, room.Tick())
+            self.tell(node, events.Tick())
 
     def _act(self, node: int, action: membership.Action) -> None:
         super()._act(node, action)
@@ -300,31 +303,31 @@
         core = self.hosts[node].core
         if core is not None:
             lives = {member: core.view.known[member].life for member in core.members()}
-            self.tell(node, room.MembershipChanged(lives, core.quorum()))
+            self.tell(node, events.MembershipChanged(lives, core.quorum()))
 
-    def _do(self, node: int, process: Process, action: room.Action) -> None:
+    def _do(self, node: int, process: Process, action: actions.Action) -> None:
         number = self.hosts[node].number
         match action:
-            case room.SendDatagram():
-                self.room_sent[int(self.now / 1000)] += 1
+            case actions.SendDatagram():
+                self.recovery_sent[int(self.now / 1000)] += 1
                 self._tell(node, action.node, action.data)
-            case room.PersistEntries():
+            case actions.PersistEntries():
                 process.writing[action.token] += 1
                 self._write(node, number, action)
-            case room.ApplyBan():
+            case actions.ApplyBan():
                 self._applied(process, action)
-            case room.RequestList():
+            case actions.RequestList():
                 self.discovery.call(partial(self._listed, node, number), partial(self._failed, node, number))
-            case room.RestrictSavedList():
+            case actions.RestrictSavedList():
                 process.restricted = action.ids
                 if self.watcher is not None:
                     self.watcher.restricts(node, action.ids)
-            case room.PhaseEntered():
+            case actions.PhaseEntered():
                 self._entered(node, process, action)
-            case room.CapacityGranted():
+            case actions.CapacityGranted():
                 process.admits = action
 
-    def _entered(self, node: int, process: Process, action: room.PhaseEntered) -> None:
+    def _entered(self, node: int, process: Process, action: actions.PhaseEntered) -> None:
         self.note(f"n{node} phase {action.phase.name.lower()}, path {action.path.value}: {action.reason}")
         if action.phase is Phase.ASK:
             process.ask_began = self.now
@@ -333,10 +336,10 @@
         process.phases.append((self.now, action.phase, action.path))
         process.phase = action.phase
 
-    def _applied(self, process: Process, action: room.ApplyBan) -> None:
-        (process.banned.add if action.out else process.banned.discard)(action.backend)
+    def _applied(self, process: Process, action: actions.ApplyBan) -> None:
+        (process.banned.add if action.banned else process.banned.discard)(action.backend)
         call = process.pending.get(self.handled)
-        if call is not None and (call.backend, call.out) == (action.backend, action.out):
+        if call is not None and (call.backend, call.out) == (action.backend, action.banned):
             self._yes(process, call)
 
     def _yes(self, process: Process, call: Call) -> None:
@@ -345,10 +348,10 @@
         if self.watcher is not None:
             self.watcher.answered(call)
 
-    def _write(self, node: int, number: int, action: room.PersistEntries) -> None:
+    def _write(self, node: int, number: int, action: actions.PersistEntries) -> None:
         """Records are written in the order of their calls, by a thread that may be slow."""
         self.writes_until[node] = max(self.writes_until[node], self.now) + self.dice.uniform(*self.write_ms)
-        self.at(self.writes_until[node], partial(self._written, node, number, action.rows, action.token))
+        self.at(self.writes_until[node], partial(self._written, node, number, action.entries, action.token))
 
     def _written(self, node: int, number: int, rows: tuple[BanEntry, ...], token: int | None) -> None:
         process, disk = self.processes[node], self.disks[node]
@@ -356,7 +359,7 @@
             return
         process.writing[token] -= 1
         if token is not None and self.dice.random() < self.sync_fails:
-            self.tell(node, room.WriteCompleted(token, False))
+            self.tell(node, events.WriteCompleted(token, False))
             process.pending.pop(token, None)
             return
         if rows:
@@ -365,7 +368,7 @@
         if token is None:
             return
         disk.sync()
-        self.tell(node, room.WriteCompleted(token, True))
+        self.tell(node, events.WriteCompleted(token, True))
         if token in process.pending and not process.writing[token]:  # nothing changed by it
             self._yes(process, process.pending[token])
 
@@ -379,11 +382,11 @@
         process.restricted = frozenset()
         off = shift + self.walls[node]  # starts are told by the wall clock
         starts = tuple(start + off for start in process.told.values())
-        self.tell(node, room.ListReceived(self.discovery.revision, starts, tuple(self.backends)))
+        self.tell(node, events.ListReceived(self.discovery.revision, starts, tuple(self.backends)))
 
     def _failed(self, node: int, number: int) -> None:
         if self.hosts[node].number == number:
-            self.tell(node, room.ListRequestFailed())
+            self.tell(node, events.ListRequestFailed())
 
     def _look(self) -> None:
         if self.watcher is not None:
@@ -397,4 +400,4 @@
             return
         for node, process in enumerate(self.processes):
             if process is not None and Phase.LISTED <= process.phase < Phase.FULL:
-                self.tell(node, room.DemandMeasured(self.drawn[node] * self.dice.uniform(0.7, 1.4)))
+                self.tell(node, events.DemandMeasured(self.drawn[node] * self.dice.uniform(0.7, 1.4)))
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -24,7 +24,7 @@
 from balancer.durable.store import Store, load
 from balancer.membership.core import Config as MembershipConfig
 from balancer.membership.messages import State
-from balancer.net import bans, handover, recovery_adapter
+from balancer.net import bans, handover, recovery_handover
 from balancer.policy import Balancer
 from balancer.recovery.ban_register import BanEntry
 from balancer.recovery.phases import Phase, RecoveryPath
@@ -185,7 +185,7 @@
         handover.give(stem.with_suffix(handover.SUFFIX), learned)
         register = (BanEntry("b2", 1, 7, 3, True, 900.0), BanEntry("b2", 0, 6, 1, False, 800.0))
         left = RecoveryHandover(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
-        recovery_adapter.write_handover(stem.with_suffix(recovery_adapter.HANDOVER_SUFFIX), left, 50.0)
+        recovery_handover.write_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), left, 50.0)
         asyncio.run(_ban(stem))
 
 
@@ -216,6 +216,6 @@
         recovered = handover.take(stem.with_suffix(handover.SUFFIX))
         assert recovered is not None
         yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
-        left = recovery_adapter.read_handover(stem.with_suffix(recovery_adapter.HANDOVER_SUFFIX), 150.0)
+        left = recovery_handover.read_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), 150.0)
         assert left is not None
-        yield f"{left.phase.name} {left.path.value} {left.cold_since} {[tuple(row) for row in left.rows]}"
+        yield f"{left.phase.name} {left.path.value} {left.cold_since} {[tuple(row) for row in left.entries]}"
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -14,8 +14,8 @@
 from balancer.net.config import News
 from balancer.net.node import Node
 from balancer.net.recovery_adapter import RecoveryAdapter
+from balancer.recovery.ban_requests import BanCallError
 from balancer.recovery.phases import Phase
-from balancer.recovery.shell import BanCallError
 from tests.helpers import BASE, entry, member
 
 HERE = ("127.0.0.1", 1)
@@ -68,25 +68,25 @@
         one.watch(True)
         one.fetch()
         assert watcher.calls == []
-        one.shell.begin(one.kept)
+        one.shell.start(one.kept)
         assert one.shell.core.phase is Phase.LISTED and watcher.calls == ["watch True", "fetch"]
-        one.list_failed()
+        one.list_request_failed()
         one.watch(True)
-        assert watcher.calls[2:] == ["watch False"] and one.shell.core.counts["list_failed"] == 1
-        one.ask()
-        one.listed(news(42, "a"), api.ListKind.FULL)
-        one.list_failed()  # what is lost once the list was told is the node's own affair
+        assert watcher.calls[2:] == ["watch False"] and one.shell.core.context.counts["list_failed"] == 1
+        one.allow_polling()
+        one.list_received(news(42, "a"), api.ListKind.FULL)
+        one.list_request_failed()  # what is lost once the list was told is the node's own affair
         assert watcher.calls[3:] == ["watch True"]
 
 
 async def test_a_restriction_only_takes_away_and_ends_with_the_list_that_discovery_tells() -> None:
     async with returning("a", "b", "c") as (one, _, told):
         up, leaving = api.Phase.UP, api.Phase.DRAINING
-        one.restrict(frozenset({"a", "b", "x"}))
+        one.restrict_saved_list(frozenset({"a", "b", "x"}))
         assert told == [(api.ListKind.SAVED, {"a": leaving, "b": leaving, "c": up})]
         gone = member(entry("a", phase=api.Phase.GONE), "127.0.0.1:1")
-        one.listed(News(42, False, (gone,)), api.ListKind.CHANGES)
-        one.restrict(frozenset())
+        one.list_received(News(42, False, (gone,)), api.ListKind.CHANGES)
+        one.restrict_saved_list(frozenset())
         assert told[1:] == [(api.ListKind.CHANGES, {"b": up})]
 
 
@@ -97,8 +97,8 @@
             raise ZeroDivisionError
 
         one.shell.core.handle = broken  # type: ignore[method-assign]
-        one.shell.begin(one.kept)
-        await one.shell.served()
-        assert one.shell.failed and watcher.calls == ["watch True"]
+        one.shell.start(one.kept)
+        await one.shell.wait_until_serving()
+        assert one.shell.has_failed and watcher.calls == ["watch True"]
         with pytest.raises(BanCallError, match="failed"):
-            await one.banned("a", True)
+            await one.request_ban("a", True)
--- a/tests/test_recovery_core.py
+++ b/tests/test_recovery_core.py
@@ -15,14 +15,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from balancer.recovery.actions import (
+    Action,
+    ApplyBan,
+    CapacityGranted,
+    PersistEntries,
+    PhaseEntered,
+    RequestList,
+    RestrictSavedList,
+    SendDatagram,
+)
 from balancer.recovery.ban_register import BUCKET_COUNT, BanEntry, BanRegister
-from balancer.recovery.core import Recovery, RecoveryConfig
+from balancer.recovery.config import RecoveryConfig
+from balancer.recovery.core import Recovery
 from balancer.recovery.demand_share import demand_weighted_share
 from balancer.recovery.events import (
-    Action,
-    ApplyBan,
     BanRequested,
-    CapacityGranted,
     DatagramReceived,
     DemandMeasured,
     DiskRead,
@@ -30,12 +38,7 @@
     ListReceived,
     MembershipChanged,
     PeersChanged,
-    PersistEntries,
-    PhaseEntered,
-    RequestList,
-    RestrictSavedList,
     SavedListLoaded,
-    SendDatagram,
     ShutdownStarted,
     StateInherited,
     Tick,
@@ -43,6 +46,7 @@
 )
 from balancer.recovery.messages import (
     MAX_DATAGRAM_BYTES,
+    Digest,
     ListFilter,
     Message,
     MessageError,
@@ -90,7 +94,7 @@
     st.booleans(),
 )
 filters = st.builds(ListFilter, u32, st.integers(1, 9), st.binary(min_size=1, max_size=200))
-digests = st.lists(u32, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple)
+digests = st.lists(u32, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple).map(Digest)
 messages = st.one_of(
     st.builds(
         Message,
@@ -108,13 +112,13 @@
 def register(*parts: list[BanEntry]) -> BanRegister:
     out = BanRegister(9, 1)
     for part in parts:
-        out.join(part)
+        out.merge(part)
     return out
 
 
 def said(of: BanRegister) -> list[tuple[object, ...]]:
     """All rows, but for their ages, which order nothing."""
-    return [row[:5] for row in of.rows()]
+    return [row[:5] for row in of.entries()]
 
 
 # --- register
@@ -126,7 +130,7 @@
 ) -> None:
     a, b = register(one, two, three), register(three, two, one, two)
     assert said(a) == said(b) and a.hash == b.hash and a.buckets == b.buckets
-    assert not a.join(b.rows()) and not b.join(one)  # an old state changes nothing
+    assert not a.merge(b.entries()) and not b.merge(one)  # an old state changes nothing
 
 
 @given(many, many)
@@ -137,51 +141,51 @@
 
 def test_a_ban_and_a_return_at_the_same_time_end_in_the_ban() -> None:
     one, two = BanRegister(1, 1), BanRegister(2, 1)
-    one.commit([one.ban("a", 0.0)])
-    two.join(one.rows())
-    again = one.ban("a", 5.0)  # a second word, that the return below does not know of
-    two.commit(two.back("a", 5.0))
+    one.commit([one.new_ban("a", 0.0)])
+    two.merge(one.entries())
+    again = one.new_ban("a", 5.0)  # a second word, that the return below does not know of
+    two.commit(two.new_lift("a", 5.0))
     one.commit([again])
-    one.join(two.rows())
-    two.join(one.rows())
-    assert one.banned("a") and two.banned("a") and one.hash == two.hash
-    one.commit(one.back("a", 9.0))
-    two.join(one.rows())
+    one.merge(two.entries())
+    two.merge(one.entries())
+    assert one.is_banned("a") and two.is_banned("a") and one.hash == two.hash
+    one.commit(one.new_lift("a", 9.0))
+    two.merge(one.entries())
     assert not two.bans() and two.since("a") == 9.0
 
 
 @given(st.lists(rows.map(lambda r: r._replace(node=0)), max_size=9), st.integers(0, 3))
 def test_a_former_life_covers_no_ban_of_this_one(former: list[BanEntry], life: int) -> None:
     """The disk was lost, so lives begin anew: peers know rows of this node with greater counters."""
-    here, there = BanRegister(0, life, seq=1), register(former)
-    here.commit([here.ban("a", 0.0)])
-    there.join(here.rows())
-    here.join(former)
-    there.join(here.rows())
-    here.join(there.rows())
-    assert here.banned("a") and there.banned("a") and here.hash == there.hash
-    late = here.ban("b", 1.0)
+    here, there = BanRegister(0, life, sequence=1), register(former)
+    here.commit([here.new_ban("a", 0.0)])
+    there.merge(here.entries())
+    here.merge(former)
+    there.merge(here.entries())
+    here.merge(there.entries())
+    assert here.is_banned("a") and there.is_banned("a") and here.hash == there.hash
+    late = here.new_ban("b", 1.0)
     here.commit([late])
-    there.join(here.rows())
+    there.merge(here.entries())
     assert there.get("b", 0) == late
 
 
 def test_a_call_that_waits_for_the_disk_is_issued_anew_above_a_former_life() -> None:
     here = BanRegister(0, 1)
-    waiting = here.ban("a", 0.0)
-    here.join([BanEntry("a", 0, 7, 3, False, 0.0)])
+    waiting = here.new_ban("a", 0.0)
+    here.merge([BanEntry("a", 0, 7, 3, False, 0.0)])
     (again,) = here.commit([waiting])
-    assert not here.banned("a") and again.counter > (7, 3)
-    assert not here.commit([again]) and here.banned("a")
+    assert not here.is_banned("a") and again.counter > (7, 3)
+    assert not here.commit([again]) and here.is_banned("a")
 
 
 def test_no_counter_can_keep_a_node_from_its_bans() -> None:
     here = BanRegister(0, 1)
-    here.join([BanEntry("a", 0, 2**32 - 1, 0, False, 0.0), BanEntry("a", 0, 5, 2**32 - 1, False, 0.0)])
-    assert not here.rows() and here.counts["impossible"] == 2
-    here.join([BanEntry("a", 0, 2**32 - 3, 2**32 - 2, False, 0.0)])
-    here.commit([here.ban("a", 0.0)])
-    assert here.banned("a")
+    here.merge([BanEntry("a", 0, 2**32 - 1, 0, False, 0.0), BanEntry("a", 0, 5, 2**32 - 1, False, 0.0)])
+    assert not here.entries() and here.counts["impossible"] == 2
+    here.merge([BanEntry("a", 0, 2**32 - 3, 2**32 - 2, False, 0.0)])
+    here.commit([here.new_ban("a", 0.0)])
+    assert here.is_banned("a")
 
 
 # --- datagrams
@@ -251,7 +255,7 @@
         core = Recovery(RecoveryConfig(), node, self.count, number, node + 100 * number, self.now, table)
         self.nodes[node] = core
         self.acts[node] = []
-        given: dict[str, Any] = {"sound": True, "fresh_disk": False, "rows": self.disks.get(node, ())}
+        given: dict[str, Any] = {"sound": True, "fresh_disk": False, "entries": self.disks.get(node, ())}
         self.event(node, DiskRead(**{**given, **kept}))
         return core
 
@@ -261,7 +265,7 @@
             if isinstance(act, SendDatagram):
                 self._send(node, act)
             elif isinstance(act, PersistEntries):
-                self.disks[node] = (*self.disks.get(node, ()), *act.rows)
+                self.disks[node] = (*self.disks.get(node, ()), *act.entries)
                 if act.token is not None:
                     self.event(node, WriteCompleted(act.token, True))
 
@@ -275,7 +279,7 @@
     def see(self) -> None:
         """Membership finds out who is there."""
         for node, core in self.nodes.items():
-            there = {n: c.register.life for n, c in self.nodes.items()
+            there = {n: c.register.incarnation for n, c in self.nodes.items()
                      if self.side.get(n, 0) == self.side.get(node, 0)}  # fmt: skip
             if core.phase > Phase.VERIFY:
                 self.event(node, MembershipChanged(there, 2 * len(there) > self.count))
@@ -284,7 +288,9 @@
         until = self.now + ms
         steps = 0
         while (
-            at := min([m[0] for m in self._mail[:1]] + [c.due for c in self.nodes.values()] + [math.inf])
+            at := min(
+                [m[0] for m in self._mail[:1]] + [c.next_wakeup for c in self.nodes.values()] + [math.inf]
+            )
         ) <= until:
             steps += 1
             assert steps < 1_000_000, "a node is due for ever"
@@ -294,13 +300,13 @@
                 if node in self.nodes:
                     self.event(node, DatagramReceived(sender, data))
             for node, core in sorted(self.nodes.items()):
-                if core.due <= self.now:
+                if core.next_wakeup <= self.now:
                     self.event(node, Tick())
         self.now = until
 
     def _next(self, until: float) -> float:
         mail = (letter[0] for letter in self._mail[:1])
-        return min((until + 1, *mail, *(core.due for core in self.nodes.values())))
+        return min((until + 1, *mail, *(core.next_wakeup for core in self.nodes.values())))
 
     def of(self, node: int, kind: type[A]) -> list[A]:
         return [act for _, act in self.acts[node] if isinstance(act, kind)]
@@ -339,7 +345,7 @@
 def test_a_tier_that_returns_together_learns_bans_that_one_disk_knew() -> None:
     tier = Tier(16, loss=0.1)
     for node in range(16):
-        tier.start(node, rows=(OUT,) if node == 3 else (), fresh_disk=node != 3)
+        tier.start(node, entries=(OUT,) if node == 3 else (), fresh_disk=node != 3)
         tier.run(10)
     tier.see()
     tier.run(2_100)
@@ -364,7 +370,7 @@
     tier.run(20)
     assert tier.phases() == {Phase.FULL}
     (admit,) = tier.of(3, CapacityGranted)
-    assert admit.share == 0.25 and admit.cold_since == tier.nodes[3].started
+    assert admit.share == 0.25 and admit.cold_since == tier.nodes[3].context.started_at
 
 
 def test_without_discovery_and_peers_a_node_is_full_in_the_stated_time_and_says_why() -> None:
@@ -385,13 +391,13 @@
 
 
 def test_a_crash_among_live_peers_waits_for_two_answers_only() -> None:
-    tier = settled(16, rows=(OUT,))
+    tier = settled(16, entries=(OUT,))
     del tier.nodes[5]
     tier.run(30_000)
     since = tier.now
-    core = tier.start(5, 2, rows=(), fresh_disk=True)
+    core = tier.start(5, 2, entries=(), fresh_disk=True)
     tier.run(30)
-    assert (core.phase, core.path) == (Phase.FULL, RecoveryPath.CRASH) and core.register.banned("a")
+    assert (core.phase, core.path) == (Phase.FULL, RecoveryPath.CRASH) and core.register.is_banned("a")
     entered = [(at - since, act) for at, act in tier.acts[5] if isinstance(act, PhaseEntered)]
     assert [act.phase for _, act in entered] == [Phase.ASK, Phase.LISTED, Phase.WARMING, Phase.FULL]
     assert entered[-1][0] < 20 and not tier.of(5, CapacityGranted) and len(tier.of(5, RequestList)) == 1
@@ -451,13 +457,13 @@
     tier.see()
     tier.run(2_100)
     assert tier.paths() == {RecoveryPath.SPLIT}
-    assert {core.share for core in tier.nodes.values()} == {1 / 8}
+    assert {core.quota.share for core in tier.nodes.values()} == {1 / 8}
     assert not tier.nodes[1].register.bans()
     tier.side = {}
     tier.see()
     tier.run(8_000)
     assert tier.paths() == {RecoveryPath.POWER} and all(
-        core.register.banned("a") for core in tier.nodes.values()
+        core.register.is_banned("a") for core in tier.nodes.values()
     )
 
 
@@ -470,9 +476,9 @@
     (tell,) = [act for act in acts if isinstance(act, SendDatagram)]
     assert tell.node is None and ApplyBan("a", True, tier.now) in acts
     tier.event(1, DatagramReceived(0, tell.data))
-    assert tier.of(1, ApplyBan)[-1].out and tier.of(1, PersistEntries)[-1].token is None
+    assert tier.of(1, ApplyBan)[-1].banned and tier.of(1, PersistEntries)[-1].token is None
     tier.run(400)
-    assert core.stats()["counts"]["sent_rows"] == 2 and tier.nodes[2].register.banned("a")
+    assert core.stats()["counts"]["sent_rows"] == 2 and tier.nodes[2].register.is_banned("a")
     tier.event(2, BanRequested("a", False, tier.now, 1))
     tier.run(10)
     assert not any(node.register.bans() for node in tier.nodes.values())
@@ -481,15 +487,15 @@
 
 @pytest.mark.parametrize("out", [True, False])
 def test_a_call_whose_sync_fails_leaves_nothing_behind(out: bool) -> None:
-    tier = settled(3, rows=() if out else (OUT,))
+    tier = settled(3, entries=() if out else (OUT,))
     core = tier.nodes[0]
     before = core.register.bans()
     (keep,) = core.handle(tier.now, BanRequested("a", out, tier.now, 7))
     acts = core.handle(tier.now, WriteCompleted(7, False))
     assert core.register.bans() == before and not [act for act in acts if isinstance(act, ApplyBan)]
     assert isinstance(keep, PersistEntries)
-    disk = register([*(() if out else (OUT,)), *keep.rows])  # it got there all the same
-    disk.join([row for act in acts if isinstance(act, PersistEntries) for row in act.rows])
+    disk = register([*(() if out else (OUT,)), *keep.entries])  # it got there all the same
+    disk.merge([row for act in acts if isinstance(act, PersistEntries) for row in act.entries])
     assert disk.bans().keys() == before.keys()
 
 
@@ -503,12 +509,12 @@
 
 
 def test_a_peer_from_a_month_ago_changes_nothing_and_learns() -> None:
-    tier = settled(5, rows=(OUT,))
+    tier = settled(5, entries=(OUT,))
     tier.event(0, BanRequested("a", False, tier.now, 1))
     tier.event(0, BanRequested("b", True, tier.now, 2))
     del tier.nodes[4]
     tier.run(1_000)
-    old = tier.start(4, 2, rows=(OUT, BanEntry("b", 0, 1, 0, False, -math.inf)), age_ms=30 * 86_400_000.0)
+    old = tier.start(4, 2, entries=(OUT, BanEntry("b", 0, 1, 0, False, -math.inf)), age_ms=30 * 86_400_000.0)
     tier.run(300)
     assert {tuple(core.register.bans()) for core in tier.nodes.values()} == {("b",)}
     assert old.phase is Phase.FULL
@@ -518,20 +524,20 @@
     tier = Tier(8, loss=0.1)
     for node in range(8):
         own = tuple(BanEntry(f"{node}-{i}", node, 1, i, bool(i % 3), 0.0) for i in range(20))
-        tier.start(node, rows=own)
+        tier.start(node, entries=own)
     tier.see()
     tier.run(20_000)
     assert {len(core.register) for core in tier.nodes.values()} == {160}
     for node, acts in tier.acts.items():
         sent = [at for at, act in acts if isinstance(act, SendDatagram)]
         worst = max(sum(at <= other < at + 1000 for other in sent) for at in sent)
-        assert worst <= RecoveryConfig().burst + RecoveryConfig().datagrams, node
+        assert worst <= RecoveryConfig().burst + RecoveryConfig().datagrams_per_s, node
 
 
 def test_the_trust_table_is_what_decides() -> None:
     def start(kind: StateKind, verdict: TrustLevel, **kept: Any) -> Tier:
         tier = Tier(3)
-        tier.start(0, table={**TRUST_TABLE, kind: TrustRule(verdict)}, rows=(OUT,), **kept)
+        tier.start(0, table={**TRUST_TABLE, kind: TrustRule(verdict)}, entries=(OUT,), **kept)
         tier.event(0, SavedListLoaded(("a", "b")))
         return tier
 
@@ -540,26 +546,26 @@
     for tier in (early, late, never):
         tier.run(1_100)
     assert late.of(0, ApplyBan) and not never.of(0, ApplyBan)
-    tier = start(StateKind.RETURNS, TrustLevel.NEVER, sound=True)
-    tier.event(0, DiskRead(True, False, rows=(OUT._replace(live=False),)))
+    tier = start(StateKind.LIFTED_BANS, TrustLevel.NEVER, sound=True)
+    tier.event(0, DiskRead(True, False, entries=(OUT._replace(active=False),)))
     tier.run(1_100)
-    assert tier.nodes[0].register.banned("a")
+    assert tier.nodes[0].register.is_banned("a")
     tier = start(StateKind.LIST, TrustLevel.NEVER)
     tier.run(1_100)
     assert tier.of(0, RestrictSavedList) == [RestrictSavedList(frozenset("ab"))]
-    assert start(StateKind.LIFE, TrustLevel.NEVER, life=9).nodes[0].register.life == 1
-    assert start(StateKind.LIFE, TrustLevel.ALONE, life=9).nodes[0].register.life == 9
-    assert start(StateKind.RATE, TrustLevel.NEVER, rate=10.0).nodes[0].rate == 0
-    assert start(StateKind.RATE, TrustLevel.ALONE, rate=10.0).nodes[0].rate == 30
+    assert start(StateKind.INCARNATION, TrustLevel.NEVER, incarnation=9).nodes[0].register.incarnation == 1
+    assert start(StateKind.INCARNATION, TrustLevel.ALONE, incarnation=9).nodes[0].register.incarnation == 9
+    assert start(StateKind.WARM_RATE, TrustLevel.NEVER, warm_rate=10.0).nodes[0].quota.tier_rate == 0
+    assert start(StateKind.WARM_RATE, TrustLevel.ALONE, warm_rate=10.0).nodes[0].quota.tier_rate == 30
     for sound, fresh in ((False, False), (True, True)):
         tier = Tier(3)
-        tier.start(0, rows=(OUT,), sound=sound, fresh_disk=fresh)
+        tier.start(0, entries=(OUT,), sound=sound, fresh_disk=fresh)
         tier.run(1_100)
-        assert not tier.of(0, ApplyBan) and not any(tier.nodes[0].trusts(kind) for kind in StateKind)
+        assert not tier.of(0, ApplyBan) and not any(tier.nodes[0].is_trusted(kind) for kind in StateKind)
     tier = Tier(3)
     tier.start(0, age_ms=2 * 3_600_000.0)
     tier.run(1_100)
-    assert tier.nodes[0].trusts(StateKind.LIST) and not tier.nodes[0].trusts(StateKind.LEARNED)
+    assert tier.nodes[0].is_trusted(StateKind.LIST) and not tier.nodes[0].is_trusted(StateKind.LEARNED)
 
 
 def test_peers_only_restrict_a_saved_list_and_half_of_it_at_most() -> None:
@@ -572,7 +578,7 @@
     tier.event(
         2,
         DatagramReceived(
-            0, encode(Message(MessageKind.STATUS, 0, 0, tier.nodes[0]._state(StatusFlag.REPLY)), tier.now)
+            0, encode(Message(MessageKind.STATUS, 0, 0, tier.nodes[0].status(StatusFlag.REPLY)), tier.now)
         ),
     )
     tier.run(5_000)
@@ -598,12 +604,12 @@
     calls = list[float]()
     for me in range(count):
         turns = PollSchedule(me, 25.0)
-        turns.plan(0.0, range(count))
+        turns.schedule_first(0.0, range(count))
         own = list[float]()
-        while (now := turns.due) < 40_000.0:
+        while (now := turns.next_poll_at) < 40_000.0:
             own.append(now)
-            turns.taken(now, count)
-            turns.failed(now + took, count)
+            turns.poll_started(now, count)
+            turns.poll_failed(now + took, count)
         steps = [b - a for a, b in itertools.pairwise(own)]
         assert 1_000.0 <= min(steps) <= max(steps) <= 5_000.0
         calls += own
@@ -611,15 +617,15 @@
 
 
 def test_a_successor_takes_the_phase_over_and_leaves_it_only_forward() -> None:
-    tier = returned(3, rows=(OUT,))
+    tier = returned(3, entries=(OUT,))
     old = tier.nodes[0]
     heir = Recovery(RecoveryConfig(), 0, 3, 2, 9, tier.now)
     acts = heir.handle(
-        tier.now, StateInherited(old.phase, old.path, old.cold_since, tuple(old.register.rows()))
+        tier.now, StateInherited(old.phase, old.path, old.cold_since, tuple(old.register.entries()))
     )
     assert (heir.phase, heir.path, heir.cold_since) == (Phase.LISTED, RecoveryPath.UPGRADE, old.cold_since)
-    assert ApplyBan("a", True, OUT.at) in acts and RequestList() in acts
-    heir.handle(tier.now, DiskRead(True, False, rows=(OUT,)))
+    assert ApplyBan("a", True, OUT.changed_at) in acts and RequestList() in acts
+    heir.handle(tier.now, DiskRead(True, False, entries=(OUT,)))
     heir.handle(tier.now, StateInherited(Phase.LISTED, old.path, old.cold_since))
     heir.handle(tier.now, ListReceived(5, (tier.now - 9_000,)))
     assert heir.phase is Phase.FULL
@@ -635,22 +641,22 @@
     before = core.stats()
     for source, data in ((2, good), (1, good[:-1]), (1, changed(good, 5, 31)), (0, good), (7, good)):
         core.handle(tier.now, DatagramReceived(source, data))
-    assert not core.register.rows()
+    assert not core.register.entries()
     new = Counter(core.stats()["counts"]) - Counter(before["counts"])
     assert new == {"wrong_sender": 3, "unreadable": 1, "unknown_kinds": 1}
 
 
 def test_the_same_events_bring_the_same_actions() -> None:
-    one, two = (returned(9, loss=0.2, rows=(OUT,)) for _ in range(2))
+    one, two = (returned(9, loss=0.2, entries=(OUT,)) for _ in range(2))
     assert one.acts == two.acts
 
 
 def test_another_tier_forgets_who_is_gone_but_no_bans() -> None:
-    tier = returned(5, rows=(OUT,))
+    tier = returned(5, entries=(OUT,))
     core = tier.nodes[0]
     core.handle(tier.now, PeersChanged(3, frozenset({2})))
     core.handle(tier.now, MembershipChanged({0: 1, 1: 1}, True))
-    assert core.stats()["heard"] == 1 and core.register.banned("a") and core.share == 1 / 2
+    assert core.stats()["heard"] == 1 and core.register.is_banned("a") and core.quota.share == 1 / 2
 
 
 @given(st.lists(messages, max_size=9), st.integers(0, 3))
@@ -673,7 +679,7 @@
         for node in range(4):
             tier.event(node, DemandMeasured(demand if node else 9 * demand))
         tier.run(1_000)
-    shares = [tier.nodes[node].share for node in range(4)]
+    shares = [tier.nodes[node].quota.share for node in range(4)]
     assert shares == [pytest.approx(0.8 * 9 / 12 + 0.05), *[pytest.approx(0.8 / 12 + 0.05)] * 3]
     assert tier.of(0, CapacityGranted)[-1].share == pytest.approx(shares[0], rel=0.05)
     assert demand_weighted_share(1.0, [1e9]) == pytest.approx(0.26) and demand_weighted_share(
@@ -708,8 +714,8 @@
 
 def test_a_crash_waits_for_what_a_peer_is_known_to_know() -> None:
     tier = settled(6)
-    tier.nodes[1].register.join([OUT])
-    tier.nodes[1].exchange.grown([OUT])
+    tier.nodes[1].register.merge([OUT])
+    tier.nodes[1].exchange.register_changed([OUT])
     core = tier.start(5, 2, fresh_disk=True)
     tier.run(1_000)
     (banned,) = [at for at, act in tier.acts[5] if isinstance(act, ApplyBan)]
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -13,7 +13,7 @@
 from balancer.lab.scale.control import Run, plays
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import BACKENDS, NODES
-from balancer.recovery.core import RecoveryConfig
+from balancer.recovery.config import RecoveryConfig
 from balancer.sim.disk import Disk
 from balancer.sim.members import Net
 from balancer.sim.recovery_schedule import BACKENDS as LISTED
