--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -5,12 +5,9 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
 import math
-import time
-from dataclasses import dataclass, replace
-from pathlib import Path
+from dataclasses import replace
 
 from balancer import interface as api
 from balancer.durable.records import Kept
@@ -20,7 +17,8 @@
 from balancer.net.config import Member, News
 from balancer.net.figures import End
 from balancer.net.node import Node, Watcher
-from balancer.net.recovery_handover import HANDOVER_SUFFIX, read_handover, write_handover
+from balancer.net.rate_meter import RateMeter, RequestCounts
+from balancer.net.recovery_handover import HandoverFile
 from balancer.recovery import events
 from balancer.recovery.actions import CapacityGranted
 from balancer.recovery.ban_requests import BanCallError
@@ -29,11 +27,6 @@
 from balancer.recovery.shell import RecoveryHandover, RecoveryShell
 from balancer.recovery.trust import StateKind
 
-HANDOVER_POLL_S = 0.02  # between two looks for the predecessor's file
-HANDOVER_TIMEOUT_S = 0.5  # for which it is looked for
-RATE_SMOOTHING = 0.5  # weight of the last second
-PEAK_DECAY = 0.5 ** (1 / 600)  # of the peak rate, a second: by half in 10 min
-
 PHASES = {
     Phase.LISTED: api.RecoveryPhase.LISTED,
     Phase.WARMING: api.RecoveryPhase.WARMING,
@@ -41,15 +34,6 @@
 }
 
 
-@dataclass(slots=True, frozen=True)
-class RequestCounts:
-    """Requests of this process up to a moment."""
-
-    counted_at: float  # loop clock, s
-    arrived: int
-    completed: int
-
-
 class RecoveryAdapter:
     """Recovery of one process of a node; to the balancer it is what watches the list."""
 
@@ -64,9 +48,9 @@
         settings = node.settings
         config = RecoveryConfig(ramp_time=settings.ramp_time)
         self.shell = RecoveryShell(config, settings.me, incarnation, node.config.seed, port, self, disk)
-        self.peak_rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
-        self._smoothed_rate = 0.0  # completed requests a second
-        self._counts: RequestCounts | None = None
+        self._handover = HandoverFile(node.meeting, node.now)
+        saved_rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
+        self._rates = RateMeter(saved_rate)
         self._may_poll = False
         self._fetch_wanted = False  # the balancer wants the complete list
         self._has_fresh_list = False  # discovery has sent the list
@@ -88,7 +72,7 @@
         self.shell.handle(events.SavedListLoaded(tuple(self._list)))
         if is_successor:
             # A predecessor that leaves nothing is from before recovery, and has served: nothing is cold.
-            left = await self._read_handover()
+            left = await self._handover.wait()
             self.shell.inherit(left or RecoveryHandover(Phase.FULL, RecoveryPath.UPGRADE, -math.inf, ()))
             if self.disk is not None and self.disk.off is None:  # it has changed since this process began
                 self.kept = self.disk.look()
@@ -106,7 +90,7 @@
 
     def hand_over(self) -> None:
         """Leave the state to a successor that has started."""
-        write_handover(self._handover_path, self.shell.handover(), self._clock_offset())
+        self._handover.write(self.shell.handover())
 
     async def _reconcile_bans(self) -> None:
         """Lift or record bans that stand in `$TMPDIR` alone: a disk that is sound has the last word."""
@@ -121,23 +105,6 @@
                 with contextlib.suppress(BalancerError):
                     await self.shell.request_ban(backend, True)
 
-    async def _read_handover(self) -> RecoveryHandover | None:
-        """Return what the predecessor leaves, once it has seen this process."""
-        deadline = self.node.loop.time() + HANDOVER_TIMEOUT_S
-        while (left := read_handover(self._handover_path, self._clock_offset())) is None:
-            if self.node.loop.time() >= deadline:
-                break
-            await asyncio.sleep(HANDOVER_POLL_S)
-        return left
-
-    @property
-    def _handover_path(self) -> Path:
-        return self.node.meeting.with_suffix(HANDOVER_SUFFIX)
-
-    def _clock_offset(self) -> float:
-        """Return the node's clock (ms) where the system's monotonic one, which processes share, is 0."""
-        return self.now() - time.monotonic() * 1000
-
     # --- for recovery: `RecoveryHost`
 
     def now(self) -> float:
@@ -248,19 +215,13 @@
         Returns:
             The most requests a second that the node has carried when warm; 0: unknown.
         """
-        before = self._counts
-        counts = self._counts = self._count_requests()
-        if before is None or counts.counted_at <= before.counted_at:
-            return self.peak_rate
-        elapsed = counts.counted_at - before.counted_at
-        if self.shell.core.phase is Phase.FULL:
-            completed_per_s = (counts.completed - before.completed) / elapsed
-            self._smoothed_rate += RATE_SMOOTHING * (completed_per_s - self._smoothed_rate)
-            self.peak_rate = max(PEAK_DECAY * self.peak_rate, self._smoothed_rate)
-        else:
-            arrived_per_s = (counts.arrived - before.arrived) / elapsed
-            self.shell.handle(events.DemandMeasured(max(0.0, arrived_per_s)))
-        return self.peak_rate
+        rates = self._rates.measure(self._count_requests())
+        if rates is not None:
+            if self.shell.core.phase is Phase.FULL:
+                self._rates.record_warm(rates.completed_per_s)
+            else:
+                self.shell.handle(events.DemandMeasured(max(0.0, rates.arrived_per_s)))
+        return self._rates.peak
 
     def _count_requests(self) -> RequestCounts:
         ends = self.node.figures.ends
--- a/balancer/net/recovery_handover.py
+++ b/balancer/net/recovery_handover.py
@@ -6,6 +6,9 @@
 
 from __future__ import annotations
 
+import asyncio
+import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -16,6 +19,35 @@
 
 HANDOVER_SUFFIX = ".return"  # of the file, beside the others by which a node's processes meet
 LOG_NAME = "recovery"
+POLL_INTERVAL_S = 0.02  # between two looks for the predecessor's file
+WAIT_TIMEOUT_S = 0.5  # for which it is looked for
+
+
+class HandoverFile:
+    """The file of a node."""
+
+    def __init__(self, meeting: Path, clock: Callable[[], float]) -> None:
+        """Create the access to it; `clock` returns the node's time, ms."""
+        self._path = meeting.with_suffix(HANDOVER_SUFFIX)
+        self._clock = clock
+
+    def write(self, state: RecoveryHandover) -> None:
+        """Leave the state for the successor."""
+        write_handover(self._path, state, self._clock_offset())
+
+    async def wait(self) -> RecoveryHandover | None:
+        """Return what the predecessor leaves, once it has seen this process; None if it leaves nothing."""
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + WAIT_TIMEOUT_S
+        while (state := read_handover(self._path, self._clock_offset())) is None:
+            if loop.time() >= deadline:
+                break
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return state
+
+    def _clock_offset(self) -> float:
+        """Return the node's clock (ms) where the system's monotonic one, which processes share, is 0."""
+        return self._clock() - time.monotonic() * 1000
 
 
 def write_handover(path: Path, state: RecoveryHandover, clock: float) -> None:
--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -76,14 +76,38 @@
     return int.from_bytes(hashlib.blake2b(fields.encode(), digest_size=8).digest(), "big")
 
 
+class BanCounter:
+    """Counter of the bans that one node issues."""
+
+    def __init__(self, incarnation: int, sequence: int) -> None:
+        """Create a counter that stands at these numbers."""
+        self.incarnation = incarnation
+        self.sequence = sequence
+
+    def is_behind(self, entry: BanEntry) -> bool:
+        """Return whether an entry of this node counts further."""
+        return entry.counter > (self.incarnation, self.sequence)
+
+    def advance_past(self, entry: BanEntry) -> None:
+        """Continue in an incarnation above: the former process may have used what follows in its own."""
+        if self.is_behind(entry):
+            self.incarnation = entry.incarnation + 1
+
+    def increment(self) -> None:
+        """Advance to the next ban."""
+        self.sequence += 1
+        if self.sequence >= COUNTER_LIMIT:
+            self.incarnation += 1
+            self.sequence = 0
+
+
 class BanRegister:
     """The entries that one node knows."""
 
     def __init__(self, node: int, incarnation: int, sequence: int = 0) -> None:
         """Create an empty register; `sequence` should differ between two processes of one incarnation."""
         self.node = node
-        self.incarnation = incarnation
-        self.sequence = sequence
+        self.counter = BanCounter(incarnation, sequence)
         self.hash = 0  # of all shareable entries; equal where the entries are
         self.buckets = [0] * BUCKET_COUNT
         self.counts: Counter[str] = Counter()
@@ -138,9 +162,11 @@
         """Return the entry of a ban requested here, above all of this node so far. It is not merged yet."""
         known = self.get(backend, self.node)
         if known is not None:
-            self._advance_past(known)
-        self._increment()
-        return BanEntry(backend, self.node, self.incarnation, self.sequence, True, requested_at)
+            self.counter.advance_past(known)
+        self.counter.increment()
+        return BanEntry(
+            backend, self.node, self.counter.incarnation, self.counter.sequence, True, requested_at
+        )
 
     def new_lift(self, backend: str, requested_at: float) -> list[BanEntry]:
         """Return the entries of a lift requested here: every known ban is lifted. Not merged yet."""
@@ -174,7 +200,7 @@
         """
         own = [entry for entry in entries if entry.node == self.node and self._is_valid(entry)]
         for entry in own:
-            self._advance_past(entry)
+            self.counter.advance_past(entry)
         changed = self.merge(entries)
         self._restored.update(entry.backend for entry in own if entry.active)
         return changed
@@ -200,7 +226,7 @@
 
     def outbid(self, entry: BanEntry) -> list[BanEntry]:
         """Issue own bans anew above an entry of a former incarnation, which must not cover them."""
-        self._advance_past(entry)
+        self.counter.advance_past(entry)
         self.counts["outbid"] += 1
         reissued = []
         for backend in sorted(self._issued):
@@ -227,24 +253,13 @@
 
     def _reissue_for(self, entry: BanEntry) -> list[BanEntry]:
         """Return own bans issued anew because of an entry of this node that a peer had."""
-        is_ahead = entry.counter > (self.incarnation, self.sequence)
+        is_ahead = self.counter.is_behind(entry)
         if is_ahead:  # of an incarnation unknown to this disk: what the disk has may come after that one
             self._issued |= self._restored
         if not is_ahead and entry.backend not in self._issued:
             return []
         return self.outbid(entry)
 
-    def _advance_past(self, entry: BanEntry) -> None:
-        """Continue in an incarnation above: the former process may have used what follows in its own."""
-        if entry.counter > (self.incarnation, self.sequence):
-            self.incarnation = entry.incarnation + 1
-
-    def _increment(self) -> None:
-        self.sequence += 1
-        if self.sequence >= COUNTER_LIMIT:
-            self.incarnation += 1
-            self.sequence = 0
-
     def _is_valid(self, entry: BanEntry) -> bool:
         """Return whether a greater counter exists: else its sender could keep this node from its bans."""
         valid = (
--- a/balancer/recovery/ban_requests.py
+++ b/balancer/recovery/ban_requests.py
@@ -176,7 +176,8 @@
     async def _apply_changes(self) -> None:
         while True:
             change = await self._changes.get()
-            action, request = change.action, change.request
+            action = change.action
+            request = change.request
             try:
                 await self._apply_change(action.backend, action.banned, max(0.0, action.since_ms))
             finally:
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -217,7 +217,7 @@
         context = self.context
         context.disk = DiskState(event.sound, event.fresh_disk, event.age_ms)
         if self.is_trusted(StateKind.INCARNATION):
-            self.register.incarnation = max(self.register.incarnation, event.incarnation)
+            self.register.counter.incarnation = max(self.register.counter.incarnation, event.incarnation)
         found = event.entries if event.sound else ()
         entries = [entry._replace(changed_at=min(entry.changed_at, context.now)) for entry in found]
         self.phases.deferred_entries = [e for e in entries if not self.is_trusted(entry_kind(e))]
@@ -297,7 +297,7 @@
         flags |= StatusFlag.WARM if self.phases.is_warm else StatusFlag(0)
         is_surveyed = self.phase >= Phase.LISTED
         return NodeStatus(
-            incarnation=self.register.incarnation,
+            incarnation=self.register.counter.incarnation,
             uptime_ms=context.now - context.started_at,
             phase=self.phase,
             path=PATHS.index(self.path),
--- a/balancer/recovery/phase_machine.py
+++ b/balancer/recovery/phase_machine.py
@@ -87,7 +87,8 @@
         return self.phase_ends_at()
 
     def _next_survey_deadline(self) -> float:
-        config, now = self.context.config, self.context.now
+        config = self.context.config
+        now = self.context.now
         waits = (config.survey_interval, config.isolation_timeout, config.max_survey)
         deadlines = (self.survey_started_at + wait for wait in waits)
         return min((deadline for deadline in deadlines if deadline > now), default=now)
--- a/balancer/recovery/receiver.py
+++ b/balancer/recovery/receiver.py
@@ -53,7 +53,8 @@
         if message is None:
             return
         self._context.counts["received"] += 1
-        node, now = message.sender, self._context.now
+        node = message.sender
+        now = self._context.now
         match message.body:
             case NodeStatus() as status:
                 self._survey.record(node, status)
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -25,11 +25,11 @@
 from balancer.recovery.core import Recovery
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.trust import StateKind
+from balancer.recovery.wakeup_timer import WakeupTimer
 
 log = logging.getLogger(__name__)
 
 START_MARGIN_MS = 500.0  # past the longest survey, after which the node serves in any case
-MIN_TIMER_MS = 1.0
 
 
 class RecoveryHost(Protocol):
@@ -90,14 +90,12 @@
         self.core = Recovery(config, node, len(port.peers), incarnation, seed, host.now())
         self.has_failed = False
         self.serving = asyncio.Event()  # from the phase LISTED on
-        self._loop = asyncio.get_running_loop()
         self._capacity: actions.CapacityGranted | None = None
         self._admission = Admission(Phase.FULL, None)
-        self._timer: asyncio.TimerHandle | None = None
-        self._wakeup_at = math.inf
+        self._timer = WakeupTimer(host.now, lambda: self.handle(events.Tick()))
         self._requests = BanRequests(disk, host.apply_ban, self.handle, self.is_banned)
         self._migrated: list[BanRequest] = []  # bans from before the register
-        port.register(RECOVERY, self._receive)
+        port.register(RECOVERY, lambda source, data: self.handle(events.DatagramReceived(source, data)))
 
     # --- the start
 
@@ -163,7 +161,7 @@
         for action in wanted:
             self._perform(action, request)
         self._update_admission()
-        self._arm_timer()
+        self._timer.arm(self.core.next_wakeup)
 
     def members_changed(self, incarnations: Mapping[int, int], quorum: bool) -> None:
         """Record who is present, by the membership."""
@@ -184,9 +182,6 @@
         """
         return await self._requests.result(self._requests.start(backend, banned, self.host.now()))
 
-    def _receive(self, source: int, data: bytes) -> None:
-        self.handle(events.DatagramReceived(source, data))
-
     # --- queries
 
     def is_trusted(self, kind: StateKind) -> bool:
@@ -220,11 +215,15 @@
             case actions.RestrictSavedList():
                 self.host.restrict_saved_list(action.ids)
             case actions.PhaseEntered():
-                phase, path = action.phase.name.lower(), action.path.value
-                log.info("recovery: phase %s, path %s: %s", phase, path, action.reason)
+                self._log_phase(action)
             case actions.CapacityGranted():
                 self._capacity = action
 
+    @staticmethod
+    def _log_phase(entered: actions.PhaseEntered) -> None:
+        phase = entered.phase.name.lower()
+        log.info("recovery: phase %s, path %s: %s", phase, entered.path.value, entered.reason)
+
     def _update_admission(self) -> None:
         """Tell the node what has changed for its requests."""
         phase = self.core.phase
@@ -236,21 +235,6 @@
             self.host.set_admission(admission.phase, admission.capacity)
         self.serving.set()
 
-    def _arm_timer(self) -> None:
-        wakeup_at = self.core.next_wakeup
-        if wakeup_at >= self._wakeup_at:
-            return
-        if self._timer is not None:
-            self._timer.cancel()
-        self._wakeup_at = wakeup_at
-        delay = max(MIN_TIMER_MS, wakeup_at - self.host.now()) / 1000
-        self._timer = self._loop.call_later(delay, self._tick)
-
-    def _tick(self) -> None:
-        self._wakeup_at = math.inf
-        self._timer = None
-        self.handle(events.Tick())
-
     def _give_up(self) -> None:
         self.has_failed = True
         self._requests.fail()
@@ -268,6 +252,5 @@
     def close(self) -> None:
         """Fall silent."""
         self.has_failed = True
-        if self._timer is not None:
-            self._timer.cancel()
+        self._timer.cancel()
         self._requests.close()
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -4,6 +4,7 @@
 
 import contextlib
 from collections.abc import AsyncIterator
+from pathlib import Path
 from types import SimpleNamespace
 from typing import Any, cast
 
@@ -53,7 +54,12 @@
         told.append((kind, {m.backend: m.phase for m in update.members}))
 
     one: Any = SimpleNamespace(
-        settings=BASE, config=SimpleNamespace(seed=1), now=lambda: 1000.0, list=take, event=lambda event: None
+        settings=BASE,
+        meeting=Path("unused"),
+        config=SimpleNamespace(seed=1),
+        now=lambda: 1000.0,
+        list=take,
+        event=lambda event: None,
     )
     watcher = Watcher()
     out = RecoveryAdapter(cast(Node, one), watcher, news(41, *names), Port(HERE, [HERE], HERE), 1, None)
--- a/tests/test_recovery_core.py
+++ b/tests/test_recovery_core.py
@@ -279,7 +279,7 @@
     def see(self) -> None:
         """Membership finds out who is there."""
         for node, core in self.nodes.items():
-            there = {n: c.register.incarnation for n, c in self.nodes.items()
+            there = {n: c.register.counter.incarnation for n, c in self.nodes.items()
                      if self.side.get(n, 0) == self.side.get(node, 0)}  # fmt: skip
             if core.phase > Phase.VERIFY:
                 self.event(node, MembershipChanged(there, 2 * len(there) > self.count))
@@ -553,8 +553,14 @@
     tier = start(StateKind.LIST, TrustLevel.NEVER)
     tier.run(1_100)
     assert tier.of(0, RestrictSavedList) == [RestrictSavedList(frozenset("ab"))]
-    assert start(StateKind.INCARNATION, TrustLevel.NEVER, incarnation=9).nodes[0].register.incarnation == 1
-    assert start(StateKind.INCARNATION, TrustLevel.ALONE, incarnation=9).nodes[0].register.incarnation == 9
+    assert (
+        start(StateKind.INCARNATION, TrustLevel.NEVER, incarnation=9).nodes[0].register.counter.incarnation
+        == 1
+    )
+    assert (
+        start(StateKind.INCARNATION, TrustLevel.ALONE, incarnation=9).nodes[0].register.counter.incarnation
+        == 9
+    )
     assert start(StateKind.WARM_RATE, TrustLevel.NEVER, warm_rate=10.0).nodes[0].quota.tier_rate == 0
     assert start(StateKind.WARM_RATE, TrustLevel.ALONE, warm_rate=10.0).nodes[0].quota.tier_rate == 30
     for sound, fresh in ((False, False), (True, True)):
