--- a/balancer/lab/scale/returns.py
+++ b/balancer/lab/scale/returns.py
@@ -50,9 +50,13 @@
         life = int(self.now / LIFE_UNIT)
         ban = BanEntry(BACKENDS[0], 0, life, 1, True, self.now)
         for disk in self.disks:
-            disk.used, disk.life, disk.written_wall = True, life, self.now
-            disk.rows, disk.revision, disk.saved = [(ban,)], self.discovery.revision, BACKENDS
-            disk.rate = RATE
+            disk.is_used = True
+            disk.incarnation = life
+            disk.written_at = self.now
+            disk.records = [(ban,)]
+            disk.revision = self.discovery.revision
+            disk.saved_ids = BACKENDS
+            disk.warm_rate = RATE
         self.run(self.now + DARK_MS)
         self.power_at = self.now
         for name in BACKENDS:
@@ -71,7 +75,7 @@
             for node, process in enumerate(self.processes):
                 if process is not None and process.phase is Phase.FULL:
                     self.full.setdefault(node, since)
-                if process is not None and process.told:
+                if process is not None and process.listed_starts:
                     self.told.setdefault(node, since)
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
@@ -89,7 +93,7 @@
         meter, full, told = tier.meter, _last(tier.full, count), _last(tier.told, count)
         yield from of.took("return_full", full)
         yield from of.took("return_told", told)
-        calls = max(tier.discovery.per_second.values())
+        calls = max(tier.discovery.requests_per_second.values())
         yield of.counted("return_calls", "entries", calls)
         yield of.counted("return_datagrams", "entries", meter.datagrams / count)
         yield of.counted("return_bytes", "bytes", meter.size / count)
--- /dev/null
+++ b/balancer/sim/recovery_actions.py
@@ -0,0 +1,113 @@
+"""Carries out what the cores of a simulated tier ask for: datagrams, writes, bans, polls of discovery."""
+
+from __future__ import annotations
+
+from collections import Counter
+from functools import partial
+from typing import TYPE_CHECKING
+
+from balancer.recovery import actions, events
+from balancer.recovery.phases import Phase
+from balancer.sim.recovery_disks import Record
+from balancer.sim.recovery_process import EnteredPhase, OperatorRequest, Process
+
+if TYPE_CHECKING:
+    from balancer.sim.recovery_world import Tier
+
+
+def shifted(entries: Record, by: float) -> Record:
+    """Return entries with their times on another clock."""
+    return tuple(entry._replace(changed_at=entry.changed_at + by) for entry in entries)
+
+
+class ActionRunner:
+    """Carries out actions of the cores of a tier."""
+
+    def __init__(self, tier: Tier, write_ms: tuple[float, float]) -> None:
+        """Create the runner; a write takes between two times."""
+        self.sync_failure_rate = 0.0
+        self.sent: Counter[int] = Counter()  # recovery datagrams by second
+        self.handled_token = 0  # of the event that a core is handling
+        self._tier = tier
+        self._write_ms = write_ms
+        self._written_until = [0.0] * tier.count
+
+    def run(self, node: int, process: Process, action: actions.Action) -> None:
+        """Carry out an action of a node's core."""
+        tier = self._tier
+        number = tier.hosts[node].number
+        match action:
+            case actions.SendDatagram():
+                self.sent[int(tier.now / 1000)] += 1
+                tier.send_datagram(node, action.node, action.data)
+            case actions.PersistEntries():
+                process.writing[action.token] += 1
+                self._write(node, number, action)
+            case actions.ApplyBan():
+                self._apply(process, action)
+            case actions.RequestList():
+                answered = partial(tier.list_answered, node, number)
+                tier.discovery.call(answered, partial(tier.list_failed, node, number))
+            case actions.RestrictSavedList():
+                process.restricted_ids = action.ids
+                if tier.observer is not None:
+                    tier.observer.list_restricted(node, action.ids)
+            case actions.PhaseEntered():
+                self._enter(node, process, action)
+            case actions.CapacityGranted():
+                process.capacity = action
+
+    def _enter(self, node: int, process: Process, action: actions.PhaseEntered) -> None:
+        tier = self._tier
+        phase = action.phase.name.lower()
+        tier.note(f"n{node} phase {phase}, path {action.path.value}: {action.reason}")
+        if action.phase is Phase.ASK:
+            process.survey_began = tier.now
+        if tier.observer is not None:
+            tier.observer.phase_entered(node, action)
+        process.phases.append(EnteredPhase(tier.now, action.phase, action.path))
+        process.phase = action.phase
+
+    def _apply(self, process: Process, action: actions.ApplyBan) -> None:
+        if action.banned:
+            process.banned.add(action.backend)
+        else:
+            process.banned.discard(action.backend)
+        request = process.pending.get(self.handled_token)
+        if request is not None and (request.backend, request.banned) == (action.backend, action.banned):
+            self._answer(process, request)
+
+    def _answer(self, process: Process, request: OperatorRequest) -> None:
+        del process.pending[request.token]
+        self._tier.note(f"n{request.node} says yes: {request.description}")
+        if self._tier.observer is not None:
+            self._tier.observer.answered(request)
+
+    def _write(self, node: int, number: int, action: actions.PersistEntries) -> None:
+        """Write records in the order of their calls, by a thread that may be slow."""
+        tier = self._tier
+        begins = max(self._written_until[node], tier.now)
+        self._written_until[node] = begins + tier.dice.uniform(*self._write_ms)
+        written = partial(self._written, node, number, action.entries, action.token)
+        tier.at(self._written_until[node], written)
+
+    def _written(self, node: int, number: int, entries: Record, token: int | None) -> None:
+        tier = self._tier
+        process = tier.processes[node]
+        disk = tier.disks[node]
+        if process is None or tier.hosts[node].number != number:
+            return
+        process.writing[token] -= 1
+        if token is not None and tier.dice.random() < self.sync_failure_rate:
+            tier.handle_event(node, events.WriteCompleted(token, False))
+            process.pending.pop(token, None)
+            return
+        if entries:
+            disk.unsynced.append(shifted(entries, tier.wall_offsets[node] - tier.hosts[node].shift))
+        disk.written_at = tier.now + tier.wall_offsets[node]
+        if token is None:
+            return
+        disk.sync()
+        tier.handle_event(node, events.WriteCompleted(token, True))
+        if token in process.pending and not process.writing[token]:  # nothing changed by it
+            self._answer(process, process.pending[token])
--- a/balancer/sim/recovery_disks.py
+++ b/balancer/sim/recovery_disks.py
@@ -1,7 +1,7 @@
-"""What a node's disk holds in the simulation of a tier's return, and what a start finds of it.
+"""Model of a node's disk in the simulation of a tier's recovery, and what a start finds on it.
 
-A model one step above `sim/disk.py`: records are kept whole and in order, as the store's own exploration has
-proved; here it counts which of them a start finds.
+A model one step above `sim/disk.py`: records are kept complete and in order, as the store's own exploration
+has proved; here it counts which of them a start finds.
 """
 
 from __future__ import annotations
@@ -13,17 +13,20 @@
 from balancer.recovery.ban_register import BanEntry, EntryKey
 
 MONTH_MS = 30 * 24 * 3600 * 1000.0
+MAX_LOST_RECORDS = 3  # of a disk without its last ones
+
+Record = tuple[BanEntry, ...]
 
 
 class Condition(Enum):
-    """What has become of a disk by a node's start."""
+    """Condition of a disk at a node's start."""
 
     SOUND = "sound"  # all that was synced, and some of what was not
     LOST = "lost"  # another, empty disk
     DAMAGED = "damaged"  # nothing of it can be read
-    OLDER = "older"  # the last records are not there, and nothing tells that they were
+    OLDER = "older"  # the last records are missing, and nothing tells that they were there
     MONTH = "month"  # an image of long ago
-    SWAPPED = "swapped"  # another node's directory: refused
+    SWAPPED = "swapped"  # another node's directory: rejected
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,63 +35,97 @@
 
     sound: bool
     fresh: bool
-    life: int
-    age_ms: float  # by a wall clock that may have been stepped
-    rows: tuple[BanEntry, ...]
-    revision: int
-    saved: tuple[str, ...]
-    rate: float
+    incarnation: int = 0
+    age_ms: float = 0.0  # by a wall clock that may have been stepped
+    entries: Record = ()
+    revision: int = 0
+    saved_ids: tuple[str, ...] = ()
+    warm_rate: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class Image:
+    """A copy of a disk from long ago."""
+
+    record_count: int = 0
+    revision: int = 0
+    saved_ids: tuple[str, ...] = ()
 
 
 @dataclass
 class Disk:
-    """One node's records. `epoch` goes up each time that something that was synced is gone."""
+    """One node's records."""
 
-    rows: list[tuple[BanEntry, ...]] = field(default_factory=list)
-    unsure: list[tuple[BanEntry, ...]] = field(default_factory=list)  # written, not synced
-    life: int = 0
-    written_wall: float = 0.0
+    records: list[Record] = field(default_factory=list)
+    unsynced: list[Record] = field(default_factory=list)
+    incarnation: int = 0
+    written_at: float = 0.0  # by the node's wall clock
     revision: int = 0
-    saved: tuple[str, ...] = ()
-    rate: float = 0.0
-    used: bool = False  # by any process so far
-    epoch: int = 0
-    image: tuple[int, int, tuple[str, ...]] | None = None  # records, revision and list of long ago
+    saved_ids: tuple[str, ...] = ()
+    warm_rate: float = 0.0
+    is_used: bool = False  # by any process so far
+    epoch: int = 0  # raised each time that something that was synced is gone
+    image: Image = field(default_factory=Image)
 
     def sync(self) -> None:
-        """All that was written is sure."""
-        self.rows += self.unsure
-        self.unsure = []
+        """Make all writes durable."""
+        self.records += self.unsynced
+        self.unsynced = []
 
-    def photograph(self) -> None:
+    def take_image(self) -> None:
         """Keep an image that may come back as a disk of a month ago."""
-        self.image = (len(self.rows), self.revision, self.saved)
+        self.image = Image(len(self.records), self.revision, self.saved_ids)
 
-    def power_cut(self, dice: random.Random) -> None:
-        """Of what was not synced a first part may be there."""
-        self.rows += self.unsure[: dice.randint(0, len(self.unsure))]
-        self.unsure = []
+    def cut_power(self, generator: random.Random) -> None:
+        """Lose all but a first part of what was not synced."""
+        self.records += self.unsynced[: generator.randint(0, len(self.unsynced))]
+        self.unsynced = []
 
-    def read(self, condition: Condition, wall: float, dice: random.Random) -> Found:
-        """What the next start finds; the disk is in that state from now on."""
-        age = wall - self.written_wall
+    def read(self, condition: Condition, wall_time: float, generator: random.Random) -> Found:
+        """Return what the next start finds; the disk is in that condition from now on."""
+        age_ms = wall_time - self.written_at
         self.sync()  # after a mere crash the page cache has all of it
         match condition:
             case Condition.LOST | Condition.DAMAGED | Condition.SWAPPED:
-                self.rows, self.life, self.revision, self.saved, self.rate = [], 0, 0, (), 0.0
-                self.epoch, self.used = self.epoch + 1, True
-                empty = condition is Condition.LOST
-                return Found(empty, empty, 0, 0.0, (), 0, (), 0.0)
+                self._clear()
+                is_empty = condition is Condition.LOST
+                return Found(sound=is_empty, fresh=is_empty)
             case Condition.OLDER:
-                self.rows, self.epoch = self.rows[: -dice.randint(1, 3)], self.epoch + 1
+                self.records = self.records[: -generator.randint(1, MAX_LOST_RECORDS)]
+                self.epoch += 1
             case Condition.MONTH:
-                records, self.revision, self.saved = self.image or (0, 0, ())
-                self.rows, self.epoch = self.rows[:records], self.epoch + 1
-                age += MONTH_MS
-        fresh, self.used = not self.used, True
-        best: dict[EntryKey, BanEntry] = {}
-        for row in (row for record in self.rows for row in record):  # an earlier one may be written later
-            if (known := best.get(row.key)) is None or row.version > known.version:
-                best[row.key] = row
-        rows = tuple(best.values())
-        return Found(True, fresh, self.life, age, rows, self.revision, self.saved, self.rate)
+                self.records = self.records[: self.image.record_count]
+                self.revision = self.image.revision
+                self.saved_ids = self.image.saved_ids
+                self.epoch += 1
+                age_ms += MONTH_MS
+        is_fresh = not self.is_used
+        self.is_used = True
+        return Found(
+            sound=True,
+            fresh=is_fresh,
+            incarnation=self.incarnation,
+            age_ms=age_ms,
+            entries=self._newest_entries(),
+            revision=self.revision,
+            saved_ids=self.saved_ids,
+            warm_rate=self.warm_rate,
+        )
+
+    def _clear(self) -> None:
+        self.records = []
+        self.incarnation = 0
+        self.revision = 0
+        self.saved_ids = ()
+        self.warm_rate = 0.0
+        self.epoch += 1
+        self.is_used = True
+
+    def _newest_entries(self) -> Record:
+        newest: dict[EntryKey, BanEntry] = {}
+        for record in self.records:
+            for entry in record:  # an earlier one may be written later
+                known = newest.get(entry.key)
+                if known is None or entry.version > known.version:
+                    newest[entry.key] = entry
+        return tuple(newest.values())
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -22,7 +22,7 @@
 from balancer.recovery.poll_schedule import PollSchedule
 from balancer.recovery.quota import CapacityQuota
 from balancer.recovery.saved_list import SavedList
-from balancer.sim.recovery_world import MakeCore
+from balancer.sim.recovery_process import MakeCore
 
 RETRY_MS = 50.0  # to the next wakeup of a core that is past its deadline
 CLOCK_TOLERANCE_MS = 1.0  # below which two times of an entry count as equal
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -1,47 +1,51 @@
-"""The outside observer of a tier's return: it sees all and decides nothing. What it holds against a tier:
-
-- `ban`. A ban that was said yes to, and that no return since was called for at a node that knew of it, is
-  kept by every node that serves and could have known. A node could have known if (a) it said yes itself and
-  nothing that was synced has gone from its disk since, or its disk held the ban when it was read; (b) it
-  began to serve before `RecoveryConfig.max_survey` had passed, on a network that loses nothing, though a live
-  peer that had
-  known for `NEWS_MS` was in touch with it since it began to ask (not on the path of a crash within
-  `learn_ms` of a heal: two peers that went on may not have heard it either); (c) it has been in touch with a
-  live peer that knows for longer than `learn_ms`, or than `SOON_MS` on a network that loses nothing where
-  that peer itself said yes when they had been in touch for `SETTLED_MS`. "In touch": both processes run and
-  no partition is between them. At other nodes a return of a later-numbered life of the node that said yes,
-  on a disk that was lost since, may cover its ban until it has heard of that and issued it anew: as in (c).
-- `known`. What a process has known of a row, or has read of it on a disk, it never knows less of: greater
-  counter, and at the same one a return over a ban. So a disk of a month ago undoes nothing.
-- `applied`. The backends that a serving node keeps out are those with a live row in its register.
+"""Outside observer of a simulated tier: it sees all and decides nothing.
+
+What it holds against a tier:
+
+- `ban`. A ban that was acknowledged, and that no lift since was requested for at a node that knew of it, is
+  kept by every node that serves and could have known. A node could have known if (a) it acknowledged the ban
+  itself and nothing that was synced has gone from its disk since, or its disk held the ban when it was read;
+  (b) it began to serve before `RecoveryConfig.max_survey` had passed, on a network that loses nothing, though
+  a live peer that had known for `SPREAD_MS` was in touch with it since it began to ask (not on the path of a
+  crash within `learn_ms` of a heal: two peers that went on may not have heard it either); (c) it has been in
+  touch with a live peer that knows for longer than `learn_ms`, or than `DIRECT_SPREAD_MS` on a network that
+  loses nothing where that peer itself acknowledged it when they had been in touch for `SETTLED_MS`. "In
+  touch": both processes run and no partition is between them. At other nodes a lift by a later incarnation of
+  the node that acknowledged, on a disk that was lost since, may cover its ban until it has heard of that and
+  issued it anew: as in (c).
+- `known`. What a process has known of an entry, or has read of it on a disk, it never knows less of: greater
+  counter, and at the same one a lift over a ban. So a disk of a month ago undoes nothing.
+- `applied`. The backends that a serving node avoids are those with an active entry in its register.
 - `budget`. No cold backend is sent more than its budget by nodes that know of its start: discovery has told
   them, or they lost power together with it. Each sends as much as it is admitted: that is an upper bound.
-- `phase`. Phases only go forward within a life, a successor's from its predecessor's.
+- `phase`. Phases only go forward within an incarnation, a successor's from its predecessor's.
 - `list`. A peer's word restricts at most half of the saved list, and nothing that is not in it.
-- `turns`. Discovery has at most twice 1000 / slot calls in a second. A tier whose nodes enter `listed` at one
-  moment makes half of that; those that enter it one after the other may share places.
-- `full`, `agree` (by `Observer.ends`). A stated time after the last fault all are in phase `full`, and
+- `turns`. Discovery has at most twice 1000 / slot requests in a second. A tier whose nodes enter `listed` at
+  one moment makes half of that; those that enter it one after the other may share slots.
+- `full`, `agree` (by `Observer.judge_end`). A stated time after the last fault all are in phase `full`, and
   the registers of all are the same.
 """
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass, field
 
 from balancer.policy import COLD_PART
 from balancer.recovery.actions import PhaseEntered
-from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.ban_register import BanEntry, EntryKey
 from balancer.recovery.phases import Phase, RecoveryPath
-from balancer.sim.recovery_environment import FALL_MULTIPLE, warmth
-from balancer.sim.recovery_world import LOOK_MS, Call, Process, Tier
+from balancer.sim.recovery_environment import FALL_MULTIPLE, RAMP_MS, Backend, warmth
+from balancer.sim.recovery_process import OperatorRequest, Process
+from balancer.sim.recovery_world import OBSERVATION_MS, Tier
 
-SOON_MS, SETTLED_MS = 3_000.0, 8_000.0
-NEWS_MS = 1_000.0  # within which a yes has reached all that hear each other without loss
-STORM = 2.0  # demand after an outage, in capacities: what nodes send that think a backend warm
-MOST_BREACHES = 20
-
-Key = tuple[str, int]
-Counter = tuple[int, int]
+DIRECT_SPREAD_MS = 3_000.0
+SETTLED_MS = 8_000.0
+SPREAD_MS = 1_000.0  # within which an acknowledged ban has reached all that hear each other without loss
+STORM_DEMAND = 2.0  # after an outage, in capacities: what nodes send that think a backend warm
+SURVEY_MARGIN_MS = 1.0
+MAX_BREACHES = 20
+MAX_LISTED_NODES = 8  # in a breach's text
 
 
 @dataclass(slots=True, frozen=True)
@@ -53,238 +57,283 @@
     text: str
 
 
+@dataclass(slots=True, frozen=True)
+class KnowingProcess:
+    """A process that knows a ban."""
+
+    node: int
+    number: int  # of its process
+
+
+@dataclass(slots=True, frozen=True)
+class KnowingNode:
+    """A node that knows a ban now."""
+
+    node: int
+    since: float
+
+
 @dataclass
-class Ban:
-    """One that was said yes to; `ended` once a return was called for where it was known."""
+class AcknowledgedBan:
+    """A ban that an operator was told of."""
 
     backend: str
     node: int
-    counter: Counter
-    epoch: int  # of the disk of the node that said yes
+    counter: tuple[int, int]
+    epoch: int  # of the disk of the node that acknowledged it
     at: float
-    ended: bool = False
-    known: dict[tuple[int, int], float] = field(default_factory=dict)  # by node and process: since when
-    covered: dict[int, float] = field(default_factory=dict)  # by node: since when a greater counter hides it
+    has_ended: bool = False  # a lift was requested where it was known
+    known_since: dict[KnowingProcess, float] = field(default_factory=dict)
+    covered_since: dict[int, float] = field(default_factory=dict)  # by node: a greater counter hides it
 
 
-def newer(now: BanEntry, before: BanEntry) -> bool:
-    """Whether `now` says all that `before` said."""
-    one, other = now.counter, before.counter
-    return one > other or (one == other and now.active <= before.active)
+def is_at_least(now: BanEntry, before: BanEntry) -> bool:
+    """Return whether `now` says all that `before` said."""
+    return now.counter > before.counter or (now.counter == before.counter and now.active <= before.active)
 
 
 class Observer:
-    """Looks at a tier every `LOOK_MS` and at each event that counts."""
+    """Looks at a tier at regular times and at each event that counts."""
 
     def __init__(self, tier: Tier, learn_ms: float) -> None:
-        self.tier, self.learn_ms = tier, learn_ms
-        self.lossy = bool(tier.net.loss or tier.net.late or tier.net.corrupt)
+        """Observe a tier in which a ban is known to all in touch after `learn_ms`."""
+        self.tier = tier
+        self.learn_ms = learn_ms
+        self.is_lossy = bool(tier.net.loss or tier.net.late or tier.net.corrupt)
         self.breaches: list[Breach] = []
-        self.bans: list[Ban] = []
-        self.floors: list[dict[Key, BanEntry]] = [{} for _ in range(tier.count)]
-        self.stamps: list[object] = [None] * tier.count
-        self.yes = self.looks = 0
-        tier.watcher = self
+        self.answered_count = 0
+        self._bans: list[AcknowledgedBan] = []
+        self._floors: list[dict[EntryKey, BanEntry]] = [{} for _ in range(tier.count)]
+        self._stamps: list[object] = [None] * tier.count  # of what was compared last
+        tier.observer = self
 
     # --- events
 
-    def began(self, node: int, rows: tuple[BanEntry, ...]) -> None:
-        """A process has read its disk: what that held it knows from now on."""
-        self.floors[node] = {(row.backend, row.node): row for row in rows}
-        self.stamps[node] = None
-        self._hold(node)
+    def disk_read(self, node: int, entries: tuple[BanEntry, ...]) -> None:
+        """Record what a process has read: it knows that from now on."""
+        self._floors[node] = {entry.key: entry for entry in entries}
+        self._stamps[node] = None
+        self._compare_register(node)
         epoch = self.tier.disks[node].epoch
         for ban in self._lasting():
             if ban.node == node and ban.epoch == epoch and not self._knows(node, ban):
                 self._breach("ban", f"n{node} forgot its own ban of {ban.backend} on a sound disk")
 
-    def entered(self, node: int, entered: PhaseEntered) -> None:
-        """A phase begins: never an earlier one, and never service without what a peer at hand could tell."""
+    def phase_entered(self, node: int, entered: PhaseEntered) -> None:
+        """Check that no phase is an earlier one, and none serves without what a peer at hand could tell."""
         process = self._process(node)
-        known = process.phases[-1][2] if process.phases else entered.path
-        refined = entered.phase is process.phase and (entered.path is not known or process.inherits)
-        if entered.phase <= process.phase and not refined:
+        path = process.phases[-1].path if process.phases else entered.path
+        is_refined = entered.phase is process.phase and (entered.path is not path or process.inherits)
+        if entered.phase <= process.phase and not is_refined:
             self._breach("phase", f"n{node} enters {entered.phase.name} from {process.phase.name}")
         process.inherits = False
         if entered.phase is Phase.LISTED and process.phase < Phase.LISTED:
-            self._begins_to_serve(node, process, entered.path)
+            self._check_start(node, process, entered.path)
 
-    def called(self, call: Call) -> None:
-        """From its call on a return may take effect on each ban that its node knew of."""
-        if call.out:
+    def requested(self, request: OperatorRequest) -> None:
+        """Record that a lift may take effect, from now on, on each ban that its node knows of."""
+        if request.banned:
             return
-        for ban in self.bans:
-            if ban.backend == call.backend and any(
-                node == ban.node and (life, seq) >= ban.counter for node, life, seq in call.seen
+        for ban in self._bans:
+            if ban.backend == request.backend and any(
+                node == ban.node and (incarnation, sequence) >= ban.counter
+                for node, incarnation, sequence in request.seen
             ):
-                ban.ended = True
+                ban.has_ended = True
 
-    def answered(self, call: Call) -> None:
-        """A ban that was said yes to has a dot of its node's own."""
-        self.yes += 1
-        if not call.out:
+    def answered(self, request: OperatorRequest) -> None:
+        """Record an acknowledged ban: it has an entry of its node's own."""
+        self.answered_count += 1
+        if not request.banned:
             return
-        own = self._process(call.node).core.register.get(call.backend, call.node)
+        process = self._process(request.node)
+        own = process.core.register.get(request.backend, request.node)
         if own is None:
-            self._breach("ban", f"n{call.node} said yes to a ban of {call.backend} that it does not hold")
+            text = f"n{request.node} said yes to a ban of {request.backend} that it does not hold"
+            self._breach("ban", text)
             return
-        epoch = self.tier.disks[call.node].epoch
-        ban = Ban(call.backend, call.node, own.counter, epoch, self.tier.now)
-        pending = self._process(call.node).pending.values()
-        ban.ended = not own.active or any(c.backend == call.backend and not c.out for c in pending)
-        self.bans.append(ban)
-
-    def restricts(self, node: int, ids: frozenset[str]) -> None:
-        """A peer's list never adds, and takes away no more than half."""
-        saved = self._process(node).saved
+        epoch = self.tier.disks[request.node].epoch
+        ban = AcknowledgedBan(request.backend, request.node, own.counter, epoch, self.tier.now)
+        pending = process.pending.values()
+        is_lifted = any(other.backend == request.backend and not other.banned for other in pending)
+        ban.has_ended = not own.active or is_lifted
+        self._bans.append(ban)
+
+    def list_restricted(self, node: int, ids: frozenset[str]) -> None:
+        """Check that a peer's list never adds, and takes away no more than half."""
+        saved = self._process(node).saved_ids
         if not ids <= saved or 2 * len(ids) > len(saved):
             strange = len(ids - saved)
             self._breach("list", f"n{node} restricts {len(ids)} ids, {strange} not of its {len(saved)}")
 
-    def look(self) -> None:
-        """Some time has passed."""
-        self.looks += 1
+    def time_passed(self) -> None:
+        """Check what holds at any time."""
         for node, process in enumerate(self.tier.processes):
             if process is not None and process.phase > Phase.VERIFY:
-                self._hold(node)
+                self._compare_register(node)
         for ban in self._lasting():
-            self._keeps(ban)
-        self._traffic()
+            self._check_ban(ban)
+        self._check_budgets()
 
-    def ends(self) -> bool:
-        """Whether all that live are full and agree."""
-        processes = [p for p in self.tier.processes if p is not None]
-        full = all(p.phase is Phase.FULL for p in processes)
-        return full and len({p.core.register.hash for p in processes}) <= 1
+    def is_settled(self) -> bool:
+        """Return whether all that live are full and agree."""
+        processes = [process for process in self.tier.processes if process is not None]
+        is_full = all(process.phase is Phase.FULL for process in processes)
+        return is_full and len({process.core.register.hash for process in processes}) <= 1
 
     def judge_end(self) -> None:
-        """The stated time after the last fault is over."""
-        processes = {n: p for n, p in enumerate(self.tier.processes) if p is not None}
-        late = [f"n{n} {p.phase.name}" for n, p in processes.items() if p.phase is not Phase.FULL]
+        """Check what holds the stated time after the last fault."""
+        processes = {node: p for node, p in enumerate(self.tier.processes) if p is not None}
+        late = [f"n{node} {p.phase.name}" for node, p in processes.items() if p.phase is not Phase.FULL]
         if late:
-            self._breach("full", f"not full in time: {', '.join(late[:8])}")
-        calls = max(self.tier.discovery.per_second.values(), default=0)
+            self._breach("full", f"not full in time: {', '.join(late[:MAX_LISTED_NODES])}")
+        calls = max(self.tier.discovery.requests_per_second.values(), default=0)
         if calls > 2_000.0 / self.tier.recovery_config.poll_slot:
             self._breach("turns", f"{calls} calls of discovery in one second")
-        views = {frozenset(row[:5] for row in p.core.register.entries()) for p in processes.values()}
+        views = {
+            frozenset((entry.key, entry.version) for entry in process.core.register.entries())
+            for process in processes.values()
+        }
         if len(views) > 1:
             self._breach("agree", f"{len(views)} different registers at the end")
 
     # --- bans
 
-    def _lasting(self) -> list[Ban]:
-        return [ban for ban in self.bans if not ban.ended]
+    def _lasting(self) -> list[AcknowledgedBan]:
+        return [ban for ban in self._bans if not ban.has_ended]
 
     def _process(self, node: int) -> Process:
         process = self.tier.processes[node]
         assert process is not None
         return process
 
-    def _knows(self, node: int, ban: Ban) -> bool:
-        """Whether a node's register has a ban that no return has seen, or one that took its place."""
-        row = self._process(node).core.register.get(ban.backend, ban.node)
-        return row is not None and row.counter >= ban.counter and row.active
+    def _knows(self, node: int, ban: AcknowledgedBan) -> bool:
+        """Return whether a register has a ban that no lift has seen, or one that took its place."""
+        entry = self._process(node).core.register.get(ban.backend, ban.node)
+        return entry is not None and entry.counter >= ban.counter and entry.active
 
-    def _covers(self, node: int, ban: Ban) -> bool:
-        """Whether a node's register has a row of the ban's node above the ban, that a return has seen."""
-        row = self._process(node).core.register.get(ban.backend, ban.node)
-        return row is not None and row.counter > ban.counter and not row.active
+    def _covers(self, node: int, ban: AcknowledgedBan) -> bool:
+        """Return whether a register has an entry of the ban's node above the ban, that a lift has seen."""
+        entry = self._process(node).core.register.get(ban.backend, ban.node)
+        return entry is not None and entry.counter > ban.counter and not entry.active
 
-    def _hold(self, node: int) -> None:
-        """Compare what a process knows with what it has known, and what it keeps out with what it knows."""
+    def _compare_register(self, node: int) -> None:
+        """Compare what a process knows with what it has known, and what it avoids with what it knows."""
         process = self._process(node)
         register = process.core.register
         stamp = (self.tier.hosts[node].number, register.hash, len(process.banned), process.serves)
-        if stamp == self.stamps[node]:
+        if stamp == self._stamps[node]:
             return
-        self.stamps[node], rows = stamp, register.entries()
-        now, floor = {(row.backend, row.node): row for row in rows}, self.floors[node]
-        for key, before in floor.items():
-            if key not in now or not newer(now[key], before):
-                self._breach("known", f"n{node} knew {before}, now {now.get(key)}")
-        self.floors[node] = now
-        live = {row.backend for row in rows if row.active}
-        if process.serves and live != process.banned:
-            out = sorted(process.banned)
-            self._breach("applied", f"n{node} keeps out {out}, its register has {sorted(live)}")
-
-    def _keeps(self, ban: Ban) -> None:
-        tier, now = self.tier, self.tier.now
+        self._stamps[node] = stamp
+        known = {entry.key: entry for entry in register.entries()}
+        for key, before in self._floors[node].items():
+            if key not in known or not is_at_least(known[key], before):
+                self._breach("known", f"n{node} knew {before}, now {known.get(key)}")
+        self._floors[node] = known
+        active = {entry.backend for entry in known.values() if entry.active}
+        if process.serves and active != process.banned:
+            avoided = sorted(process.banned)
+            self._breach("applied", f"n{node} keeps out {avoided}, its register has {sorted(active)}")
+
+    def _check_ban(self, ban: AcknowledgedBan) -> None:
+        tier = self.tier
         breakers: list[int] = []
-        knowing: list[tuple[int, float]] = []
+        knowing: list[KnowingNode] = []
         for node, process in enumerate(tier.processes):
             if process is None or process.phase is Phase.VERIFY:
                 continue
             if self._knows(node, ban):
-                knowing.append((node, ban.known.setdefault((node, tier.hosts[node].number), now)))
+                knower = KnowingProcess(node, tier.hosts[node].number)
+                knowing.append(KnowingNode(node, ban.known_since.setdefault(knower, tier.now)))
             elif process.serves and ban.backend not in process.banned:
                 breakers.append(node)
         for node in breakers:
-            if node == ban.node and ban.epoch == tier.disks[node].epoch:
-                self._breach("ban", f"n{node} sends to {ban.backend} that it has said yes to ban")
-            for peer, since in knowing:
-                touch = tier.touch_since(node, peer)
-                if touch is None:
-                    continue
-                if self._covers(node, ban):
-                    since = max(since, ban.covered.setdefault(node, now))
-                soon = not self.lossy and peer == ban.node and ban.at > touch + SETTLED_MS
-                if now - max(touch, since) > (SOON_MS if soon else self.learn_ms):
-                    self._breach("ban", f"n{node} sends to {ban.backend}; n{peer} knows the ban "
-                                        f"and is in touch for {now - max(touch, since):.0f} ms")  # fmt: skip
-                    break
-
-    def _begins_to_serve(self, node: int, process: Process, path: RecoveryPath) -> None:
+            self._check_breaker(node, ban, knowing)
+
+    def _check_breaker(self, node: int, ban: AcknowledgedBan, knowing: list[KnowingNode]) -> None:
+        """Check whether a node that sends to a banned backend could have known of the ban."""
         tier = self.tier
-        if path is RecoveryPath.CRASH and any(
-            p.begin <= tier.now < p.until + self.learn_ms for p in tier.partitions
-        ):
+        if node == ban.node and ban.epoch == tier.disks[node].epoch:
+            self._breach("ban", f"n{node} sends to {ban.backend} that it has said yes to ban")
+        for peer in knowing:
+            touch = tier.in_touch_since(node, peer.node)
+            if touch is None:
+                continue
+            since = peer.since
+            if self._covers(node, ban):
+                since = max(since, ban.covered_since.setdefault(node, tier.now))
+            is_direct = not self.is_lossy and peer.node == ban.node and ban.at > touch + SETTLED_MS
+            elapsed = tier.now - max(touch, since)
+            if elapsed > (DIRECT_SPREAD_MS if is_direct else self.learn_ms):
+                text = f"n{node} sends to {ban.backend}; n{peer.node} knows the ban and is in touch"
+                self._breach("ban", f"{text} for {elapsed:.0f} ms")
+                break
+
+    def _check_start(self, node: int, process: Process, path: RecoveryPath) -> None:
+        """Check that a node which begins to serve has asked its peers."""
+        tier = self.tier
+        is_healing = any(p.begin <= tier.now < p.until + self.learn_ms for p in tier.partitions)
+        if path is RecoveryPath.CRASH and is_healing:
             return
-        asked = tier.now - process.ask_began
-        if self.lossy or asked >= tier.recovery_config.max_survey - 1:
+        asked_ms = tier.now - process.survey_began
+        if self.is_lossy or asked_ms >= tier.recovery_config.max_survey - SURVEY_MARGIN_MS:
             return
         for ban in self._lasting():
             if ban.backend in process.banned or self._covers(node, ban):
                 continue
-            for (peer, number), since in ban.known.items():
-                touch = tier.touch_since(node, peer)
-                if touch is None or tier.hosts[peer].number != number or peer == node:
-                    continue
-                if touch <= process.ask_began and since <= process.ask_began - NEWS_MS:
-                    self._breach("ban", f"n{node} begins to serve after {asked:.0f} ms of asking without the "
-                                        f"ban of {ban.backend} that n{peer} knew")  # fmt: skip
-                    return
+            peer = self._peer_that_knew(node, process, ban)
+            if peer is not None:
+                text = f"n{node} begins to serve after {asked_ms:.0f} ms of asking without the ban of"
+                self._breach("ban", f"{text} {ban.backend} that n{peer} knew")
+                return
+
+    def _peer_that_knew(self, node: int, process: Process, ban: AcknowledgedBan) -> int | None:
+        """Return a peer that knew a ban all the time in which a process asked."""
+        tier = self.tier
+        for knower, since in ban.known_since.items():
+            touch = tier.in_touch_since(node, knower.node)
+            is_running = tier.hosts[knower.node].number == knower.number
+            if touch is None or not is_running or knower.node == node:
+                continue
+            if touch <= process.survey_began and since <= process.survey_began - SPREAD_MS:
+                return knower.node
+        return None
 
     # --- traffic to cold backends
 
-    def _traffic(self) -> None:
-        tier, now = self.tier, self.tier.now
-        cold = {name: b for name, b in tier.backends.items() if b.cold(now)}
-        serving = [(n, p) for n, p in enumerate(tier.processes) if p is not None and p.serves]
+    def _check_budgets(self) -> None:
+        tier = self.tier
+        cold = {name: backend for name, backend in tier.backends.items() if backend.is_cold(tier.now)}
+        serving = [(node, p) for node, p in enumerate(tier.processes) if p is not None and p.serves]
         for node, process in serving if cold else ():
-            admits = process.admits
             for name, backend in cold.items():
-                believed = self._believed(node, process, name, backend.start)
-                if believed is None or name in process.banned:
-                    continue
-                full = process.phase is Phase.FULL or admits is None
-                share = 1.0 / len(serving) if full or admits is None else admits.share
-                part = COLD_PART * FALL_MULTIPLE * warmth(believed) if believed < 8_000 else STORM
-                if backend.offer(now, share * part * LOOK_MS):
-                    self._breach("budget", f"{name} topples {now - backend.start:.0f} ms after its start")
-
-    def _believed(self, node: int, process: Process, name: str, start: float) -> float | None:
-        """How old a backend is for a node that knows of its start; None for one that does not."""
+                self._offer(node, process, name, backend, len(serving))
+
+    def _offer(self, node: int, process: Process, name: str, backend: Backend, serving_count: int) -> None:
+        """Send what a node may to a cold backend."""
+        now = self.tier.now
+        believed_age = self._believed_age(node, process, name, backend.start)
+        if believed_age is None or name in process.banned:
+            return
+        capacity = None if process.phase is Phase.FULL else process.capacity
+        share = capacity.share if capacity is not None else 1.0 / serving_count
+        is_cold = believed_age < RAMP_MS
+        part = COLD_PART * FALL_MULTIPLE * warmth(believed_age) if is_cold else STORM_DEMAND
+        if backend.offer(now, share * part * OBSERVATION_MS):
+            self._breach("budget", f"{name} topples {now - backend.start:.0f} ms after its start")
+
+    def _believed_age(self, node: int, process: Process, name: str, start: float) -> float | None:
+        """Return how old a backend is for a node that knows of its start; None for one that does not."""
         now = self.tier.now
-        if process.told:
-            return now - start if process.told.get(name) == start else None
+        if process.listed_starts:
+            return now - start if process.listed_starts.get(name) == start else None
         if not process.power_cut or start > process.began:
             return None
-        if process.phase is Phase.FULL or process.admits is None:
-            return float("inf")
-        return now + self.tier.hosts[node].shift - process.admits.cold_since
+        if process.phase is Phase.FULL or process.capacity is None:
+            return math.inf
+        return now + self.tier.hosts[node].shift - process.capacity.cold_since
 
     def _breach(self, invariant: str, text: str) -> None:
         self.tier.note(f"BREACH {invariant}: {text}")
-        if len(self.breaches) < MOST_BREACHES:
+        if len(self.breaches) < MAX_BREACHES:
             self.breaches.append(Breach(self.tier.now, invariant, text))
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -29,7 +29,7 @@
 from balancer.recovery.ban_register import BanEntry
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.shell import RecoveryHandover
-from balancer.sim import members, recovery_schedule
+from balancer.sim import members, recovery_play, recovery_schedule
 
 PACKAGE = "balancer"
 NOW_S = 1_700_000_000.0  # Unix time of every file
@@ -154,7 +154,7 @@
         original(self, source, target, data)
 
     with mock.patch.object(members.World, "_send", send):
-        played = recovery_schedule.play(recovery_schedule.draw(seed))
+        played = recovery_play.play(recovery_schedule.draw(seed))
     yield from sent
     yield f"{played.full_ms:.3f} {played.yes} {played.budget_worst:.6f} {len(played.breaches)}"
     yield from (f"calls {second} {count}" for second, count in sorted(played.calls.items()))
--- a/tests/test_recovery_sim.py
+++ b/tests/test_recovery_sim.py
@@ -12,7 +12,8 @@
 from balancer.sim.recovery_environment import Backend, Discovery, warmth
 from balancer.sim.recovery_faults import FAULTS
 from balancer.sim.recovery_figures import calls_without, mass_return
-from balancer.sim.recovery_schedule import draw, explore, play, shrink
+from balancer.sim.recovery_play import explore, play, shrink
+from balancer.sim.recovery_schedule import draw
 
 SMALL = (3, 4, 5)
 
@@ -82,9 +83,9 @@
 ])  # fmt: skip
 def test_what_a_start_finds(condition: Condition, kept: int, sound: bool) -> None:
     rows = [BanEntry(f"b{i}", 0, 1, i, True, 0.0) for i in range(3)]
-    disk = Disk(rows=[(rows[0],)], used=True)
-    disk.photograph()
-    disk.rows += [(rows[1],), (rows[2],)]
+    disk = Disk(records=[(rows[0],)], is_used=True)
+    disk.take_image()
+    disk.records += [(rows[1],), (rows[2],)]
     found = disk.read(condition, 1_000.0, random.Random(1))
-    assert (len(found.rows), found.sound) == (kept, sound)
+    assert (len(found.entries), found.sound) == (kept, sound)
     assert disk.epoch == (condition is not Condition.SOUND)
