--- a/balancer/cli/recovery.py
+++ b/balancer/cli/recovery.py
@@ -1,4 +1,4 @@
-"""`balancer fleet recovery`: how far the return of a node is. Exit code 0: it is over; 1: not yet."""
+"""`balancer fleet recovery`: progress of a node's recovery. Exit code 0: it is over; 1: not yet."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, rooms, show
 from balancer.cli.output import stop
 
+MAX_SHOWN_NODES = 20
+NOT_TRUSTED = "no"
 COLOURS = {"verify": "red", "ask": "red", "listed": "yellow", "warming": "yellow", "full": "green"}
 
 
@@ -21,7 +23,7 @@
     path: str
     since_ms: int = 0
     share: float = 1.0
-    trusted: dict[str, str] = {}  # by kind of what was kept: whether it is used, and on whose word
+    trusted: dict[str, str] = {}  # trust level by kind of saved state, or `NOT_TRUSTED`
     asked: int = 0
     heard: int = 0
     waits_for: list[int] = []
@@ -34,8 +36,12 @@
     failed: bool = False
 
 
-def look(console: str) -> Recovery:
-    """What the console says now; raises typer.Exit with one line where it says nothing of use."""
+def read_console(console: str) -> Recovery:
+    """Return what the console says now.
+
+    Raises:
+        typer.Exit: With one line where it says nothing of use.
+    """
     found = rooms(console).recovery
     if found is None:
         why = f"{console}: recovery is off there (PROXY_FLEET names no file with [recovery])"
@@ -43,37 +49,56 @@
     try:
         return msgspec.convert(found, Recovery)
     except msgspec.ValidationError as err:
-        raise stop(SilentError(f"{console} gives no figures of a return: {err}")) from None
+        raise stop(SilentError(f"{console} gives no figures of recovery: {err}")) from None
 
 
-def drawn(seen: Recovery) -> RenderableType:
-    """For people."""
-    colour = COLOURS.get(seen.phase, "")
-    until = f", {ago(seen.until_ms)} more at most" if seen.until_ms is not None else ""
-    named = ", ".join(map(str, seen.waits_for[:20])) or "nobody"
-    more = f" and {len(seen.waits_for) - 20} more" if len(seen.waits_for) > 20 else ""
-    used = [f"{kind} ({word})" for kind, word in seen.trusted.items() if word != "no"]
-    unused = [kind for kind, word in seen.trusted.items() if word == "no"]
-    told = "told by discovery" if seen.listed.get("fresh") else "as it was kept"
+def table(seen: Recovery) -> RenderableType:
+    """Return the table for people."""
     lines = [
-        f"phase [{colour}]{seen.phase}[/] for {ago(seen.since_ms)}{until}, path {seen.path}",
-        f"heard {seen.heard} of {seen.asked} asked; waits for {named}{more}",
-        f"of what was kept: used {', '.join(used) or 'nothing'}; not used {', '.join(unused) or 'nothing'}",
-        f"{seen.bans} bans in {seen.rows} rows, register {seen.register}",
-        f"list of revision {seen.listed.get('revision', 0)} {told}, "
-        f"{seen.listed.get('restricted', 0)} avoided; share of the work on cold backends {seen.share:.1%}",
+        _phase_line(seen),
+        f"heard {seen.heard} of {seen.asked} peers; waits for {_awaited(seen.waits_for)}",
+        _trust_line(seen.trusted),
+        f"{seen.bans} bans in {seen.rows} entries, register {seen.register}",
+        _list_line(seen),
         f"counts: {', '.join(f'{name} {count}' for name, count in sorted(seen.counts.items())) or 'none'}",
     ]
     if seen.failed:
-        lines.append("[red]the room has failed by a defect, see the log: the node goes on alone[/]")
+        lines.append("[red]recovery has failed by a defect, see the log: the node continues alone[/]")
     return Group(*(Text.from_markup(line) for line in lines))
 
 
-def over(seen: Recovery) -> bool:
-    """Whether the return is over."""
+def _phase_line(seen: Recovery) -> str:
+    colour = COLOURS.get(seen.phase, "")
+    until = f", {ago(seen.until_ms)} more at most" if seen.until_ms is not None else ""
+    return f"phase [{colour}]{seen.phase}[/] for {ago(seen.since_ms)}{until}, path {seen.path}"
+
+
+def _awaited(nodes: list[int]) -> str:
+    shown = ", ".join(map(str, nodes[:MAX_SHOWN_NODES])) or "nobody"
+    hidden = len(nodes) - MAX_SHOWN_NODES
+    return f"{shown} and {hidden} more" if hidden > 0 else shown
+
+
+def _trust_line(trusted: dict[str, str]) -> str:
+    used = [f"{kind} ({level})" for kind, level in trusted.items() if level != NOT_TRUSTED]
+    unused = [kind for kind, level in trusted.items() if level == NOT_TRUSTED]
+    return f"saved state: used {', '.join(used) or 'nothing'}; not used {', '.join(unused) or 'nothing'}"
+
+
+def _list_line(seen: Recovery) -> str:
+    source = "sent by discovery" if seen.listed.get("fresh") else "as it was saved"
+    return (
+        f"list of revision {seen.listed.get('revision', 0)} {source}, "
+        f"{seen.listed.get('restricted', 0)} avoided; "
+        f"share of the capacity of cold backends {seen.share:.1%}"
+    )
+
+
+def is_over(seen: Recovery) -> bool:
+    """Return whether the recovery is over."""
     return seen.phase == "full"
 
 
 def recovery(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
-    """How far a return from a power loss is. Exit code 0: it is over; 1: not yet; 2: no answer."""
-    raise show(console, as_json, watch, look, msgspec.to_builtins, drawn, over)
+    """Show the progress of recovery from a power loss. Exit code 0: it is over; 1: not yet; 2: no answer."""
+    raise show(console, as_json, watch, read_console, msgspec.to_builtins, table, is_over)
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -201,7 +201,7 @@
             BalancerError: If it is not.
         """
         if await self.shell.request_ban(backend, banned) != banned:
-            raise BanCallError("at another node it was taken out at the same time")
+            raise BanCallError("another node banned it at the same time")
 
     def startup_status(self) -> str:
         """Return why the node does not listen yet."""
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -229,10 +229,10 @@
 
     def _disk_summary(self, event: DiskRead) -> str:
         if not event.sound:
-            return "the disk is not sound, nothing of it is used"
+            return "the disk is not sound, its state is not used"
         if event.fresh_disk:
-            return "nothing was kept"
-        return f"{len(event.entries)} rows kept, {len(self.register.bans())} bans"
+            return "no saved state"
+        return f"{len(event.entries)} register entries saved, {len(self.register.bans())} bans"
 
     def _inherit(self, event: StateInherited) -> None:
         """Continue in the predecessor's phase, unless this process has come further itself."""
@@ -242,7 +242,7 @@
         if event.phase >= Phase.LISTED and event.phase > self.phase:
             self.phases.take_over(event.phase, event.path, event.cold_since)
         elif self.phase is Phase.VERIFY:
-            self.phases.begin_survey(f"the predecessor was in {event.phase.name.lower()}")
+            self.phases.begin_survey(f"the predecessor was in phase {event.phase.name.lower()}")
 
     def receive_list(self, event: ListReceived) -> None:
         """Serve from the list that discovery has sent."""
--- a/balancer/recovery/phase_machine.py
+++ b/balancer/recovery/phase_machine.py
@@ -129,7 +129,7 @@
         self.context.cold_since = cold_since
         self.next_survey_at = math.inf
         self.serving_since = self.context.now if cold_since == -math.inf else cold_since
-        self.enter(phase, f"the predecessor's, by the way of {path.value}")
+        self.enter(phase, f"taken over from the predecessor, on path {path.value}")
         self.schedule.poll_now(self.context.now)
 
     # --- ASK
@@ -152,7 +152,7 @@
         self.context.path = found.path
         ahead = len(self.exchange.agreement.peers_ahead())
         if ahead:
-            result += f", {ahead} know more"
+            result += f", {ahead} peers have newer entries"
         self.start_serving(f"{found.reason}; {result}")
 
     def survey_result(self, path: RecoveryPath) -> str | None:
@@ -162,21 +162,21 @@
         if self.context.node_count == 1:
             return "the tier has no other node"
         if elapsed >= config.max_survey:
-            return "the longest time is over"
+            return "the survey timed out"
         is_agreed = not self.exchange.agreement.peers_ahead()
         if path is RecoveryPath.CRASH and is_agreed:
-            return "they agree" if self._agreeing_peers_suffice() else None
+            return "the peers agree" if self._agreeing_peers_suffice() else None
         if not self.survey.reports:
-            return "nobody answers" if elapsed >= config.isolation_timeout else None
+            return "no peer answers" if elapsed >= config.isolation_timeout else None
         if not is_agreed:
             return None
         if self._surveyed_peers() >= MIN_SURVEYED_PEERS:
-            return "those that have asked agree"
+            return "peers that have completed their survey agree"
         if self.awaited_peers():
             return None
         if 2 * (len(self.survey.reports) + 1) > self.context.node_count:
-            return "they agree" if elapsed >= config.survey_interval else None
-        return "they agree, the others are silent" if elapsed >= config.isolation_timeout else None
+            return "the peers agree" if elapsed >= config.survey_interval else None
+        return "the peers heard agree, the others are silent" if elapsed >= config.isolation_timeout else None
 
     def awaited_peers(self) -> list[int]:
         """Return, in ASK, who has not been heard, or has entries that this node lacks."""
@@ -201,8 +201,8 @@
         else:
             self.schedule.poll_now(now)
             self.saved_list.restrict()
-            self.enter(Phase.WARMING, "the tier went on")
-            self.enter(Phase.FULL, "the tier went on")
+            self.enter(Phase.WARMING, "the tier kept running")
+            self.enter(Phase.FULL, "the tier kept running")
         if self.saved_list.fresh is not None:
             self.schedule.stop()
 
@@ -236,9 +236,9 @@
         if self.saved_list.fresh is not None:
             starts = self.saved_list.fresh.starts
             last = f", the last started {now - max(starts):.0f} ms ago" if starts else ""
-            self.enter(Phase.WARMING, f"discovery has told {len(starts)} backends{last}")
+            self.enter(Phase.WARMING, f"discovery sent {len(starts)} backends{last}")
         elif now >= self.serving_since + self.context.config.max_listed:
-            self.enter(Phase.WARMING, "discovery is silent: by this node's own start alone")
+            self.enter(Phase.WARMING, "discovery does not answer: warming up by this node's own start")
 
     def _await_warm_backends(self) -> None:
         """Enter FULL once all is warm by this node's clock, and by no fewer than half of the peers'.
@@ -247,7 +247,7 @@
         """
         context = self.context
         if context.now >= self.serving_since + context.config.max_warming:
-            self.enter(Phase.FULL, "the longest time is over")
+            self.enter(Phase.FULL, "the warm-up timed out")
             return
         if context.now < self.phase_ends_at():
             return
--- a/balancer/recovery/phases.py
+++ b/balancer/recovery/phases.py
@@ -61,7 +61,8 @@
     """
     running = [s for s in reported if s.phase >= Phase.FULL or s.uptime_ms >= established_after]
     recovering = len(reported) - len(running)
-    reason = f"{len(reported)} of {node_count - 1} heard, {recovering} returning, {len(running)} not"
+    peers = f"{len(reported)} of {node_count - 1} peers answered"
+    reason = f"{peers}, {recovering} recovering, {len(running)} running"
     if not reported:
         return Classification(RecoveryPath.ALONE, reason)
     established = established_peers(reported, node_count)
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -138,7 +138,7 @@
                     await asyncio.wait([request.done for request in self._migrated])
                 await self._requests.applied()
         if not self.serving.is_set():
-            log.warning("recovery: no phase came in time; the node goes on alone")
+            log.warning("recovery: not serving in time; the node continues alone")
             self.serving.set()
 
     def handover(self) -> RecoveryHandover:
@@ -155,7 +155,7 @@
         try:
             wanted = self.core.handle(self.host.now(), event)
         except Exception:  # guards the node against a defect of this subsystem
-            log.exception("recovery: %s failed; the node goes on alone", type(event).__name__)
+            log.exception("recovery: %s failed; the node continues alone", type(event).__name__)
             self._give_up()
             return
         for action in wanted:
--- a/balancer/sim/recovery_actions.py
+++ b/balancer/sim/recovery_actions.py
@@ -8,18 +8,13 @@
 
 from balancer.recovery import actions, events
 from balancer.recovery.phases import Phase
-from balancer.sim.recovery_disks import Record
+from balancer.sim.recovery_disks import Record, shifted
 from balancer.sim.recovery_process import EnteredPhase, OperatorRequest, Process
 
 if TYPE_CHECKING:
     from balancer.sim.recovery_world import Tier
 
 
-def shifted(entries: Record, by: float) -> Record:
-    """Return entries with their times on another clock."""
-    return tuple(entry._replace(changed_at=entry.changed_at + by) for entry in entries)
-
-
 class ActionRunner:
     """Carries out actions of the cores of a tier."""
 
@@ -46,8 +41,8 @@
             case actions.ApplyBan():
                 self._apply(process, action)
             case actions.RequestList():
-                answered = partial(tier.list_answered, node, number)
-                tier.discovery.call(answered, partial(tier.list_failed, node, number))
+                answered = partial(self.list_answered, node, number)
+                tier.discovery.call(answered, partial(self.list_failed, node, number))
             case actions.RestrictSavedList():
                 process.restricted_ids = action.ids
                 if tier.observer is not None:
@@ -57,6 +52,27 @@
             case actions.CapacityGranted():
                 process.capacity = action
 
+    def list_answered(self, node: int, number: int) -> None:
+        """Give a node the list, if its process `number` still runs."""
+        tier = self._tier
+        process = tier.processes[node]
+        if process is None or tier.hosts[node].number != number:
+            return
+        disk = tier.disks[node]
+        disk.revision = tier.discovery.revision
+        disk.saved_ids = tuple(tier.backends)
+        process.listed_starts = {name: backend.start for name, backend in tier.backends.items()}
+        process.restricted_ids = frozenset()
+        offset = tier.hosts[node].shift + tier.wall_offsets[node]  # starts are sent by the wall clock
+        starts = tuple(start + offset for start in process.listed_starts.values())
+        event = events.ListReceived(tier.discovery.revision, starts, tuple(tier.backends))
+        tier.handle_event(node, event)
+
+    def list_failed(self, node: int, number: int) -> None:
+        """Tell a node that its request has failed, if its process `number` still runs."""
+        if self._tier.hosts[node].number == number:
+            self._tier.handle_event(node, events.ListRequestFailed())
+
     def _enter(self, node: int, process: Process, action: actions.PhaseEntered) -> None:
         tier = self._tier
         phase = action.phase.name.lower()
@@ -79,7 +95,7 @@
 
     def _answer(self, process: Process, request: OperatorRequest) -> None:
         del process.pending[request.token]
-        self._tier.note(f"n{request.node} says yes: {request.description}")
+        self._tier.note(f"n{request.node} acknowledges: {request.description}")
         if self._tier.observer is not None:
             self._tier.observer.answered(request)
 
--- a/balancer/sim/recovery_disks.py
+++ b/balancer/sim/recovery_disks.py
@@ -11,6 +11,7 @@
 from enum import Enum
 
 from balancer.recovery.ban_register import BanEntry, EntryKey
+from balancer.recovery.events import DiskRead
 
 MONTH_MS = 30 * 24 * 3600 * 1000.0
 MAX_LOST_RECORDS = 3  # of a disk without its last ones
@@ -18,6 +19,11 @@
 Record = tuple[BanEntry, ...]
 
 
+def shifted(entries: Record, by: float) -> Record:
+    """Return entries with their times on another clock."""
+    return tuple(entry._replace(changed_at=entry.changed_at + by) for entry in entries)
+
+
 class Condition(Enum):
     """Condition of a disk at a node's start."""
 
@@ -42,6 +48,18 @@
     saved_ids: tuple[str, ...] = ()
     warm_rate: float = 0.0
 
+    def event(self, shift: float) -> DiskRead:
+        """Return the event of it, `shift` ms from the node's wall clock to its monotonic one."""
+        return DiskRead(
+            sound=self.sound,
+            fresh_disk=self.fresh,
+            incarnation=self.incarnation,
+            age_ms=self.age_ms,
+            entries=shifted(self.entries, shift),
+            revision=self.revision,
+            warm_rate=self.warm_rate,
+        )
+
 
 @dataclass(slots=True, frozen=True)
 class Image:
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -28,21 +28,18 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass, field
 
-from balancer.policy import COLD_PART
 from balancer.recovery.actions import PhaseEntered
 from balancer.recovery.ban_register import BanEntry, EntryKey
 from balancer.recovery.phases import Phase, RecoveryPath
-from balancer.sim.recovery_environment import FALL_MULTIPLE, RAMP_MS, Backend, warmth
+from balancer.sim.recovery_budget import toppled_backends
 from balancer.sim.recovery_process import OperatorRequest, Process
-from balancer.sim.recovery_world import OBSERVATION_MS, Tier
+from balancer.sim.recovery_world import Tier
 
 DIRECT_SPREAD_MS = 3_000.0
 SETTLED_MS = 8_000.0
 SPREAD_MS = 1_000.0  # within which an acknowledged ban has reached all that hear each other without loss
-STORM_DEMAND = 2.0  # after an outage, in capacities: what nodes send that think a backend warm
 SURVEY_MARGIN_MS = 1.0
 MAX_BREACHES = 20
 MAX_LISTED_NODES = 8  # in a breach's text
@@ -149,7 +146,7 @@
         process = self._process(request.node)
         own = process.core.register.get(request.backend, request.node)
         if own is None:
-            text = f"n{request.node} said yes to a ban of {request.backend} that it does not hold"
+            text = f"n{request.node} acknowledged a ban of {request.backend} that it has no entry of"
             self._breach("ban", text)
             return
         epoch = self.tier.disks[request.node].epoch
@@ -173,7 +170,8 @@
                 self._compare_register(node)
         for ban in self._lasting():
             self._check_ban(ban)
-        self._check_budgets()
+        for name, age_ms in toppled_backends(self.tier):
+            self._breach("budget", f"{name} topples {age_ms:.0f} ms after its start")
 
     def is_settled(self) -> bool:
         """Return whether all that live are full and agree."""
@@ -189,7 +187,7 @@
             self._breach("full", f"not full in time: {', '.join(late[:MAX_LISTED_NODES])}")
         calls = max(self.tier.discovery.requests_per_second.values(), default=0)
         if calls > 2_000.0 / self.tier.recovery_config.poll_slot:
-            self._breach("turns", f"{calls} calls of discovery in one second")
+            self._breach("turns", f"{calls} requests to discovery in one second")
         views = {
             frozenset((entry.key, entry.version) for entry in process.core.register.entries())
             for process in processes.values()
@@ -254,7 +252,7 @@
         """Check whether a node that sends to a banned backend could have known of the ban."""
         tier = self.tier
         if node == ban.node and ban.epoch == tier.disks[node].epoch:
-            self._breach("ban", f"n{node} sends to {ban.backend} that it has said yes to ban")
+            self._breach("ban", f"n{node} sends to {ban.backend} whose ban it has acknowledged")
         for peer in knowing:
             touch = tier.in_touch_since(node, peer.node)
             if touch is None:
@@ -299,40 +297,6 @@
                 return knower.node
         return None
 
-    # --- traffic to cold backends
-
-    def _check_budgets(self) -> None:
-        tier = self.tier
-        cold = {name: backend for name, backend in tier.backends.items() if backend.is_cold(tier.now)}
-        serving = [(node, p) for node, p in enumerate(tier.processes) if p is not None and p.serves]
-        for node, process in serving if cold else ():
-            for name, backend in cold.items():
-                self._offer(node, process, name, backend, len(serving))
-
-    def _offer(self, node: int, process: Process, name: str, backend: Backend, serving_count: int) -> None:
-        """Send what a node may to a cold backend."""
-        now = self.tier.now
-        believed_age = self._believed_age(node, process, name, backend.start)
-        if believed_age is None or name in process.banned:
-            return
-        capacity = None if process.phase is Phase.FULL else process.capacity
-        share = capacity.share if capacity is not None else 1.0 / serving_count
-        is_cold = believed_age < RAMP_MS
-        part = COLD_PART * FALL_MULTIPLE * warmth(believed_age) if is_cold else STORM_DEMAND
-        if backend.offer(now, share * part * OBSERVATION_MS):
-            self._breach("budget", f"{name} topples {now - backend.start:.0f} ms after its start")
-
-    def _believed_age(self, node: int, process: Process, name: str, start: float) -> float | None:
-        """Return how old a backend is for a node that knows of its start; None for one that does not."""
-        now = self.tier.now
-        if process.listed_starts:
-            return now - start if process.listed_starts.get(name) == start else None
-        if not process.power_cut or start > process.began:
-            return None
-        if process.phase is Phase.FULL or process.capacity is None:
-            return math.inf
-        return now + self.tier.hosts[node].shift - process.capacity.cold_since
-
     def _breach(self, invariant: str, text: str) -> None:
         self.tier.note(f"BREACH {invariant}: {text}")
         if len(self.breaches) < MAX_BREACHES:
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -17,7 +17,7 @@
 from balancer.recovery.messages import FIRST_MESSAGE_KIND
 from balancer.recovery.phases import Phase
 from balancer.sim.members import LIFE_UNIT, Net, World
-from balancer.sim.recovery_actions import ActionRunner, shifted
+from balancer.sim.recovery_actions import ActionRunner
 from balancer.sim.recovery_disks import Condition, Disk, Found
 from balancer.sim.recovery_environment import Backend, Discovery
 from balancer.sim.recovery_process import MakeCore, OperatorRequest, Partition, Process, TierObserver
@@ -109,7 +109,7 @@
         self.start(node, incarnation)
         self.handle_event(node, events.SavedListLoaded(self.disks[node].saved_ids))
         self.handle_event(node, left)
-        self.handle_event(node, self._disk_event(node, found))
+        self.handle_event(node, found.event(self.hosts[node].shift - self.wall_offsets[node]))
         if self.observer is not None:
             self.observer.disk_read(node, left.entries)
 
@@ -132,7 +132,7 @@
         """Send SIGTERM: the node says that it leaves, and ends 800 ms later."""
         if self.hosts[node].core is None:
             return
-        self.note(f"n{node} has SIGTERM")
+        self.note(f"n{node} gets SIGTERM")
         self.handle_event(node, events.ShutdownStarted())
         super().leave(node)
 
@@ -140,11 +140,11 @@
         """Restart a backend, cold; discovery lists it so."""
         self.backends[name].restart(self.now)
         self.discovery.revision += 1
-        self.note(f"{name} starts anew")
+        self.note(f"{name} restarts")
         for node, process in enumerate(self.processes):
             if process is not None and process.listed_starts:  # a node that has a list has a watch
                 when = self.discovery.up_again() + self.dice.uniform(*WATCH_DELAY_MS)
-                self.at(when, partial(self.list_answered, node, self.hosts[node].number))
+                self.at(when, partial(self.runner.list_answered, node, self.hosts[node].number))
 
     def request(self, node: int, backend: str, banned: bool) -> None:
         """Send an operator's request to a node."""
@@ -156,7 +156,7 @@
         seen = frozenset((e.node, e.incarnation, e.sequence) for e in entries if e.active)
         request = OperatorRequest(self._last_token, node, backend, banned, seen)
         process.pending[request.token] = request
-        self.note(f"n{node} is called: {request.description}")
+        self.note(f"n{node} is asked: {request.description}")
         if self.observer is not None:
             self.observer.requested(request)
         now = self.now + self.hosts[node].shift
@@ -200,25 +200,6 @@
         """Send a datagram to a node, or to all."""
         self._tell(node, target, data)
 
-    def list_answered(self, node: int, number: int) -> None:
-        """Give a node the list, if its process still runs."""
-        process = self.processes[node]
-        if process is None or self.hosts[node].number != number:
-            return
-        disk = self.disks[node]
-        disk.revision = self.discovery.revision
-        disk.saved_ids = tuple(self.backends)
-        process.listed_starts = {name: backend.start for name, backend in self.backends.items()}
-        process.restricted_ids = frozenset()
-        offset = self.hosts[node].shift + self.wall_offsets[node]  # starts are told by the wall clock
-        starts = tuple(start + offset for start in process.listed_starts.values())
-        self.handle_event(node, events.ListReceived(self.discovery.revision, starts, tuple(self.backends)))
-
-    def list_failed(self, node: int, number: int) -> None:
-        """Tell a node that its request has failed, if its process still runs."""
-        if self.hosts[node].number == number:
-            self.handle_event(node, events.ListRequestFailed())
-
     # --- what moves
 
     def _new_core(self, node: int, incarnation: int) -> Recovery:
@@ -239,27 +220,15 @@
         incarnation = max(int(wall_time / LIFE_UNIT), found.incarnation + 1)
         disk.incarnation = incarnation
         disk.written_at = wall_time
-        rows = len(found.entries)
-        self.note(f"n{node} starts, disk {condition.value}, {rows} rows, life {incarnation}")
+        entry_count = len(found.entries)
+        self.note(f"n{node} starts, disk {condition.value}, {entry_count} entries, incarnation {incarnation}")
         return found, incarnation
 
-    def _disk_event(self, node: int, found: Found) -> events.DiskRead:
-        entries = shifted(found.entries, self.hosts[node].shift - self.wall_offsets[node])
-        return events.DiskRead(
-            sound=found.sound,
-            fresh_disk=found.fresh,
-            incarnation=found.incarnation,
-            age_ms=found.age_ms,
-            entries=entries,
-            revision=found.revision,
-            warm_rate=found.warm_rate,
-        )
-
     def _disk_read(self, node: int, number: int, found: Found) -> None:
         if self.hosts[node].number != number or self.processes[node] is None:
             return
         self.handle_event(node, events.SavedListLoaded(found.saved_ids))
-        event = self._disk_event(node, found)
+        event = found.event(self.hosts[node].shift - self.wall_offsets[node])
         self.handle_event(node, event)
         if self.observer is not None:
             self.observer.disk_read(node, event.entries)
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -171,7 +171,7 @@
         async with one.powered() as rigs:
             for rig in rigs:
                 assert "b1" not in await served(rig)
-            assert "nothing was kept" in "".join(rigs[1].log)
+            assert "no saved state" in "".join(rigs[1].log)
             await rigs[1].logged("path power")
         (one.home(0) / "state").rename(tmp_path / "moved")
         (one.home(1) / "state").rename(one.home(0) / "state")
--- a/tests/test_recovery_core.py
+++ b/tests/test_recovery_core.py
@@ -382,8 +382,8 @@
     assert (tier.nodes[0].phase, tier.nodes[0].path) == (Phase.LISTED, RecoveryPath.ALONE)
     tier.run(24_000)
     assert tier.nodes[0].phase is Phase.FULL
-    assert "nobody answers" in tier.of(0, PhaseEntered)[1].reason
-    assert "discovery is silent" in tier.of(0, PhaseEntered)[2].reason
+    assert "no peer answers" in tier.of(0, PhaseEntered)[1].reason
+    assert "discovery does not answer" in tier.of(0, PhaseEntered)[2].reason
     calls = [at for at, act in tier.acts[0] if isinstance(act, RequestList)]
     assert len(calls) > 2 and min(b - a for a, b in itertools.pairwise(calls)) >= 1000
     (admit,) = tier.of(0, CapacityGranted)
