--- a/balancer/cli/recovery.py
+++ b/balancer/cli/recovery.py
@@ -40,7 +40,7 @@
     """Return what the console says now.
 
     Raises:
-        typer.Exit: With one line where it says nothing of use.
+        typer.Exit: With one line if there is no valid answer.
     """
     found = rooms(console).recovery
     if found is None:
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -1,4 +1,4 @@
-"""Adapter between a node and its recovery: translates their types. It decides nothing.
+"""Adapter between a node and its recovery: translates their types, without decisions of its own.
 
 Imported only where the fleet file has `[recovery]`.
 """
@@ -35,7 +35,7 @@
 
 
 class RecoveryAdapter:
-    """Recovery of one process of a node; to the balancer it is what watches the list."""
+    """Recovery of one process of a node; the balancer uses it as the watcher of the list."""
 
     def __init__(
         self, node: Node, watcher: Watcher, known: News, port: Port, incarnation: int, disk: Durable | None
@@ -54,8 +54,8 @@
         self._may_poll = False
         self._fetch_wanted = False  # the balancer wants the complete list
         self._has_fresh_list = False  # discovery has sent the list
-        self._phase = Phase.VERIFY  # that the balancer was told last
-        self._capacity: CapacityGranted | None = None  # that it was told last
+        self._phase = Phase.VERIFY  # that the balancer knows
+        self._capacity: CapacityGranted | None = None  # that the balancer knows
         self._saved = replace(known, members=tuple(map(_copy, known.members)))
         self._list = {m.backend: m for m in self._saved.members}
         self._restricted: frozenset[str] = frozenset()
@@ -71,7 +71,7 @@
         """
         self.shell.handle(events.SavedListLoaded(tuple(self._list)))
         if is_successor:
-            # A predecessor that leaves nothing is from before recovery, and has served: nothing is cold.
+            # A predecessor without a handover file ran without recovery and has served: nothing is cold.
             left = await self._handover.wait()
             self.shell.inherit(left or RecoveryHandover(Phase.FULL, RecoveryPath.UPGRADE, -math.inf, ()))
             if self.disk is not None and self.disk.off is None:  # it has changed since this process began
@@ -93,7 +93,7 @@
         self._handover.write(self.shell.handover())
 
     async def _reconcile_bans(self) -> None:
-        """Lift or record bans that stand in `$TMPDIR` alone: a disk that is sound has the last word."""
+        """Lift bans that only `$TMPDIR` has, if the disk is sound; record them otherwise."""
         disk = self.disk
         is_authoritative = disk is not None and disk.off is None and not (disk.lost or disk.fresh)
         for backend in sorted(self.node.bans.record.out):
@@ -134,7 +134,7 @@
             self.watcher.fetch()
 
     def restrict_saved_list(self, ids: frozenset[str]) -> None:
-        """Send the saved list again, these as draining; after a list of discovery, what that did not name."""
+        """Send the saved list again with these draining; after discovery's list, what that did not name."""
         released = self._restricted - ids
         self._restricted = ids
         if not self._has_fresh_list:
@@ -162,7 +162,7 @@
         else:
             self._fetch_wanted = True
 
-    # --- what discovery says
+    # --- events of discovery
 
     def list_request_failed(self) -> None:
         """Wait for the next slot after a failed request, until the list has been sent."""
@@ -189,7 +189,7 @@
             self.set_admission(self._phase, self._capacity)
 
     def list_confirmed(self) -> None:
-        """Record that discovery has said that the saved list holds."""
+        """Record that discovery has confirmed the saved list."""
         self.list_received(News(self._saved.revision, False, ()), api.ListKind.CHANGES)
 
     # --- for the operators
--- a/balancer/net/recovery_handover.py
+++ b/balancer/net/recovery_handover.py
@@ -1,7 +1,7 @@
-"""The file by which a process leaves the state of its recovery to its successor.
+"""File by which a process hands the state of its recovery over to its successor.
 
-The times in it are on the node's clock; `clock` says what that shows when the system's monotonic one, which
-both processes share, is 0.
+Its times are on the writer's node clock; its `clock` is that clock's offset to the system's monotonic
+clock, which both processes share.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 def write_handover(path: Path, state: RecoveryHandover, clock: float) -> None:
-    """Leave the state for the successor; `clock` is this process's (ms)."""
+    """Leave the state for the successor; `clock` is this process's clock offset (ms)."""
     table = {
         "clock": clock,
         "phase": int(state.phase),
@@ -63,7 +63,7 @@
 
 
 def read_handover(path: Path, clock: float) -> RecoveryHandover | None:
-    """Take what the predecessor has left, on this process's clock; None if there is nothing of use."""
+    """Take the predecessor's state, on the clock of offset `clock` (ms); None if there is no valid one."""
 
     def parse(table: Any, age: float) -> RecoveryHandover:
         del age  # the table has its clock
--- a/balancer/recovery/actions.py
+++ b/balancer/recovery/actions.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistEntries:
-    """Write entries of the register. With a token they are synced, and `WriteCompleted` has to say so."""
+    """Write entries of the register. With a token, sync them and report by `WriteCompleted`."""
 
     entries: tuple[BanEntry, ...]
     token: int | None = None
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RestrictSavedList:
-    """Avoid these of the saved list, in place of any before; none once discovery has sent a list."""
+    """Avoid these backends of the saved list, in place of the previous set."""
 
     ids: frozenset[str]
 
--- a/balancer/recovery/ban_controller.py
+++ b/balancer/recovery/ban_controller.py
@@ -1,7 +1,7 @@
 """Bans in force at this node: requests of its operators, entries of its peers and of its disk.
 
-A request is answered once its entries are on the disk, and only then sent to peers: what fails leaves nothing
-behind. A peer's entries apply at once.
+A request is answered, and its entries are sent to peers, once these are on the disk: a request that fails has
+no effect. A peer's entries apply immediately.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedState:
-    """What was last put in force for a backend."""
+    """Last state that was applied for a backend."""
 
     banned: bool = False
     since: float = -math.inf
--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -237,7 +237,7 @@
         return reissued
 
     def put(self, entry: BanEntry) -> None:
-        """Store an entry in place of the one before, whatever that is."""
+        """Replace an entry, whatever its version."""
         by_node = self._entries.setdefault(entry.backend, {})
         former = by_node.get(entry.node)
         by_node[entry.node] = entry
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -1,11 +1,11 @@
 """Recovery of one node: given the time and events, it returns actions. No I/O, no clock of its own.
 
-What a hostile peer can do at most: ban backends and lift bans, as an operator at any node can (who relays an
-entry does not matter, so there is no smaller share for one peer); keep this node in ASK until
-`RecoveryConfig.max_survey`; have it avoid half of a saved list until discovery sends its own; two that lie
-can make its recovery seem a crash, and then it serves as a node without this subsystem does; make its share
-smaller by a demand that counts as four fifths of all at most. Nobody can keep it from FULL after the longest
-time.
+Limits of a hostile peer: it can ban backends and lift bans, as an operator at any node can (entries are
+relayed, so their sender proves nothing); keep this node in ASK for `RecoveryConfig.max_survey`; have it
+avoid half of a saved list until discovery sends a list; and reduce its share by a false demand, which
+counts as four fifths of all at most. Two hostile peers can make the recovery look like a crash: the node
+then serves as it would without this subsystem. None can keep it from FULL for longer than
+`RecoveryConfig.max_warming`.
 """
 
 from __future__ import annotations
@@ -273,7 +273,7 @@
         for node in gone:
             self.exchange.forget(node)
 
-    # --- what is due
+    # --- polling and sending
 
     def _poll_discovery(self) -> None:
         if self.context.now >= self.schedule.next_poll_at:
--- a/balancer/recovery/exchange.py
+++ b/balancer/recovery/exchange.py
@@ -1,9 +1,10 @@
-"""Anti-entropy exchange: what one node sends of itself and of its register, under one budget, by urgency.
+"""Anti-entropy exchange: status and register of a node, sent under one rate limit, most urgent first.
 
-Entries go to all where several lack them: every node that has entries nobody has sent to all waits for an
-exponential time, the longer the more peers have the same register, and drops what it hears on the way
-(suppression as in SRM, Floyd et al. 1997). What is left differs by pairs: a digest of 16 bucket hashes asks,
-and what differs comes back.
+Entries that several peers lack are broadcast: every node with such entries waits for an exponentially
+distributed time, longer if more peers have the same register, and drops entries that another node
+broadcasts meanwhile (suppression as in SRM, Floyd et al. 1997). Remaining differences are repaired between
+pairs of nodes: one sends a digest of 16 bucket hashes, the other one answers with the entries of the
+buckets that differ.
 """
 
 from __future__ import annotations
@@ -97,7 +98,7 @@
         self._survey_wanted = False
         self._status_recipients: dict[int | None, None] = {}  # None: all
 
-    # --- what this node wants to send
+    # --- planning
 
     def register_changed(self, entries: Iterable[BanEntry]) -> None:
         """Plan to spread entries of the register that have changed."""
@@ -134,7 +135,7 @@
         self._status_recipients.pop(node, None)
         self._repairs.forget(node)
 
-    # --- what comes from peers
+    # --- receiving
 
     def hash_received(self, node: int, register_hash: int, now: float, max_delay: float) -> None:
         """Record a peer's register hash; what this node lacks it asks for after `max_delay` ms at most."""
@@ -157,7 +158,7 @@
         return changed
 
     def digest_received(self, node: int, register_hash: int, digest: Digest, now: float) -> None:
-        """Send a peer what it lacks; if that is nothing, a status tells it so."""
+        """Send a peer the entries that it lacks, or a status if there are none."""
         buckets = zip(self.register.buckets, digest.buckets, strict=True)
         mask = sum(1 << index for index, (own, other) in enumerate(buckets) if own != other)
         if not mask:
@@ -172,7 +173,7 @@
         else:
             self._repairs.start(node, register_hash, mask, self._paginator.pages(mask))
 
-    # --- what goes out
+    # --- sending
 
     @property
     def next_send_at(self) -> float:
--- a/balancer/recovery/messages.py
+++ b/balancer/recovery/messages.py
@@ -1,9 +1,9 @@
-"""Datagrams of recovery: at most 256 bytes, checked, versioned. What is unknown is skipped.
+"""Datagrams of recovery: at most 256 bytes, with checksum and version. Unknown kinds are skipped.
 
     crc32:u32 version:u8 kind:u8 sender:u16  hash:u64  then by kind
 
-`hash` is of the sender's register. All numbers are big-endian. What a later version adds to a kind comes
-after what is known of it and is skipped; a form that changes gets a kind of its own.
+`hash` is of the sender's register. All numbers are big-endian. A later version may append
+fields to a kind, which are ignored; an incompatible layout gets a kind of its own.
 
     SURVEY, STATUS  incarnation:u32 uptime:u32 phase:u8 path:u8 flags:u8 revision:u32 rate:u32 demand:u32
                     recovering:u16 length:u8, then who is present: a bit for each node, of that many bytes
@@ -85,7 +85,7 @@
     warm_rate: float  # requests a second that it carried when warm; 0: unknown
     demand: float  # requests that came to it in the last second; infinite: unknown
     recovering: int  # nodes that are recovering, of those that it sees
-    present_nodes: int  # bits of those that it has heard, of itself, and once it serves of all that it sees
+    present_nodes: int  # bits of itself and its reporting peers; once it serves, of all present
 
     @property
     def present_count(self) -> int:
@@ -104,7 +104,7 @@
 
     entries: tuple[BanEntry, ...]  # `changed_at` is on the receiver's clock, as of `decode`'s `now`
     base: int = 0
-    mask: int = 0  # 0: single entries that say nothing of others
+    mask: int = 0  # 0: single entries, no complete buckets
     part: int = 0
     parts: int = 1
     to_all: bool = False
--- a/balancer/recovery/pages.py
+++ b/balancer/recovery/pages.py
@@ -1,4 +1,4 @@
-"""Pages of the register: entries that go into one datagram each, and those under way to single peers."""
+"""Pages of the register, one datagram each, and the queue of pages for single peers."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class RepairQueue:
-    """Repairs of several peers, page by page in turn."""
+    """Repairs of several peers, served round robin."""
 
     def __init__(self, register: BanRegister) -> None:
         """Create an empty queue of a register's repairs."""
@@ -78,7 +78,7 @@
         return node in self._repairs
 
     def start(self, node: int, peer_hash: int, mask: int, pages: list[Page]) -> None:
-        """Begin to send pages to a peer, in place of those before."""
+        """Begin to send pages to a peer, replacing its unsent ones."""
         remaining = [tuple(entry.key for entry in page) for page in pages]
         self._repairs[node] = Repair(
             peer_hash & LOWER_HALF, mask, self._register.hash, remaining, len(remaining)
--- a/balancer/recovery/phase_machine.py
+++ b/balancer/recovery/phase_machine.py
@@ -135,7 +135,7 @@
     # --- ASK
 
     def run_survey(self) -> None:
-        """Ask the peers, and begin to serve once they have said enough."""
+        """Survey the peers, and begin to serve once the survey is over."""
         now = self.context.now
         if now >= self.next_survey_at:
             self.exchange.request_survey()
--- a/balancer/recovery/phases.py
+++ b/balancer/recovery/phases.py
@@ -8,7 +8,7 @@
 
 from balancer.recovery.messages import NodeStatus
 
-MIN_ESTABLISHED = 2  # peers that together are believed when they say that the tier went on
+MIN_ESTABLISHED = 2  # peers whose reports prove that the tier kept running
 
 
 class Phase(IntEnum):
@@ -48,15 +48,16 @@
 ) -> Classification:
     """Classify a recovery by what peers report of themselves.
 
-    Peers that say FULL, or have been up for longer than `established_after` (ms), did not restart with this
-    node; their uptime alone is no sign, as a rolling restart leaves only young nodes. It is a crash only if
-    they are half of those heard and see half of the tier running: a power cut that a few survive is none.
+    Peers that report FULL, or an uptime above `established_after` (ms), did not restart with this node.
+    Uptime alone is no evidence, as a rolling restart leaves only young nodes. It is a crash only if
+    established peers are half of those heard and see half of the tier running: a power loss that a few
+    nodes survive is not.
 
     Args:
         reported: Status of each peer that was heard.
         node_count: Nodes of the tier.
-        present: Nodes that there seem to be, this one included: a majority makes it a power loss, fewer may
-            be one side of a partition, or the first ones.
+        present: Nodes that seem to be present, this one included: a majority makes it a power loss, fewer may
+            be one side of a partition, or the first nodes to restart.
         established_after: Uptime (ms) from which a peer did not restart with this node.
     """
     running = [s for s in reported if s.phase >= Phase.FULL or s.uptime_ms >= established_after]
@@ -77,8 +78,8 @@
 def established_peers(reported: Sequence[NodeStatus], node_count: int) -> list[NodeStatus]:
     """Return those that say FULL while at least half of the tier runs and is not recovering.
 
-    Counted is what each sees, or how many say so here: a peer that has missed that another one is FULL takes
-    that one for recovering until it hears from it again, seconds later.
+    The count is the peer's own view or the number of FULL reports received, whichever is greater: a peer that
+    missed another one's change to FULL counts it as recovering until its next report, seconds later.
     """
     full = [s for s in reported if s.phase >= Phase.FULL]
     return [s for s in full if 2 * max(s.present_count - s.recovering, len(full)) >= node_count]
--- a/balancer/recovery/receiver.py
+++ b/balancer/recovery/receiver.py
@@ -108,7 +108,7 @@
             self._exchange.filters.plan(context.now, listed)
 
     def _reply_to_survey(self, sender: int, status: NodeStatus) -> None:
-        """Answer with a probability by which `EXPECTED_SURVEY_REPLIES` of those whom it has not heard do."""
+        """Answer with a probability that makes `EXPECTED_SURVEY_REPLIES` of the unheard nodes answer."""
         context = self._context
         unheard = (self._survey.present_bits() & ~status.present_nodes).bit_count()
         if status.present_nodes >> context.node & 1:
--- a/balancer/recovery/saved_list.py
+++ b/balancer/recovery/saved_list.py
@@ -33,7 +33,7 @@
         self.fresh: FreshList | None = None
         self.newest_filter: ListFilter | None = None  # of a peer
         self.context = context
-        self._ahead_since = math.inf  # when discovery first told of a start ahead of this clock
+        self._ahead_since = math.inf  # when discovery first sent a start time ahead of this clock
 
     def set_saved(self, ids: tuple[str, ...]) -> None:
         """Set the backends of the saved list."""
@@ -78,7 +78,7 @@
         return excluded_ids(self.newest_filter, self.saved_ids)
 
     def _clamped(self, starts: Sequence[float]) -> tuple[float, ...]:
-        """Count a start ahead of this clock as of when the first one was seen."""
+        """Replace start times ahead of this clock by the time when the first one was seen."""
         now = self.context.now
         if self._ahead_since == math.inf and any(start > now for start in starts):
             self._ahead_since = now
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -1,6 +1,6 @@
 """Recovery of one node on the tier's port, its disk and its timer. It decides nothing.
 
-Where the core fails by a defect, or its port cannot be had, the node goes on alone: nothing here may keep it
+If the core fails by a defect, or its port cannot be bound, the node continues alone: nothing here may keep it
 from serving.
 """
 
@@ -48,12 +48,12 @@
         """Allow the node to poll discovery."""
 
     def restrict_saved_list(self, ids: frozenset[str]) -> None:
-        """Avoid these of the saved list, in place of any before."""
+        """Avoid these backends of the saved list, in place of the previous set."""
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryHandover:
-    """What a process leaves to its successor."""
+    """State that a process hands over to its successor."""
 
     phase: Phase
     path: RecoveryPath
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Admission:
-    """What the node was last told of its admission."""
+    """Admission that was last set at the node."""
 
     phase: Phase
     capacity: actions.CapacityGranted | None
@@ -124,7 +124,7 @@
         self.handle(state)
 
     def rejoin(self, kept: Kept) -> None:
-        """Learn from the disk what another process of the node, which is gone, was asked for."""
+        """Merge requests that a failed successor has recorded on the disk."""
         cold_since = self.core.cold_since
         entries = saved_entries(kept)
         self.handle(events.StateInherited(Phase.VERIFY, RecoveryPath.UPGRADE, cold_since, entries))
@@ -149,7 +149,7 @@
     # --- events
 
     def handle(self, event: events.Event, request: BanRequest | None = None) -> None:
-        """Hand an event to the core and do what it asks for; `request` is the one that it is about."""
+        """Hand an event to the core and perform its actions; `request` is the one that the event is about."""
         if self.has_failed:
             return
         try:
@@ -246,11 +246,11 @@
     # --- the end
 
     def leave(self) -> None:
-        """Announce that the node shuts down, and nobody takes its place."""
+        """Announce a graceful shutdown without a successor."""
         self.handle(events.ShutdownStarted())
 
     def close(self) -> None:
-        """Fall silent."""
+        """Stop handling and sending."""
         self.has_failed = True
         self._timer.cancel()
         self._requests.close()
--- a/balancer/recovery/survey.py
+++ b/balancer/recovery/survey.py
@@ -1,4 +1,4 @@
-"""Evidence about the tier: what peers report of themselves, and what the membership sees."""
+"""Evidence about the tier: status reports of peers, and the membership's view."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from balancer.recovery.messages import NodeStatus, node_bits
 from balancer.recovery.phases import Classification, Phase, classify_recovery, established_peers
 
-PRESENCE_MS = 10_000.0  # for which a peer that was heard counts as present, and as recovering
-FRESHNESS_MS = 3000.0  # for which a peer's demand, and what it says of warmth, count
+PRESENCE_MS = 10_000.0  # for which a report counts as presence
+FRESHNESS_MS = 3000.0  # for which a report's demand and warmth count
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
     def __init__(self, context: RecoveryContext) -> None:
         """Create a survey that knows of this node alone."""
         self.reports: dict[int, PeerReport] = {}  # by node
-        self.has_established_peers = False  # peers that did not restart with this node were heard
+        self.has_established_peers = False  # some that did not restart with this node have reported
         self._context = context
         self._members: frozenset[int] = frozenset({context.node})
         self._quorum_seen = False  # by the membership
@@ -73,8 +73,8 @@
     def present(self) -> set[int]:
         """Return this node, the members, and the peers that were heard lately."""
         since = self._context.now - PRESENCE_MS
-        heard = (node for node, report in self.reports.items() if report.received_at >= since)
-        return {*self._members, *heard}
+        reporting = (node for node, report in self.reports.items() if report.received_at >= since)
+        return {*self._members, *reporting}
 
     def present_peers(self) -> list[int]:
         """Return those present but this node, in order."""
@@ -105,13 +105,13 @@
         return node_bits(self.present())
 
     def missing(self) -> list[int]:
-        """Return who is present by the membership or by what peers report, and has not been heard."""
+        """Return who is present by the membership or by reports, and has not reported itself."""
         seen = (self._reported_nodes | node_bits(self._members)) & ~self.heard_bits()
         limit = min(self._context.node_count, seen.bit_length())
         return [node for node in range(limit) if seen >> node & 1]
 
     def classify(self) -> Classification:
-        """Classify this recovery by what has been heard so far."""
+        """Classify this recovery by the reports so far."""
         present = len(self.reports) + 1
         if self._quorum_seen:
             present = max(present, len(self._members))
--- a/balancer/recovery/trust.py
+++ b/balancer/recovery/trust.py
@@ -1,7 +1,7 @@
 """Trust in each kind of saved state: one table, and the one function that enforces it.
 
 Saved state is late, not right: a disk may be a month old, or empty, damaged, another node's. A disk that is
-not sound, or that is fresh, counts as empty whatever the table says.
+not sound, or that is fresh, counts as empty in any case.
 """
 
 from __future__ import annotations
