--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -44,12 +44,12 @@
         self.node = node
         self.watcher = watcher
         self.disk = disk
-        self.kept = disk.kept if disk is not None else Kept()
+        self.saved_state = disk.kept if disk is not None else Kept()
         settings = node.settings
         config = RecoveryConfig(ramp_time=settings.ramp_time)
         self.shell = RecoveryShell(config, settings.me, incarnation, node.config.seed, port, self, disk)
         self._handover = HandoverFile(node.meeting, node.now)
-        saved_rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
+        saved_rate = self.saved_state.sampled.rate if self.saved_state.sampled is not None else 0.0
         self._rates = RateMeter(saved_rate)
         self._may_poll = False
         self._fetch_wanted = False  # the balancer wants the complete list
@@ -75,8 +75,8 @@
             left = await self._handover.wait()
             self.shell.inherit(left or RecoveryHandover(Phase.FULL, RecoveryPath.UPGRADE, -math.inf, ()))
             if self.disk is not None and self.disk.off is None:  # it has changed since this process began
-                self.kept = self.disk.look()
-        self.shell.start(self.kept)
+                self.saved_state = self.disk.look()
+        self.shell.start(self.saved_state)
         await self.shell.wait_until_serving()
         if not is_successor:
             await self._reconcile_bans()
--- a/balancer/sim/recovery_budget.py
+++ b/balancer/sim/recovery_budget.py
@@ -4,6 +4,7 @@
 
 import math
 from collections.abc import Iterator
+from dataclasses import dataclass
 
 from balancer.policy import COLD_PART
 from balancer.recovery.phases import Phase
@@ -14,15 +15,23 @@
 STORM_DEMAND = 2.0  # after an outage, in capacities: what nodes send that think a backend warm
 
 
-def toppled_backends(tier: Tier) -> Iterator[tuple[str, float]]:
-    """Send what nodes may for `OBSERVATION_MS`; yield the backends that topple, and their ages (ms)."""
+@dataclass(slots=True, frozen=True)
+class Toppled:
+    """A backend that was sent more than its budget."""
+
+    name: str
+    age_ms: float
+
+
+def toppled_backends(tier: Tier) -> Iterator[Toppled]:
+    """Send what nodes may for `OBSERVATION_MS`; yield the backends that topple."""
     cold = {name: backend for name, backend in tier.backends.items() if backend.is_cold(tier.now)}
     serving = [(node, p) for node, p in enumerate(tier.processes) if p is not None and p.serves]
     for node, process in serving if cold else ():
         for name, backend in cold.items():
             work = _work(tier, node, process, name, len(serving))
             if work is not None and backend.offer(tier.now, work):
-                yield name, tier.now - backend.start
+                yield Toppled(name, tier.now - backend.start)
 
 
 def _work(tier: Tier, node: int, process: Process, name: str, serving_count: int) -> float | None:
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -220,21 +220,21 @@
 
 
 FAULTS = {
-    "joins by wall time": Fault(
+    "entries are merged by wall time": Fault(
         _planted(RecoveryParts(register=MergesByTime)), frozenset({"known", "ban", "applied", "agree"})
     ),
-    "a return wins over a ban at the same time": Fault(
+    "a lift wins over a concurrent ban": Fault(
         _planted(RecoveryParts(register=LiftWins)), frozenset({"applied", "ban"})
     ),
-    "a ban wins over the return that saw it": Fault(
+    "a ban wins over the lift that saw it": Fault(
         _planted(RecoveryParts(register=ActiveWins)), frozenset({"known", "agree"})
     ),
     "own bans are not issued anew after a lost disk": Fault(
         _planted(RecoveryParts(register=NeverReissues)), frozenset({"ban", "known"})
     ),
-    "returns are dropped at a restart": Fault(DropsLifted, frozenset({"known"})),
+    "lifted bans are dropped at a restart": Fault(DropsLifted, frozenset({"known"})),
     "serves before asking": Fault(_planted(RecoveryParts(phases=ServesAtOnce)), frozenset({"ban"})),
-    "waits for everybody": Fault(
+    "waits for all peers": Fault(
         _planted(RecoveryParts(phases=AwaitsAll), AwaitingRecovery), frozenset({"full"})
     ),
     "a minority shares the whole budget": Fault(
@@ -245,17 +245,19 @@
     ),
     "a phase is entered again": Fault(WarmsAgain, frozenset({"phase"})),
     "a lost majority begins anew": Fault(FullByMembers, frozenset({"phase"})),
-    "discovery is asked at once": Fault(  # or by `mass_return`
+    "discovery is polled without slots": Fault(  # or by `mass_return`
         _planted(RecoveryParts(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
     ),
     "a peer's filter restricts everything": Fault(
         _planted(RecoveryParts(saved_list=RestrictsAll)), frozenset({"list"})
     ),
-    "yes is said before the sync": Fault(_planted(RecoveryParts(bans=AnswersFirst)), frozenset({"ban"})),
+    "a request is answered before the sync": Fault(
+        _planted(RecoveryParts(bans=AnswersFirst)), frozenset({"ban"})
+    ),
     "digests are not answered": Fault(
         _planted(RecoveryParts(exchange=NeverRepairs)), frozenset({"ban", "agree"})
     ),
-    "bans heard while serving are not applied": Fault(
+    "bans received while serving are not applied": Fault(
         _planted(RecoveryParts(bans=IgnoresLateBans, phases=MarksServing)), frozenset({"applied", "ban"})
     ),
 }
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -170,8 +170,9 @@
                 self._compare_register(node)
         for ban in self._lasting():
             self._check_ban(ban)
-        for name, age_ms in toppled_backends(self.tier):
-            self._breach("budget", f"{name} topples {age_ms:.0f} ms after its start")
+        for toppled in toppled_backends(self.tier):
+            text = f"{toppled.name} topples {toppled.age_ms:.0f} ms after its start"
+            self._breach("budget", text)
 
     def is_settled(self) -> bool:
         """Return whether all that live are full and agree."""
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -75,7 +75,8 @@
         """Start a node's process; its disk is read a little later."""
         if self.processes[node] is not None:
             return
-        found, incarnation = self._turn_on(node, condition)
+        found = self._turn_on(node, condition)
+        incarnation = self.disks[node].incarnation
         core = self._new_core(node, incarnation)
         self.processes[node] = Process(
             core, self.now, power_cut=node in self._blacked_out, saved_ids=frozenset(found.saved_ids)
@@ -93,7 +94,8 @@
         left = events.StateInherited(core.phase, core.path, core.cold_since, tuple(core.register.entries()))
         self.note(f"n{node} has a successor")
         self.kill(node)
-        found, incarnation = self._turn_on(node, Condition.SOUND)
+        found = self._turn_on(node, Condition.SOUND)
+        incarnation = self.disks[node].incarnation
         self.processes[node] = Process(
             self._new_core(node, incarnation),
             old.began,
@@ -210,8 +212,8 @@
     def _is_cut(self, source: int, target: int) -> bool:
         return any(p.begin <= self.now < p.until and p.separates(source, target) for p in self.partitions)
 
-    def _turn_on(self, node: int, condition: Condition) -> tuple[Found, int]:
-        """Return what a new process finds on its disk, and its incarnation; its clocks are others."""
+    def _turn_on(self, node: int, condition: Condition) -> Found:
+        """Return what a new process finds on its disk; its incarnation is written, its clocks are new."""
         disk = self.disks[node]
         self.wall_offsets[node] = self.dice.uniform(-self.max_wall_offset, self.max_wall_offset)
         self.hosts[node].shift = self.dice.uniform(-MAX_CLOCK_SHIFT_MS, MAX_CLOCK_SHIFT_MS)
@@ -222,7 +224,7 @@
         disk.written_at = wall_time
         entry_count = len(found.entries)
         self.note(f"n{node} starts, disk {condition.value}, {entry_count} entries, incarnation {incarnation}")
-        return found, incarnation
+        return found
 
     def _disk_read(self, node: int, number: int, found: Found) -> None:
         if self.hosts[node].number != number or self.processes[node] is None:
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -1,4 +1,4 @@
-"""Tiers of real processes that lose their power, with faults between them, and what they know afterwards."""
+"""Tiers of real processes that lose their power, with faults between them, and their bans afterwards."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class Tier:
-    """Some nodes, each with discovery, disk and `$TMPDIR` of its own, and the datagrams between them."""
+    """Nodes, each with discovery, disk and `$TMPDIR` of its own, and the datagrams between them."""
 
     folder: Path
     count: int
@@ -37,7 +37,7 @@
     sockets: dict[tuple[int, int], socket.socket] = field(default_factory=dict)
 
     async def prepare(self) -> None:
-        """Everything but the nodes."""
+        """Start everything but the nodes."""
         places, loop = self.block.places, asyncio.get_running_loop()
         for backend in self.backends:
             await backend.start()
@@ -52,7 +52,7 @@
             self.write(near)
 
     def write(self, node: int) -> None:
-        """A node's files."""
+        """Write a node's files."""
         places, home = self.block.places, self.home(node)
         home.mkdir(exist_ok=True)
         table = configuration([b.member() for b in self.backends], self.discovery[node].port,
@@ -68,7 +68,7 @@
         )
 
     def home(self, node: int) -> Path:
-        """A node's directory."""
+        """Return a node's directory."""
         return self.folder / f"n{node}"
 
     def _pass(self, near: int, far: int) -> None:
@@ -79,25 +79,25 @@
                     self.sockets[to, near].sendto(data, self.block.places.peer(to))
 
     def split(self, *nodes: int) -> None:
-        """Nothing gets through between these and the others."""
+        """Partition these nodes from the others."""
         others = set(range(self.count)) - set(nodes)
         self.cut = {frozenset({a, b}) for a in nodes for b in others}
 
     def env(self, node: int, fresh_tmp: bool = True) -> dict[str, str]:
-        """For a process of a node; what `$TMPDIR` held before is gone, unless told otherwise."""
+        """Return the environment of a process; `$TMPDIR` is empty unless `fresh_tmp` is false."""
         self.starts += fresh_tmp
         tmp = self.home(node) / f"tmp-{self.starts}"
         tmp.mkdir(exist_ok=True)
         return {"TMPDIR": str(tmp), "PROXY_FLEET": str(self.home(node) / "fleet.toml")}
 
     def up(self, node: int, fresh_tmp: bool = True) -> contextlib.AbstractAsyncContextManager[Rig]:
-        """A process of a node, from when it serves."""
+        """Run a process of a node, from when it serves."""
         path = self.home(node) / "config.json"
         return started(path, self.discovery[node], **self.env(node, fresh_tmp))
 
     @contextlib.asynccontextmanager
     async def powered(self, *nodes: int) -> AsyncIterator[list[Rig]]:
-        """These nodes at once; at the end all lose their power."""
+        """Run these nodes; at the end all lose their power."""
         async with contextlib.AsyncExitStack() as stack:
             begin = [stack.enter_async_context(self.up(n)) for n in nodes or range(self.count)]
             rigs = await asyncio.gather(*begin)
@@ -106,13 +106,13 @@
                 if rig.process.returncode is None:
                     rig.process.kill()
 
-    async def tell(self, node: int) -> None:
-        """Discovery answers a node's call with the whole list."""
+    async def send_list(self, node: int) -> None:
+        """Answer a node's request to discovery with the complete list."""
         await asyncio.wait_for(self.discovery[node].asked.get(), WAIT)
         self.discovery[node].news(50, *[b.member() for b in self.backends], complete=True)
 
     def close(self) -> None:
-        """The end of all."""
+        """Close everything but the nodes."""
         for sock in self.sockets.values():
             asyncio.get_running_loop().remove_reader(sock)
             sock.close()
@@ -126,7 +126,7 @@
 
 @contextlib.asynccontextmanager
 async def tier(folder: Path, count: int = 3) -> AsyncIterator[Tier]:
-    """All of a tier but its processes."""
+    """Provide a tier without its processes."""
     one = Tier(folder, count, Block(count, 1))
     try:
         await one.prepare()
@@ -136,13 +136,13 @@
 
 
 async def recovery(rig: Rig) -> dict[str, Any]:
-    """What a node says of its return."""
+    """Return a node's progress of recovery."""
     out: dict[str, Any] = (await rig.stats())["fleet"]["recovery"]
     return out
 
 
 async def fleet_recovery(rig: Rig) -> tuple[int, dict[str, Any]]:
-    """The same by the command: its exit code and what it prints."""
+    """Return the same by the command: its exit code and what it prints."""
     line = ["fleet", "recovery", "--console", f"127.0.0.1:{rig.console_port}"]
     assert "phase" in (await asyncio.to_thread(CliRunner().invoke, app, line)).stdout
     done = await asyncio.to_thread(CliRunner().invoke, app, [*line, "--json"])
@@ -150,17 +150,17 @@
 
 
 async def served(rig: Rig, requests: int = 24) -> set[str]:
-    """The backends that answer a client of the node."""
+    """Return the backends that answer a client of the node."""
     client = await rig.client()
     return {(await client.ask("/read")).body.split()[0].decode() for _ in range(requests)}
 
 
 async def ban(rig: Rig, backend: str = "b1") -> None:
-    """An operator takes it out, and is told yes."""
+    """Ban a backend for an operator, acknowledged."""
     assert (await rig.call(f"/backends/{backend}/maint", "POST")).code == 200
 
 
-async def test_a_ban_outlasts_the_power_of_all_and_a_lost_and_two_swapped_disks(tmp_path: Path) -> None:
+async def test_a_ban_outlasts_a_power_loss_and_a_lost_and_two_swapped_disks(tmp_path: Path) -> None:
     async with tier(tmp_path) as one:
         async with one.powered() as rigs:
             await ban(rigs[0])
@@ -184,7 +184,7 @@
             await rigs[0].logged("maintenance: b1 is back")
 
 
-async def test_what_only_one_node_knew_is_lost_with_it_and_a_partition_heals(tmp_path: Path) -> None:
+async def test_a_ban_of_a_partitioned_node_comes_back_with_it_and_a_partition_heals(tmp_path: Path) -> None:
     async with tier(tmp_path) as one:
         async with one.powered() as rigs:
             one.split(0)
@@ -205,11 +205,11 @@
                 await late.logged("maintenance: b1 is out")
 
 
-async def test_one_crash_among_live_peers_is_told_and_leaves_no_phase_to_wait_in(tmp_path: Path) -> None:
+async def test_one_crash_among_live_peers_is_classified_and_needs_no_wait(tmp_path: Path) -> None:
     async with tier(tmp_path) as one, one.powered() as rigs:
         assert (await fleet_recovery(rigs[0]))[0] == 1
-        await one.tell(1)
-        await one.tell(2)
+        await one.send_list(1)
+        await one.send_list(2)
         await asyncio.wait_for(one.discovery[0].asked.get(), WAIT)
         one.discovery[0].send(b"\n")  # the list that it was started with holds
         for rig in rigs:
@@ -225,14 +225,14 @@
 
 @contextlib.asynccontextmanager
 async def successor(one: Tier) -> AsyncIterator[Rig]:
-    """A second process of node 0 beside its first one, once discovery has answered it."""
-    answer = asyncio.create_task(one.tell(0))
+    """Run a successor of node 0 beside it, once discovery has answered it."""
+    answer = asyncio.create_task(one.send_list(0))
     async with one.up(0, fresh_tmp=False) as new:
         await answer
         yield new
 
 
-async def test_an_end_and_a_successor_in_the_midst_of_a_return(tmp_path: Path) -> None:
+async def test_a_shutdown_and_a_successor_during_a_recovery(tmp_path: Path) -> None:
     async with tier(tmp_path, 2) as one:
         process = await spawn(one.home(0) / "config.json", **one.env(0))
         rig = Rig(process, 0, one.discovery[0], [], one.home(0))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Nodes of their own that are killed, stopped and started again on one directory of durable state."""
+"""Nodes that are killed, stopped and restarted on one directory of durable state."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class Home:
-    """A node's place: its file, its durable directory, and a `$TMPDIR` for each process."""
+    """A node's files: settings, durable directory, and a `$TMPDIR` for each process."""
 
     folder: Path
     discovery: FakeDiscovery
@@ -38,27 +38,27 @@
 
     @property
     def state(self) -> Path:
-        """The durable directory."""
+        """Return the durable directory."""
         return self.folder / "state"
 
     def kept(self) -> Kept:
-        """What is in it now."""
+        """Return what is in it now."""
         loaded = load(RealFiles(self.state))
         return total(loaded.snapshot, loaded.records)
 
     def kept_number(self) -> int:
-        """How many records are in it."""
+        """Return how many records are in it."""
         with contextlib.suppress(OSError):  # a generation may go while it is read
             return load(RealFiles(self.state)).number
         return 0
 
     async def has_kept(self, number: int) -> bool:
-        """Whether so many records are in it."""
+        """Return whether so many records are in it."""
         return self.kept_number() >= number
 
     @contextlib.asynccontextmanager
     async def up(self, fresh_tmp: bool = True) -> AsyncIterator[Rig]:
-        """A process of the node; what `$TMPDIR` held before is gone, unless told otherwise."""
+        """Run a process of the node; `$TMPDIR` is empty unless `fresh_tmp` is false."""
         self.starts += fresh_tmp
         tmp = self.folder / f"tmp-{self.starts}"
         tmp.mkdir(exist_ok=True)
@@ -68,8 +68,8 @@
 
 
 @contextlib.asynccontextmanager
-async def home(folder: Path) -> AsyncIterator[Home]:
-    """Backends, discovery and the files of one node."""
+async def new_home(folder: Path) -> AsyncIterator[Home]:
+    """Provide backends, discovery and the files of one node."""
     discovery, backends = FakeDiscovery(), [Backend(name) for name in BACKENDS]
     await discovery.start()
     for backend in backends:
@@ -87,67 +87,67 @@
 
 
 async def test_a_ban_outlasts_kill_nine_and_a_lost_tmpdir(tmp_path: Path) -> None:
-    async with home(tmp_path) as place:
-        async with place.up() as rig:
+    async with new_home(tmp_path) as home:
+        async with home.up() as rig:
             assert (await rig.call("/backends/b1/maint", "POST")).code == 200
             assert (await rig.call("/backends/b2/maint", "POST")).code == 200
             assert (await rig.call("/backends/b2/ready", "POST")).code == 200
             rig.process.kill()
-        async with place.up() as rig:
+        async with home.up() as rig:
             assert (await rig.stats())["members_unavailable"] == 1
             client = await rig.client()
             served = {(await client.ask("/read")).body.split()[0] for _ in range(40)}
             assert b"b1" not in served and len(served) >= 2
             assert (await rig.call("/backends/b1/ready", "POST")).code == 200
             rig.process.kill()
-        async with place.up() as rig:
+        async with home.up() as rig:
             assert (await rig.stats())["members_unavailable"] == 0
 
 
-async def operate(rig: Rig, dice: random.Random, said: dict[str, bool]) -> None:
-    """Operators call without a pause until the node is dead; what was said yes to is in `said`."""
+async def operate(rig: Rig, dice: random.Random, acknowledged: dict[str, bool]) -> None:
+    """Request bans and lifts until the node is dead; `acknowledged` has what succeeded."""
     with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
         while True:
             name, out = dice.choice(BACKENDS), dice.random() < 0.5
-            before = said.pop(name, None)  # until the answer nobody knows
+            before = acknowledged.pop(name, None)  # until the answer nobody knows
             if (await rig.call(f"/backends/{name}/{'maint' if out else 'ready'}", "POST")).code == 200:
-                said[name] = out
+                acknowledged[name] = out
             elif before is not None:
-                said[name] = before
+                acknowledged[name] = before
 
 
-async def test_kill_nine_at_any_moment_loses_no_ban_that_was_said_yes_to(tmp_path: Path) -> None:
-    async with home(tmp_path) as place:
-        dice, said = random.Random(7), dict[str, bool]()
+async def test_kill_nine_at_any_moment_loses_no_acknowledged_ban(tmp_path: Path) -> None:
+    async with new_home(tmp_path) as home:
+        dice, acknowledged = random.Random(7), dict[str, bool]()
         for _ in range(6):
-            async with place.up() as rig:
-                calls = asyncio.create_task(operate(rig, dice, said))
+            async with home.up() as rig:
+                calls = asyncio.create_task(operate(rig, dice, acknowledged))
                 target = dice.randint(1, 60)  # so many records, then the power of the process is cut
-                await happens(partial(place.has_kept, place.kept_number() + target), 0.001)
+                await happens(partial(home.has_kept, home.kept_number() + target), 0.001)
                 rig.process.kill()
                 await calls
-            kept = place.kept()
-            for name, out in said.items():
+            kept = home.kept()
+            for name, out in acknowledged.items():
                 assert (name in kept.out) == out, (name, out)
 
 
-async def test_a_process_that_sleeps_through_the_hand_over_cannot_undo_it(tmp_path: Path) -> None:
+async def test_a_process_that_sleeps_through_the_handover_cannot_undo_it(tmp_path: Path) -> None:
     async def news(discovery: FakeDiscovery) -> None:
         await discovery.asked.get()
         discovery.news(42)
 
-    async with home(tmp_path) as place, place.up() as old:
-        await place.discovery.asked.get()
+    async with new_home(tmp_path) as home, home.up() as old:
+        await home.discovery.asked.get()
         assert (await old.call("/backends/b0/maint", "POST")).code == 200
         old.process.send_signal(signal.SIGSTOP)
-        told = asyncio.create_task(news(place.discovery))
-        async with place.up(fresh_tmp=False) as new:
+        told = asyncio.create_task(news(home.discovery))
+        async with home.up(fresh_tmp=False) as new:
             await told
             assert (await new.stats())["members_unavailable"] == 1
             assert (await new.call("/backends/b1/maint", "POST")).code == 200
             old.process.send_signal(signal.SIGCONT)
             assert (await old.call("/backends/b2/maint", "POST")).code == 503
-            assert set(place.kept().out) == {"b0", "b1"}
+            assert set(home.kept().out) == {"b0", "b1"}
             new.process.kill()
         await old.logged("is out")
 
@@ -155,23 +155,23 @@
             return (await old.call("/backends/b3/maint", "POST")).code == 200
 
         await happens(taken_out)  # the successor is gone: the old one keeps the state again
-        assert {"b0", "b1", "b3"} <= set(place.kept().out)
+        assert {"b0", "b1", "b3"} <= set(home.kept().out)
 
 
-def test_nothing_of_a_room_is_imported_that_the_fleet_file_does_not_name() -> None:
-    rooms = ("durable", "membership", "recovery", "lab", "sim", "cli")
+def test_no_subsystem_is_imported_that_the_fleet_file_does_not_name() -> None:
+    subsystems = ("durable", "membership", "recovery", "lab", "sim", "cli")
     code = f"import sys, balancer.net.fleet; print([m for m in sys.modules if m.split('.')[1:2] and " \
-           f"m.split('.')[1] in {rooms}], 'google_crc32c' in sys.modules)"  # fmt: skip
+           f"m.split('.')[1] in {subsystems}], 'google_crc32c' in sys.modules)"  # fmt: skip
     done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True,
                           check=True)  # fmt: skip
     assert done.stdout.strip() == "[] False"
 
 
-# --- what the module believes
+# --- learned state
 
 
-def taught() -> tuple[api.Learned, float]:
-    """What a node has learned that served with a wide limit and has ejected a backend; and the time then."""
+def learned_state() -> tuple[api.Learned, float]:
+    """Return what a node has learned with a wide limit and an ejected backend, and the time then."""
     one = node(replace(BASE, reports=api.Reports.NONE), ["x", "y"])
     one.limit = 20.0
     one.classes["read"].usual = 37.0
@@ -182,7 +182,7 @@
 
 @pytest.mark.parametrize(("age", "limit"), [(0.0, 20.0), (10_000.0, 12.0), (1e6, 4.0)])
 def test_what_was_learned_fades_to_the_cold_defaults(age: float, limit: float) -> None:
-    learned, _ = taught()
+    learned, _ = learned_state()
     heir = node(BASE, ["x", "y"])
     heir.handle(1000.0, api.Recovered(learned, age))
     assert heir.limit == pytest.approx(limit)
@@ -194,7 +194,7 @@
 
 
 def test_a_backend_started_since_is_a_new_one_and_a_ban_holds() -> None:
-    learned, _ = taught()
+    learned, _ = learned_state()
     heir = node(BASE, ["y"])
     heir.handle(1000.0, api.ListUpdate(api.ListKind.CHANGES, [entry("x", started_at=900.0)]))
     heir.handle(1000.0, api.Maintenance("y", True))
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -1,9 +1,9 @@
-"""What the room of a return does with the node's list and with discovery's calls, without sockets."""
+"""What a node's recovery does with its list and with requests to discovery, without sockets."""
 
 from __future__ import annotations
 
-import contextlib
 from collections.abc import AsyncIterator
+from dataclasses import dataclass
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any, cast
@@ -23,7 +23,7 @@
 
 
 class Watcher:
-    """Takes note of what is asked of discovery."""
+    """Records what is asked of discovery."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -37,23 +37,37 @@
         self.calls.append("fetch")
 
 
-Told = list[tuple[api.ListKind, dict[str, api.Phase]]]
+@dataclass
+class ListSent:
+    """A list that the balancer was sent."""
+
+    kind: api.ListKind
+    phases: dict[str, api.Phase]  # by backend
 
 
 def news(revision: int, *names: str) -> News:
-    """A list of backends that are in service."""
+    """Return a list of backends that are in service."""
     return News(revision, True, tuple(member(entry(name), "127.0.0.1:1") for name in names))
 
 
-@contextlib.asynccontextmanager
-async def returning(*names: str) -> AsyncIterator[tuple[RecoveryAdapter, Watcher, Told]]:
-    """The return of a tier's only node, with a saved list; and what its node was told of lists."""
-    told: Told = []
+@dataclass
+class Setup:
+    """The adapter of a tier's only node, with a saved list of three backends, and what surrounds it."""
+
+    adapter: RecoveryAdapter
+    watcher: Watcher
+    lists: list[ListSent]
+
+
+@pytest.fixture
+async def setup() -> AsyncIterator[Setup]:
+    """An adapter that has not started."""
+    lists: list[ListSent] = []
 
     def take(update: News, kind: api.ListKind) -> None:
-        told.append((kind, {m.backend: m.phase for m in update.members}))
+        lists.append(ListSent(kind, {m.backend: m.phase for m in update.members}))
 
-    one: Any = SimpleNamespace(
+    node: Any = SimpleNamespace(
         settings=BASE,
         meeting=Path("unused"),
         config=SimpleNamespace(seed=1),
@@ -62,49 +76,66 @@
         event=lambda event: None,
     )
     watcher = Watcher()
-    out = RecoveryAdapter(cast(Node, one), watcher, news(41, *names), Port(HERE, [HERE], HERE), 1, None)
-    try:
-        yield out, watcher, told
-    finally:
-        out.shell.close()
-
-
-async def test_discovery_is_called_at_the_turn_and_after_a_failure_at_the_next_one() -> None:
-    async with returning("a") as (one, watcher, _):
-        one.watch(True)
-        one.fetch()
-        assert watcher.calls == []
-        one.shell.start(one.kept)
-        assert one.shell.core.phase is Phase.LISTED and watcher.calls == ["watch True", "fetch"]
-        one.list_request_failed()
-        one.watch(True)
-        assert watcher.calls[2:] == ["watch False"] and one.shell.core.context.counts["list_failed"] == 1
-        one.allow_polling()
-        one.list_received(news(42, "a"), api.ListKind.FULL)
-        one.list_request_failed()  # what is lost once the list was told is the node's own affair
-        assert watcher.calls[3:] == ["watch True"]
-
-
-async def test_a_restriction_only_takes_away_and_ends_with_the_list_that_discovery_tells() -> None:
-    async with returning("a", "b", "c") as (one, _, told):
-        up, leaving = api.Phase.UP, api.Phase.DRAINING
-        one.restrict_saved_list(frozenset({"a", "b", "x"}))
-        assert told == [(api.ListKind.SAVED, {"a": leaving, "b": leaving, "c": up})]
-        gone = member(entry("a", phase=api.Phase.GONE), "127.0.0.1:1")
-        one.list_received(News(42, False, (gone,)), api.ListKind.CHANGES)
-        one.restrict_saved_list(frozenset())
-        assert told[1:] == [(api.ListKind.CHANGES, {"b": up})]
-
-
-async def test_a_defect_of_the_room_leaves_a_node_that_serves() -> None:
-    async with returning("a") as (one, watcher, _):
-
-        def broken(now: float, event: object) -> list[Any]:
-            raise ZeroDivisionError
-
-        one.shell.core.handle = broken  # type: ignore[method-assign]
-        one.shell.start(one.kept)
-        await one.shell.wait_until_serving()
-        assert one.shell.has_failed and watcher.calls == ["watch True"]
-        with pytest.raises(BanCallError, match="failed"):
-            await one.request_ban("a", True)
+    port = Port(HERE, [HERE], HERE)
+    adapter = RecoveryAdapter(cast(Node, node), watcher, news(41, "a", "b", "c"), port, 1, None)
+    yield Setup(adapter, watcher, lists)
+    adapter.shell.close()
+
+
+async def test_discovery_is_polled_in_the_slot(setup: Setup) -> None:
+    adapter, watcher = setup.adapter, setup.watcher
+    adapter.watch(True)
+    adapter.fetch()
+    assert watcher.calls == []
+    adapter.shell.start(adapter.saved_state)
+    assert adapter.shell.core.phase is Phase.LISTED
+    assert watcher.calls == ["watch True", "fetch"]
+
+
+async def test_a_failed_request_waits_for_the_next_slot(setup: Setup) -> None:
+    adapter, watcher = setup.adapter, setup.watcher
+    adapter.shell.start(adapter.saved_state)
+    adapter.list_request_failed()
+    adapter.watch(True)
+    assert watcher.calls == ["watch True", "watch False"]
+    assert adapter.shell.core.context.counts["list_failed"] == 1
+    adapter.allow_polling()
+    assert watcher.calls[2:] == ["watch True"]
+
+
+async def test_a_request_that_fails_once_the_list_was_sent_is_left_to_the_watcher(setup: Setup) -> None:
+    adapter, watcher = setup.adapter, setup.watcher
+    adapter.shell.start(adapter.saved_state)
+    adapter.list_received(news(42, "a"), api.ListKind.FULL)
+    adapter.list_request_failed()
+    assert watcher.calls == ["watch True"]
+    assert adapter.shell.core.context.counts["list_failed"] == 0
+
+
+async def test_a_restriction_only_takes_away_and_ends_with_the_list_that_discovery_sends(
+    setup: Setup,
+) -> None:
+    adapter = setup.adapter
+    up = api.Phase.UP
+    draining = api.Phase.DRAINING
+    adapter.restrict_saved_list(frozenset({"a", "b", "x"}))
+    assert setup.lists == [ListSent(api.ListKind.SAVED, {"a": draining, "b": draining, "c": up})]
+    gone = member(entry("a", phase=api.Phase.GONE), "127.0.0.1:1")
+    adapter.list_received(News(42, False, (gone,)), api.ListKind.CHANGES)
+    adapter.restrict_saved_list(frozenset())
+    assert setup.lists[1:] == [ListSent(api.ListKind.CHANGES, {"b": up})]
+
+
+async def test_a_defect_of_recovery_leaves_a_node_that_serves(setup: Setup) -> None:
+    adapter = setup.adapter
+
+    def broken(now: float, event: object) -> list[Any]:
+        raise ZeroDivisionError
+
+    adapter.shell.core.handle = broken  # type: ignore[method-assign]
+    adapter.shell.start(adapter.saved_state)
+    await adapter.shell.wait_until_serving()
+    assert adapter.shell.has_failed
+    assert setup.watcher.calls == ["watch True"]
+    with pytest.raises(BanCallError, match="failed"):
+        await adapter.request_ban("a", True)
--- a/tests/test_recovery_sim.py
+++ b/tests/test_recovery_sim.py
@@ -1,4 +1,4 @@
-"""A tier's return in the simulation: small schedules hold, planted faults do not, failures can be read."""
+"""A tier's recovery in the simulation: small schedules hold, planted faults do not, failures are readable."""
 
 from __future__ import annotations
 
@@ -18,17 +18,24 @@
 SMALL = (3, 4, 5)
 
 
-def test_small_tiers_return_as_they_must() -> None:
+def test_small_tiers_recover_within_the_invariants() -> None:
     found = explore(range(60), SMALL, stop=1)
     assert not found.failures, str(shrink(found.failures[0]))
     assert found.yes > 100
 
 
-@pytest.mark.parametrize("name", [
-    "a return wins over a ban at the same time", "returns are dropped at a restart",
-    "a phase is entered again", "yes is said before the sync", "a peer's filter restricts everything",
-    "bans heard while serving are not applied", "digests are not answered",
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "name",
+    [
+        "a lift wins over a concurrent ban",
+        "lifted bans are dropped at a restart",
+        "a phase is entered again",
+        "a request is answered before the sync",
+        "a peer's filter restricts everything",
+        "bans received while serving are not applied",
+        "digests are not answered",
+    ],
+)
 def test_planted_faults_are_found(name: str) -> None:
     fault = FAULTS[name]
     breach = explore(range(40), fault.counts, fault.make, stop=1).first()
@@ -36,7 +43,7 @@
 
 
 def test_a_failure_shrinks_to_what_it_needs() -> None:
-    make = FAULTS["returns are dropped at a restart"].make
+    make = FAULTS["lifted bans are dropped at a restart"].make
     failed = explore(range(40), (3,), make, stop=1).failures[0]
     small = shrink(failed, make)
     assert len(small.schedule.steps) < len(failed.schedule.steps) / 2
@@ -48,10 +55,12 @@
     assert play(draw(5, SMALL)).log == play(draw(5, SMALL)).log
 
 
-def test_turns_spare_discovery() -> None:
-    room = mass_return(16, 1, spread=300.0, slot=250.0)
-    assert not room.breaches and room.calls < 16 < calls_without(16, 1, spread=300.0, down=8_000.0)
-    at_once = mass_return(16, 1, 300.0, slot=250.0, make=FAULTS["discovery is asked at once"].make)
+def test_slots_spare_discovery() -> None:
+    polled_in_slots = mass_return(16, 1, spread=300.0, slot=250.0)
+    assert not polled_in_slots.breaches and polled_in_slots.calls < 16 < calls_without(
+        16, 1, spread=300.0, down=8_000.0
+    )
+    at_once = mass_return(16, 1, 300.0, slot=250.0, make=FAULTS["discovery is polled without slots"].make)
     assert at_once.breaches[0].startswith("turns")
 
 
@@ -77,15 +86,21 @@
         assert any(toppled) is falls
 
 
-@pytest.mark.parametrize(("condition", "kept", "sound"), [
-    (Condition.SOUND, 3, True), (Condition.LOST, 0, True), (Condition.DAMAGED, 0, False),
-    (Condition.SWAPPED, 0, False), (Condition.MONTH, 1, True),
-])  # fmt: skip
-def test_what_a_start_finds(condition: Condition, kept: int, sound: bool) -> None:
+@pytest.mark.parametrize(
+    ("condition", "found_entries", "sound"),
+    [
+        (Condition.SOUND, 3, True),
+        (Condition.LOST, 0, True),
+        (Condition.DAMAGED, 0, False),
+        (Condition.SWAPPED, 0, False),
+        (Condition.MONTH, 1, True),
+    ],
+)
+def test_what_a_start_finds(condition: Condition, found_entries: int, sound: bool) -> None:
     rows = [BanEntry(f"b{i}", 0, 1, i, True, 0.0) for i in range(3)]
     disk = Disk(records=[(rows[0],)], is_used=True)
     disk.take_image()
     disk.records += [(rows[1],), (rows[2],)]
     found = disk.read(condition, 1_000.0, random.Random(1))
-    assert (len(found.entries), found.sound) == (kept, sound)
+    assert (len(found.entries), found.sound) == (found_entries, sound)
     assert disk.epoch == (condition is not Condition.SOUND)
