--- a/balancer/cli/recovery.py
+++ b/balancer/cli/recovery.py
@@ -2,41 +2,19 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 from rich.console import Group, RenderableType
 from rich.text import Text
 
 from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, rooms, show
 from balancer.cli.output import stop
+from balancer.recovery.stats import NOT_TRUSTED, RecoveryStats
 
 MAX_SHOWN_NODES = 20
-NOT_TRUSTED = "no"
 COLOURS = {"verify": "red", "ask": "red", "listed": "yellow", "warming": "yellow", "full": "green"}
 
 
-class Recovery(msgspec.Struct):
-    """`fleet.recovery` of `/stats`; what is unknown is skipped."""
-
-    phase: str
-    path: str
-    since_ms: int = 0
-    share: float = 1.0
-    trusted: dict[str, str] = {}  # trust level by kind of saved state, or `NOT_TRUSTED`
-    asked: int = 0
-    heard: int = 0
-    waits_for: list[int] = []
-    until_ms: int | None = None
-    bans: int = 0
-    rows: int = 0
-    register: str = ""
-    listed: dict[str, Any] = msgspec.field(default_factory=dict, name="list")
-    counts: dict[str, int] = {}
-    failed: bool = False
-
-
-def read_console(console: str) -> Recovery:
+def read_console(console: str) -> RecoveryStats:
     """Return what the console says now.
 
     Raises:
@@ -47,18 +25,18 @@
         why = f"{console}: recovery is off there (PROXY_FLEET names no file with [recovery])"
         raise stop(AbsentError(why))
     try:
-        return msgspec.convert(found, Recovery)
+        return msgspec.convert(found, RecoveryStats)
     except msgspec.ValidationError as err:
         raise stop(SilentError(f"{console} gives no figures of recovery: {err}")) from None
 
 
-def table(seen: Recovery) -> RenderableType:
+def table(seen: RecoveryStats) -> RenderableType:
     """Return the table for people."""
     lines = [
         _phase_line(seen),
-        f"heard {seen.heard} of {seen.asked} peers; waits for {_awaited(seen.waits_for)}",
+        f"heard {seen.reported_peers} of {seen.peers} peers; waits for {_awaited(seen.awaited_peers)}",
         _trust_line(seen.trusted),
-        f"{seen.bans} bans in {seen.rows} entries, register {seen.register}",
+        f"{seen.bans} bans in {seen.entries} entries, register {seen.register_hash}",
         _list_line(seen),
         f"counts: {', '.join(f'{name} {count}' for name, count in sorted(seen.counts.items())) or 'none'}",
     ]
@@ -67,9 +45,9 @@
     return Group(*(Text.from_markup(line) for line in lines))
 
 
-def _phase_line(seen: Recovery) -> str:
+def _phase_line(seen: RecoveryStats) -> str:
     colour = COLOURS.get(seen.phase, "")
-    until = f", {ago(seen.until_ms)} more at most" if seen.until_ms is not None else ""
+    until = f", {ago(seen.remaining_ms)} more at most" if seen.remaining_ms is not None else ""
     return f"phase [{colour}]{seen.phase}[/] for {ago(seen.since_ms)}{until}, path {seen.path}"
 
 
@@ -85,16 +63,16 @@
     return f"saved state: used {', '.join(used) or 'nothing'}; not used {', '.join(unused) or 'nothing'}"
 
 
-def _list_line(seen: Recovery) -> str:
-    source = "sent by discovery" if seen.listed.get("fresh") else "as it was saved"
+def _list_line(seen: RecoveryStats) -> str:
+    source = "sent by discovery" if seen.endpoint_list.fresh else "as it was saved"
     return (
-        f"list of revision {seen.listed.get('revision', 0)} {source}, "
-        f"{seen.listed.get('restricted', 0)} avoided; "
+        f"list of revision {seen.endpoint_list.revision} {source}, "
+        f"{seen.endpoint_list.restricted} avoided; "
         f"share of the capacity of cold backends {seen.share:.1%}"
     )
 
 
-def is_over(seen: Recovery) -> bool:
+def is_over(seen: RecoveryStats) -> bool:
     """Return whether the recovery is over."""
     return seen.phase == "full"
 
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -15,7 +15,6 @@
 from collections import Counter
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
 
 from balancer.recovery.actions import Action, PersistEntries, RequestList, SendDatagram
 from balancer.recovery.ban_controller import BanController
@@ -46,6 +45,7 @@
 from balancer.recovery.quota import CapacityQuota
 from balancer.recovery.receiver import DatagramReceiver
 from balancer.recovery.saved_list import SavedList
+from balancer.recovery.stats import NOT_TRUSTED, ListStats, RecoveryStats
 from balancer.recovery.survey import PeerSurvey
 from balancer.recovery.trust import TRUST_TABLE, DiskState, StateKind, TrustRule
 
@@ -144,36 +144,35 @@
         """Return whether saved state of a kind may be used now, by the trust table."""
         return self.context.is_trusted(kind)
 
-    def stats(self) -> dict[str, Any]:
-        """Return the table for `/stats`."""
+    def stats(self) -> RecoveryStats:
+        """Return the figures for `/stats`."""
         context = self.context
         deadline = self.phases.deadline()
         counters = (context.counts, self.exchange.counts, self.bans.counts, self.register.counts)
-        trusted = {
-            kind.value: context.trust_table[kind].level.value if self.is_trusted(kind) else "no"
-            for kind in StateKind
-        }
-        return {
-            "phase": self.phase.name.lower(),
-            "path": self.path.value,
-            "since_ms": round(context.now - context.phase_since),
-            "share": round(self.quota.share, 4),
-            "trusted": trusted,
-            "asked": context.node_count - 1,
-            "heard": len(self.survey.reports),
-            "waits_for": self.phases.awaited_peers(),
-            "until_ms": None if deadline == math.inf else round(max(0.0, deadline - context.now)),
-            "bans": len(self.register.bans()),
-            "rows": len(self.register),
-            "register": f"{self.register.hash:016x}",
-            "list": {
-                "fresh": context.has_fresh_list,
-                "revision": self.saved_list.revision,
-                "restricted": len(self.saved_list.restricted_ids),
-                "calls": self.schedule.poll_count,
+        return RecoveryStats(
+            phase=self.phase.name.lower(),
+            path=self.path.value,
+            since_ms=round(context.now - context.phase_since),
+            share=round(self.quota.share, 4),
+            trusted={
+                kind.value: context.trust_table[kind].level.value if self.is_trusted(kind) else NOT_TRUSTED
+                for kind in StateKind
             },
-            "counts": dict(sorted(sum(counters, Counter[str]()).items())),
-        }
+            peers=context.node_count - 1,
+            reported_peers=len(self.survey.reports),
+            awaited_peers=self.phases.awaited_peers(),
+            remaining_ms=None if deadline == math.inf else round(max(0.0, deadline - context.now)),
+            bans=len(self.register.bans()),
+            entries=len(self.register),
+            register_hash=f"{self.register.hash:016x}",
+            endpoint_list=ListStats(
+                fresh=context.has_fresh_list,
+                revision=self.saved_list.revision,
+                restricted=len(self.saved_list.restricted_ids),
+                polls=self.schedule.poll_count,
+            ),
+            counts=dict(sorted(sum(counters, Counter[str]()).items())),
+        )
 
     # --- events
 
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -14,6 +14,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+import msgspec
+
 from balancer.durable.records import Kept, stamp
 from balancer.durable.shell import Durable
 from balancer.membership.port import RECOVERY, Moved, Port
@@ -198,7 +200,9 @@
 
     def stats(self) -> dict[str, object]:
         """Return the table for `/stats`."""
-        return {**self.core.stats(), "failed": self.has_failed}
+        stats = msgspec.structs.replace(self.core.stats(), failed=self.has_failed)
+        table: dict[str, object] = msgspec.to_builtins(stats)
+        return table
 
     # --- actions
 
--- a/tests/test_recovery_bans.py
+++ b/tests/test_recovery_bans.py
@@ -35,7 +35,7 @@
     tier.event(1, DatagramReceived(0, tell.data))
     assert tier.of(1, ApplyBan)[-1].banned and tier.of(1, PersistEntries)[-1].token is None
     tier.run(400)
-    assert core.stats()["counts"]["sent_rows"] == 2 and tier.nodes[2].register.is_banned("a")
+    assert core.stats().counts["sent_rows"] == 2 and tier.nodes[2].register.is_banned("a")
     tier.event(2, BanRequested("a", False, tier.now, 1))
     tier.run(10)
     assert not any(node.register.bans() for node in tier.nodes.values())
@@ -61,7 +61,7 @@
     tier.event(0, BanRequested("x" * 97, True, tier.now, 1))
     tier.run(6_000)
     assert tier.nodes[0].register.bans() and not tier.nodes[1].register.bans()
-    assert tier.nodes[0].stats()["counts"]["ids_not_shared"] == 1
+    assert tier.nodes[0].stats().counts["ids_not_shared"] == 1
     assert tier.nodes[0].register.hash == tier.nodes[1].register.hash
 
 
@@ -96,4 +96,4 @@
     core = tier.nodes[0]
     core.handle(tier.now, PeersChanged(3, frozenset({2})))
     core.handle(tier.now, MembershipChanged({0: 1, 1: 1}, True))
-    assert core.stats()["heard"] == 1 and core.register.is_banned("a") and core.quota.share == 1 / 2
+    assert core.stats().reported_peers == 1 and core.register.is_banned("a") and core.quota.share == 1 / 2
--- a/tests/test_recovery_messages.py
+++ b/tests/test_recovery_messages.py
@@ -75,5 +75,5 @@
     for source, data in ((2, good), (1, good[:-1]), (1, changed(good, 5, 31)), (0, good), (7, good)):
         core.handle(tier.now, DatagramReceived(source, data))
     assert not core.register.entries()
-    new = Counter(core.stats()["counts"]) - Counter(before["counts"])
+    new = Counter(core.stats().counts) - Counter(before.counts)
     assert new == {"wrong_sender": 3, "unreadable": 1, "unknown_kinds": 1}
