--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -25,7 +25,7 @@
     from balancer.membership.shell import MembershipShell
     from balancer.net.durable_adapter import DurableAdapter
     from balancer.net.node import Node, Watcher
-    from balancer.net.returning import Returning
+    from balancer.net.recovery_adapter import RecoveryAdapter
 
 log = logging.getLogger(__name__)
 
@@ -129,7 +129,7 @@
             self.durable = DurableAdapter(Path(table.durable.directory), held.name)
         self.port: PeerSocket | None = None
         self.membership: MembershipShell | None = None
-        self.returning: Returning | None = None
+        self.returning: RecoveryAdapter | None = None
         self._returns = table.recovery is not None
         self._opening: asyncio.Task[None] | None = None
         if table.membership is not None:
@@ -152,11 +152,11 @@
         """
         if not self._returns or self.port is None or self.membership is None:
             return watcher
-        from balancer.net.returning import Returning
+        from balancer.net.recovery_adapter import RecoveryAdapter
 
         disk = self.durable.store if self.durable is not None else None
-        self.returning = Returning(node, watcher, known, self.port, self.membership.generation, disk)
-        self.membership.on_view_changed = self.returning.shell.members
+        self.returning = RecoveryAdapter(node, watcher, known, self.port, self.membership.generation, disk)
+        self.membership.on_view_changed = self.returning.shell.members_changed
         return self.returning
 
     async def returned(self, beside: bool) -> None:
@@ -166,7 +166,7 @@
                 self.start()
             if self._opening is not None:  # else the first roll call would be lost
                 await asyncio.shield(self._opening)
-            await self.returning.returned(beside, self.recovered())
+            await self.returning.wait_until_serving(beside, self.recovered())
 
     def hand_over(self) -> None:
         """A successor has come."""
@@ -175,12 +175,12 @@
 
     def waiting(self) -> str:
         """Why the node does not listen yet; empty where that is not for its rooms."""
-        return self.returning.waiting() if self.returning is not None else ""
+        return self.returning.startup_status() if self.returning is not None else ""
 
     def list_failed(self) -> None:
         """A call of discovery has failed."""
         if self.returning is not None:
-            self.returning.list_failed()
+            self.returning.list_request_failed()
 
     def take_over(self) -> None:
         """Keep the node's state from here on: before a successor is ready, or when it has ended by itself."""
@@ -208,23 +208,23 @@
         if self.durable is not None:
             self.durable.save_list(news, kind)
         if self.returning is not None:
-            self.returning.listed(news, kind)
+            self.returning.list_received(news, kind)
 
     def unchanged(self) -> None:
         """Discovery has said, before any news, that the list in force is the one that it has."""
         if self.returning is not None:
-            self.returning.unchanged()
+            self.returning.list_confirmed()
 
     def learned(self, what: Callable[[float], api.LearnedState], now: float) -> None:
         """What the module has learned may be had."""
-        rate = self.returning.pulse() if self.returning is not None else 0.0
+        rate = self.returning.measure_rate() if self.returning is not None else 0.0
         if self.durable is not None:
             self.durable.save_learned(what, now, rate)
 
     async def banned(self, backend: str, out: bool, at: float, changes: bool) -> None:
         """Returns once a ban or a return will outlast a crash, where that is wanted. Raises BalancerError."""
         if self.returning is not None:  # to be called again is news there: the call is this node's own now
-            await self.returning.banned(backend, out)
+            await self.returning.request_ban(backend, out)
         elif self.durable is not None and changes:
             await self.durable.save_ban(backend, out, at)
 
@@ -252,7 +252,7 @@
         if (moved := port.change_peers(peers, everybody)) is not None and self.membership is not None:
             self.membership.change_peers(moved)
             if self.returning is not None:
-                self.returning.shell.moved(moved)
+                self.returning.shell.peers_changed(moved)
 
     async def _open(self, port: PeerSocket) -> None:
         try:
--- /dev/null
+++ b/balancer/recovery/ban_controller.py
@@ -0,0 +1,131 @@
+"""Bans in force at this node: requests of its operators, entries of its peers and of its disk.
+
+A request is answered, and its entries are sent to peers, once these are on the disk: a request that fails has
+no effect. A peer's entries apply immediately.
+"""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+
+from balancer.recovery.actions import Action, ApplyBan, PersistEntries
+from balancer.recovery.ban_register import BanEntry, BanRegister
+from balancer.recovery.events import BanRequested, WriteCompleted
+from balancer.recovery.exchange import Exchange
+
+
+@dataclass(slots=True, frozen=True)
+class PendingRequest:
+    """An operator's request whose entries are being written."""
+
+    request: BanRequested
+    entries: list[BanEntry]
+
+
+@dataclass(slots=True, frozen=True)
+class AppliedState:
+    """Last state that was applied for a backend."""
+
+    banned: bool = False
+    since: float = -math.inf
+
+
+NEVER_APPLIED = AppliedState()
+
+
+class BanController:
+    """Applies the register's changes and spreads them."""
+
+    def __init__(
+        self, register: BanRegister, exchange: Exchange, ramp_time: float, actions: list[Action]
+    ) -> None:
+        """Create the controller; `ramp_time` (ms) is how long a backend that returned is cold."""
+        self.register = register
+        self.exchange = exchange
+        self.ramp_time = ramp_time
+        self.counts: Counter[str] = Counter()
+        self.pending: dict[int, PendingRequest] = {}  # by token
+        self._actions = actions
+        self._applied: dict[str, AppliedState] = {}
+
+    def restore(self, entries: Sequence[BanEntry], now: float) -> list[BanEntry]:
+        """Merge entries of this node's own disk; return those that changed."""
+        changed = self.register.restore(entries)
+        self.exchange.register_changed(changed)
+        self.apply_changes(changed, now)
+        return changed
+
+    def entries_learned(self, changed: Sequence[BanEntry], received: Sequence[BanEntry], now: float) -> None:
+        """Persist and apply changes by entries that came; send to all what the register answered with."""
+        if changed:
+            self._actions.append(PersistEntries(tuple(changed)))
+            self.apply_changes(changed, now)
+            self.exchange.send_urgently([entry for entry in changed if entry not in received], now)
+
+    def request(self, event: BanRequested, now: float) -> None:
+        """Start an operator's request: its entries are written first."""
+        requested_at = min(event.requested_at, now)
+        if event.banned:
+            entries = [self.register.new_ban(event.backend, requested_at)]
+        else:
+            entries = self.register.new_lift(event.backend, requested_at)
+        self._write(PendingRequest(event, entries))
+
+    def write_completed(self, event: WriteCompleted, now: float) -> None:
+        """Commit a request whose entries are on the disk, or undo it."""
+        pending = self.pending.pop(event.token, None)
+        if pending is None:
+            self.counts["unknown_tokens"] += 1
+            return
+        if not event.succeeded:
+            self._undo(pending)
+            return
+        reissued = self.register.commit(pending.entries)
+        committed = [e for e in pending.entries if self.register.get(e.backend, e.node) == e]
+        self.exchange.register_changed(committed)
+        if reissued:  # a former incarnation of this node counted further than its disk knew
+            self._write(PendingRequest(pending.request, reissued))
+            return
+        self.exchange.send_urgently(committed, now)
+        self.announce(pending.request.backend)
+
+    def apply_changes(self, changed: Iterable[BanEntry], now: float) -> None:
+        """Apply what differs from the last state; a recent lift counts, as that backend is cold."""
+        for backend in sorted({entry.backend for entry in changed}):
+            banned = self.register.is_banned(backend)
+            since = self.register.since(backend)
+            former = self._applied.get(backend, NEVER_APPLIED)
+            is_recent_lift = not banned and since > max(former.since, now - self.ramp_time)
+            if banned != former.banned or is_recent_lift:
+                self.announce(backend)
+
+    def announce(self, backend: str) -> None:
+        """Apply the register's state of a backend."""
+        state = AppliedState(self.register.is_banned(backend), self.register.since(backend))
+        self._applied[backend] = state
+        self._actions.append(ApplyBan(backend, state.banned, state.since))
+
+    def _write(self, pending: PendingRequest) -> None:
+        token = pending.request.token
+        self.pending[token] = pending
+        self._actions.append(PersistEntries(tuple(pending.entries), token))
+
+    def _undo(self, pending: PendingRequest) -> None:
+        """Undo what may have got to the disk all the same, of a request that failed."""
+        self.counts["calls_failed"] += 1
+        backend = pending.request.backend
+        own = self.register.get(backend, self.register.node)
+        undone: list[BanEntry] = []
+        if pending.request.banned and own is not None and own.active:
+            undone = pending.entries  # it was banned by a request before, which goes on
+        elif pending.request.banned:
+            undone = [entry._replace(active=False, changed_at=-math.inf) for entry in pending.entries]
+        elif pending.entries and self.register.is_banned(backend):
+            undone = [self.register.new_ban(backend, self.register.since(backend))]
+        self.register.commit(undone)
+        self.exchange.register_changed(undone)
+        if undone:
+            self._actions.append(PersistEntries(tuple(undone)))
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -27,13 +27,12 @@
 from balancer.durable.writer import LogWriter
 from balancer.membership.config import Config as MembershipConfig
 from balancer.membership.messages import MemberState
-from balancer.net import bans, handover, returning
+from balancer.net import bans, handover, recovery_handover
 from balancer.policy import Balancer
-from balancer.recovery.phases import Path as RecoveryPath
-from balancer.recovery.phases import Phase
-from balancer.recovery.register import Row
-from balancer.recovery.shell import Left
-from balancer.sim import members, recovery_schedule
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.phases import Phase, RecoveryPath
+from balancer.recovery.shell import RecoveryHandover
+from balancer.sim import members, recovery_play, recovery_schedule
 
 PACKAGE = "balancer"
 NOW_S = 1_700_000_000.0  # Unix time of every file
@@ -163,7 +162,7 @@
         original(self, source, target, data)
 
     with mock.patch.object(members.World, "_send", send):
-        played = recovery_schedule.play(recovery_schedule.draw(seed))
+        played = recovery_play.play(recovery_schedule.draw(seed))
     yield from sent
     yield f"{played.full_ms:.3f} {played.yes} {played.budget_worst:.6f} {len(played.breaches)}"
     yield from (f"calls {second} {count}" for second, count in sorted(played.calls.items()))
@@ -201,9 +200,9 @@
         store.close()
         stem = bans.stem({"TMPDIR": str(folder)}, "n0")
         handover.give(stem.with_suffix(handover.SUFFIX), learned)
-        register = (Row("b2", 1, 7, 3, True, 900.0), Row("b2", 0, 6, 1, False, 800.0))
-        left = Left(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
-        returning.give(stem.with_suffix(returning.SUFFIX), left, 50.0)
+        register = (BanEntry("b2", 1, 7, 3, True, 900.0), BanEntry("b2", 0, 6, 1, False, 800.0))
+        left = RecoveryHandover(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
+        recovery_handover.write_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), left, 50.0)
         asyncio.run(_ban(stem))
 
 
@@ -235,6 +234,6 @@
         recovered = handover.take(stem.with_suffix(handover.SUFFIX))
         assert recovered is not None
         yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
-        left = returning.take(stem.with_suffix(returning.SUFFIX), 150.0)
+        left = recovery_handover.read_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), 150.0)
         assert left is not None
-        yield f"{left.phase.name} {left.path.value} {left.cold_since} {[tuple(row) for row in left.rows]}"
+        yield f"{left.phase.name} {left.path.value} {left.cold_since} {[tuple(row) for row in left.entries]}"
--- a/tests/test_files_of_former_version.py
+++ b/tests/test_files_of_former_version.py
@@ -33,11 +33,10 @@
 from balancer.durable.timestamp import Timestamp
 from balancer.durable.writer import LogWriter
 from balancer.interface import LearnedState
-from balancer.net import bans, handover, returning
-from balancer.recovery.phases import Path as RecoveryPath
-from balancer.recovery.phases import Phase
-from balancer.recovery.register import Row
-from balancer.recovery.shell import Left
+from balancer.net import bans, handover, recovery_handover
+from balancer.recovery.ban_register import BanEntry
+from balancer.recovery.phases import Phase, RecoveryPath
+from balancer.recovery.shell import RecoveryHandover
 
 FIXTURES = Path(__file__).parent / "fixtures" / "revision-6c5b4ec"
 NODE = "n0"
@@ -72,11 +71,11 @@
     BanSet("b3", 1_400.0),
 ]
 SECOND_LOG: list[Record] = [EndpointListReceived(42, False, 1_500.0, [ENDPOINT_1])]
-INHERITED = Left(
+INHERITED = RecoveryHandover(
     Phase(3),
     RecoveryPath("power"),
     77.0,
-    (Row("b2", 1, 7, 3, True, 900.0), Row("b2", 0, 6, 1, False, 800.0)),
+    (BanEntry("b2", 1, 7, 3, True, 900.0), BanEntry("b2", 0, 6, 1, False, 800.0)),
 )
 
 
@@ -232,7 +231,7 @@
 
 def test_processes_of_both_versions_use_the_same_suffixes() -> None:
     suffixes = {path.suffix for path in FIXTURES.iterdir() if path.is_file()}
-    assert suffixes == {".bans", ".lock", handover.SUFFIX, returning.SUFFIX}
+    assert suffixes == {".bans", ".lock", handover.SUFFIX, recovery_handover.HANDOVER_SUFFIX}
 
 
 def test_the_bans_file_is_read(stem: Path) -> None:
@@ -265,16 +264,18 @@
 
 @pytest.mark.usefixtures("_read_time")
 def test_the_recovery_state_of_a_predecessor_is_read_on_this_process_s_clock(stem: Path) -> None:
-    left = returning.take(stem.with_suffix(returning.SUFFIX), READ_AT_MONOTONIC_MS)
+    left = recovery_handover.read_handover(
+        stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), READ_AT_MONOTONIC_MS
+    )
     shift_ms = READ_AT_MONOTONIC_MS - WRITTEN_AT_MONOTONIC_MS
     rows = (
-        Row("b2", 1, 7, 3, True, 900.0 + shift_ms),
-        Row("b2", 0, 6, 1, False, 800.0 + shift_ms),
+        BanEntry("b2", 1, 7, 3, True, 900.0 + shift_ms),
+        BanEntry("b2", 0, 6, 1, False, 800.0 + shift_ms),
     )
-    assert left == Left(Phase(3), RecoveryPath("power"), 77.0 + shift_ms, rows)
+    assert left == RecoveryHandover(Phase(3), RecoveryPath("power"), 77.0 + shift_ms, rows)
 
 
 @pytest.mark.usefixtures("_write_time")
 def test_the_recovery_state_is_written_to_the_same_bytes(tmp_path: Path, stem: Path) -> None:
-    returning.give(tmp_path / "new", INHERITED, WRITTEN_AT_MONOTONIC_MS)
-    assert (tmp_path / "new").read_bytes() == stem.with_suffix(returning.SUFFIX).read_bytes()
+    recovery_handover.write_handover(tmp_path / "new", INHERITED, WRITTEN_AT_MONOTONIC_MS)
+    assert (tmp_path / "new").read_bytes() == stem.with_suffix(recovery_handover.HANDOVER_SUFFIX).read_bytes()
