--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -89,12 +89,12 @@
     """One class of request and what it asks for."""
 
     name: str
-    effect: Idempotency
+    idempotency: Idempotency
     latency_objective_ms: float
     deadline: float
-    value: float = 1.0
+    priority_weight: float = 1.0
     late_weight_fraction: float = 0.0
-    group: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ms: float = 0.0
     streamed: bool = False
     objective_per_work: float = 0.0
@@ -145,17 +145,17 @@
     """What a node is told at start."""
 
     classes: tuple[RequestClass, ...]
-    me: int = 0
+    node_index: int = 0
     node_count: int = 1
     zone: str = ""
-    tick: float = 1.0
+    clock_granularity_ms: float = 1.0
     tenants: tuple[Tenant, ...] = ()
     charges: Charges = field(default_factory=Charges)
     blend: ScoreWeights = field(default_factory=ScoreWeights)
     over_quota_weight: float = 1.0
     weight_by_work: bool = False
     must_subscribe: bool = False
-    reports: LoadReportMode = LoadReportMode.NONE
+    load_report_mode: LoadReportMode = LoadReportMode.NONE
     load_report_fields: tuple[str, ...] = ()
     health_checks_allowed: bool = False
     cancellation_allowed: bool = True
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -134,7 +134,7 @@
         self._opening: asyncio.Task[None] | None = None
         if table.membership is not None:
             listen, peers, everybody = _peers(config.read(env))
-            me = held.settings.me
+            me = held.settings.node_index
             _numbered(me, peers)
             from balancer.membership.port import Port
             from balancer.membership.shell import MembershipShell, scaled
@@ -236,8 +236,10 @@
         if port is None or shell is None:
             return lambda: None
         listen, peers, everybody = _peers(config.read(env))
-        if new.settings.me != shell.me:
-            raise FixedError(f"settings: me cannot change from {shell.me} to {new.settings.me} in one life")
+        if new.settings.node_index != shell.me:
+            raise FixedError(
+                f"settings: me cannot change from {shell.me} to {new.settings.node_index} in one life"
+            )
         _numbered(shell.me, peers)
         if listen != port.listen:
             raise FixedError("peer_listen cannot change in one life")
--- a/balancer/net/front.py
+++ b/balancer/net/front.py
@@ -348,9 +348,9 @@
         cls = node.classes.get(first)
         if cls is None:
             raise BadRequest(404, "unknown class")
-        if method != (b"GET" if cls.effect is Idempotency.IDEMPOTENT else b"POST"):
+        if method != (b"GET" if cls.idempotency is Idempotency.IDEMPOTENT else b"POST"):
             raise BadRequest(405, "the method does not go with the class")
-        if cls.effect is Idempotency.WITH_KEY and not headers.get(b"idempotency-key"):
+        if cls.idempotency is Idempotency.WITH_KEY and not headers.get(b"idempotency-key"):
             raise BadRequest(400, "no Idempotency-Key")
         name = headers.get(b"request-id", b"").decode("latin-1")
         if not name:
@@ -367,7 +367,7 @@
             key=key[0] if key else None,
             tenant=headers[b"tenant"].decode("latin-1") if b"tenant" in headers else None,
             work_hint=self._hint(),
-            writes=cls.effect is not Idempotency.IDEMPOTENT,
+            writes=cls.idempotency is not Idempotency.IDEMPOTENT,
             under=node.settings,
         )
 
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -49,7 +49,13 @@
         self.kept = disk.kept if disk is not None else Kept()
         settings = node.settings
         self.shell = RecoveryShell(
-            Config(ramp_time=settings.slow_start_ms), settings.me, life, node.config.seed, port, self, disk
+            Config(ramp_time=settings.slow_start_ms),
+            settings.node_index,
+            life,
+            node.config.seed,
+            port,
+            self,
+            disk,
         )
         self._lately = 0.0  # requests a second that were completed
         self.rate = self.kept.sampled.rate if self.kept.sampled is not None else 0.0
--- a/balancer/policy.py
+++ b/balancer/policy.py
@@ -90,9 +90,11 @@
         self.admission: Admission | None = None  # while the tier returns from a loss of power
         self.cold_since = 0.0  # what the list says to have started before that counts as started then
         self.trust = 1.0  # share of sends answered within the aim; where the node looks, on an idle sign
-        self.rtt = 2.0 * settings.tick  # usual round trip of a probe, until probes tell
+        self.rtt = 2.0 * settings.clock_granularity_ms  # usual round trip of a probe, until probes tell
         self.density = (
-            sum(c.value / c.latency_objective_ms for c in settings.classes) * 4 / len(settings.classes)
+            sum(c.priority_weight / c.latency_objective_ms for c in settings.classes)
+            * 4
+            / len(settings.classes)
         )
         self.on: dict[type, Callable[[Any], None]] = {
             api.RequestArrived: self._arrival,
@@ -128,7 +130,7 @@
         self.priced = settings.charges.cross_zone > TRIFLE  # the way to other zones
         self.looks = (
             settings.health_checks_allowed
-            and settings.reports is not api.LoadReportMode.NONE
+            and settings.load_report_mode is not api.LoadReportMode.NONE
             and settings.charges.probe * SAMPLE <= TRIFLE
         )
 
@@ -391,11 +393,11 @@
         for a in req.attempts:
             if a.status is None:
                 return None
-            if a.status in api.NOT_EXECUTED or c.effect is api.Idempotency.IDEMPOTENT:
+            if a.status in api.NOT_EXECUTED or c.idempotency is api.Idempotency.IDEMPOTENT:
                 continue
-            if c.effect is api.Idempotency.NOT_IDEMPOTENT or self.now > self._forgotten(req, a):
+            if c.idempotency is api.Idempotency.NOT_IDEMPOTENT or self.now > self._forgotten(req, a):
                 return None
-            if c.group is not api.DeduplicationScope.ALL:
+            if c.deduplication_scope is not api.DeduplicationScope.ALL:
                 bound.add(_place(req, a.backend))
         return bound
 
@@ -404,16 +406,20 @@
         bound = self._bound(req)
         if bound is None or len(bound) > 1:
             return False
-        there = self.index.zones if req.cls.cfg.group is api.DeduplicationScope.ZONE else self.index.cells
+        there = (
+            self.index.zones
+            if req.cls.cfg.deduplication_scope is api.DeduplicationScope.ZONE
+            else self.index.cells
+        )
         return all(place in there for place in bound) if bound else len(self.order) > 0
 
     def _forgotten(self, req: Request, a: Attempt) -> float:
         """When the backends of its group may take a keyed repeat for a new request."""
-        return a.sent + req.cls.cfg.deduplication_window_ms - 2 * self.cfg.tick
+        return a.sent + req.cls.cfg.deduplication_window_ms - 2 * self.cfg.clock_granularity_ms
 
     def _window(self, req: Request) -> float:
         """Until when a further attempt may leave: its connection may come up much later. 0: no limit."""
-        if req.cls.cfg.effect is not api.Idempotency.WITH_KEY:
+        if req.cls.cfg.idempotency is not api.Idempotency.WITH_KEY:
             return 0.0
         return min(
             (self._forgotten(req, a) for a in req.attempts if a.status not in api.NOT_EXECUTED), default=0.0
@@ -439,7 +445,7 @@
         cls, most = self._came_under(ev)
         c = cls.cfg
         useful = self._useful(cls, ev.deadline, ev.work_hint)
-        density = c.value / cls.usual
+        density = c.priority_weight / cls.usual
         self.density += EWMA / 2 * (density - self.density)
         self.bank, self.arrived = min(RETRY_BANK, self.bank + RETRY_SHARE), self.arrived + 1
         req = Request(
@@ -472,7 +478,7 @@
         past, self.last_came = max(0.0, self.now - self.last_came), self.now
         keep = math.exp(-past / self.ramp)
         self.came, self.came_in = self.came * keep + 1.0, self.came_in * keep + past
-        tick, usual = max(self.cfg.tick, TINY), self.usual_sum / len(self.classes)
+        tick, usual = max(self.cfg.clock_granularity_ms, TINY), self.usual_sum / len(self.classes)
         rate = max(self.limit / max(usual, tick), self.came / max(self.came_in, tick))  # a ms
         most = max(1.0, rate * self.cfg.overload_window_ms / TRIES_SAVED)
         self.may_try = min(most, self.may_try + rate * past)
@@ -514,7 +520,7 @@
 
         Guards against refusing every first try once one retry came with more time than first tries have.
         """
-        same = abs(left - cls.allowance) <= 2 * self.cfg.tick
+        same = abs(left - cls.allowance) <= 2 * self.cfg.clock_granularity_ms
         cls.votes += 1 if same else -1
         if cls.votes < 0:
             cls.allowance, cls.votes, same = left, 1, True
@@ -634,7 +640,9 @@
                 b.waiting = []
                 self.acts.append(api.CheckHealth(b.entry.backend))
             b.waiting.append(req)
-        self._at(self.now + PATIENCE * self.rtt + self.cfg.tick, self._overdue, (req, req.looks))
+        self._at(
+            self.now + PATIENCE * self.rtt + self.cfg.clock_granularity_ms, self._overdue, (req, req.looks)
+        )
         if not req.pending:
             self._settle(req)
 
@@ -703,12 +711,12 @@
         else:
             b.out, self.out = b.out + 1, self.out + 1
         # An answer after the aim is worth nothing: give up just before, so that the failure is not late.
-        c, left, tick = req.cls.cfg, req.useful - self.now, self.cfg.tick
+        c, left, tick = req.cls.cfg, req.useful - self.now, self.cfg.clock_granularity_ms
         stop = max(tick, left - 2 * tick) if req.useful < req.deadline else 0.0
         # Guards against answers that get lost: one that may come late is asked for again while it has worth.
         cut, again = (
             max(c.latency_objective_ms / 2, req.cls.usual + 4 * req.cls.dev),
-            c.effect is not api.Idempotency.NOT_IDEMPOTENT,
+            c.idempotency is not api.Idempotency.NOT_IDEMPOTENT,
         )
         if self.lost > LOSSY and c.late_weight_fraction > 0 and again and cut + req.cls.usual < left:
             stop, req.attempts[-1].cut = cut, True
@@ -845,9 +853,12 @@
         self.why[why] += 1
         c = req.cls.cfg
         harmless = (
-            c.effect is api.Idempotency.IDEMPOTENT
+            c.idempotency is api.Idempotency.IDEMPOTENT
             or all(a.status in api.NOT_EXECUTED for a in req.attempts)
-            or (c.effect is api.Idempotency.WITH_KEY and c.group is api.DeduplicationScope.ALL)
+            or (
+                c.idempotency is api.Idempotency.WITH_KEY
+                and c.deduplication_scope is api.DeduplicationScope.ALL
+            )
         )
         away = self.cfg.max_retry_after_ms
         if harmless and away > 0:  # until there is room; guards against clients that come back in step
@@ -998,7 +1009,7 @@
         nears = {name for name in names if self._near(self.backends[name])}
         near = [name for name in names if name in nears] or names
         wide, own = len(near), min(self._width(len(names)), len(near))
-        first = int(self.cfg.me * GOLDEN % 1.0 * wide)
+        first = int(self.cfg.node_index * GOLDEN % 1.0 * wide)
         even = [near[(first + j * wide // own) % wide] for j in range(own)]  # whole steps: none twice
         rest = sorted(set(names) - set(even))
         order = even + self.rng.sample(rest, len(rest))
@@ -1035,7 +1046,7 @@
     def _ring(self, name: str) -> float:
         """This node's place on a ring, 0 to 1, that the nodes share out evenly; each backend turns it."""
         turn = int.from_bytes(hashlib.blake2b(name.encode(), digest_size=6).digest()) / 2**48
-        return (self.cfg.me * GOLDEN + turn) % 1.0
+        return (self.cfg.node_index * GOLDEN + turn) % 1.0
 
     def _near(self, b: Backend) -> bool:
         return not self.priced or b.entry.zone == self.cfg.zone
@@ -1043,4 +1054,4 @@
 
 def _place(req: Request, b: Backend) -> str | int:
     """What binds a repeat of this request: the zone of its backend, or the cell."""
-    return b.entry.zone if req.cls.cfg.group is api.DeduplicationScope.ZONE else b.entry.cell
+    return b.entry.zone if req.cls.cfg.deduplication_scope is api.DeduplicationScope.ZONE else b.entry.cell
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -134,13 +134,13 @@
     deadline = _number(table, where, "give-up", None)
     out = api.RequestClass(
         name=_text(table, where, "name", None),
-        effect=_choice(table, where, "effect", _EFFECTS, None),
+        idempotency=_choice(table, where, "effect", _EFFECTS, None),
         latency_objective_ms=_number(table, where, "objective", deadline),
         deadline=deadline,
-        value=_number(table, where, "value", 1.0),
+        priority_weight=_number(table, where, "value", 1.0),
         late_weight_fraction=_number(table, where, "late-worth", 0.0),
         # Untold, only the smallest group drops a repeat and forgets it at once: the cautious reading.
-        group=_choice(table, where, "group", _GROUPS, "cell"),
+        deduplication_scope=_choice(table, where, "group", _GROUPS, "cell"),
         deduplication_window_ms=_number(table, where, "memory-span", 0.0),
         streamed=_flag(table, where, "streamed", False),
         objective_per_work=_number(table, where, "aim-stretch", 0.0),
@@ -196,10 +196,10 @@
         raise _fault("rules.", "cold-share", cold_capacity_fraction)
     return api.Settings(
         classes=tuple(_class(table, index) for index, table in enumerate(classes)),
-        me=me,
+        node_index=me,
         node_count=node_count,
         zone=_text(raw, "", "zone", ""),
-        tick=_number(raw, "", "granularity", 1.0),
+        clock_granularity_ms=_number(raw, "", "granularity", 1.0),
         tenants=tuple(_tenant(table, index) for index, table in enumerate(_rows(raw, "projects"))),
         charges=api.Charges(
             **{name.replace("-", "_"): _number(charges, "charges.", name, 0.0) for name in _CHARGES}
@@ -217,7 +217,7 @@
         over_quota_weight=_number(raw, "", "over-share-worth", 1.0),
         weight_by_work=_choice(raw, "", "worth-by", {"request": False, "work": True}, "request"),
         must_subscribe=_choice(raw, "", "discovery", {"automatic": False, "subscribe": True}, "subscribe"),
-        reports=_choice(load, "load-info.", "how", _REPORTS, "off"),
+        load_report_mode=_choice(load, "load-info.", "how", _REPORTS, "off"),
         load_report_fields=_texts(load, "load-info.", "names"),
         health_checks_allowed=_flag(limits, "limits.", "probing", False),
         cancellation_allowed=_flag(limits, "limits.", "cancel", False),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,14 +10,14 @@
 from balancer.policy import Balancer
 
 SAFE = api.RequestClass(
-    "read", api.Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0, value=1.0
+    "read", api.Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0, priority_weight=1.0
 )
 KEYED = api.RequestClass(
     "pay",
     api.Idempotency.WITH_KEY,
     latency_objective_ms=400.0,
     deadline=1000.0,
-    group=api.DeduplicationScope.ZONE,
+    deduplication_scope=api.DeduplicationScope.ZONE,
     deduplication_window_ms=600.0,
 )
 UNSAFE = api.RequestClass("once", api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0)
@@ -29,11 +29,11 @@
     slow_start_ms=10_000.0,
     overload_window_ms=1_000.0,
     overload_multiple=3.0,
-    reports=api.LoadReportMode.IN_RESPONSES,
+    load_report_mode=api.LoadReportMode.IN_RESPONSES,
 )
 LOOKING = replace(
     BASE,
-    reports=api.LoadReportMode.IN_HEALTH_CHECKS,
+    load_report_mode=api.LoadReportMode.IN_HEALTH_CHECKS,
     health_checks_allowed=True,
     charges=api.Charges(probe=0.001),
 )
@@ -143,9 +143,9 @@
         out = [a for a in r.attempts if a[2] is None]
         assert self.cfg.hedging_allowed or not out, "rule 2: two attempts out"
         risky = [a for a in r.attempts if a[2] not in api.NOT_EXECUTED]
-        if risky and r.cls.effect is api.Idempotency.NOT_IDEMPOTENT:
+        if risky and r.cls.idempotency is api.Idempotency.NOT_IDEMPOTENT:
             raise AssertionError("rule 2: an unsafe request that may have run was sent again")
-        if risky and r.cls.effect is api.Idempotency.WITH_KEY:
+        if risky and r.cls.idempotency is api.Idempotency.WITH_KEY:
             assert now - min(a[1] for a in risky) <= r.cls.deduplication_window_ms, (
                 "rule 2: past the memory span"
             )
@@ -153,9 +153,9 @@
             for name, _, _ in risky:
                 there = self.entries[name]
                 same = (
-                    r.cls.group is api.DeduplicationScope.ALL
-                    or (r.cls.group is api.DeduplicationScope.ZONE and there.zone == here.zone)
-                    or (r.cls.group is api.DeduplicationScope.CELL and there.cell == here.cell)
+                    r.cls.deduplication_scope is api.DeduplicationScope.ALL
+                    or (r.cls.deduplication_scope is api.DeduplicationScope.ZONE and there.zone == here.zone)
+                    or (r.cls.deduplication_scope is api.DeduplicationScope.CELL and there.cell == here.cell)
                 )
                 assert same, "rule 2: outside the group that drops repeats"
         r.attempts.append((act.backend, now, None))
@@ -164,9 +164,12 @@
         r = self.seen[act.request]
         assert not r.ended, f"rule 1: a second answer for {act.request}"
         assert now <= r.deadline + self.cfg.answer_slack_ms, f"rule 1: answer for {act.request} is late"
-        if isinstance(act, api.RejectRequest) and r.cls.effect is not api.Idempotency.IDEMPOTENT:
+        if isinstance(act, api.RejectRequest) and r.cls.idempotency is not api.Idempotency.IDEMPOTENT:
             risky = any(a[2] not in api.NOT_EXECUTED for a in r.attempts)
-            keyed_all = r.cls.effect is api.Idempotency.WITH_KEY and r.cls.group is api.DeduplicationScope.ALL
+            keyed_all = (
+                r.cls.idempotency is api.Idempotency.WITH_KEY
+                and r.cls.deduplication_scope is api.DeduplicationScope.ALL
+            )
             assert not risky or keyed_all, f"rule 2: {act.request} refused though it may have run"
         r.ended = True
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -79,7 +79,8 @@
         }
         self.bank = [
             Balancer(
-                replace(day.cfg, me=me, node_count=day.nodes, zone=zones[me % len(zones)]), seed * 1000 + me
+                replace(day.cfg, node_index=me, node_count=day.nodes, zone=zones[me % len(zones)]),
+                seed * 1000 + me,
             )
             for me in range(day.nodes)
         ]
@@ -232,7 +233,7 @@
         self, b: Balancer, act: api.StartAttempt, number: int, status: api.AttemptStatus, took: float
     ) -> None:
         report = None
-        if self.day.cfg.reports is api.LoadReportMode.IN_RESPONSES and status in (
+        if self.day.cfg.load_report_mode is api.LoadReportMode.IN_RESPONSES and status in (
             api.AttemptStatus.OK,
             api.AttemptStatus.REJECTED,
         ):
@@ -270,15 +271,15 @@
     slow_start_ms=8000.0,
     overload_window_ms=3000.0,
     overload_multiple=3.0,
-    reports=api.LoadReportMode.NONE,
+    load_report_mode=api.LoadReportMode.NONE,
 )
 SHORT = replace(CAMPUS, overload_window_ms=1000.0)
 HARD = replace(CAMPUS, cold_capacity_fraction=0.12, overload_multiple=1.5, overload_window_ms=1500.0)
-WORTH = replace(HARD, classes=(SAFE, replace(SAFE, name="most", value=50.0)))
-ANSWERS = replace(HARD, reports=api.LoadReportMode.IN_RESPONSES)
+WORTH = replace(HARD, classes=(SAFE, replace(SAFE, name="most", priority_weight=50.0)))
+ANSWERS = replace(HARD, load_report_mode=api.LoadReportMode.IN_RESPONSES)
 LOOKS = replace(
     HARD,
-    reports=api.LoadReportMode.IN_HEALTH_CHECKS,
+    load_report_mode=api.LoadReportMode.IN_HEALTH_CHECKS,
     health_checks_allowed=True,
     charges=api.Charges(probe=0.001),
 )
@@ -350,7 +351,9 @@
 
 def feeders(nodes: int, backends: int, seed: int) -> list[int]:
     """How many nodes have each new backend in their subset after half of all were replaced at once."""
-    bank = [Balancer(replace(CAMPUS, me=me, node_count=nodes), seed * 1000 + me) for me in range(nodes)]
+    bank = [
+        Balancer(replace(CAMPUS, node_index=me, node_count=nodes), seed * 1000 + me) for me in range(nodes)
+    ]
     new = [f"{seed}n{i}" for i in range(backends // 2)]
     for b in bank:
         old = [entry(f"b{i}") for i in range(backends)]
@@ -414,7 +417,7 @@
 
 def test_a_deployment_without_a_ramp_serves() -> None:
     """Guards against a rate or an age over a time of 0: each request was answered by a failed decision."""
-    b = Balancer(replace(HARD, slow_start_ms=0.0, tick=0.0), 1)
+    b = Balancer(replace(HARD, slow_start_ms=0.0, clock_granularity_ms=0.0), 1)
     b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, [entry("a"), entry("b", started_at=1000.0)]))
     b.handle(1000.0, api.LearnedStateRestored(b.learned(1000.0), 5.0))
     assert cold_sends(b, 1000.0, 20, 25.0) == 20
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -129,7 +129,7 @@
 
     async def dial(self, protocol: asyncio.Protocol, address: Address) -> None:
         self.dialled.append(self.now)
-        node = cast(Call, protocol).owner.node.settings.me
+        node = cast(Call, protocol).owner.node.settings.node_index
         if self.current.setdefault(node, address) != address:
             raise ConnectionRefusedError("an address that was given up")
         if self.outage is Outage.REFUSED:
@@ -200,15 +200,15 @@
 
     def configure(self, node: Node, address: Address) -> None:
         """SIGHUP with a new address of discovery."""
-        number = node.settings.me
+        number = node.settings.node_index
         self.current[number] = address
         self.loop.call_later(CLOSES, self.close_but, number, address)
-        node.reconfigure(replace(self.config, settings=replace(self.config.settings, me=number)))
+        node.reconfigure(replace(self.config, settings=replace(self.config.settings, node_index=number)))
         cast(Discovery, node.discovery).move(address)
 
     def begin(self, number: int, seed: int) -> Node:
         """One node of the tier."""
-        settings = replace(self.config.settings, me=number, node_count=NODES)
+        settings = replace(self.config.settings, node_index=number, node_count=NODES)
         node = self.node(replace(self.config, seed=seed, settings=settings))
         take = node.list
 
@@ -230,7 +230,7 @@
         addresses = (("127.0.0.2", port) for port in count(1))
         for node in nodes:
             for at in CONFIGURATIONS:
-                first = zero + 0.1 + NEXT_NODE * node.settings.me
+                first = zero + 0.1 + NEXT_NODE * node.settings.node_index
                 self.loop.call_at(first + at, self.configure, node, next(addresses))
         await asyncio.sleep(SETTLED)
         for node in nodes:
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -22,7 +22,7 @@
 from balancer.state import Backend
 from tests.helpers import BASE, LOOKING, SAFE, RuleChecker, answers, entry, sends
 
-PRICED = replace(BASE, charges=api.Charges(cross_zone=0.1), node_count=3, me=2)
+PRICED = replace(BASE, charges=api.Charges(cross_zone=0.1), node_count=3, node_index=2)
 SETTINGS = (BASE, PRICED, LOOKING, replace(PRICED, zone="b", node_count=9), replace(PRICED, zone="nowhere"))
 CHANGES, FULL = api.ListUpdateKind.DELTA, api.ListUpdateKind.SNAPSHOT
 
@@ -71,7 +71,7 @@
 
     def ring(self, name: str) -> float:
         digest = hashlib.blake2b(name.encode(), digest_size=6).hexdigest()
-        return (self.cfg.me * GOLDEN + int(digest, 16) / 16**12) % 1.0
+        return (self.cfg.node_index * GOLDEN + int(digest, 16) / 16**12) % 1.0
 
     def arrange(self) -> None:
         up = self.up()
@@ -80,7 +80,7 @@
             near = [x for x in up if self.near(x)] or up
             k = 9 if self.cfg.health_checks_allowed else max(3, math.ceil(5 * len(up) / self.cfg.node_count))
             wide, own = len(near), min(k, len(near))
-            first = int(self.cfg.me * GOLDEN % 1.0 * wide)
+            first = int(self.cfg.node_index * GOLDEN % 1.0 * wide)
             even = [near[(first + j * wide // own) % wide] for j in range(own)]
             rest = sorted(now - set(even))
             self.order, before = even + self.rng.sample(rest, len(rest)), now
@@ -387,7 +387,7 @@
     zones = {f"{'old' if old else 'new'}{i}": "abc"[i % 3] for old in (True, False) for i in range(270)}
     for me in range(60):
         charges = api.Charges(cross_zone=price)
-        b = Balancer(replace(BASE, charges=charges, zone="abc"[me % 3], me=me, node_count=60), me)
+        b = Balancer(replace(BASE, charges=charges, zone="abc"[me % 3], node_index=me, node_count=60), me)
         for first in range(0, 540, piece):
             some = [entry(x, zone=zones[x]) for x in list(zones)[first : first + piece]]
             b.handle(1000.0, api.ListUpdate(CHANGES, some, more=first + piece < 540))
@@ -418,7 +418,7 @@
 
 def fleet_of(size: int) -> Balancer:
     """A node before so many in nine zones, by 12.3 of them a node."""
-    cfg = replace(PRICED, node_count=max(1, int(size / 12.3)), reports=api.LoadReportMode.NONE)
+    cfg = replace(PRICED, node_count=max(1, int(size / 12.3)), load_report_mode=api.LoadReportMode.NONE)
     b = Balancer(cfg, 1)
     names = [entry(f"s{i:06d}", zone="abcdefghi"[i % 9], cell=i % 50) for i in range(size)]
     b.handle(1000.0, api.ListUpdate(FULL, names))
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -72,7 +72,7 @@
 
 def test_a_node_that_fed_a_backend_feeds_it_again() -> None:
     names = [f"b{i}" for i in range(200)]
-    settings = replace(BASE, node_count=200, reports=api.LoadReportMode.NONE)
+    settings = replace(BASE, node_count=200, load_report_mode=api.LoadReportMode.NONE)
     for seed in range(20):
         balancer = node(settings, names, seed)
         subset = balancer.order.window(0, balancer.width)
@@ -194,7 +194,7 @@
 
 def test_a_backend_that_is_put_back_gets_one_request_at_once() -> None:
     """Guards against a far and cold one that the draw passes over for seconds."""
-    far = replace(BASE, charges=api.Charges(cross_zone=0.5), reports=api.LoadReportMode.NONE)
+    far = replace(BASE, charges=api.Charges(cross_zone=0.5), load_report_mode=api.LoadReportMode.NONE)
     balancer = node(far, ["b1", "b2"])
     balancer.handle(1000.0, api.ListUpdate(api.ListUpdateKind.DELTA, [entry("b0", zone="z")]))
     assert sent_to(balancer, 1001.0) == {"b1", "b2"}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -134,7 +134,7 @@
     names = [f"b{i:02d}" for i in range(60)]
     fed: Counter[str] = Counter()
     for me in range(40):
-        b = node(replace(BASE, me=me, node_count=40), names)
+        b = node(replace(BASE, node_index=me, node_count=40), names)
         fed.update(b.order.window(0, b.width))
     assert set(fed) == set(names) and max(fed.values()) <= 2 * min(fed.values())
     assert max(fed.values()) < 40 / 3
@@ -414,7 +414,7 @@
 
 def test_a_jam_is_shed_sharply_but_not_what_is_worth_most() -> None:
     """Guards against hundreds of quiet nodes that keep a fleet overdriven; worth goes first."""
-    classes = (replace(SAFE, name="cheap"), replace(SAFE, name="dear", value=50.0))
+    classes = (replace(SAFE, name="cheap"), replace(SAFE, name="dear", priority_weight=50.0))
     sent: Counter[str] = Counter()
     for seed in range(10):
         b = node(replace(BASE, node_count=500, classes=classes, max_attempts=1), NAMES, seed)
@@ -581,7 +581,7 @@
     priced = replace(BASE, zone="a", charges=api.Charges(cross_zone=0.015))
     for home in range(1, 8):
         for me in range(3):
-            b = Balancer(replace(priced, node_count=3, me=me), 1)
+            b = Balancer(replace(priced, node_count=3, node_index=me), 1)
             listed = [entry(name, zone="a" if i < home else "b") for i, name in enumerate(NAMES)]
             b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, listed))
             assert sorted(b.order) == NAMES and sorted(b.order.window(0, b.home)) == NAMES[:home]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -172,7 +172,7 @@
 
 def taught() -> tuple[api.LearnedState, float]:
     """What a node has learned that served with a wide limit and has ejected a backend; and the time then."""
-    one = node(replace(BASE, reports=api.LoadReportMode.NONE), ["x", "y"])
+    one = node(replace(BASE, load_report_mode=api.LoadReportMode.NONE), ["x", "y"])
     one.limit = 20.0
     one.classes["read"].usual = 37.0
     one.backends["x"].slow, one.backends["x"].trip = 2.0, 5.0
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -28,7 +28,7 @@
 def test_a_request_under_way_keeps_its_class_and_later_ones_get_the_stricter() -> None:
     balancer = node(BASE, ["b0", "b1", "b2"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("old", "pay", deadline=2001.0)))
-    stricter = replace(KEYED, effect=api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=300.0)
+    stricter = replace(KEYED, idempotency=api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=300.0)
     balancer.handle(1010.0, api.Reconfigured(replace(BASE, classes=(SAFE, stricter))))
     assert len(sends(fails(balancer, "old", 0, first[0].backend))) == 1
     later = sends(balancer.handle(1030.0, api.RequestArrived("new", "pay", deadline=2030.0)))
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -65,9 +65,11 @@
     assert first.before == 0.0
     second = sends(balancer.handle(1011.0, failed("r", 0, first.backend, status)))[0]
     begun = 1011.0 if status is api.AttemptStatus.CONNECT_FAILED else 1001.0
-    assert second.before == (0.0 if begun > 1001.0 else begun + KEYED.deduplication_window_ms - 2 * BASE.tick)
+    assert second.before == (
+        0.0 if begun > 1001.0 else begun + KEYED.deduplication_window_ms - 2 * BASE.clock_granularity_ms
+    )
     third = sends(balancer.handle(1021.0, failed("r", 1, second.backend, api.AttemptStatus.RESET)))[0]
-    assert third.before == begun + KEYED.deduplication_window_ms - 2 * BASE.tick
+    assert third.before == begun + KEYED.deduplication_window_ms - 2 * BASE.clock_granularity_ms
 
 
 @pytest.mark.parametrize(("name", "again"), [("read", 1), ("once", 0)])
@@ -250,7 +252,7 @@
 
 def test_what_a_class_has_learned_is_used_for_an_old_head_and_not_lost() -> None:
     balancer = node(BASE, ["b0"])
-    stricter = replace(BASE, classes=(replace(KEYED, effect=api.Idempotency.NOT_IDEMPOTENT),))
+    stricter = replace(BASE, classes=(replace(KEYED, idempotency=api.Idempotency.NOT_IDEMPOTENT),))
     balancer.classes["pay"].usual = 33.0
     balancer.handle(1010.0, api.Reconfigured(stricter))
     for name, under, effect in (
@@ -259,7 +261,7 @@
     ):
         balancer.handle(1020.0, api.RequestArrived(name, "pay", 2020.0, under=under))
         cls = balancer.requests[name].cls
-        assert (cls.cfg.effect, cls.usual) == (effect, 33.0)
+        assert (cls.cfg.idempotency, cls.usual) == (effect, 33.0)
     assert balancer.requests["new"].cls is balancer.classes["pay"]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -107,12 +107,17 @@
     LOOKING,
     replace(BASE, hedging_allowed=False, max_attempts=4),
     replace(LOOKING, hedging_allowed=False, must_subscribe=True),
-    replace(LOOKING, classes=(replace(KEYED, group=api.DeduplicationScope.CELL), BASE.classes[2])),
+    replace(
+        LOOKING, classes=(replace(KEYED, deduplication_scope=api.DeduplicationScope.CELL), BASE.classes[2])
+    ),
     replace(
         BASE,
-        classes=(replace(KEYED, group=api.DeduplicationScope.ALL), replace(SAFE, late_weight_fraction=0.5)),
+        classes=(
+            replace(KEYED, deduplication_scope=api.DeduplicationScope.ALL),
+            replace(SAFE, late_weight_fraction=0.5),
+        ),
     ),
-    replace(BASE, node_count=300, weighted=True, reports=api.LoadReportMode.NONE),
+    replace(BASE, node_count=300, weighted=True, load_report_mode=api.LoadReportMode.NONE),
 ]
 
 
@@ -209,7 +214,7 @@
     )
     backends, sent = 40, 0
     for me in range(nodes):
-        b = Balancer(replace(cfg, me=me), me)
+        b = Balancer(replace(cfg, node_index=me), me)
         fleet = [entry(f"b{i:02d}", started_at=9_999.0 if i == 7 else 0.0) for i in range(backends)]
         b.handle(10_000.0, api.ListUpdate(api.ListUpdateKind.CACHED, fleet))
         for i in range(rate):
@@ -237,7 +242,9 @@
     """All nodes through a deploy of the fleet, with a burst, retries, late news; the worst budget used."""
     rng, size, per_s, now = random.Random(nodes), 20, 20.0, 50_000.0
     fleet = {i: entry(f"b{i:02d}", zone="ab"[i % 2]) for i in range(size)}
-    bank = [Balancer(replace(cfg, me=me, node_count=nodes, zone="ab"[me % 2]), me) for me in range(nodes)]
+    bank = [
+        Balancer(replace(cfg, node_index=me, node_count=nodes, zone="ab"[me % 2]), me) for me in range(nodes)
+    ]
     for b in bank:
         b.handle(now, api.ListUpdate(api.ListUpdateKind.CACHED, [replace(e) for e in fleet.values()]))
     budget, serial = ColdBudget(cfg, per_s), 0
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -33,7 +33,12 @@
 CHANGED = 300  # backends of other zones that drain, and as many that are new, in the word of the loss
 CALLS = size.BACKENDS // 10  # of Python or C that a turn may make: a walk over what is listed makes more
 SETTINGS = replace(
-    BASE, zone="z0", node_count=size.NODES, me=7, charges=api.Charges(cross_zone=0.1), slow_start_ms=60_000.0
+    BASE,
+    zone="z0",
+    node_count=size.NODES,
+    node_index=7,
+    charges=api.Charges(cross_zone=0.1),
+    slow_start_ms=60_000.0,
 )
 FULL_PER_S = size.PEAK_PER_S / size.BACKENDS  # of a backend, at the rate for which the tier is planned
 ORDER = GONE, DRAINING, UP = (
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -106,7 +106,8 @@
     bare = wire.settings(json.dumps({"request-classes": INFO["request-classes"]}))
     assert bare.cold_capacity_fraction < 1 and bare.slow_start_ms > 0 and bare.overload_multiple <= 1
     assert (
-        bare.classes[0].group is api.DeduplicationScope.CELL and bare.classes[0].deduplication_window_ms == 0
+        bare.classes[0].deduplication_scope is api.DeduplicationScope.CELL
+        and bare.classes[0].deduplication_window_ms == 0
     )
     assert not (bare.health_checks_allowed or bare.cancellation_allowed or bare.hedging_allowed or bare.peers)
     assert bare.max_attempts == 1 and bare.must_subscribe
