--- a/balancer/policy/attempts.py
+++ b/balancer/policy/attempts.py
@@ -56,7 +56,8 @@
         if not self._is_allowed(request, endpoint, now):
             self._requests.give_up(request, api.GiveUpReason.TOO_LATE, now)
             return
-        self._slow_start.count_attempt(endpoint, now)
+        if self._slow_start.recovery is not None:
+            self._slow_start.count_recovery_attempt(endpoint, now)
         latest_start = self._eligibility.latest_start(request)
         attempt = Attempt(endpoint, now, endpoint.estimate == 0 or not self._checks_first)
         request.attempts.append(attempt)
--- a/balancer/policy/class_table.py
+++ b/balancer/policy/class_table.py
@@ -15,10 +15,11 @@
 class ClassTable:
     """The classes of the settings in force, with what was learned of each."""
 
-    __slots__ = ("_clock_granularity_ms", "_expected_sum_ms", "_settings", "by_name")
+    __slots__ = ("_clock_granularity_ms", "_expected_sum_ms", "_settings", "by_name", "mean_expected_ms")
 
     def __init__(self) -> None:
         self.by_name: dict[str, ClassStatistics] = {}
+        self.mean_expected_ms = 0.0  # of the expected durations of all classes
         self._expected_sum_ms = 0.0
 
     def configure(self, settings: api.Settings) -> None:
@@ -34,11 +35,7 @@
     def refresh_mean(self) -> None:
         """Compute the mean anew after expected durations were set one by one."""
         self._expected_sum_ms = sum(s.expected_ms for s in self.by_name.values())
-
-    @property
-    def mean_expected_ms(self) -> float:
-        """Return the mean of the expected durations of all classes."""
-        return self._expected_sum_ms / len(self.by_name)
+        self.mean_expected_ms = self._expected_sum_ms / len(self.by_name)
 
     def for_arrival(self, event: api.RequestArrived) -> tuple[ClassStatistics, int]:
         """Return the class of a request and its allowed attempts, by the settings under which it arrived.
@@ -64,6 +61,7 @@
         statistics.expected_ms += step
         if self.by_name.get(statistics.config.name) is statistics:
             self._expected_sum_ms += step
+            self.mean_expected_ms = self._expected_sum_ms / len(self.by_name)
 
     def useful_until(
         self, statistics: ClassStatistics, deadline: float, work_hint: float | None, now: float
--- a/balancer/policy/eligibility.py
+++ b/balancer/policy/eligibility.py
@@ -9,6 +9,8 @@
 from balancer.policy.maintenance import Maintenance
 from balancer.policy.records import EndpointRecord, Request
 
+NO_PLACES: frozenset[idempotency.Place] = frozenset()
+
 
 class Eligibility:
     """Judges endpoints by the list, the operators, own observations and the attempts of a request."""
@@ -31,12 +33,12 @@
 
     def required_places(self, request: Request, now: float) -> set[idempotency.Place] | None:
         """Return all places that the next attempt has to be in, or None if no attempt may be made."""
-        if not request.attempts:
-            return set()
         return idempotency.required_places(request, now, self._clock_granularity_ms)
 
     def permits_attempt(self, request: Request, endpoint: EndpointRecord, now: float) -> bool:
         """Return whether an attempt at this endpoint cannot make the request take effect twice."""
+        if not request.attempts:
+            return True
         places = self.required_places(request, now)
         return places is not None and all(
             place == idempotency.place_of(request, endpoint) for place in places
@@ -55,6 +57,8 @@
 
     def latest_start(self, request: Request) -> float:
         """Return the clock time until which the next attempt may leave; 0 means no limit."""
+        if not request.attempts:
+            return 0.0
         return idempotency.latest_start(request, self._clock_granularity_ms)
 
     def filter_for(
@@ -65,7 +69,7 @@
         Endpoints with more than `max_in_flight` attempts of this node are too crowded.
         """
         checked = request.checked
-        places = self.required_places(request, now)
+        places = self.required_places(request, now) if request.attempts else NO_PLACES
         if places is None:
             return _reject
 
--- a/balancer/policy/routing.py
+++ b/balancer/policy/routing.py
@@ -155,7 +155,11 @@
         # that fall to it, but no wider than there are endpoints: the limit is shared over them.
         width = max(1, min(max(self._subsetting.width, self._limit.in_flight), count))
         max_in_flight = math.inf if request.is_high_value else self._limit.limit / width
-        remote_first = self._goes_remote(request) and local_count < count
+        # Other zones come first as far as they are better by more than their price.
+        remote_first = self.rng.random() < self._zones.spill_fraction
+        if request.attempts:  # a retry stays on its side: it may be bound to the zone
+            remote_first = not self._zones.is_local(request.attempts[0].endpoint)
+        remote_first = remote_first and local_count < count
         # A subset that is wider than its side would mix both.
         side_count = count - local_count if remote_first else local_count
         candidates = self._selection.candidates_of(min(width, side_count), remote_first, now)
@@ -179,13 +183,6 @@
                 endpoint = self._selection.choose(request, remote, m, max_in_flight, now)
         return endpoint
 
-    def _goes_remote(self, request: Request) -> bool:
-        """Draw whether other zones come first; a retry stays on its side, to which it may be bound."""
-        spills = self.rng.random() < self._zones.spill_fraction
-        if request.attempts:
-            return not self._zones.is_local(request.attempts[0].endpoint)
-        return spills
-
     def _returned_endpoint(self, now: float) -> EndpointRecord | None:
         """Return an endpoint that operators put back and that was sent nothing yet.
 
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -133,8 +133,8 @@
         if self.recovery is not None and self.recovery.is_due(now):
             self._fill(self.recovery, now)
 
-    def count_attempt(self, endpoint: EndpointRecord, now: float) -> None:
-        """Count an attempt that is sent."""
+    def count_recovery_attempt(self, endpoint: EndpointRecord, now: float) -> None:
+        """Count an attempt that is sent while the tier recovers."""
         if self.recovery is not None and self.warmth(endpoint.entry, now) < 1.0:
             self.recovery.spend()
 
