--- a/balancer/policy/attempt_timeouts.py
+++ b/balancer/policy/attempt_timeouts.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
+
 from balancer import interface as api
 from balancer.policy.constants import EWMA_WEIGHT
 from balancer.policy.records import Attempt, Request
@@ -12,14 +14,12 @@
 MARGIN_TICKS = 2  # so that a failure does not come late
 
 
+@dataclass(slots=True, eq=False)
 class AttemptTimeouts:
     """Learns the rate of lost responses and sets the timeout of each attempt by it."""
 
-    __slots__ = ("_clock_granularity_ms", "loss_rate")
-
-    def __init__(self) -> None:
-        self.loss_rate = 0.0
-        self._clock_granularity_ms = 0.0
+    loss_rate: float = 0.0
+    _clock_granularity_ms: float = field(default=0.0, init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
--- a/balancer/policy/attempts.py
+++ b/balancer/policy/attempts.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
+
 from balancer import interface as api
 from balancer.policy.attempt_timeouts import AttemptTimeouts
 from balancer.policy.charges import checks_before_sending
@@ -14,38 +16,18 @@
 from balancer.policy.slow_start import SlowStart
 
 
+@dataclass(slots=True, eq=False)
 class Attempts:
     """Starts attempts within all rules, and counts those in flight."""
 
-    __slots__ = (
-        "_checks_first",
-        "_eligibility",
-        "_endpoints",
-        "_limit",
-        "_outbox",
-        "_requests",
-        "_slow_start",
-        "_timeouts",
-    )
-
-    def __init__(
-        self,
-        outbox: Outbox,
-        requests: RequestTable,
-        eligibility: Eligibility,
-        slow_start: SlowStart,
-        limit: ConcurrencyLimit,
-        timeouts: AttemptTimeouts,
-        endpoints: EndpointList,
-    ) -> None:
-        self._outbox = outbox
-        self._requests = requests
-        self._eligibility = eligibility
-        self._slow_start = slow_start
-        self._limit = limit
-        self._timeouts = timeouts
-        self._endpoints = endpoints
-        self._checks_first = False
+    outbox: Outbox
+    requests: RequestTable
+    eligibility: Eligibility
+    slow_start: SlowStart
+    limit: ConcurrencyLimit
+    timeouts: AttemptTimeouts
+    endpoints: EndpointList
+    _checks_first: bool = field(default=False, init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -54,11 +36,11 @@
     def start(self, request: Request, endpoint: EndpointRecord, now: float) -> None:
         """Send a request to an endpoint, or give it up where a rule forbids that."""
         if not self._is_allowed(request, endpoint, now):
-            self._requests.give_up(request, api.GiveUpReason.TOO_LATE, now)
+            self.requests.give_up(request, api.GiveUpReason.TOO_LATE, now)
             return
-        if self._slow_start.recovery is not None:
-            self._slow_start.count_recovery_attempt(endpoint, now)
-        latest_start = self._eligibility.latest_start(request)
+        if self.slow_start.recovery is not None:
+            self.slow_start.count_recovery_attempt(endpoint, now)
+        latest_start = self.eligibility.latest_start(request)
         attempt = Attempt(endpoint, now, endpoint.estimate == 0 or not self._checks_first)
         request.attempts.append(attempt)
         request.in_flight += 1
@@ -67,9 +49,9 @@
             attempt.counts_in_flight = False
         else:
             endpoint.in_flight += 1
-            self._limit.in_flight += 1
-        timeout_ms = self._timeouts.set_timeout(request, attempt, now)
-        self._outbox.actions.append(
+            self.limit.in_flight += 1
+        timeout_ms = self.timeouts.set_timeout(request, attempt, now)
+        self.outbox.actions.append(
             api.StartAttempt(request.id, endpoint.entry.backend, timeout_ms, latest_start)
         )
 
@@ -80,7 +62,7 @@
             attempt.counts_in_flight = True
             attempt.sent_at = now
             attempt.endpoint.in_flight += 1
-            self._limit.in_flight += 1
+            self.limit.in_flight += 1
 
     def end(self, request: Request, attempt: Attempt, status: api.AttemptStatus) -> None:
         """Count an attempt as ended."""
@@ -88,15 +70,15 @@
         request.in_flight -= 1
         if attempt.counts_in_flight:
             attempt.endpoint.in_flight -= 1
-            self._limit.in_flight -= 1
-            self._endpoints.forget(attempt.endpoint)
+            self.limit.in_flight -= 1
+            self.endpoints.forget(attempt.endpoint)
 
     def _is_allowed(self, request: Request, endpoint: EndpointRecord, now: float) -> bool:
         return (
             not request.is_closed
             and not request.is_streaming
-            and self._eligibility.is_in_service(endpoint)
-            and self._eligibility.permits_attempt(request, endpoint, now)
+            and self.eligibility.is_in_service(endpoint)
+            and self.eligibility.permits_attempt(request, endpoint, now)
             and len(request.attempts) < request.max_attempts
             and (now < request.deadline or request.is_arriving)
         )
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -44,7 +44,8 @@
         self.rng = random.Random(seed)
         self.now = 0.0
         self.settings = settings
-        self._compose(settings)
+        self._make_state(settings)
+        self._make_flow(settings)
         self._configure(settings)
         self._handlers: dict[type, Handler] = {
             api.RequestArrived: self._on_request,
@@ -96,7 +97,8 @@
         state = f"limit={limit.limit:.1f} out={limit.in_flight} held={len(self.router.queue)}"
         return f"{state} trust={self.shedding.success_rate:.2f} {reasons}".rstrip()
 
-    def _compose(self, settings: api.Settings) -> None:
+    def _make_state(self, settings: api.Settings) -> None:
+        """Make the concerns that keep state and decide on their own."""
         rng = self.rng
         self.outbox = Outbox()
         self.log = OperatorLog(self.outbox)
@@ -119,6 +121,13 @@
             rng, self.index, self.eligibility, self.maintenance, self.subsetting, self.zones, self.limit,
             self.selection,
         )  # fmt: skip
+        self.outcomes = OutcomeLearning(
+            self.classes, self.ejection, self.limit, self.selection, self.shedding, self.timeouts, self.zones
+        )
+
+    def _make_flow(self, settings: api.Settings) -> None:
+        """Make the way of a request through these concerns."""
+        rng = self.rng
         self.requests = RequestTable(rng, self.outbox, self.log, self.slow_start)
         self.attempts = Attempts(
             self.outbox, self.requests, self.eligibility, self.slow_start, self.limit, self.timeouts,
@@ -133,9 +142,6 @@
             self.slow_start, self.selection, self.limit, self.shedding, self.requests, self.attempts,
             self.health_checks,
         )  # fmt: skip
-        self.outcomes = OutcomeLearning(
-            self.classes, self.ejection, self.limit, self.selection, self.shedding, self.timeouts, self.zones
-        )
         self.warm_start = WarmStart(
             self.index, self.classes, self.limit, self.shedding, self.timeouts, self.maintenance,
             self.slow_start,
--- a/balancer/policy/class_table.py
+++ b/balancer/policy/class_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
+from dataclasses import dataclass, field, replace
 
 from balancer import interface as api
 from balancer.policy.constants import EWMA_WEIGHT
@@ -12,15 +12,15 @@
 ALLOWANCE_TOLERANCE_TICKS = 2
 
 
+@dataclass(slots=True, eq=False)
 class ClassTable:
     """The classes of the settings in force, with what was learned of each."""
 
-    __slots__ = ("_clock_granularity_ms", "_expected_sum_ms", "_settings", "by_name", "mean_expected_ms")
-
-    def __init__(self) -> None:
-        self.by_name: dict[str, ClassStatistics] = {}
-        self.mean_expected_ms = 0.0  # of the expected durations of all classes
-        self._expected_sum_ms = 0.0
+    by_name: dict[str, ClassStatistics] = field(default_factory=dict)
+    mean_expected_ms: float = field(default=0.0, init=False)  # of the expected durations of all classes
+    _expected_sum_ms: float = field(default=0.0, init=False)
+    _clock_granularity_ms: float = field(default=0.0, init=False)
+    _settings: api.Settings = field(init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings. A class that stays keeps its statistics; requests keep their own record."""
--- a/balancer/policy/concurrency_limit.py
+++ b/balancer/policy/concurrency_limit.py
@@ -31,6 +31,7 @@
     __slots__ = ("_classes", "_index", "_overloads", "floor", "in_flight", "limit")
 
     def __init__(self, index: EndpointIndex) -> None:
+        """Start at the lowest limit."""
         self._index = index
         self.limit = MIN_LIMIT
         self.floor = MIN_LIMIT
--- a/balancer/policy/eligibility.py
+++ b/balancer/policy/eligibility.py
@@ -18,6 +18,7 @@
     __slots__ = ("_banned", "_clock_granularity_ms", "_index")
 
     def __init__(self, index: EndpointIndex, maintenance: Maintenance) -> None:
+        """Judge endpoints of this index; `maintenance` has the bans."""
         self._index = index
         self._banned = maintenance.banned
         self._clock_granularity_ms = 0.0
--- a/balancer/policy/endpoint_index.py
+++ b/balancer/policy/endpoint_index.py
@@ -21,6 +21,8 @@
     """The endpoints of one zone that may get new work."""
 
     def __init__(self, zone: str, records: dict[str, EndpointRecord]) -> None:
+        """Summarise an empty zone; `records` are those of the index."""
+
         def min_response_ms(name: str) -> float:
             endpoint = records.get(name)
             if endpoint is None or endpoint.block is None or endpoint.entry.zone != zone:
@@ -35,6 +37,7 @@
     """All listed endpoints, the node's order of those that may get new work, and summaries of both."""
 
     def __init__(self) -> None:
+        """Start without endpoints."""
         self.records: dict[str, EndpointRecord] = {}  # removed ones stay while attempts are in flight
         self.order = EndpointOrder(self.records)
         self.listed_count = 0  # of the records, those that were not removed
--- a/balancer/policy/endpoint_list.py
+++ b/balancer/policy/endpoint_list.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Iterable
-from dataclasses import replace
+from dataclasses import dataclass, field, replace
 
 from balancer import interface as api
 from balancer.policy.concurrency_limit import ConcurrencyLimit
@@ -17,67 +17,45 @@
 from balancer.policy.zone_routing import ZoneRouting
 
 
+@dataclass(slots=True, eq=False)
 class EndpointList:
     """Keeps index, order, sizes and cached candidates in line with the list."""
 
-    __slots__ = (
-        "_eligibility",
-        "_index",
-        "_is_opening",
-        "_limit",
-        "_maintenance",
-        "_node_count",
-        "_rng",
-        "_selection",
-        "_subsetting",
-        "_zones",
-    )
-
-    def __init__(
-        self,
-        rng: random.Random,
-        index: EndpointIndex,
-        eligibility: Eligibility,
-        maintenance: Maintenance,
-        subsetting: Subsetting,
-        zones: ZoneRouting,
-        limit: ConcurrencyLimit,
-        selection: Selection,
-    ) -> None:
-        self._rng = rng
-        self._index = index
-        self._eligibility = eligibility
-        self._maintenance = maintenance
-        self._subsetting = subsetting
-        self._zones = zones
-        self._limit = limit
-        self._selection = selection
-        self._is_opening = False  # the first list is arriving in pieces
+    rng: random.Random
+    index: EndpointIndex
+    eligibility: Eligibility
+    maintenance: Maintenance
+    subsetting: Subsetting
+    zones: ZoneRouting
+    limit: ConcurrencyLimit
+    selection: Selection
+    _node_count: int = field(default=1, init=False)
+    _is_opening: bool = field(default=False, init=False)  # the first list is arriving in pieces
 
     def configure(self, settings: api.Settings, zones_changed: bool) -> None:
         """Take new settings after the other concerns; `zones_changed`: which endpoints are local."""
         self._node_count = settings.node_count
         if zones_changed:
-            self._index.order.partition(self._zones.is_local)
-        self._selection.candidates.clear()
+            self.index.order.partition(self.zones.is_local)
+        self.selection.candidates.clear()
         self._resize()
 
     def apply(self, update: api.ListUpdate) -> None:
         """Apply an update, whatever it brings but a failure."""
         entries = update.entries
         if update.kind is not api.ListUpdateKind.DELTA:
-            records = self._index.records
+            records = self.index.records
             missing = sorted(records.keys() - {entry.backend for entry in entries})
             entries = [
                 replace(records[name].entry, phase=api.EndpointPhase.REMOVED) for name in missing
             ] + entries
         for entry in entries:
-            self._index.take(entry)
+            self.index.take(entry)
         self.refresh({entry.backend: None for entry in entries}, update.more)
 
     def refresh(self, names: Iterable[str], more_follows: bool = False) -> None:
         """Bring the order in line with endpoints whose eligibility for new work may have changed."""
-        index = self._index
+        index = self.index
         is_first = not index.order
         self._is_opening = self._is_opening or is_first
         changed = [endpoint for name in names if (endpoint := index.records.get(name)) is not None]
@@ -86,16 +64,16 @@
             self._lay_out(sorted(endpoint.entry.backend for endpoint in added))
         else:
             self._insert(added)
-        self._selection.discard_changed(changed)
+        self.selection.discard_changed(changed)
         self._resize()
         if self._is_opening:
-            self._zones.reset_spill(self._subsetting.local_count, len(index.order))
+            self.zones.reset_spill(self.subsetting.local_count, len(index.order))
         self._is_opening = self._is_opening and more_follows
 
     def forget(self, endpoint: EndpointRecord) -> None:
         """Drop a removed endpoint once nothing of it is in flight: lists change for ever."""
-        if self._index.forget(endpoint):
-            self._maintenance.forget(endpoint.entry.backend)
+        if self.index.forget(endpoint):
+            self.maintenance.forget(endpoint.entry.backend)
 
     def _remove_and_move(self, changed: list[EndpointRecord]) -> list[EndpointRecord]:
         """Remove endpoints that get no new work, move those that changed zone, and return those to add."""
@@ -103,31 +81,31 @@
         for endpoint in changed:
             name = endpoint.entry.backend
             if endpoint.block is None:
-                if self._eligibility.is_in_service(endpoint):
+                if self.eligibility.is_in_service(endpoint):
                     added.append(endpoint)
-            elif not self._eligibility.is_in_service(endpoint):
-                self._index.remove(name)
-            elif endpoint.is_local != self._zones.is_local(endpoint):
-                self._index.order.change_side(name, not endpoint.is_local)
+            elif not self.eligibility.is_in_service(endpoint):
+                self.index.remove(name)
+            elif endpoint.is_local != self.zones.is_local(endpoint):
+                self.index.order.change_side(name, not endpoint.is_local)
             if endpoint.entry.phase is api.EndpointPhase.REMOVED:
                 self.forget(endpoint)
         return added
 
     def _insert(self, added: list[EndpointRecord]) -> None:
         for is_local in (True, False):
-            names = [e.entry.backend for e in added if self._zones.is_local(e) is is_local]
-            side_size = len(self._index.order.side(is_local))
-            insertions = self._subsetting.insertions(names, side_size, self._maintenance.positions)
-            self._index.insert(insertions, is_local)
+            names = [e.entry.backend for e in added if self.zones.is_local(e) is is_local]
+            side_size = len(self.index.order.side(is_local))
+            insertions = self.subsetting.insertions(names, side_size, self.maintenance.positions)
+            self.index.insert(insertions, is_local)
 
     def _lay_out(self, names: list[str]) -> None:
-        records = self._index.records
-        local_names = {name for name in names if self._zones.is_local(records[name])}
-        order = self._subsetting.first_layout(names, local_names, self._rng)
+        records = self.index.records
+        local_names = {name for name in names if self.zones.is_local(records[name])}
+        order = self.subsetting.first_layout(names, local_names, self.rng)
         for is_local in (True, False):
             side = [(0, name) for name in order if (name in local_names) is is_local]
-            self._index.insert(side, is_local)
+            self.index.insert(side, is_local)
 
     def _resize(self) -> None:
-        self._subsetting.resize()
-        self._limit.resize(len(self._index.order), self._node_count)
+        self.subsetting.resize()
+        self.limit.resize(len(self.index.order), self._node_count)
--- a/balancer/policy/health_checks.py
+++ b/balancer/policy/health_checks.py
@@ -4,6 +4,7 @@
 
 import math
 import random
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy import join_up_to_m
@@ -26,57 +27,31 @@
 IN_SERVICE_REQUESTS = 0.5  # mean remaining part of the request that an endpoint works on
 
 
+@dataclass(slots=True, eq=False)
 class HealthChecks:
     """Asks a few endpoints how they are and settles where a request goes."""
 
-    __slots__ = (
-        "_attempts",
-        "_clock_granularity_ms",
-        "_ejection",
-        "_eligibility",
-        "_endpoints",
-        "_index",
-        "_outbox",
-        "_requests",
-        "_rng",
-        "_round_trip_ms",
-        "_selection",
-        "_shedding",
-        "_subsetting",
-    )
+    rng: random.Random
+    outbox: Outbox
+    index: EndpointIndex
+    subsetting: Subsetting
+    eligibility: Eligibility
+    selection: Selection
+    ejection: OutlierEjection
+    shedding: LoadShedding
+    requests: RequestTable
+    attempts: Attempts
+    endpoints: EndpointList
+    clock_granularity_ms: float
+    _round_trip_ms: float = field(init=False)
 
-    def __init__(
-        self,
-        rng: random.Random,
-        outbox: Outbox,
-        index: EndpointIndex,
-        subsetting: Subsetting,
-        eligibility: Eligibility,
-        selection: Selection,
-        ejection: OutlierEjection,
-        shedding: LoadShedding,
-        requests: RequestTable,
-        attempts: Attempts,
-        endpoints: EndpointList,
-        clock_granularity_ms: float,
-    ) -> None:
-        self._rng = rng
-        self._outbox = outbox
-        self._index = index
-        self._subsetting = subsetting
-        self._eligibility = eligibility
-        self._selection = selection
-        self._ejection = ejection
-        self._shedding = shedding
-        self._requests = requests
-        self._attempts = attempts
-        self._endpoints = endpoints
-        self._clock_granularity_ms = clock_granularity_ms
-        self._round_trip_ms = FIRST_ROUND_TRIP_TICKS * clock_granularity_ms
+    def __post_init__(self) -> None:
+        """Expect a round trip of a few clock ticks until checks tell."""
+        self._round_trip_ms = FIRST_ROUND_TRIP_TICKS * self.clock_granularity_ms
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
-        self._clock_granularity_ms = settings.clock_granularity_ms
+        self.clock_granularity_ms = settings.clock_granularity_ms
 
     def start(self, request: Request, now: float) -> None:
         """Check endpoints for a request, from the first round on."""
@@ -86,16 +61,16 @@
 
     def on_result(self, now: float, event: api.HealthCheckEnded) -> None:
         """Take the result of a check to all requests that wait for it."""
-        endpoint = self._index.records[event.backend]
+        endpoint = self.index.records[event.backend]
         waiters = endpoint.health_check_waiters or []
         endpoint.health_check_waiters = None
         is_ok = event.status is api.AttemptStatus.OK
         if is_ok:
             self._round_trip_ms += EWMA_WEIGHT * (event.duration - self._round_trip_ms)
-            self._selection.apply_report(endpoint, event.report, is_fresh=True)
+            self.selection.apply_report(endpoint, event.report, is_fresh=True)
             endpoint.ejected_until = min(endpoint.ejected_until, now)
         else:
-            self._ejection.eject(endpoint, now)
+            self.ejection.eject(endpoint, now)
         for request in waiters:
             if event.backend not in request.pending_checks:
                 continue
@@ -103,31 +78,31 @@
             if is_ok:
                 request.checked.append(endpoint)
             # Reports may freeze: an idle one is believed as often as attempts on such reports succeed.
-            if endpoint.estimate == 0 and self._rng.random() > self._shedding.success_rate:
+            if endpoint.estimate == 0 and self.rng.random() > self.shedding.success_rate:
                 endpoint.estimate = join_up_to_m.cap(request.statistics)
             if not request.pending_checks or (request.checked and endpoint.estimate == 0):
                 self._settle(request, now)
-        self._endpoints.forget(endpoint)
+        self.endpoints.forget(endpoint)
 
     def _check(self, request: Request, now: float) -> None:
         request.check_rounds += 1
         request.total_check_rounds += 1
-        width = self._subsetting.width
-        view = self._index.window(0, 2 * width)
-        draw = self._selection.draw
+        width = self.subsetting.width
+        view = self.index.window(0, 2 * width)
+        draw = self.selection.draw
         sample = (
             draw(request, HEALTH_CHECK_SAMPLE, view[:width], now)
             or draw(request, HEALTH_CHECK_SAMPLE, view[width:], now)
-            or self._selection.draw_in_panic(request, HEALTH_CHECK_SAMPLE, view, now)
+            or self.selection.draw_in_panic(request, HEALTH_CHECK_SAMPLE, view, now)
         )
         for endpoint in sample:
             request.pending_checks.add(endpoint.entry.backend)
             if endpoint.health_check_waiters is None:
                 endpoint.health_check_waiters = []
-                self._outbox.actions.append(api.CheckHealth(endpoint.entry.backend))
+                self.outbox.actions.append(api.CheckHealth(endpoint.entry.backend))
             endpoint.health_check_waiters.append(request)
-        overdue_at = now + OVERDUE_ROUND_TRIPS * self._round_trip_ms + self._clock_granularity_ms
-        self._outbox.set_timer(overdue_at, self._on_overdue, (request, request.total_check_rounds))
+        overdue_at = now + OVERDUE_ROUND_TRIPS * self._round_trip_ms + self.clock_granularity_ms
+        self.outbox.set_timer(overdue_at, self._on_overdue, (request, request.total_check_rounds))
         if not request.pending_checks:
             self._settle(request, now)
 
@@ -135,8 +110,8 @@
         request, check_round = argument
         if request.total_check_rounds == check_round and request.pending_checks:
             for name in sorted(request.pending_checks):
-                endpoint = self._index.records[name]
-                self._ejection.avoid_stalled(endpoint, now, request.statistics.expected_ms)
+                endpoint = self.index.records[name]
+                self.ejection.avoid_stalled(endpoint, now, request.statistics.expected_ms)
             self._settle(request, now)
 
     def _settle(self, request: Request, now: float) -> None:
@@ -145,8 +120,8 @@
         pool = [
             endpoint
             for endpoint in request.checked
-            if self._eligibility.is_in_service(endpoint)
-            and self._eligibility.permits_attempt(request, endpoint, now)
+            if self.eligibility.is_in_service(endpoint)
+            and self.eligibility.permits_attempt(request, endpoint, now)
         ]
         lowest = min((endpoint.estimate for endpoint in pool), default=math.inf)
         m = join_up_to_m.cap(request.statistics)
@@ -154,6 +129,6 @@
         if lowest > 0 and request.check_rounds < MAX_HEALTH_CHECK_ROUNDS:
             self._check(request, now)
         elif lowest < m and can_be_in_time(request, now, wait_ms):
-            self._attempts.start(request, join_up_to_m.pick(self._rng, pool, m), now)
+            self.attempts.start(request, join_up_to_m.pick(self.rng, pool, m), now)
         else:
-            self._requests.give_up(request, api.GiveUpReason.NO_ENDPOINT, now)
+            self.requests.give_up(request, api.GiveUpReason.NO_ENDPOINT, now)
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -27,6 +27,7 @@
     __slots__ = ("_checks_first", "_mean_density", "_rng", "success_rate")
 
     def __init__(self, rng: random.Random, settings: api.Settings) -> None:
+        """Start with full trust; the mean value of requests is taken from the classes."""
         self._rng = rng
         self._checks_first = False
         self.success_rate = 1.0
--- a/balancer/policy/maintenance.py
+++ b/balancer/policy/maintenance.py
@@ -2,18 +2,21 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 
+
+@dataclass(slots=True, eq=False)
 class Maintenance:
     """Bans by id, and what is remembered of endpoints that return from one."""
 
-    __slots__ = ("_slow_start_ms", "awaiting_first_request", "banned", "positions", "returned_at")
-
-    def __init__(self) -> None:
-        self.banned: set[str] = set()
-        self.returned_at: dict[str, float] = {}  # clock time (ms) at which operators put an endpoint back
-        self.awaiting_first_request: set[str] = set()  # put back and sent nothing yet
-        self.positions: dict[str, int] = {}  # where a banned endpoint stood in the node's order
-        self._slow_start_ms = 0.0
+    banned: set[str] = field(default_factory=set)
+    # Clock time (ms) at which operators put an endpoint back.
+    returned_at: dict[str, float] = field(default_factory=dict)
+    # Put back and sent nothing yet.
+    awaiting_first_request: set[str] = field(default_factory=set)
+    # Where a banned endpoint stood in the node's order.
+    positions: dict[str, int] = field(default_factory=dict)
+    _slow_start_ms: float = field(default=0.0, init=False)
 
     def configure(self, slow_start_ms: float) -> None:
         """Set how long an endpoint warms up after it was put back."""
--- a/balancer/policy/ordered_names.py
+++ b/balancer/policy/ordered_names.py
@@ -22,6 +22,7 @@
     """A list of names in blocks; each record knows the block that holds its name."""
 
     def __init__(self, records: dict[str, EndpointRecord]) -> None:
+        """Start empty; `records` has the record of each name."""
         self.records = records
         self.size = 0
         self.blocks: list[list[str]] = []
@@ -119,6 +120,7 @@
     """A node's own order of the endpoints that may get new work: all local ones, then all remote ones."""
 
     def __init__(self, records: dict[str, EndpointRecord]) -> None:
+        """Start empty; `records` has the record of each name."""
         self.records = records
         self.remote = OrderedNames(records)
         self.local = OrderedNames(records)
--- a/balancer/policy/outbox.py
+++ b/balancer/policy/outbox.py
@@ -21,6 +21,7 @@
     __slots__ = ("_last_token", "_timers", "actions")
 
     def __init__(self) -> None:
+        """Start without actions and timers."""
         self.actions: list[api.Action] = []
         self._timers: dict[int, tuple[TimerCallback, Any]] = {}
         self._last_token = 0
@@ -49,6 +50,7 @@
     __slots__ = ("_last_line", "_outbox", "arrivals", "rejections")
 
     def __init__(self, outbox: Outbox) -> None:
+        """Write lines as actions of this outbox."""
         self._outbox = outbox
         self._last_line = -MIN_LOG_INTERVAL_MS
         self.arrivals = 0
--- a/balancer/policy/outcomes.py
+++ b/balancer/policy/outcomes.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from balancer import interface as api
 from balancer.policy.attempt_timeouts import AttemptTimeouts
 from balancer.policy.class_table import ClassTable
@@ -20,28 +22,17 @@
 TIMED_STATUSES = frozenset({api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT})
 
 
+@dataclass(slots=True, eq=False)
 class OutcomeLearning:
     """Passes the outcome of an attempt on to each concern that learns from it."""
 
-    __slots__ = ("_classes", "_ejection", "_limit", "_selection", "_shedding", "_timeouts", "_zones")
-
-    def __init__(
-        self,
-        classes: ClassTable,
-        ejection: OutlierEjection,
-        limit: ConcurrencyLimit,
-        selection: Selection,
-        shedding: LoadShedding,
-        timeouts: AttemptTimeouts,
-        zones: ZoneRouting,
-    ) -> None:
-        self._classes = classes
-        self._ejection = ejection
-        self._limit = limit
-        self._selection = selection
-        self._shedding = shedding
-        self._timeouts = timeouts
-        self._zones = zones
+    classes: ClassTable
+    ejection: OutlierEjection
+    limit: ConcurrencyLimit
+    selection: Selection
+    shedding: LoadShedding
+    timeouts: AttemptTimeouts
+    zones: ZoneRouting
 
     def learn(
         self,
@@ -60,15 +51,15 @@
         if status is api.AttemptStatus.OK:
             endpoint.consecutive_failures = 0
             if attempt.is_representative:
-                self._classes.observe_duration(statistics, duration_ms)
+                self.classes.observe_duration(statistics, duration_ms)
         elif status is api.AttemptStatus.REJECTED:
-            self._ejection.avoid_busy(endpoint, now, statistics.expected_ms)
+            self.ejection.avoid_busy(endpoint, now, statistics.expected_ms)
         else:
-            self._ejection.eject(endpoint, now)
+            self.ejection.eject(endpoint, now)
             if status is api.AttemptStatus.CONNECT_FAILED:
                 endpoint.busy_until = endpoint.ejected_until
         if status in TIMED_STATUSES:
-            self._limit.observe(statistics, endpoint, status, duration_ms)
+            self.limit.observe(statistics, endpoint, status, duration_ms)
 
     def _learn_load(
         self, statistics: ClassStatistics, attempt: Attempt, status: api.AttemptStatus, duration_ms: float
@@ -76,10 +67,10 @@
         endpoint = attempt.endpoint
         objective_ms = statistics.config.latency_objective_ms
         is_good = status is api.AttemptStatus.OK and duration_ms <= objective_ms
-        self._timeouts.observe(status is api.AttemptStatus.TIMEOUT)
+        self.timeouts.observe(status is api.AttemptStatus.TIMEOUT)
         says_nothing_of_load = attempt.is_cut_short or status is api.AttemptStatus.REJECTED
-        self._shedding.observe(is_good, says_nothing_of_load)
+        self.shedding.observe(is_good, says_nothing_of_load)
         relative_ms = (duration_ms if is_good else objective_ms) / statistics.expected_ms
         endpoint.slowness += EWMA_WEIGHT * (relative_ms - endpoint.slowness)
-        self._selection.note_weight(endpoint)
-        self._zones.observe(endpoint, is_good)
+        self.selection.note_weight(endpoint)
+        self.zones.observe(endpoint, is_good)
--- a/balancer/policy/outlier_ejection.py
+++ b/balancer/policy/outlier_ejection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy.endpoint_index import EndpointIndex
@@ -13,15 +14,13 @@
 JITTER = (0.5, 1.5)  # factors of a drawn time, lowest and highest
 
 
+@dataclass(slots=True, eq=False)
 class OutlierEjection:
     """Ejects endpoints with exponential backoff and jitter."""
 
-    __slots__ = ("_index", "_rng", "longest_objective_ms")
-
-    def __init__(self, rng: random.Random, index: EndpointIndex) -> None:
-        self._rng = rng
-        self._index = index
-        self.longest_objective_ms = 0.0
+    rng: random.Random
+    index: EndpointIndex
+    longest_objective_ms: float = field(default=0.0, init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -32,24 +31,24 @@
         _note_unavailable(endpoint, now)
         endpoint.consecutive_failures = min(endpoint.consecutive_failures + 1, MAX_CONSECUTIVE_FAILURES)
         backoff_ms = self.longest_objective_ms * 2 ** (endpoint.consecutive_failures - 1)
-        endpoint.ejected_until = now + backoff_ms * self._rng.uniform(*JITTER)
-        self._index.note_change(endpoint)
+        endpoint.ejected_until = now + backoff_ms * self.rng.uniform(*JITTER)
+        self.index.note_change(endpoint)
 
     def avoid_busy(self, endpoint: EndpointRecord, now: float, expected_ms: float) -> None:
         """Avoid an endpoint that rejected a request, for about the time that a response takes."""
         _note_unavailable(endpoint, now)
-        endpoint.busy_until = now + expected_ms * self._rng.uniform(*JITTER)
-        self._index.note_change(endpoint)
+        endpoint.busy_until = now + expected_ms * self.rng.uniform(*JITTER)
+        self.index.note_change(endpoint)
 
     def avoid_stalled(self, endpoint: EndpointRecord, now: float, expected_ms: float) -> None:
         """Avoid an endpoint that does not answer a health check, whatever the cause."""
-        until = now + expected_ms * self._rng.uniform(*JITTER)
+        until = now + expected_ms * self.rng.uniform(*JITTER)
         endpoint.ejected_until = max(endpoint.ejected_until, until)
-        self._index.note_change(endpoint)
+        self.index.note_change(endpoint)
 
     def count_unavailable(self, now: float) -> int:
         """Return how many listed endpoints get no requests now, or none but in a panic."""
-        index = self._index
+        index = self.index
         avoided = sum(
             now - endpoint.unavailable_since >= MIN_UNAVAILABLE_MS for endpoint in index.avoided_now(now)
         )
--- a/balancer/policy/polling.py
+++ b/balancer/policy/polling.py
@@ -4,6 +4,7 @@
 
 import math
 import random
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy.outbox import OperatorLog, Outbox
@@ -22,19 +23,18 @@
 MS_PER_S = 1000
 
 
+@dataclass(slots=True, eq=False)
 class DiscoveryPolling:
     """Schedules calls of discovery, with backoff and jitter after failed ones."""
 
-    __slots__ = ("_called_at", "_failed_calls", "_log", "_max_age_ms", "_outbox", "_rng", "_schedule")
-
-    def __init__(self, rng: random.Random, outbox: Outbox, log: OperatorLog) -> None:
-        self._rng = rng
-        self._outbox = outbox
-        self._log = log
-        self._max_age_ms = 0.0
-        self._failed_calls = 0
-        self._called_at = -math.inf
-        self._schedule = 0  # number of the call that is scheduled; an earlier timer is void
+    rng: random.Random
+    outbox: Outbox
+    log: OperatorLog
+    _max_age_ms: float = field(default=0.0, init=False)
+    _failed_calls: int = field(default=0, init=False)
+    _called_at: float = field(default=-math.inf, init=False)
+    # Number of the call that is scheduled; an earlier timer is void.
+    _schedule: int = field(default=0, init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings, by which discovery may be at another address."""
@@ -45,7 +45,7 @@
         """Call discovery, in place of any scheduled call."""
         self._schedule += 1
         self._called_at = now
-        self._outbox.actions.append(api.WatchEndpoints())
+        self.outbox.actions.append(api.WatchEndpoints())
 
     def on_success(self) -> None:
         """Take note that a call has succeeded, or that a list is there."""
@@ -59,9 +59,9 @@
         time_left_ms = max(WAIT_AFTER_LONG_CALL_MS, self._called_at + MAX_CALL_INTERVAL_MS - now)
         backoff_ms = BACKOFF_FACTOR * self._max_age_ms / BACKOFF_BASE_DIVISOR * 2**self._failed_calls
         max_wait_ms = self._bounded_wait_ms(min(backoff_ms, time_left_ms), failure, now)
-        wait_ms = max_wait_ms * self._rng.uniform(MIN_JITTER, 1.0)
+        wait_ms = max_wait_ms * self.rng.uniform(MIN_JITTER, 1.0)
         self._call_in(wait_ms, now)
-        self._log.write(
+        self.log.write(
             now,
             f"list: call failed {self._failed_calls} times, asking again in {wait_ms / MS_PER_S:.1f} s",
         )
@@ -69,7 +69,7 @@
     def on_cached_list(self, has_endpoint_in_service: bool, now: float) -> None:
         """Schedule the first call; without an endpoint in service the node cannot serve before it."""
         max_wait_ms = min(self._max_age_ms / 2, MAX_CALL_INTERVAL_MS) if has_endpoint_in_service else 0.0
-        self._call_in(self._rng.uniform(0.0, max_wait_ms), now)
+        self._call_in(self.rng.uniform(0.0, max_wait_ms), now)
 
     def _bounded_wait_ms(self, max_wait_ms: float, failure: api.DiscoveryFailure, now: float) -> float:
         """Bound the wait so that several calls can fail before a change counts as known."""
@@ -86,7 +86,7 @@
 
     def _call_in(self, wait_ms: float, now: float) -> None:
         self._schedule += 1
-        self._outbox.set_timer(now + wait_ms, self._call_scheduled, self._schedule)
+        self.outbox.set_timer(now + wait_ms, self._call_scheduled, self._schedule)
 
     def _call_scheduled(self, now: float, number: int) -> None:
         if number == self._schedule:
--- a/balancer/policy/recovery_admission.py
+++ b/balancer/policy/recovery_admission.py
@@ -25,6 +25,7 @@
     """The token bucket of one node; `progress` is the latest progress of the recovery."""
 
     def __init__(self, progress: api.RecoveryProgressed, now: float) -> None:
+        """Start with an empty bucket at the clock time `now`."""
         self.progress = progress
         self.filled_at = now
         self.tokens = 0.0  # attempts at warming endpoints
--- a/balancer/policy/request_table.py
+++ b/balancer/policy/request_table.py
@@ -4,6 +4,7 @@
 
 import random
 from collections import Counter
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy import idempotency
@@ -15,18 +16,17 @@
 RETRY_AFTER_FACTORS_IN_RECOVERY = (1.0, 12.0)  # when many more clients come back
 
 
+@dataclass(slots=True, eq=False)
 class RequestTable:
     """Requests by id, from arrival to the end of the last attempt."""
 
-    __slots__ = ("_log", "_outbox", "_rng", "_settings", "_slow_start", "by_id", "given_up")
-
-    def __init__(self, rng: random.Random, outbox: Outbox, log: OperatorLog, slow_start: SlowStart) -> None:
-        self._rng = rng
-        self._outbox = outbox
-        self._log = log
-        self._slow_start = slow_start
-        self.by_id: dict[str, Request] = {}
-        self.given_up: Counter[api.GiveUpReason] = Counter()  # requests by reason, since this was last read
+    rng: random.Random
+    outbox: Outbox
+    log: OperatorLog
+    slow_start: SlowStart
+    by_id: dict[str, Request] = field(default_factory=dict, init=False)
+    given_up: Counter[api.GiveUpReason] = field(default_factory=Counter, init=False)  # since it was last read
+    _settings: api.Settings = field(init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -41,8 +41,8 @@
             action: api.Action = api.RejectRequest(request.id, self._retry_after_ms(request), reason)
         else:
             action = api.FailRequest(request.id, reason)
-        self._outbox.actions.append(action)
-        self._log.note_rejection(now)
+        self.outbox.actions.append(action)
+        self.log.note_rejection(now)
         self.close(request)
 
     def close(self, request: Request) -> None:
@@ -50,7 +50,7 @@
         request.is_closed = True
         request.pending_checks = set()
         if request.in_flight and self._settings.cancellation_allowed and not request.is_streaming:
-            self._outbox.actions.append(api.CancelAttempt(request.id, len(request.attempts) - 1))
+            self.outbox.actions.append(api.CancelAttempt(request.id, len(request.attempts) - 1))
         if not request.in_flight:
             self.by_id.pop(request.id, None)
 
@@ -59,6 +59,6 @@
         max_wait_ms = self._settings.max_retry_after_ms
         if max_wait_ms <= 0:
             return max_wait_ms
-        is_recovering = self._slow_start.recovery is not None
+        is_recovering = self.slow_start.recovery is not None
         factors = RETRY_AFTER_FACTORS_IN_RECOVERY if is_recovering else RETRY_AFTER_FACTORS
-        return min(max_wait_ms, request.statistics.expected_ms * self._rng.uniform(*factors))
+        return min(max_wait_ms, request.statistics.expected_ms * self.rng.uniform(*factors))
--- a/balancer/policy/retries.py
+++ b/balancer/policy/retries.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 RETRIES_PER_REQUEST = 0.15
 MAX_SAVED_RETRIES = 3.0
 
 
+@dataclass(slots=True, eq=False)
 class RetryBudget:
     """A token bucket that every arriving request fills a little and every retry takes from."""
 
-    __slots__ = ("balance",)
-
-    def __init__(self) -> None:
-        self.balance = MAX_SAVED_RETRIES
+    balance: float = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
         """Count an arriving request."""
--- a/balancer/policy/routing.py
+++ b/balancer/policy/routing.py
@@ -4,6 +4,7 @@
 
 import math
 import random
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy import join_up_to_m
@@ -25,63 +26,29 @@
 from balancer.policy.zone_routing import ZoneRouting
 
 
+@dataclass(slots=True, eq=False)
 class Router:
     """Sheds, queues or dispatches a request, and retries it."""
 
-    __slots__ = (
-        "_checks_first",
-        "_health_checks",
-        "_limit",
-        "_maintenance",
-        "_node_count",
-        "_outbox",
-        "_selection",
-        "_shedding",
-        "_slow_start",
-        "_subsetting",
-        "_zones",
-        "attempts",
-        "eligibility",
-        "index",
-        "queue",
-        "requests",
-        "retry_budget",
-        "rng",
-    )
-
-    def __init__(
-        self,
-        rng: random.Random,
-        outbox: Outbox,
-        index: EndpointIndex,
-        subsetting: Subsetting,
-        zones: ZoneRouting,
-        maintenance: Maintenance,
-        eligibility: Eligibility,
-        slow_start: SlowStart,
-        selection: Selection,
-        limit: ConcurrencyLimit,
-        shedding: LoadShedding,
-        requests: RequestTable,
-        attempts: Attempts,
-        health_checks: HealthChecks,
-    ) -> None:
-        self.rng = rng
-        self._outbox = outbox
-        self.index = index
-        self._subsetting = subsetting
-        self._zones = zones
-        self._maintenance = maintenance
-        self.eligibility = eligibility
-        self._slow_start = slow_start
-        self._selection = selection
-        self._limit = limit
-        self._shedding = shedding
-        self.requests = requests
-        self.attempts = attempts
-        self._health_checks = health_checks
-        self.retry_budget = RetryBudget()
-        self.queue: list[Request] = []  # wait for the concurrency limit; the last one goes first
+    rng: random.Random
+    outbox: Outbox
+    index: EndpointIndex
+    subsetting: Subsetting
+    zones: ZoneRouting
+    maintenance: Maintenance
+    eligibility: Eligibility
+    slow_start: SlowStart
+    selection: Selection
+    limit: ConcurrencyLimit
+    shedding: LoadShedding
+    requests: RequestTable
+    attempts: Attempts
+    health_checks: HealthChecks
+    retry_budget: RetryBudget = field(default_factory=RetryBudget, init=False)
+    # Requests that wait for the concurrency limit; the last one goes first.
+    queue: list[Request] = field(default_factory=list, init=False)
+    _node_count: int = field(default=1, init=False)
+    _checks_first: bool = field(default=False, init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -91,15 +58,15 @@
     def route(self, request: Request, now: float) -> None:
         """Send a request, let it wait, or shed it."""
         if self._checks_first:
-            self._health_checks.start(request, now)
-        elif not (request.attempts or request.is_high_value) and not self._shedding.draw_admitted_fraction():
+            self.health_checks.start(request, now)
+        elif not (request.attempts or request.is_high_value) and not self.shedding.draw_admitted_fraction():
             self.requests.give_up(request, api.GiveUpReason.LOW_SUCCESS_RATE, now)
-        elif self._limit.in_flight < self._limit.limit or request.is_high_value or request.is_arriving:
+        elif self.limit.in_flight < self.limit.limit or request.is_high_value or request.is_arriving:
             self.dispatch(request, now)
         else:  # last come, first served, so that what is sent has time left
             self.queue.append(request)
             latest = request.useful_until - REQUIRED_TIME_FRACTION * request.statistics.expected_ms
-            self._outbox.set_timer(latest, self._expire, request)
+            self.outbox.set_timer(latest, self._expire, request)
 
     def retry(self, request: Request, now: float) -> None:
         """Retry a request whose attempt failed while that can be in time and the budget lasts."""
@@ -117,7 +84,7 @@
 
     def release(self, now: float) -> None:
         """Dispatch queued requests while the concurrency limit allows it."""
-        limit = self._limit
+        limit = self.limit
         while self.queue and limit.in_flight < limit.limit:
             request = self.queue.pop()
             if request.is_closed:  # its client has disconnected
@@ -135,7 +102,7 @@
     def dispatch(self, request: Request, now: float) -> None:
         """Send a request without health checks, by Join-Up-To(m) over the subset."""
         if (
-            self._maintenance.awaiting_first_request
+            self.maintenance.awaiting_first_request
             and not request.attempts
             and (returned := self._returned_endpoint(now)) is not None
         ):
@@ -150,37 +117,37 @@
     def _select(self, request: Request, now: float) -> EndpointRecord | None:
         """Return an endpoint: of the subset, of its reserve, or of other zones."""
         count = len(self.index.order)
-        local_count = self._subsetting.local_count
+        local_count = self.subsetting.local_count
         # The subset is wider for a node that carries far more than its part, lest it crowd the few endpoints
         # that fall to it, but no wider than there are endpoints: the limit is shared over them.
-        width = max(1, min(max(self._subsetting.width, self._limit.in_flight), count))
-        max_in_flight = math.inf if request.is_high_value else self._limit.limit / width
+        width = max(1, min(max(self.subsetting.width, self.limit.in_flight), count))
+        max_in_flight = math.inf if request.is_high_value else self.limit.limit / width
         # Other zones come first as far as they are better by more than their price.
-        remote_first = self.rng.random() < self._zones.spill_fraction
+        remote_first = self.rng.random() < self.zones.spill_fraction
         if request.attempts:  # a retry stays on its side: it may be bound to the zone
-            remote_first = not self._zones.is_local(request.attempts[0].endpoint)
+            remote_first = not self.zones.is_local(request.attempts[0].endpoint)
         remote_first = remote_first and local_count < count
         # A subset that is wider than its side would mix both.
         side_count = count - local_count if remote_first else local_count
-        candidates = self._selection.candidates_of(min(width, side_count), remote_first, now)
+        candidates = self.selection.candidates_of(min(width, side_count), remote_first, now)
         # Every node takes its part of what an endpoint may be given after it reported idle.
         m = max(1, join_up_to_m.cap(request.statistics) // self._node_count)
-        endpoint = self._selection.choose(request, candidates, m, max_in_flight, now)
+        endpoint = self.selection.choose(request, candidates, m, max_in_flight, now)
         if endpoint is None:
             view = self.index.window(0, 2 * width, remote_first)
             reserve = view[len(candidates.endpoints) :]
-            pool = self._selection.draw(
+            pool = self.selection.draw(
                 request, width, reserve, now, max_in_flight
-            ) or self._selection.draw_in_panic(request, width, view, now, max_in_flight)
+            ) or self.selection.draw_in_panic(request, width, view, now, max_in_flight)
             if pool:
                 endpoint = join_up_to_m.pick(self.rng, pool, m)
-        if endpoint is None or self._slow_start.warmth(endpoint.entry, now) < 1.0:
-            self._slow_start.tries.spend()
+        if endpoint is None or self.slow_start.warmth(endpoint.entry, now) < 1.0:
+            self.slow_start.tries.spend()
         if endpoint is None and not remote_first:
-            overflow = self._zones.overflow_fraction(candidates, local_count < count)
+            overflow = self.zones.overflow_fraction(candidates, local_count < count)
             if self.rng.random() < overflow:
-                remote = self._selection.candidates_of(min(width, count - local_count), True, now)
-                endpoint = self._selection.choose(request, remote, m, max_in_flight, now)
+                remote = self.selection.candidates_of(min(width, count - local_count), True, now)
+                endpoint = self.selection.choose(request, remote, m, max_in_flight, now)
         return endpoint
 
     def _returned_endpoint(self, now: float) -> EndpointRecord | None:
@@ -188,7 +155,7 @@
 
         A warming or remote one might wait long for its first request, and operators look for that.
         """
-        awaiting = self._maintenance.awaiting_first_request
+        awaiting = self.maintenance.awaiting_first_request
         for name in sorted(awaiting):
             endpoint = self.index.records.get(name)
             if (
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -4,6 +4,7 @@
 
 import math
 import random
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy import join_up_to_m
@@ -16,37 +17,29 @@
 MAX_DRAWN_PER_WANTED = 3  # endpoints drawn for each that is wanted, as some are not eligible
 
 
+@dataclass(slots=True, eq=False)
 class Selection:
     """Selects eligible endpoints for a request, and keeps the candidates of first draws."""
 
-    __slots__ = ("_eligibility", "_index", "_log", "_rng", "_slow_start", "candidates")
-
-    def __init__(
-        self,
-        rng: random.Random,
-        index: EndpointIndex,
-        eligibility: Eligibility,
-        slow_start: SlowStart,
-        log: OperatorLog,
-    ) -> None:
-        self._rng = rng
-        self._index = index
-        self._eligibility = eligibility
-        self._slow_start = slow_start
-        self._log = log
-        self.candidates: dict[bool, Candidates] = {}  # by whether remote endpoints come first
+    rng: random.Random
+    index: EndpointIndex
+    eligibility: Eligibility
+    slow_start: SlowStart
+    log: OperatorLog
+    # By whether remote endpoints come first.
+    candidates: dict[bool, Candidates] = field(default_factory=dict, init=False)
 
     def candidates_of(self, size: int, remote_first: bool, now: float) -> Candidates:
         """Return the first so many endpoints of the order, as `EndpointOrder.window` counts."""
         cached = self.candidates.get(remote_first)
         if cached is None or len(cached.endpoints) != size or cached.valid_until <= now:
-            endpoints = self._index.window(0, size, remote_first)
+            endpoints = self.index.window(0, size, remote_first)
             warm = list[EndpointRecord]()
             warming = list[EndpointRecord]()
             for endpoint in endpoints:
-                is_warming = self._slow_start.warmth(endpoint.entry, now) < 1.0
+                is_warming = self.slow_start.warmth(endpoint.entry, now) < 1.0
                 (warming if is_warming else warm).append(endpoint)
-            valid_until = min([self._slow_start.warm_at(e.entry) for e in warming], default=math.inf)
+            valid_until = min([self.slow_start.warm_at(e.entry) for e in warming], default=math.inf)
             cached = Candidates(endpoints, warm, warming, valid_until)
             self.candidates[remote_first] = cached
         return cached
@@ -54,7 +47,7 @@
     def discard_changed(self, changed: list[EndpointRecord]) -> None:
         """Drop cached candidates that differ from the order now, or of which one has changed."""
         for remote_first, cached in list(self.candidates.items()):
-            endpoints = self._index.window(0, len(cached.endpoints), remote_first)
+            endpoints = self.index.window(0, len(cached.endpoints), remote_first)
             if endpoints != cached.endpoints or not set(endpoints).isdisjoint(changed):
                 del self.candidates[remote_first]
 
@@ -62,10 +55,10 @@
         self, request: Request, candidates: Candidates, m: int, max_in_flight: float, now: float
     ) -> EndpointRecord | None:
         """Return the choice of Join-Up-To(m) among eligible candidates, or None if there is none."""
-        is_eligible = self._eligibility.filter_for(request, now, max_in_flight)
+        is_eligible = self.eligibility.filter_for(request, now, max_in_flight)
         warming = list[EndpointRecord]()
         if candidates.warming:
-            slow_start = self._slow_start
+            slow_start = self.slow_start
             size = len(candidates.endpoints)
             warming = [
                 e
@@ -74,7 +67,7 @@
                 and slow_start.admits(request, e, slow_start.warmth(e.entry, now), 0, size, size)
             ]
         request.may_try_warming = False
-        return join_up_to_m.choose(self._rng, candidates, warming, m, is_eligible)
+        return join_up_to_m.choose(self.rng, candidates, warming, m, is_eligible)
 
     def draw(
         self,
@@ -86,17 +79,15 @@
         ignore_ejection: bool = False,
     ) -> list[EndpointRecord]:
         """Return up to `wanted` eligible endpoints of a pool, drawn at random."""
-        is_eligible = self._eligibility.filter_for(request, now, max_in_flight, ignore_ejection)
+        is_eligible = self.eligibility.filter_for(request, now, max_in_flight, ignore_ejection)
         size = len(pool)
         drawn: list[EndpointRecord] = []
-        sample = self._rng.sample(pool, min(size, MAX_DRAWN_PER_WANTED * wanted))
+        sample = self.rng.sample(pool, min(size, MAX_DRAWN_PER_WANTED * wanted))
         for position, endpoint in enumerate(sample):
             if not is_eligible(endpoint):
                 continue
-            warmth = self._slow_start.warmth(endpoint.entry, now)
-            if warmth < 1.0 and not self._slow_start.admits(
-                request, endpoint, warmth, position, wanted, size
-            ):
+            warmth = self.slow_start.warmth(endpoint.entry, now)
+            if warmth < 1.0 and not self.slow_start.admits(request, endpoint, warmth, position, wanted, size):
                 continue
             drawn.append(endpoint)
             if len(drawn) >= wanted:
@@ -113,7 +104,7 @@
         max_in_flight: float = math.inf,
     ) -> list[EndpointRecord]:
         """Draw without regard to ejections: none is eligible, and the node's own view may be the culprit."""
-        self._log.write(now, f"panic: {len(pool)} backends in view, none eligible, ignoring ejections")
+        self.log.write(now, f"panic: {len(pool)} backends in view, none eligible, ignoring ejections")
         return self.draw(request, wanted, pool, now, max_in_flight, ignore_ejection=True)
 
     def apply_report(self, endpoint: EndpointRecord, report: api.LoadReport | None, is_fresh: bool) -> None:
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -9,6 +9,7 @@
 
 import math
 import random
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy.concurrency_limit import ConcurrencyLimit
@@ -38,6 +39,7 @@
     __slots__ = ("_arrivals", "_interval_ms", "_last_arrival", "tokens")
 
     def __init__(self) -> None:
+        """Start with one try."""
         self.tokens = 1.0
         self._arrivals = 0.0  # faded over a ramp
         self._interval_ms = 0.0  # in which they came
@@ -62,27 +64,25 @@
         self.tokens = max(0.0, self.tokens - 1.0)
 
 
+@dataclass(slots=True, eq=False)
 class SlowStart:
     """Says how warm an endpoint is, and whether it may be given a request."""
 
-    def __init__(
-        self,
-        rng: random.Random,
-        index: EndpointIndex,
-        subsetting: Subsetting,
-        zones: ZoneRouting,
-        maintenance: Maintenance,
-        shedding: LoadShedding,
-    ) -> None:
-        self._rng = rng
-        self._index = index
-        self._subsetting = subsetting
-        self._zones = zones
-        self._maintenance = maintenance
-        self._shedding = shedding
-        self.tries = WarmingTries()
-        self.recovery: RecoveryAdmission | None = None  # while the tier recovers from a loss of power
-        self._cold_since = 0.0  # endpoints listed as started earlier count as started then
+    rng: random.Random
+    index: EndpointIndex
+    subsetting: Subsetting
+    zones: ZoneRouting
+    maintenance: Maintenance
+    shedding: LoadShedding
+    tries: WarmingTries = field(default_factory=WarmingTries, init=False)
+    # While the tier recovers from a loss of power.
+    recovery: RecoveryAdmission | None = field(default=None, init=False)
+    ramp_ms: float = field(default=MIN_DIVISOR_MS, init=False)
+    # Endpoints listed as started earlier count as started then.
+    _cold_since: float = field(default=0.0, init=False)
+    _cold_fraction: float = field(default=0.0, init=False)
+    _budget: float = field(default=0.0, init=False)
+    _settings: api.Settings = field(init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -93,7 +93,7 @@
 
     def warm_at(self, entry: api.Endpoint) -> float:
         """Return the clock time from which an endpoint is warm; 0: it was so when the clock began."""
-        returned_at = self._maintenance.returned_at.get(entry.backend, 0.0)
+        returned_at = self.maintenance.returned_at.get(entry.backend, 0.0)
         started_at = max(entry.started_at, returned_at, self._cold_since)
         return started_at + self.ramp_ms if started_at > 0 else 0.0
 
@@ -114,18 +114,18 @@
         is drawn beyond that is drawn for endpoints that were not eligible.
         """
         drawn: float = min(wanted, pool)
-        subsetting = self._subsetting
-        chance = self._budget * warmth * len(self._index.order) / subsetting.largest_count
-        if self._zones.is_local(endpoint):
+        subsetting = self.subsetting
+        chance = self._budget * warmth * len(self.index.order) / subsetting.largest_count
+        if self.zones.is_local(endpoint):
             # All nodes of a zone feed the first of its endpoints to return: no more than in a full zone.
             chance *= min(1.0, max(subsetting.local_count, pool) / subsetting.endpoints_per_zone)
         if self.recovery is not None:
             if not self.recovery.allows(request.is_high_value):
                 return False
-            chance, drawn = self.recovery.relax(chance, drawn, warmth, self._shedding.success_rate)
+            chance, drawn = self.recovery.relax(chance, drawn, warmth, self.shedding.success_rate)
         elif position >= wanted or self.tries.tokens < 1.0:  # beyond `wanted` it got the chance of several
             return False
-        return request.may_try_warming and self._rng.random() * drawn <= chance
+        return request.may_try_warming and self.rng.random() * drawn <= chance
 
     def count_arrival(self, now: float, limit: ConcurrencyLimit, expected_ms: float) -> None:
         """Earn tries by an arrival, and fill the bucket of a recovery."""
@@ -163,9 +163,9 @@
             / max(expected_ms, MIN_DIVISOR_MS)
         )
         senders = max(MIN_FIRST_SENDERS, WARMING_BUDGET_FRACTION * surely_carried)
-        return self._subsetting.ring_position(name) * settings.node_count < senders
+        return self.subsetting.ring_position(name) * settings.node_count < senders
 
     def _fill(self, recovery: RecoveryAdmission, now: float) -> None:
-        records = self._index.records
-        warmth = [self.warmth(records[name].entry, now) for name in self._index.order]
-        recovery.fill(now, warmth, self._subsetting.largest_count, self._settings)
+        records = self.index.records
+        warmth = [self.warmth(records[name].entry, now) for name in self.index.order]
+        recovery.fill(now, warmth, self.subsetting.largest_count, self._settings)
--- a/balancer/policy/subsetting.py
+++ b/balancer/policy/subsetting.py
@@ -9,6 +9,7 @@
 import hashlib
 import math
 import random
+from dataclasses import dataclass, field
 
 from balancer import interface as api
 from balancer.policy.charges import HEALTH_CHECK_SAMPLE, MAX_HEALTH_CHECK_ROUNDS, checks_before_sending
@@ -22,28 +23,21 @@
 HASH_RANGE = 2**48
 
 
+@dataclass(slots=True, eq=False)
 class Subsetting:
     """The node's position among all nodes, and the sizes that follow from the list."""
 
-    __slots__ = (
-        "_checks_first",
-        "_index",
-        "_node_count",
-        "_node_index",
-        "endpoints_per_zone",
-        "largest_count",
-        "local_count",
-        "width",
-    )
-
-    def __init__(self, index: EndpointIndex) -> None:
-        self._index = index
-        self.width = 0  # endpoints in the subset
-        self.local_count = 0  # endpoints of the own zone; all of them where it has none
-        self.largest_count = (
-            0  # most endpoints that ever had work: what the share of a warm one is measured by
-        )
-        self.endpoints_per_zone = 0.0  # if they were spread evenly
+    index: EndpointIndex
+    width: int = field(default=0, init=False)  # endpoints in the subset
+    # Endpoints of the own zone; all of them where it has none.
+    local_count: int = field(default=0, init=False)
+    # Most endpoints that ever had work: what the share of a warm one is measured by.
+    largest_count: int = field(default=0, init=False)
+    # If they were spread evenly.
+    endpoints_per_zone: float = field(default=0.0, init=False)
+    _node_index: int = field(default=0, init=False)
+    _node_count: int = field(default=1, init=False)
+    _checks_first: bool = field(default=False, init=False)
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -53,11 +47,11 @@
 
     def resize(self) -> None:
         """Compute the sizes anew after the list or the settings have changed."""
-        count = len(self._index.order)
+        count = len(self.index.order)
         self.largest_count = max(self.largest_count, count)
         self.width = self._width_of(count)
-        self.local_count = len(self._index.order.local) or count
-        self.endpoints_per_zone = count / max(1, len(self._index.zones))
+        self.local_count = len(self.index.order.local) or count
+        self.endpoints_per_zone = count / max(1, len(self.index.zones))
 
     def ring_position(self, name: str) -> float:
         """Return the node's position on a ring, 0 to 1, that each endpoint turns by another angle."""
--- a/balancer/policy/warm_start.py
+++ b/balancer/policy/warm_start.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 
 from balancer import interface as api
 from balancer.policy.attempt_timeouts import AttemptTimeouts
@@ -16,44 +17,25 @@
 HALF = 0.5
 
 
+@dataclass(slots=True, eq=False)
 class WarmStart:
     """Reads and writes what the other concerns have learned. Estimates are not handed over."""
 
-    __slots__ = (
-        "_classes",
-        "_index",
-        "_limit",
-        "_maintenance",
-        "_shedding",
-        "_slow_start",
-        "_timeouts",
-    )
-
-    def __init__(
-        self,
-        index: EndpointIndex,
-        classes: ClassTable,
-        limit: ConcurrencyLimit,
-        shedding: LoadShedding,
-        timeouts: AttemptTimeouts,
-        maintenance: Maintenance,
-        slow_start: SlowStart,
-    ) -> None:
-        self._index = index
-        self._classes = classes
-        self._limit = limit
-        self._shedding = shedding
-        self._timeouts = timeouts
-        self._maintenance = maintenance
-        self._slow_start = slow_start
+    index: EndpointIndex
+    classes: ClassTable
+    limit: ConcurrencyLimit
+    shedding: LoadShedding
+    timeouts: AttemptTimeouts
+    maintenance: Maintenance
+    slow_start: SlowStart
 
     def export(self, now: float) -> api.LearnedState:
         """Return what a successor can use, at the clock time `now`."""
         classes = {
-            name: (s.expected_ms, s.deviation_ms, s.overload) for name, s in self._classes.by_name.items()
+            name: (s.expected_ms, s.deviation_ms, s.overload) for name, s in self.classes.by_name.items()
         }
         backends = {}
-        for endpoint in [self._index.records[name] for name in self._index.learned]:
+        for endpoint in [self.index.records[name] for name in self.index.learned]:
             entry = endpoint.entry
             is_known = endpoint.consecutive_failures or endpoint.min_response_ms < math.inf
             if entry.phase is not api.EndpointPhase.REMOVED and is_known:
@@ -65,38 +47,38 @@
                     max(0.0, endpoint.ejected_until - now),
                 )
         return api.LearnedState(
-            self._limit.limit, self._shedding.success_rate, self._timeouts.loss_rate, classes, backends
+            self.limit.limit, self.shedding.success_rate, self.timeouts.loss_rate, classes, backends
         )
 
     def restore(self, learned: api.LearnedState, age_ms: float, now: float) -> None:
         """Take what a predecessor has learned, the less the older it is: it halves in the time of a ramp."""
-        weight = HALF ** (age_ms / self._slow_start.ramp_ms)
-        limit = self._limit
+        weight = HALF ** (age_ms / self.slow_start.ramp_ms)
+        limit = self.limit
         limit.limit = max(limit.limit, limit.floor + weight * (learned.limit - limit.floor))
-        self._shedding.success_rate = 1.0 - weight * (1.0 - learned.trust)
-        self._timeouts.loss_rate = weight * learned.lost
+        self.shedding.success_rate = 1.0 - weight * (1.0 - learned.trust)
+        self.timeouts.loss_rate = weight * learned.lost
         self._restore_classes(learned, weight)
         self._restore_endpoints(learned, age_ms, weight, now)
 
     def _restore_classes(self, learned: api.LearnedState, weight: float) -> None:
         for name, (expected_ms, deviation_ms, overload) in learned.classes.items():
-            statistics = self._classes.by_name.get(name)
+            statistics = self.classes.by_name.get(name)
             if statistics is None:
                 continue
             blended_ms = statistics.expected_ms + weight * (expected_ms - statistics.expected_ms)
             statistics.expected_ms = bounded_expected_ms(statistics.config, blended_ms)
             statistics.deviation_ms = weight * deviation_ms
             statistics.overload += weight * (overload - statistics.overload)
-            self._limit.note_overload(name)
-        self._classes.refresh_mean()
+            self.limit.note_overload(name)
+        self.classes.refresh_mean()
 
     def _restore_endpoints(self, learned: api.LearnedState, age_ms: float, weight: float, now: float) -> None:
         """Restore endpoints that neither restarted nor were put back since."""
         for name, (started_at, slowness, min_response_ms, failures, ejected_ms) in learned.backends.items():
-            endpoint = self._index.records.get(name)
+            endpoint = self.index.records.get(name)
             if endpoint is None or endpoint.entry.started_at > started_at:
                 continue
-            if name in self._maintenance.returned_at or weight == 0.0:
+            if name in self.maintenance.returned_at or weight == 0.0:
                 continue
             endpoint.slowness = 1.0 + weight * (slowness - 1.0)
             endpoint.min_response_ms = min_response_ms / weight
@@ -104,4 +86,4 @@
                 endpoint.consecutive_failures = failures
                 endpoint.ejected_until = now + ejected_ms - age_ms
                 endpoint.unavailable_since = now
-            self._index.note_change(endpoint)
+            self.index.note_change(endpoint)
--- a/balancer/policy/zone_routing.py
+++ b/balancer/policy/zone_routing.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
+
 from balancer import interface as api
 from balancer.policy.charges import has_cross_zone_price
 from balancer.policy.constants import EWMA_WEIGHT
@@ -11,24 +13,16 @@
 PROHIBITIVE_CHARGE = 1.0  # the way to another zone costs all that a request earns
 
 
+@dataclass(slots=True, eq=False)
 class ZoneRouting:
     """Compares failure rates of local and remote endpoints, and spills what others serve better."""
 
-    __slots__ = (
-        "_cross_zone_charge",
-        "_is_priced",
-        "_local_failure_rate",
-        "_remote_failure_rate",
-        "_zone",
-        "spill_fraction",
-    )
-
-    def __init__(self) -> None:
-        self.spill_fraction = 0.0  # of the requests that go to remote endpoints first
-        self._local_failure_rate = 0.0
-        self._remote_failure_rate = 0.0
-        self._zone = ""
-        self._is_priced = False
+    spill_fraction: float = 0.0  # of the requests that go to remote endpoints first
+    _local_failure_rate: float = field(default=0.0, init=False)
+    _remote_failure_rate: float = field(default=0.0, init=False)
+    _zone: str = field(default="", init=False)
+    _is_priced: bool = field(default=False, init=False)
+    _cross_zone_charge: float = field(default=0.0, init=False)
 
     def configure(self, settings: api.Settings) -> bool:
         """Take new settings and return whether they change which endpoints are local."""
--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -11,11 +11,14 @@
 from balancer.interface import CallError, Event, Settings
 from balancer.policy import Balancer
 
+START_PARTS = 3  # the word, the seed and the settings
+
 
 class Host:
     """Reads batches, hands each event to its instance, collects the reply. Instances share nothing."""
 
     def __init__(self) -> None:
+        """Start without instances."""
         self.instances: dict[int, tuple[Balancer, Settings]] = {}
 
     def batch(self, now: float, lines: Iterator[str]) -> list[str]:
@@ -64,7 +67,7 @@
 
     def _start(self, who: int, line: str) -> None:
         parts = line.split(" ", 2)
-        if who < 0 or len(parts) != 3 or not parts[1].isdecimal():
+        if who < 0 or len(parts) != START_PARTS or not parts[1].isdecimal():
             raise wire.WireError(f"malformed line: {line[:120]!r}")
         settings = wire.settings(parts[2])
         self.instances[who] = (Balancer(settings, int(parts[1])), settings)
