--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -16,13 +16,13 @@
 import uvloop
 
 from balancer import interface as api
-from balancer import wire
 from balancer.lab.scale import fleet, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
 from balancer.net.config import News
 from balancer.net.discovery import Discovery
 from balancer.net.node import Node
 from balancer.net.turns import Turns
+from balancer.settings import parse_settings
 
 WATCHERS = (40, 80, 160, 320, round(size.NODES / size.CONTROL_MACHINES), 800)
 QUICK_WATCHERS = (10, 20, 40)
@@ -163,7 +163,7 @@
 
     def __init__(self, count: int, directory: Directory) -> None:
         self.count, self.directory = count, directory
-        self.settings = wire.parse_settings(fleet.raw_settings(LISTED))
+        self.settings = parse_settings(fleet.raw_settings(LISTED))
         self.nodes: list[HollowNode] = []
         self.discoveries: list[Discovery] = []
         self.revisions = itertools.count(2)
--- a/balancer/lab/scale/module.py
+++ b/balancer/lab/scale/module.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterator
 
 from balancer import interface as api
-from balancer import wire
 from balancer.lab.scale import fleet, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
 from balancer.policy import Balancer
+from balancer.settings import parse_settings
 
 SIZES = (200, 700, 2_200, 7_000, 22_000, 70_000)
 QUICK_SIZES = (200, 800, 3_200)
@@ -85,7 +85,7 @@
 
 def node(backends: int, seed: int) -> Balancer:
     """A Balancer that has not been told the list."""
-    return Balancer(wire.parse_settings(fleet.raw_settings(backends)), seed)
+    return Balancer(parse_settings(fleet.raw_settings(backends)), seed)
 
 
 def measure(backends: int, seed: int, most_s: float) -> Iterator[Point]:
--- a/balancer/lab/scale/tables.py
+++ b/balancer/lab/scale/tables.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterator
 
 from balancer import interface as api
-from balancer import wire
 from balancer.lab.scale import fleet, size
 from balancer.lab.scale.points import Play, Point
 from balancer.policy import Balancer
+from balancer.settings import parse_settings
 
 ROUTES = (200, 900, 2_700, 7_000, 14_000)
 QUICK_ROUTES = (100, 400, 1_600)
@@ -30,7 +30,7 @@
     """Making the settings out of their JSON, what they hold, and the turn of a reload."""
     raw = json.loads(text)
     begin = time.process_time_ns()
-    settings = wire.parse_settings(raw)
+    settings = parse_settings(raw)
     yield Point(role, "make", "ms", count, (time.process_time_ns() - begin) / 1e6, False)
     del raw
     yield Point(role, "reload", "ms", count, _reload_ms(settings, seed), False)
@@ -38,7 +38,7 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        held = Balancer(wire.parse_settings(json.loads(text)), seed)
+        held = Balancer(parse_settings(json.loads(text)), seed)
         yield Point(role, "memory", "bytes", count, float(tracemalloc.get_traced_memory()[0] - before), False)
         del held
     finally:
@@ -47,7 +47,7 @@
 
 def _reload_ms(settings: api.Settings, seed: int) -> float:
     """The module's turn, where all classes have their record already."""
-    balancer = Balancer(wire.parse_settings(fleet.raw_settings(LISTED)), seed)
+    balancer = Balancer(parse_settings(fleet.raw_settings(LISTED)), seed)
     balancer.handle(fleet.NOW, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, fleet.entries(LISTED), 1))
     balancer.handle(fleet.NOW, api.Reconfigured(settings))
     event = api.Reconfigured(settings)
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -18,11 +18,11 @@
 import msgspec
 
 from balancer import interface as api
-from balancer import wire
 from balancer.errors import BalancerError
 from balancer.net.rows import Layout, OddList, layout
 from balancer.net.shards import Shards
 from balancer.net.stream import BASE_MB, PROCESSES
+from balancer.settings import parse_settings
 
 PREFIX = "PROXY_"
 PHASES = {
@@ -493,7 +493,7 @@
         raise ConfigError(str(err)) from None
     _fits(told)
     try:
-        settings = wire.parse_settings(told.settings)
+        settings = parse_settings(told.settings)
     except api.SettingsError as err:
         raise ConfigError(f"settings: {err}") from None
     try:
--- /dev/null
+++ b/balancer/settings.py
@@ -0,0 +1,282 @@
+"""Reads settings: the object that a simulator's START line or a node's configuration holds.
+
+Its keys and values are mapped to the names of `balancer.interface` here and nowhere else.
+"""
+
+from __future__ import annotations
+
+import json
+import math
+from dataclasses import dataclass, replace
+from typing import Any
+
+from balancer import interface as api
+
+Table = dict[str, Any]
+
+IDEMPOTENCY = {
+    "retryable": api.Idempotency.IDEMPOTENT,
+    "dedup": api.Idempotency.WITH_KEY,
+    "fragile": api.Idempotency.NOT_IDEMPOTENT,
+}
+DEDUPLICATION_SCOPES = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
+LOAD_REPORT_MODES = {
+    "inline": api.LoadReportMode.IN_RESPONSES,
+    "on_probe": api.LoadReportMode.IN_HEALTH_CHECKS,
+    "off": api.LoadReportMode.NONE,
+}
+WEIGHT_SOURCES = {"off": False, "nominal": True, "rough": True, "live": True}
+WEIGHT_UNITS = {"request": False, "work": True}
+DISCOVERY_MODES = {"automatic": False, "subscribe": True}
+CHARGES = (
+    "probe", "waste", "cross-zone", "late-fail", "handshake", "connection", "discovery", "fleet", "moves",
+    "origin", "peer",
+)  # fmt: skip
+
+
+@dataclass(frozen=True, slots=True)
+class Section:
+    """A table of the settings; errors name its path. All readers raise SettingsError."""
+
+    table: Table
+    path: str = ""
+
+    def fault(self, name: str, value: object) -> api.SettingsError:
+        """Return the error of a value that makes no sense."""
+        return api.SettingsError(f"{self.path}{name} makes no sense: {value!r}")
+
+    def number(self, name: str, default: float | None, low: float = 0.0) -> float:
+        """Return a finite number of at least `low`; without a default it must be there."""
+        value = self.table.get(name, default)
+        if value is None:
+            raise api.SettingsError(f"{self.path}{name} is missing")
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value < math.inf:
+            raise self.fault(name, value)
+        return float(value)
+
+    def integer(self, name: str, default: int, low: int) -> int:
+        """Return a whole number of at least `low`."""
+        value = self.number(name, default, low)
+        if value != int(value):
+            raise self.fault(name, self.table[name])
+        return int(value)
+
+    def flag(self, name: str, default: bool = False) -> bool:
+        """Return a truth value."""
+        value = self.table.get(name, default)
+        if not isinstance(value, bool):
+            raise self.fault(name, value)
+        return value
+
+    def text(self, name: str, default: str | None) -> str:
+        """Return a text; without a default it must be there and not be empty."""
+        value = self.table.get(name, default)
+        if value is None or (value == "" and default is None):
+            raise api.SettingsError(f"{self.path}{name} is missing")
+        if not isinstance(value, str):
+            raise self.fault(name, value)
+        return value
+
+    def texts(self, name: str) -> tuple[str, ...]:
+        """Return a list of texts, empty by default."""
+        value = self.table.get(name, [])
+        if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
+            raise self.fault(name, value)
+        return tuple(value)
+
+    def choice(self, name: str, among: dict[str, Any], default: str | None) -> Any:
+        """Return what a word stands for."""
+        value = self.text(name, default)
+        if value not in among:
+            raise self.fault(name, value)
+        return among[value]
+
+    def section(self, name: str) -> Section:
+        """Return a table within this one, empty by default."""
+        value = self.table.get(name, {})
+        if not isinstance(value, dict):
+            raise self.fault(name, value)
+        return Section(value, f"{self.path}{name}.")
+
+    def sections(self, name: str) -> list[Section]:
+        """Return a list of tables, empty by default."""
+        value = self.table.get(name, [])
+        if not isinstance(value, list):
+            raise self.fault(name, value)
+        for index, row in enumerate(value):
+            if not isinstance(row, dict):
+                raise self.fault(f"{name}[{index}]", row)
+        return [Section(row, f"{self.path}{name}[{index}].") for index, row in enumerate(value)]
+
+
+def parse_settings_text(text: str) -> api.Settings:
+    """Return the settings of a START line; raises SettingsError where one is missing or makes no sense."""
+    try:
+        raw = json.loads(text)
+    except (ValueError, RecursionError) as err:
+        raise api.SettingsError(f"boot-info is not JSON: {err}") from None
+    if not isinstance(raw, dict):
+        raise api.SettingsError("boot-info is not an object")
+    return parse_settings(raw)
+
+
+def parse_settings(raw: Table) -> api.Settings:
+    """Return the settings of their JSON object; raises SettingsError.
+
+    Unknown keys are skipped. Of the known ones `family`, `stages` and `tier` are left out, as they say
+    nothing that a decision could use: an instance sends to one tier only.
+    """
+    root = Section(raw)
+    limits = root.section("limits")
+    rules = root.section("rules")
+    load_info = root.section("load-info")
+    charges = root.section("charges")
+    blend = root.section("blend")
+    family = root.section("family-info")
+    classes = _class_sections(root)
+    node_count = root.integer("group-size", 1, 1)
+    node_index = root.integer("me", 0, 0)
+    retry_after_heeded = limits.flag("retry-after")
+    settings = replace(
+        _node(root, rules, classes),
+        node_index=node_index,
+        node_count=node_count,
+        charges=_charges(charges),
+        blend=_score_weights(blend),
+        over_quota_weight=root.number("over-share-worth", 1.0),
+        weight_by_work=root.choice("worth-by", WEIGHT_UNITS, "request"),
+        must_subscribe=root.choice("discovery", DISCOVERY_MODES, "subscribe"),
+        load_report_mode=load_info.choice("how", LOAD_REPORT_MODES, "off"),
+        load_report_fields=load_info.texts("names"),
+    )
+    settings = _with_rules(settings, limits, rules, retry_after_heeded)
+    settings = _with_environment(settings, root, limits, family)
+    return _with_connection_limits(settings, limits)
+
+
+def _node(root: Section, rules: Section, classes: list[Section]) -> api.Settings:
+    """Read how endpoints warm up, the classes, the zone and the tenants."""
+    slow_start_ms = rules.number("ramp-time", 60_000.0)
+    cold_capacity_fraction = rules.number("cold-share", 0.0)
+    if cold_capacity_fraction > 1:
+        raise rules.fault("cold-share", cold_capacity_fraction)
+    return api.Settings(
+        classes=tuple(_request_class(section) for section in classes),
+        slow_start_ms=slow_start_ms,
+        cold_capacity_fraction=cold_capacity_fraction,
+        zone=root.text("zone", ""),
+        clock_granularity_ms=root.number("granularity", 1.0),
+        tenants=tuple(_tenant(section) for section in root.sections("projects")),
+    )
+
+
+def _class_sections(root: Section) -> list[Section]:
+    """Return the tables of the classes; raises SettingsError where none is there or a name is there twice."""
+    sections = root.sections("request-classes")
+    if not sections:
+        raise api.SettingsError("request-classes is missing")
+    names = set[str]()
+    for section in sections:
+        name = section.table.get("name")
+        if repr(name) in names:
+            raise section.fault("name", name)
+        names.add(repr(name))
+    return sections
+
+
+def _request_class(section: Section) -> api.RequestClass:
+    deadline = section.number("give-up", None)
+    parsed = api.RequestClass(
+        name=section.text("name", None),
+        idempotency=section.choice("effect", IDEMPOTENCY, None),
+        latency_objective_ms=section.number("objective", deadline),
+        deadline=deadline,
+        priority_weight=section.number("value", 1.0),
+        late_weight_fraction=section.number("late-worth", 0.0),
+        # The cautious default: only the smallest scope drops a repeat, and forgets it at once.
+        deduplication_scope=section.choice("group", DEDUPLICATION_SCOPES, "cell"),
+        deduplication_window_ms=section.number("memory-span", 0.0),
+        streamed=section.flag("streamed"),
+        objective_per_work=section.number("aim-stretch", 0.0),
+    )
+    for name, value in (("give-up", parsed.deadline), ("objective", parsed.latency_objective_ms)):
+        if value <= 0:
+            raise section.fault(name, value)
+    return parsed
+
+
+def _tenant(section: Section) -> api.Tenant:
+    return api.Tenant(
+        name=section.text("name", None),
+        quota_per_s=section.number("quota-per-s", 0.0),
+        share=section.number("share", 0.0),
+    )
+
+
+def _charges(section: Section) -> api.Charges:
+    return api.Charges(**{name.replace("-", "_"): section.number(name, 0.0) for name in CHARGES})
+
+
+def _score_weights(section: Section) -> api.ScoreWeights:
+    return api.ScoreWeights(
+        whole=section.number("whole", 1.0),
+        worst_window=section.number("worst-window", 0.0),
+        worst_class=section.number("worst-class", 0.0),
+        worst_tenant=section.number("worst-tenant", 0.0),
+        nines=section.number("nines", 0.0),
+        top_nines=section.number("top-nines", 3.0),
+        slow_end=section.number("slow-end", 0.0),
+        miss_allowed=section.number("miss-allowed", 0.0),
+    )
+
+
+def _with_rules(
+    settings: api.Settings, limits: Section, rules: Section, retry_after_heeded: bool
+) -> api.Settings:
+    """Read how often and how long requests may be sent, and what endpoints bear."""
+    return replace(
+        settings,
+        health_checks_allowed=limits.flag("probing"),
+        cancellation_allowed=limits.flag("cancel"),
+        hedging_allowed=limits.flag("second-copies"),
+        max_attempts=limits.integer("most-tries", 1, 1),
+        max_retry_after_ms=limits.number("max-retry-after", 0.0) if retry_after_heeded else 0.0,
+        answer_slack_ms=rules.number("answer-slack", 0.0),
+        list_max_age_ms=rules.number("ask-within", 10_000.0),
+        drain_grace_ms=rules.number("drain-grace", 0.0),
+        overload_window_ms=rules.number("fall", 1_000.0),
+        overload_multiple=rules.number("fall-multiple", 1.0),
+    )
+
+
+def _with_environment(
+    settings: api.Settings, root: Section, limits: Section, family: Section
+) -> api.Settings:
+    """Read what is known of endpoints and clients."""
+    return replace(
+        settings,
+        weighted=root.choice("weight-source", WEIGHT_SOURCES, "off"),
+        connect_timeout=limits.number("connect-timeout", 250.0),
+        zones=root.texts("failure-domains"),
+        kinds=root.texts("kinds"),
+        retries_marked=root.section("client-habits").flag("marks-retry"),
+        warm_keys=family.flag("warm-keys"),
+        passes_deadline=family.flag("passes-deadline"),
+        peers=limits.flag("peers"),
+    )
+
+
+def _with_connection_limits(settings: api.Settings, limits: Section) -> api.Settings:
+    """Read the limits of connections and of processor time."""
+    return replace(
+        settings,
+        connection_idle_ms=limits.number("conn-idle", 0.0),
+        streams_per_conn=limits.integer("streams-per-conn", 1, 1),
+        max_open=limits.integer("max-open", 20_000, 1),
+        cpu_us_per_s=limits.number("cpu-us-per-s", 0.0),
+        cpu_us_per_request=limits.number("cpu-us-per-request", 0.0),
+    )
--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -16,7 +16,6 @@
 from functools import partial
 
 from balancer import interface as api
-from balancer import wire
 from balancer.lab.model.backend import Backend, Job, Verdict
 from balancer.lab.model.client import End, Wish
 from balancer.lab.model.load import draw
@@ -24,6 +23,7 @@
 from balancer.lab.spec import Experiment
 from balancer.lab.streams import stream
 from balancer.policy import Balancer
+from balancer.settings import parse_settings
 from balancer.sim.agenda import Agenda
 
 DEMAND = 0.8  # of a node's share that follows what it was asked for; the rest is the same for all
@@ -210,7 +210,7 @@
 
     def _start(self, number: int, again: bool) -> None:
         self.lives += 1
-        cfg = wire.parse_settings(settings(self.spec, number, self.spec.rules.max_attempts))
+        cfg = parse_settings(settings(self.spec, number, self.spec.rules.max_attempts))
         node = Node(number, Balancer(cfg, self.random.getrandbits(64)), self.lives)
         self.nodes[number] = node
         saved = [self._entry(i, 0.0) for i in range(len(self.hosts))]
--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decision module on the simulator's wire (standard input and output)."""
+"""Hosts many instances of the decisions on the simulator's wire (standard input and output)."""
 
 from __future__ import annotations
 
@@ -8,10 +8,39 @@
 
 from balancer import wire
 from balancer.errors import BalancerError
-from balancer.interface import CallError, Event, Settings
+from balancer.interface import Action, CallError, Event, Settings
 from balancer.policy import Balancer
+from balancer.settings import parse_settings_text
 
 START_PARTS = 3  # the word, the seed and the settings
+NO_INSTANCE = -1
+MAX_EXCEPTION_CHARS = 200
+CONTEXT_PREFIX = "CONTEXT "
+
+
+class Reply:
+    """The lines of a reply; a line names the instance that the following ones are of."""
+
+    def __init__(self) -> None:
+        """Start without lines."""
+        self.lines: list[str] = []
+        self._speaker = NO_INSTANCE
+
+    def actions(self, instance: int, actions: list[Action]) -> None:
+        """Add what an instance does."""
+        if actions and instance != self._speaker:
+            self._name(instance)
+        self.lines.extend(map(wire.format_action, actions))
+
+    def exception(self, instance: int, err: Exception) -> None:
+        """Add that the decisions of an instance are broken."""
+        self._name(instance)
+        text = " ".join(str(err).split())[:MAX_EXCEPTION_CHARS]
+        self.lines.append(f"EXCEPTION {type(err).__name__}: {text}")
+
+    def _name(self, instance: int) -> None:
+        self.lines.append(f"SPEAKING {instance}")
+        self._speaker = instance
 
 
 class Host:
@@ -22,93 +51,92 @@
         self.instances: dict[int, tuple[Balancer, Settings]] = {}
 
     def batch(self, now: float, lines: Iterator[str]) -> list[str]:
-        """One batch after its SYNC line, up to and with GO; the reply's lines."""
-        out: list[str] = []
-        who, speaking = -1, -1
+        """Return the reply to one batch, whose SYNC line has been read; raises WireError or CallError."""
+        reply = Reply()
+        instance = NO_INSTANCE
         for line in lines:
             if line == "GO":
-                out.append("FINISHED")
-                return out
+                return [*reply.lines, "FINISHED"]
             word = line[: line.index(" ")] if " " in line else line
-            if word == "CONTEXT":
-                who = self._context(line)
-                continue
-            if word == "START":
-                self._start(who, line)
-                continue
-            if word == "STOP":
-                self.instances.pop(who, None)
-                continue
-            if who not in self.instances:
-                raise wire.WireError(f"event for instance {who}, which was never started: {line[:120]!r}")
-            balancer, settings = self.instances[who]
-            event = self._event(line, word, settings, lines)
-            try:
-                actions = balancer.handle(now, event)
-            except CallError:
-                raise
-            except Exception as err:  # the wire wants a broken decision module named, not a dead process
-                out.append(f"SPEAKING {who}")
-                out.append(f"EXCEPTION {type(err).__name__}: {' '.join(str(err).split())[:200]}")
-                speaking = who
-                continue
-            if actions:
-                if who != speaking:
-                    out.append(f"SPEAKING {who}")
-                    speaking = who
-                out.extend(map(wire.action, actions))
+            match word:
+                case "CONTEXT":
+                    instance = self._context(line)
+                case "START":
+                    self._start(instance, line)
+                case "STOP":
+                    self.instances.pop(instance, None)
+                case _:
+                    self._handle(now, instance, line, lines, reply)
         raise wire.WireError("input ended inside a batch")
 
+    def _handle(self, now: float, instance: int, line: str, lines: Iterator[str], reply: Reply) -> None:
+        """Hand an event to its instance; `lines` gives what follows in the batch."""
+        if instance not in self.instances:
+            raise wire.WireError(
+                f"event for instance {instance}, which was never started: {line[: wire.MAX_QUOTED_CHARS]!r}"
+            )
+        balancer, settings = self.instances[instance]
+        event = self._event(line, settings, lines)
+        try:
+            actions = balancer.handle(now, event)
+        except CallError:
+            raise
+        except Exception as err:  # the wire wants a broken decision module named, not a dead process
+            reply.exception(instance, err)
+        else:
+            reply.actions(instance, actions)
+
     @staticmethod
     def _context(line: str) -> int:
-        if not line[8:].isdecimal():
-            raise wire.WireError(f"malformed line: {line[:120]!r}")
-        return int(line[8:])
-
-    def _start(self, who: int, line: str) -> None:
-        parts = line.split(" ", 2)
-        if who < 0 or len(parts) != START_PARTS or not parts[1].isdecimal():
-            raise wire.WireError(f"malformed line: {line[:120]!r}")
-        settings = wire.settings(parts[2])
-        self.instances[who] = (Balancer(settings, int(parts[1])), settings)
+        number = line[len(CONTEXT_PREFIX) :]
+        if not number.isdecimal():
+            raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}")
+        return int(number)
+
+    def _start(self, instance: int, line: str) -> None:
+        parts = line.split(" ", START_PARTS - 1)
+        if instance < 0 or len(parts) != START_PARTS or not parts[1].isdecimal():
+            raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}")
+        _, seed, text = parts
+        settings = parse_settings_text(text)
+        self.instances[instance] = (Balancer(settings, int(seed)), settings)
 
     @staticmethod
-    def _event(line: str, word: str, settings: Settings, lines: Iterator[str]) -> Event:
-        if word != "DIRECTORY_UPDATE":
-            return wire.event(line, settings.load_report_fields)
-        update, count = wire.list_update(line)
-        for _ in range(count):
-            update.entries.append(wire.entry(next(lines, "")))
+    def _event(line: str, settings: Settings, lines: Iterator[str]) -> Event:
+        if line.partition(" ")[0] != wire.LIST_UPDATE_WORD:
+            return wire.parse_event(line, settings.load_report_fields)
+        update, count = wire.parse_list_update(line)
+        update.entries.extend(wire.parse_entry(next(lines, "")) for _ in range(count))
         return update
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends between two of them."""
+    """Answer batch after batch until the input ends between two of them; raises WireError or CallError."""
     host = Host()
     lines = (line.rstrip("\n") for line in source)
     for line in lines:
         word, _, clock = line.partition(" ")
         if word != "SYNC":
-            raise wire.WireError(f"expected SYNC, got {line[:120]!r}")
+            raise wire.WireError(f"expected SYNC, got {line[: wire.MAX_QUOTED_CHARS]!r}")
         try:
-            now = wire.time(clock)
+            now = wire.parse_time(clock)
         except ValueError:
-            raise wire.WireError(f"malformed line: {line[:120]!r}") from None
+            raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}") from None
         sink.write("\n".join(host.batch(now, lines)))
         sink.write("\n")
         sink.flush()
 
 
 def main() -> int:
-    """Entry point; input faults end with one plain line on standard error."""
+    """Serve standard input; faults of the input end the program with one plain line on standard error."""
     try:
         serve(sys.stdin, sys.stdout)
         return 0
     except BalancerError as err:
-        why = err
+        reason = err
     except UnicodeDecodeError as err:
-        why = wire.WireError(f"a line is not UTF-8: {err}")
-    print(f"balancer: {why.sentence}", file=sys.stderr)
+        reason = wire.WireError(f"a line is not UTF-8: {err}")
+    print(f"balancer: {reason.sentence}", file=sys.stderr)
     return 2
 
 
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -30,6 +30,7 @@
 from balancer.recovery.phases import Phase
 from balancer.recovery.register import Row
 from balancer.recovery.shell import Left
+from balancer.settings import parse_settings_text
 from balancer.sim import members, recovery_schedule
 
 PACKAGE = "balancer"
@@ -41,7 +42,7 @@
     """One instance of the decision module, driven by lines of the simulator's wire and their extension."""
 
     def __init__(self, seed: int, settings: str) -> None:
-        self.settings = self.before = wire.settings(settings)
+        self.settings = self.before = parse_settings_text(settings)
         self.balancer = Balancer(self.settings, seed)
 
     def handle(self, now: float, line: str, following: Iterator[str]) -> list[str]:
@@ -65,15 +66,15 @@
         match word:
             case "DIRECTORY_UPDATE" | "X_LIST":
                 more = word == "X_LIST" and parts.pop() == "1"
-                update, count = wire.list_update(" ".join(["DIRECTORY_UPDATE", *parts]))
-                update.entries.extend(wire.entry(next(following)) for _ in range(count))
+                update, count = wire.parse_list_update(" ".join(["DIRECTORY_UPDATE", *parts]))
+                update.entries.extend(wire.parse_entry(next(following)) for _ in range(count))
                 update.more = more
                 return update
             case "X_LIST_FAILED":
                 failure = api.DiscoveryFailure(float(parts[0]), parts[1] == "1", parts[2] == "1")
                 return api.ListUpdate(api.ListUpdateKind.FAILED, [], failure=failure)
             case "X_SETTINGS":
-                self.before, self.settings = self.settings, wire.settings(rest)
+                self.before, self.settings = self.settings, parse_settings_text(rest)
                 return api.Reconfigured(self.settings)
             case "X_BAN":
                 return api.MaintenanceChanged(parts[0], parts[1] == "1", float(parts[2]))
@@ -92,16 +93,16 @@
             case "X_ARRIVED":
                 return api.RequestBodyReceived(parts[0], float(parts[1]))
             case "X_RESOLVED":
-                event = wire.event(line[2 : line.rindex(" ")], self.settings.load_report_fields)
+                event = wire.parse_event(line[2 : line.rindex(" ")], self.settings.load_report_fields)
                 assert isinstance(event, api.AttemptEnded)
                 event.spent = parts[-1] == "1"
                 return event
-        return wire.event(line, self.settings.load_report_fields)
+        return wire.parse_event(line, self.settings.load_report_fields)
 
 
 def _extended(action: api.Action) -> str:
     """Return an action's line on the wire and what the wire leaves out."""
-    text = wire.action(action)
+    text = wire.format_action(action)
     if isinstance(action, api.StartAttempt):
         return f"{text} before={action.before!r}"
     if isinstance(action, api.RejectRequest | api.FailRequest):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,6 +15,7 @@
 
 from balancer import interface as api
 from balancer import policy, simhost, wire
+from balancer.settings import parse_settings_text
 
 INFO = {
     "request-classes": [
@@ -40,7 +41,7 @@
 
 
 def test_settings_read_and_unknown_keys_skipped() -> None:
-    got = wire.settings(BOOT)
+    got = parse_settings_text(BOOT)
     assert got.classes[0].latency_objective_ms == 400.0 and got.max_attempts == 3
     assert got.load_report_fields == ("waiting", "active")
 
@@ -75,7 +76,7 @@
 )
 def test_senseless_settings_are_named(change: dict[str, object], named: str) -> None:
     with pytest.raises(api.SettingsError, match=named):
-        wire.settings(json.dumps(INFO | change))
+        parse_settings_text(json.dumps(INFO | change))
 
 
 def test_every_setting_of_the_wire_page_arrives() -> None:
@@ -90,7 +91,7 @@
         "conn-idle": 5000.0, "streams-per-conn": 7, "max-open": 9, "cpu-us-per-s": 8000,
         "cpu-us-per-request": 2.5, "peers": True, "retry-after": True, "max-retry-after": 250.0,
     }  # fmt: skip
-    got = wire.settings(json.dumps(told))
+    got = parse_settings_text(json.dumps(told))
     assert (got.blend.nines, got.blend.top_nines, got.blend.slow_end, got.blend.miss_allowed) == (
         0.2, 4.0, 0.3, 0.02)  # fmt: skip
     charges = got.charges
@@ -103,7 +104,7 @@
 
 
 def test_what_is_not_told_is_read_with_caution() -> None:
-    bare = wire.settings(json.dumps({"request-classes": INFO["request-classes"]}))
+    bare = parse_settings_text(json.dumps({"request-classes": INFO["request-classes"]}))
     assert bare.cold_capacity_fraction < 1 and bare.slow_start_ms > 0 and bare.overload_multiple <= 1
     assert (
         bare.classes[0].deduplication_scope is api.DeduplicationScope.CELL
@@ -115,12 +116,12 @@
 
 def test_every_report_value_and_the_entry_fields() -> None:
     names = ("active", "waiting", "cpu", "avg_ms")
-    assert wire.report("1,2,0.5,7.5", names) == api.LoadReport(1.0, 2.0, 0.5, 7.5)
-    assert wire.report("3,4", ("rps", "err_rps")) == api.LoadReport(rate=3.0, error_rate=4.0)
-    assert wire.report("9,1", ("new-value", "active")) == api.LoadReport(1.0)
-    got = wire.entry("ENTRY 3 big 1.1.1.1:1 1.5 draining 61.5 b")
+    assert wire.parse_report("1,2,0.5,7.5", names) == api.LoadReport(1.0, 2.0, 0.5, 7.5)
+    assert wire.parse_report("3,4", ("rps", "err_rps")) == api.LoadReport(rate=3.0, error_rate=4.0)
+    assert wire.parse_report("9,1", ("new-value", "active")) == api.LoadReport(1.0)
+    got = wire.parse_entry("ENTRY 3 big 1.1.1.1:1 1.5 draining 61.5 b")
     assert got == api.Endpoint("1.1.1.1:1", "b", 3, 1.5, api.EndpointPhase.DRAINING, 61.5, "big")
-    assert wire.list_update("DIRECTORY_UPDATE diff 41 2") == (
+    assert wire.parse_list_update("DIRECTORY_UPDATE diff 41 2") == (
         api.ListUpdate(api.ListUpdateKind.DELTA, [], 41),
         2,
     )
@@ -128,37 +129,39 @@
 
 def test_every_event_line() -> None:
     names = ("waiting", "active")
-    assert wire.event("WAKE 77", names) == api.TimerFired(77)
-    assert wire.event("CANCELLED_BY_CLIENT ab", names) == api.ClientDisconnected("ab")
-    assert wire.event("ACCEPTED ab 1 h:1 9.25", names) == api.ResponseStarted("ab", 1, "h:1", 9.25)
-    assert wire.event("HEARD 2 6869", names) == api.PeerMessage(2, b"hi")
-    assert wire.event("SAMPLED pass 1.4 h:1 3,-", names) == api.HealthCheckEnded(
+    assert wire.parse_event("WAKE 77", names) == api.TimerFired(77)
+    assert wire.parse_event("CANCELLED_BY_CLIENT ab", names) == api.ClientDisconnected("ab")
+    assert wire.parse_event("ACCEPTED ab 1 h:1 9.25", names) == api.ResponseStarted("ab", 1, "h:1", 9.25)
+    assert wire.parse_event("HEARD 2 6869", names) == api.PeerMessage(2, b"hi")
+    assert wire.parse_event("SAMPLED pass 1.4 h:1 3,-", names) == api.HealthCheckEnded(
         "h:1", api.AttemptStatus.OK, 1.4, api.LoadReport(None, 3.0)
     )
-    assert wire.event("ORDER ab 0 - 2000.5 - - read 0", names) == api.RequestArrived("ab", "read", 2000.5)
-    assert wire.event("ORDER ab 1 k:1 2000.5 t 12.5 read 1", names) == api.RequestArrived(
+    assert wire.parse_event("ORDER ab 0 - 2000.5 - - read 0", names) == api.RequestArrived(
+        "ab", "read", 2000.5
+    )
+    assert wire.parse_event("ORDER ab 1 k:1 2000.5 t 12.5 read 1", names) == api.RequestArrived(
         "ab", "read", 2000.5, True, "k:1", "t", 12.5, True
     )
     words = ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
     for word, status in zip(words, api.AttemptStatus, strict=True):
-        got = wire.event(f"RESOLVED ab 0 h:1 {word} 1 0 -", names)
+        got = wire.parse_event(f"RESOLVED ab 0 h:1 {word} 1 0 -", names)
         assert got == api.AttemptEnded("ab", 0, "h:1", status, 1.0, False, None)
 
 
 def test_every_action_line() -> None:
-    assert wire.action(api.StartAttempt("ab", "h:1", 80.0)) == "PLACE ab 80.0 h:1"
-    assert wire.action(api.RejectRequest("ab", 250.0)) == "PUSH_BACK ab 250.0"
-    assert wire.action(api.FailRequest("ab")) == "SURRENDER ab"
-    assert wire.action(api.CancelAttempt("ab", 1)) == "ABANDON ab 1"
-    assert wire.action(api.SetTimer(8912.25, 7)) == "NOTIFY_ME 8912.25 7"
-    assert wire.action(api.CheckHealth("h:1")) == "INSPECT h:1"
-    assert wire.action(api.WatchEndpoints()) == "TAIL 1"
-    assert wire.action(api.WatchEndpoints(False)) == "TAIL 0"
-    assert wire.action(api.FetchEndpoints()) == "LIST_ALL"
-    assert wire.action(api.CloseIdleConnections("h:1")) == "SHUT_IDLE h:1"
-    assert wire.action(api.SendPeerMessage(None, b"hi")) == "WRITE_PEER all 6869"
-    assert wire.action(api.SendPeerMessage(3, b"")) == "WRITE_PEER 3 -"
-    assert wire.action(api.WriteLog("two\nlines")) == "LOG two lines"
+    assert wire.format_action(api.StartAttempt("ab", "h:1", 80.0)) == "PLACE ab 80.0 h:1"
+    assert wire.format_action(api.RejectRequest("ab", 250.0)) == "PUSH_BACK ab 250.0"
+    assert wire.format_action(api.FailRequest("ab")) == "SURRENDER ab"
+    assert wire.format_action(api.CancelAttempt("ab", 1)) == "ABANDON ab 1"
+    assert wire.format_action(api.SetTimer(8912.25, 7)) == "NOTIFY_ME 8912.25 7"
+    assert wire.format_action(api.CheckHealth("h:1")) == "INSPECT h:1"
+    assert wire.format_action(api.WatchEndpoints()) == "TAIL 1"
+    assert wire.format_action(api.WatchEndpoints(False)) == "TAIL 0"
+    assert wire.format_action(api.FetchEndpoints()) == "LIST_ALL"
+    assert wire.format_action(api.CloseIdleConnections("h:1")) == "SHUT_IDLE h:1"
+    assert wire.format_action(api.SendPeerMessage(None, b"hi")) == "WRITE_PEER all 6869"
+    assert wire.format_action(api.SendPeerMessage(3, b"")) == "WRITE_PEER 3 -"
+    assert wire.format_action(api.WriteLog("two\nlines")) == "LOG two lines"
 
 
 @pytest.mark.parametrize(
