--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -183,7 +183,7 @@
     if beside and fleet is not None and not node.stopping:
         fleet.hand_over()
     if beside and node.listening and not node.stopping:  # a successor has come
-        give(node.meeting.with_suffix(SUFFIX), node.balancer.learned(node.now()))
+        give(node.meeting.with_suffix(SUFFIX), node.balancer.learned_state(node.now()))
     if fleet is not None and not beside and node.listening and not node.stopping:
         fleet.take_over()  # where a successor had done so, and is gone
         fleet.start()
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -1,6 +1,6 @@
-"""The types shared by the decision module and its callers: settings, events, actions, outcomes.
+"""The types shared by the decisions and their callers: settings, events, actions, outcomes.
 
-Times are milliseconds on the caller's clock. Nothing here decides anything or knows a wire format.
+Times are milliseconds; points in time are on the caller's clock. Nothing here decides or knows a wire format.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class SettingsError(BalancerError):
-    """A setting is missing or makes no sense; the text names the field and the value."""
+    """A setting is missing or makes no sense; the message names the field and the value."""
 
     code = "SET01"
     remedy = "correct the setting that is named"
 
 
 class CallError(BalancerError):
-    """The library was called in a way its contract rules out."""
+    """The library was called in a way that its contract does not allow."""
 
     code = "SET02"
     remedy = "a defect of the calling program: send its makers this line"
@@ -35,7 +35,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which backends together drop repeats of a keyed request."""
+    """Which endpoints share idempotency keys, and so drop retries of each other's requests."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,7 +43,7 @@
 
 
 class EndpointPhase(Enum):
-    """What the list says of a backend."""
+    """The phase of an endpoint in the list."""
 
     IN_SERVICE = "up"
     DRAINING = "draining"
@@ -51,7 +51,7 @@
 
 
 class ListUpdateKind(Enum):
-    """What a list event brings."""
+    """What an update of the endpoint list brings."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
@@ -60,7 +60,7 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -73,7 +73,7 @@
 
 
 NOT_EXECUTED = frozenset({AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
-"""Outcomes that prove the attempt had no effect; every other one leaves it open."""
+"""Statuses that prove that the attempt had no effect."""
 
 
 class GiveUpReason(StrEnum):
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of request and what it asks for."""
+    """A class of requests and its objectives."""
 
     name: str
     idempotency: Idempotency
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the rate, over all nodes, that stays inside its share."""
+    """A tenant and its quota over all nodes."""
 
     name: str
     quota_per_s: float
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Charges:
-    """Prices, as fractions of the result for one unit per request."""
+    """Prices, as fractions of the result for one unit a request."""
 
     probe: float = 0.0
     waste: float = 0.0
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a node is told at start."""
+    """Settings of a node."""
 
     classes: tuple[RequestClass, ...]
     node_index: int = 0
@@ -196,7 +196,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A load report; a value the site does not report is None."""
+    """A load report; a value that is not reported is None."""
 
     in_flight: float | None = None
     queue: float | None = None
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One backend as the list gives it."""
+    """An entry of the endpoint list."""
 
     backend: str
     zone: str
@@ -224,30 +224,30 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryFailure:
-    """How a call of discovery has failed."""
+    """How a call of discovery failed."""
 
-    silent_ms: float = math.inf  # ms since discovery last told something whole
-    reached: bool = False  # discovery itself has ended it: it may be there, and only have too many callers
-    queued: bool = False  # and that with nothing told, after a wait
+    silent_ms: float = math.inf  # ms since the last complete message of discovery
+    reached: bool = False  # discovery itself ended the call: it may be up, and only overloaded
+    queued: bool = False  # and it did so after a wait, without any message
 
 
 @dataclass(slots=True)
 class ListUpdate:
-    """News of the backends; `FAILED` carries none.
+    """An update of the endpoint list; `FAILED` has no entries.
 
-    A list that is too long for one event comes in pieces, each but the first as `CHANGES`: what leaves first.
+    A list that is too long for one event comes in pieces, all but the first of kind `DELTA`, removals first.
     """
 
     kind: ListUpdateKind
     entries: list[Endpoint]
     revision: int = 0
     more: bool = False  # further pieces of the same list follow
-    failure: DiscoveryFailure | None = None  # of FAILED, where it is known
+    failure: DiscoveryFailure | None = None  # of `FAILED`, where it is known
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request: one final answer is now owed before `deadline`."""
+    """A client's request, which gets exactly one final answer before `deadline`."""
 
     request: str
     class_name: str
@@ -257,13 +257,13 @@
     tenant: str | None = None
     work_hint: float | None = None
     writes: bool = False
-    arriving: bool = False  # its body still comes in: `deadline` is what it would be by now, see `Arrived`
-    under: Settings | None = None  # those in force when its head came, which it keeps; None: those of now
+    arriving: bool = False  # its body is still arriving, see `RequestBodyReceived`
+    under: Settings | None = None  # settings in force when its head arrived; None: the present ones
 
 
 @dataclass(slots=True)
 class RequestBodyReceived:
-    """The last byte of a request that came as `arriving` is in: its time counts from now."""
+    """The body of a request is complete: its time counts from now."""
 
     request: str
     deadline: float
@@ -271,7 +271,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The answer of a streamed class, or a long one, began; the attempt now belongs to the client."""
+    """A long response, or one of a streamed class, began: the request can no longer be retried."""
 
     request: str
     attempt: int
@@ -281,10 +281,9 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The end of one attempt; `closed` says the request has its final answer.
+    """An attempt ended; after `ResponseStarted` this is the end of the response.
 
-    `spent` says that it cannot go out again, as its body is no longer held. After `StreamStarted` this is the
-    end of the answer.
+    `closed`: the request has its final answer. `spent`: it cannot be retried, as its body was not buffered.
     """
 
     request: str
@@ -299,21 +298,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left; no answer is owed any more."""
+    """The client disconnected and gets no answer."""
 
     request: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier came due."""
+    """A timer that was set by `SetTimer` fired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The result of one probe."""
+    """The result of a health check."""
 
     backend: str
     status: AttemptStatus
@@ -323,7 +322,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another node."""
+    """A message from another node."""
 
     sender: int
     content: bytes
@@ -331,16 +330,16 @@
 
 @dataclass(slots=True)
 class Reconfigured:
-    """New settings, checked and whole. Requests under way keep the class and attempts that they came with."""
+    """New settings; requests under way keep the class and the attempts that they arrived with."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class MaintenanceChanged:
-    """The operators take a backend out of service or put it back, whatever the list says of it.
+    """Operators take an endpoint out of service, or put it back, whatever the list says of it.
 
-    `since` is when it was put back: it counts as started then, wherever that is later than the list says.
+    `since` is when it was put back: it counts as started then, unless the list has a later time.
     """
 
     backend: str
@@ -350,39 +349,39 @@
 
 @dataclass(slots=True)
 class TakeoverStarted:
-    """This process takes the place of another one of the same node, and may not be late with the list."""
+    """This process replaces another one of the same node and needs the endpoint list at once."""
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """What a node has learned that an heir can use. Times in ms, none of them on a clock.
+    """What a node has learned that a successor can use; all times are durations.
 
-    Own counts of sends are not among it: what they count is gone with the process.
+    The names are keys of files. Estimates are not included: the attempts they count end with the process.
     """
 
-    limit: float  # of concurrent attempts
+    limit: float  # the concurrency limit
     trust: float
     lost: float
-    classes: dict[str, tuple[float, float, float]]  # usual time, its mean deviation, strain
-    # Start as listed, slowness, least trip, failures in a row, what is left of its ejection.
+    classes: dict[str, tuple[float, float, float]]  # expected duration, its mean deviation, overload
+    # Start as listed, slowness, minimum response time, consecutive failures, time left of the ejection.
     backends: dict[str, tuple[float, float, float, int, float]]
 
 
 class RecoveryPhase(Enum):
-    """How far a node is that returns with its tier, once it serves."""
+    """Progress of a node that recovers with its tier from a loss of power, once it serves."""
 
-    LISTED = "listed"  # by the list that was kept: nobody has told which backends are cold
-    WARMING = "warming"  # discovery has told the list
+    LISTED = "listed"  # by the cached list: nobody knows which endpoints are warming up
+    WARMING = "warming"  # by a list from discovery
     FULL = "full"
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryProgressed:
-    """The tier returns from a loss of power: how far this node is, and what part of the work is its own.
+    """The tier recovers from a loss of power: progress of this node and its quota.
 
-    `share` is this node's part of what all nodes together may give to cold backends. What the list says to
-    have started before `cold_since` counts as started then (0: the list is believed). `rate` is what the
-    whole tier carried when it was warm, in requests a second (0: nobody knows).
+    `share` is this node's part of what all nodes together may send to warming endpoints. Endpoints that are
+    listed as started before `cold_since` count as started then (0: as listed). `rate` is what the whole tier
+    carried when it was warm, in requests a second (0: unknown).
     """
 
     phase: RecoveryPhase
@@ -393,7 +392,7 @@
 
 @dataclass(slots=True)
 class LearnedStateRestored:
-    """An earlier process of this node had learned this, `age` ms ago. Comes after the list."""
+    """What an earlier process of this node learned, `age` ms ago; comes after the list."""
 
     learned: LearnedState
     age: float
@@ -421,9 +420,9 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt; a time-out of 0 lasts until the client gives up.
+    """Start an attempt; a timeout of 0 lasts until the deadline of the request.
 
-    What has not left by the clock time `before` must not leave any more (0: no such limit).
+    It must not be sent after the clock time `before` (0: no such limit).
     """
 
     request: str
@@ -434,19 +433,19 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: turned away, a retry is harmless."""
+    """Final answer: the request is rejected, and a retry does no harm."""
 
     request: str
     retry_after: float = 0.0
-    reason: str = ""  # for the log
+    reason: str = ""  # a `GiveUpReason`, for the log
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, nothing promised."""
+    """Final answer: the request failed, and may have taken effect."""
 
     request: str
-    reason: str = ""  # for the log
+    reason: str = ""  # a `GiveUpReason`, for the log
 
 
 @dataclass(slots=True)
@@ -459,7 +458,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `Timer` event."""
+    """Ask for a `TimerFired` event at the clock time `when`."""
 
     when: float
     token: int
@@ -467,26 +466,26 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask a backend how it is."""
+    """Check the health of an endpoint."""
 
     backend: str
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask to be told of list changes from now on, or no longer."""
+    """Watch the endpoint list from now on, or no longer."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask for the whole list once."""
+    """Fetch the whole endpoint list once."""
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close this node's idle connections to a backend."""
+    """Close this node's idle connections to an endpoint."""
 
     backend: str
 
@@ -501,7 +500,7 @@
 
 @dataclass(slots=True)
 class WriteLog:
-    """A line for the people on call."""
+    """Write a line for the operators."""
 
     text: str
 
--- a/balancer/lab/scale/module.py
+++ b/balancer/lab/scale/module.py
@@ -109,8 +109,10 @@
         yield point(figure, "us", value)
     yield from (point(*figure) for figure in _changes(balancer, requests.now, backends, most_s / 3))
     now = requests.now + fleet.DAY
-    yield point("unavailable", "us", fleet.spent_us(lambda: balancer.unavailable(now), most_s / 10, 200))
-    yield point("learned", "us", fleet.spent_us(lambda: balancer.learned(now), most_s / 10, 200))
+    yield point(
+        "unavailable", "us", fleet.spent_us(lambda: balancer.count_unavailable(now), most_s / 10, 200)
+    )
+    yield point("learned", "us", fleet.spent_us(lambda: balancer.learned_state(now), most_s / 10, 200))
 
 
 def _changes(
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -185,7 +185,7 @@
         now = self.loop.time()
         self._lag, self._pulses = max(self._lag, now - due), self._pulses + 1
         if self.fleet is not None:
-            self.fleet.learned(self.balancer.learned, self.now())
+            self.fleet.learned(self.balancer.learned_state, self.now())
         if self._pulses >= REPORT_EVERY and self.counts:
             self.counts += Counter({f"closed_{why.value}": n for why, n in self.pool.closes.items()})
             self.pool.closes.clear()
@@ -297,7 +297,7 @@
 
     async def operate(self, backend: str, out: bool) -> bool:
         """Take a backend out or put it back; False where it was never listed. Raises BalancerError."""
-        if not self.balancer.listed(backend) and not self.bans.known(backend):
+        if not self.balancer.is_listed(backend) and not self.bans.known(backend):
             return False
         now = self.now()
         changes = out != (backend in self.bans.record.out)
@@ -317,7 +317,7 @@
         out = self.figures.table(list(self.classes)) | {
             "pending": sum(not request.answered for request in self.open.values()),
             "members": len(self.pool.members),
-            "members_unavailable": self.balancer.unavailable(self.now()),
+            "members_unavailable": self.balancer.count_unavailable(self.now()),
         }
         return out if self.fleet is None else out | {"fleet": self.fleet.stats()}
 
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Make a node that was told no endpoint list yet; `seed` determines all its random draws."""
+        """Make a node without endpoints; `seed` determines all its random draws."""
         self.rng = random.Random(seed)
         self.now = 0.0
         self.settings = settings
@@ -76,20 +76,20 @@
         handler(now, event)
         return actions
 
-    def learned(self, now: float) -> api.LearnedState:
+    def learned_state(self, now: float) -> api.LearnedState:
         """Return what a successor of this node can use, at the clock time `now`."""
         return self.warm_start.export(now)
 
-    def listed(self, name: str) -> bool:
+    def is_listed(self, name: str) -> bool:
         """Return whether the list names this endpoint, or did so until lately."""
         return name in self.index.records or name in self.index.former
 
-    def unavailable(self, now: float) -> int:
+    def count_unavailable(self, now: float) -> int:
         """Return how many listed endpoints get no requests now, or none but in a panic."""
         return self.ejection.count_unavailable(now)
 
     def gauge(self) -> str:
-        """Return the line of counts: what holds requests back, and those given up since the last call."""
+        """Return a line of counts: limit, queue, and requests given up since the last call."""
         given_up = self.requests.given_up
         reasons = " ".join(f"given_up_{reason}={count}" for reason, count in sorted(given_up.items()))
         given_up.clear()
--- a/balancer/policy/class_table.py
+++ b/balancer/policy/class_table.py
@@ -23,7 +23,7 @@
     _settings: api.Settings = field(init=False)
 
     def configure(self, settings: api.Settings) -> None:
-        """Take new settings. A class that stays keeps its statistics; requests keep their own record."""
+        """Take new settings. A class that stays keeps its statistics."""
         former = self.by_name
         self._settings = settings
         self._clock_granularity_ms = settings.clock_granularity_ms
@@ -69,7 +69,7 @@
         """Return until when a response is worth something, for a request that is complete now."""
         config = statistics.config
         time_left = deadline - now
-        # Late responses that keep some worth are useful up to the deadline of the class.
+        # Where late responses have some worth they are useful up to the deadline of the class.
         objective_ms = (
             config.deadline
             if config.late_weight_fraction > 0
--- a/balancer/policy/concurrency_limit.py
+++ b/balancer/policy/concurrency_limit.py
@@ -49,11 +49,6 @@
         self.floor = MIN_LIMIT * max(1.0, endpoint_count / node_count)
         self.limit = max(self.limit, self.floor)
 
-    @property
-    def has_capacity(self) -> bool:
-        """Return whether the limit allows another attempt."""
-        return self.in_flight < self.limit
-
     @property
     def highest_overload(self) -> float:
         """Return the overload of the most overloaded class."""
--- a/balancer/policy/eligibility.py
+++ b/balancer/policy/eligibility.py
@@ -65,7 +65,7 @@
     def filter_for(
         self, request: Request, now: float, max_in_flight: float, ignore_ejection: bool = False
     ) -> IsEligible:
-        """Return a function that says whether a warm endpoint may be given this request.
+        """Return a predicate whether a warm endpoint may be given this request.
 
         Endpoints with more than `max_in_flight` attempts of this node are too crowded.
         """
--- a/balancer/policy/endpoint_index.py
+++ b/balancer/policy/endpoint_index.py
@@ -1,6 +1,6 @@
 """The listed endpoints and what follows from the list; an update costs what it names, not the list.
 
-Nothing here decides: others say which endpoints may get new work and which are local.
+Nothing here decides: callers determine which endpoints may get new work and which are local.
 """
 
 from __future__ import annotations
--- a/balancer/policy/health_checks.py
+++ b/balancer/policy/health_checks.py
@@ -23,7 +23,7 @@
 from balancer.policy.subsetting import Subsetting
 
 OVERDUE_ROUND_TRIPS = 3.0  # after which an endpoint counts as stalled
-FIRST_ROUND_TRIP_TICKS = 2.0  # expected round trip until checks tell
+FIRST_ROUND_TRIP_TICKS = 2.0  # expected round trip before the first result
 IN_SERVICE_REQUESTS = 0.5  # mean remaining part of the request that an endpoint works on
 
 
@@ -46,7 +46,7 @@
     _round_trip_ms: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Expect a round trip of a few clock ticks until checks tell."""
+        """Expect a round trip of a few clock ticks before the first result."""
         self._round_trip_ms = FIRST_ROUND_TRIP_TICKS * self.clock_granularity_ms
 
     def configure(self, settings: api.Settings) -> None:
--- a/balancer/policy/join_up_to_m.py
+++ b/balancer/policy/join_up_to_m.py
@@ -2,7 +2,7 @@
 
 Each node keeps, for each endpoint, an upper bound of its load: the attempts that the node itself has sent
 since the endpoint last reported idle. A request joins an endpoint of the lowest estimate, ties at random,
-while that is below the cap m. Once all estimates have reached m they tell too little, and an endpoint is
+while that is below the cap m. Once all estimates have reached m they are too loose, and an endpoint is
 drawn at random. The cap is how many requests can stand in line such that the last still meets its latency
 objective.
 """
@@ -68,7 +68,7 @@
 
 
 def apply_report(endpoint: EndpointRecord, report: api.LoadReport | None, is_fresh: bool) -> bool:
-    """Update an estimate by a load report and return whether the report told a load.
+    """Update an estimate by a load report and return whether the report has a load.
 
     An idle report lowers the estimate to the own attempts in flight, which a late report does not know. Any
     other load counts only when it is fresh, as a health check that is one round trip old.
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -51,13 +51,13 @@
         """Draw whether a first attempt is admitted: quiet nodes shed in fractions, by their success rate."""
         return self._rng.random() <= max(MIN_ADMITTED_FRACTION, THROTTLE_FACTOR * self.success_rate**3)
 
-    def observe(self, is_good: bool, says_nothing_of_load: bool) -> None:
+    def observe(self, is_good: bool, is_no_sign_of_load: bool) -> None:
         """Learn from the end of an attempt.
 
-        A lost response says nothing of the load, and an endpoint that has no capacity nothing of the next
-        one: both count only where endpoints are checked before.
+        A lost response is no sign of load, and an endpoint without capacity no sign of the next one: both
+        count only where endpoints are checked before.
         """
-        if is_good or self._checks_first or not says_nothing_of_load:
+        if is_good or self._checks_first or not is_no_sign_of_load:
             self.success_rate += EWMA_WEIGHT * (1 + self._checks_first) * (is_good - self.success_rate)
 
 
--- a/balancer/policy/maintenance.py
+++ b/balancer/policy/maintenance.py
@@ -1,4 +1,4 @@
-"""Endpoints that operators take out of service and put back; their word stands beside the endpoint list."""
+"""Endpoints that operators take out of service and put back, whatever the endpoint list says."""
 
 from __future__ import annotations
 
--- a/balancer/policy/minimum.py
+++ b/balancer/policy/minimum.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Callable
 
-STALE_ENTRIES_ALLOWED = 64  # beside as many as there are current ones
+STALE_ENTRIES_ALLOWED = 64  # in addition to twice the number of current ones
 
 
 class MinimumTracker:
--- a/balancer/policy/outcomes.py
+++ b/balancer/policy/outcomes.py
@@ -18,7 +18,7 @@
 NEUTRAL_STATUSES = frozenset({api.AttemptStatus.CANCELLED, api.AttemptStatus.NOT_STARTED})
 LOAD_STATUSES = frozenset(
     {api.AttemptStatus.OK, api.AttemptStatus.REJECTED, api.AttemptStatus.TIMEOUT}
-)  # that tell of load; other failures tell of faults
+)  # that depend on the load; other failures are faults
 TIMED_STATUSES = frozenset({api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT})
 
 
@@ -68,8 +68,8 @@
         objective_ms = statistics.config.latency_objective_ms
         is_good = status is api.AttemptStatus.OK and duration_ms <= objective_ms
         self.timeouts.observe(status is api.AttemptStatus.TIMEOUT)
-        says_nothing_of_load = attempt.is_cut_short or status is api.AttemptStatus.REJECTED
-        self.shedding.observe(is_good, says_nothing_of_load)
+        is_no_sign_of_load = attempt.is_cut_short or status is api.AttemptStatus.REJECTED
+        self.shedding.observe(is_good, is_no_sign_of_load)
         relative_ms = (duration_ms if is_good else objective_ms) / statistics.expected_ms
         endpoint.slowness += EWMA_WEIGHT * (relative_ms - endpoint.slowness)
         self.selection.note_weight(endpoint)
--- a/balancer/policy/records.py
+++ b/balancer/policy/records.py
@@ -61,9 +61,9 @@
 
     endpoint: EndpointRecord
     sent_at: float
-    is_representative: bool  # its duration and outcome tell of the endpoint: it was idle, or none was checked
+    is_representative: bool  # its outcome is a sign of the endpoint's load: it was idle, or none was checked
     status: api.AttemptStatus | None = None
-    is_hasty: bool = False  # got less time than a response may well take: a timeout blames only the client
+    is_hasty: bool = False  # got less time than a response may take: a timeout is the client's fault
     counts_in_flight: bool = True  # its request has arrived with its whole body
     is_cut_short: bool = False  # got less time than would be useful, because responses get lost
 
--- a/balancer/policy/recovery_admission.py
+++ b/balancer/policy/recovery_admission.py
@@ -3,7 +3,7 @@
 Where all endpoints are warming up at once, the rule for a single one among warm ones rejects far too much:
 half of the requests at a time when nearly all could be served. Instead a token bucket bounds the work. It is
 filled with this node's share of what all warming endpoints carry together, by the rate that the tier carried
-when warm; and while responses come in time nothing else is held back from an endpoint no colder than the
+when warm; and while responses come in time nothing else is withheld from an endpoint no colder than the
 mean.
 """
 
--- a/balancer/policy/request_table.py
+++ b/balancer/policy/request_table.py
@@ -12,7 +12,7 @@
 from balancer.policy.records import Request
 from balancer.policy.slow_start import SlowStart
 
-RETRY_AFTER_FACTORS = (1.0, 2.0)  # of the expected duration: what a rejected client is told to wait
+RETRY_AFTER_FACTORS = (1.0, 2.0)  # of the expected duration: Retry-After of a rejected client
 RETRY_AFTER_FACTORS_IN_RECOVERY = (1.0, 12.0)  # when many more clients come back
 
 
--- a/balancer/policy/routing.py
+++ b/balancer/policy/routing.py
@@ -1,4 +1,4 @@
-"""The way of a request to an endpoint: in which order the concerns have their say."""
+"""The way of a request to an endpoint: the order in which the concerns decide."""
 
 from __future__ import annotations
 
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -51,9 +51,9 @@
         """Count an arrival; `expected_ms` is the mean duration of a response."""
         elapsed_ms = max(0.0, now - self._last_arrival)
         self._last_arrival = now
-        keep = math.exp(-elapsed_ms / ramp_ms)
-        self._arrivals = self._arrivals * keep + 1.0
-        self._interval_ms = self._interval_ms * keep + elapsed_ms
+        decay = math.exp(-elapsed_ms / ramp_ms)
+        self._arrivals = self._arrivals * decay + 1.0
+        self._interval_ms = self._interval_ms * decay + elapsed_ms
         tick_ms = max(settings.clock_granularity_ms, MIN_DIVISOR_MS)
         rate_per_ms = max(limit / max(expected_ms, tick_ms), self._arrivals / max(self._interval_ms, tick_ms))
         max_tokens = max(1.0, rate_per_ms * settings.overload_window_ms / SAVED_TRIES_WINDOW_FRACTION)
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, eq=False)
 class SlowStart:
-    """Says how warm an endpoint is, and whether it may be given a request."""
+    """Measures how warm endpoints are, and admits requests to warming ones."""
 
     rng: random.Random
     index: EndpointIndex
@@ -152,8 +152,8 @@
     def is_first_sender(self, name: str, expected_ms: float) -> bool:
         """Return whether this node is one of those that send at once to an endpoint that was put back.
 
-        All nodes hear of it at about the same time. The endpoint surely carries one request after the other;
-        so much of that as its budget allows is spread over the nodes.
+        All nodes learn of it at about the same time. The endpoint surely carries one request after the other;
+        as much of that as its budget allows is spread over the nodes.
         """
         settings = self._settings
         surely_carried = (
--- a/balancer/policy/subsetting.py
+++ b/balancer/policy/subsetting.py
@@ -1,7 +1,7 @@
 """Which endpoints a node feeds: a subset of its own order of the list.
 
-The first `width` endpoints of the order are the subset, the next as many its reserve. A small subset keeps
-connections few and makes own counts tell. Subsets of all nodes start evenly laid, and changes move few.
+The first `width` endpoints of the order are the subset, the next as many its reserve. A small subset
+keeps connections few and estimates tight. Subsets of all nodes start evenly spread, and changes move few.
 """
 
 from __future__ import annotations
@@ -70,9 +70,8 @@
         wanted = [(positions.pop(name, int(at * size)), at, name) for name, at in ring.items()]
         taken = dict[int, str]()
         free = 0
-        for position, _, name in sorted(
-            wanted
-        ):  # where one has gone before, the next takes the next position
+        for position, _, name in sorted(wanted):
+            # Where one has gone before, the next takes the next position.
             free = max(free, min(position, size - 1))
             taken[free] = name
             free += 1
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -49,12 +49,11 @@
         """Handle one event at the clock time `now` (ms); `following` gives the lines of a list's entries."""
         word, _, rest = line.partition(" ")
         if word == "X_LEARNED":
-            return [f"X_LEARNED {json.dumps(_learned_table(self.balancer.learned(now)))}"]
+            return [f"X_LEARNED {json.dumps(_learned_table(self.balancer.learned_state(now)))}"]
         if word == "X_STATE":
             numbers = sorted(re.findall(r"=([\d.]+)", self.balancer.gauge()))
-            return [
-                f"X_STATE {self.balancer.unavailable(now)} {self.balancer.listed(rest)} {' '.join(numbers)}"
-            ]
+            unavailable = self.balancer.count_unavailable(now)
+            return [f"X_STATE {unavailable} {self.balancer.is_listed(rest)} {' '.join(numbers)}"]
         try:
             actions = self.balancer.handle(now, self._event(word, rest, line, following))
         except api.CallError as err:
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -421,6 +421,6 @@
     """Guards against a rate or an age over a time of 0: each request was answered by a failed decision."""
     b = Balancer(replace(HARD, slow_start_ms=0.0, clock_granularity_ms=0.0), 1)
     b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, [entry("a"), entry("b", started_at=1000.0)]))
-    b.handle(1000.0, api.LearnedStateRestored(b.learned(1000.0), 5.0))
+    b.handle(1000.0, api.LearnedStateRestored(b.learned_state(1000.0), 5.0))
     assert cold_sends(b, 1000.0, 20, 25.0) == 20
     assert cold_sends(b, 2000.0, 1, 0.0) == 1
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -139,13 +139,13 @@
             and now - b.index.records[x].unavailable_since >= MIN_UNAVAILABLE_MS
         )
     ]
-    assert b.unavailable(now) == len(avoided)
+    assert b.count_unavailable(now) == len(avoided)
     known = {
         x
         for x in listed
         if b.index.records[x].consecutive_failures or b.index.records[x].min_response_ms < math.inf
     }
-    assert b.learned(now).backends.keys() == known
+    assert b.learned_state(now).backends.keys() == known
     assert b.subsetting.endpoints_per_zone == len(up) / max(1, len(zones)) and b.subsetting.width <= len(up)
     kept = [x for name, x in b.index.records.items() if name not in listed]
     assert all(
@@ -323,7 +323,7 @@
     tracemalloc.stop()
     replaced(5 * MAX_FORMER_NAMES, 50_000)
     assert len(b.index.records) == b.index.listed_count == len(b.index.order) == 200 and not b.requests.by_id
-    assert len(b.index.former) == MAX_FORMER_NAMES and b.listed("s49999") and not b.listed("s1")
+    assert len(b.index.former) == MAX_FORMER_NAMES and b.is_listed("s49999") and not b.is_listed("s1")
     assert len(b.index.learned) <= 200 and len(b.index.avoided) <= 200 and not b.maintenance.positions
     assert sum(len(zone.response_times.heap) for zone in b.index.zones.values()) <= 2 * (64 + 2 * 200)
     assert after - before < 100_000  # bytes
@@ -392,11 +392,11 @@
     b.handle(1000.0, api.ListUpdate(FULL, [entry("a"), entry("b")]))
     b.handle(1001.0, api.MaintenanceChanged("a", True))
     b.handle(1002.0, api.ListUpdate(CHANGES, [entry("a", phase=api.EndpointPhase.REMOVED)]))
-    assert "a" not in b.index.records and b.listed("a")
+    assert "a" not in b.index.records and b.is_listed("a")
     b.handle(1003.0, api.ListUpdate(CHANGES, [entry("a", zone="z")]))
-    assert "a" in b.index.records and "a" not in b.index.order and b.unavailable(1003.0) == 1
+    assert "a" in b.index.records and "a" not in b.index.order and b.count_unavailable(1003.0) == 1
     b.handle(1004.0, api.MaintenanceChanged("a", False, 1004.0))
-    assert "a" in b.index.order and b.unavailable(1004.0) == 0
+    assert "a" in b.index.order and b.count_unavailable(1004.0) == 0
     b.handle(1005.0, api.ListUpdate(CHANGES, [entry("a", phase=api.EndpointPhase.REMOVED)]))
     assert not b.maintenance.positions and "a" not in b.index.records
 
@@ -503,9 +503,9 @@
                     b.handle(now, api.MaintenanceChanged(one, True))
                     b.handle(now, api.MaintenanceChanged(one, False, now))
                 case "scrape":
-                    b.unavailable(now)
+                    b.count_unavailable(now)
                 case "learned":
-                    b.learned(now)
+                    b.learned_state(now)
                 case "far":
                     b.zones.spill_fraction = 1.0
                     served(number, "read", api.AttemptStatus.OK)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -44,7 +44,7 @@
     for kind in (api.ListUpdateKind.DELTA, api.ListUpdateKind.SNAPSHOT):
         balancer.handle(1003.0, api.ListUpdate(kind, [entry("b0", started_at=1003.0), entry("b1")]))
         assert sent_to(balancer, 1004.0) == {"b1"}
-    assert balancer.unavailable(1004.0) == 1
+    assert balancer.count_unavailable(1004.0) == 1
     balancer.handle(1005.0, OUT)  # once more is harmless
     balancer.handle(5000.0, BACK)
     assert sent_to(balancer, 60_000.0) == {"b0", "b1"}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -671,10 +671,14 @@
     b.handle(2000.0, api.TimerFired(0))
     b.ejection.eject(x, b.now)
     x.ejected_until = 2400.0
-    assert (b.unavailable(2100.0), b.unavailable(2399.0)) == (0, 0)
+    assert (b.count_unavailable(2100.0), b.count_unavailable(2399.0)) == (0, 0)
     b.handle(2300.0, api.TimerFired(0))
     b.ejection.eject(x, b.now)  # once more, before the first one is over
     x.ejected_until = 3000.0
-    assert (b.unavailable(2499.0), b.unavailable(2500.0), b.unavailable(3000.0)) == (0, 1, 0)
+    assert (b.count_unavailable(2499.0), b.count_unavailable(2500.0), b.count_unavailable(3000.0)) == (
+        0,
+        1,
+        0,
+    )
     b.handle(3100.0, api.MaintenanceChanged("y", True))
-    assert b.unavailable(3100.0) == 1
+    assert b.count_unavailable(3100.0) == 1
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -177,7 +177,7 @@
     one.classes.by_name["read"].expected_ms = 37.0
     one.index.records["x"].slowness, one.index.records["x"].min_response_ms = 2.0, 5.0
     one.ejection.eject(one.index.records["y"], one.now)
-    return one.learned(1000.0), 1000.0
+    return one.learned_state(1000.0), 1000.0
 
 
 @pytest.mark.parametrize(("age", "limit"), [(0.0, 20.0), (10_000.0, 12.0), (1e6, 4.0)])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -156,7 +156,7 @@
     read = replace(SAFE, late_weight_fraction=late_weight_fraction)
     shorter = replace(read, latency_objective_ms=read.latency_objective_ms / 8, deadline=read.deadline / 16)
     balancer = node(replace(BASE, classes=(read,)), ["b0"])
-    learned = balancer.learned(1005.0)
+    learned = balancer.learned_state(1005.0)
     balancer.handle(1010.0, api.Reconfigured(replace(BASE, classes=(shorter,))))
     heir = node(replace(BASE, classes=(shorter,)), ["b0"])
     heir.handle(1010.0, api.LearnedStateRestored(learned, 0.0))
