--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -59,7 +59,9 @@
     st.integers(0, 2**32), st.floats(0.01, 1.0), st.floats(10.0, 5000.0),
     st.lists(st.floats(0.1, 1.0), min_size=1, max_size=12),
 )  # fmt: skip
-def test_no_window_sees_more_than_its_part(seed: int, share: float, rate: float, warmth: list[float]) -> None:
+def test_no_window_exceeds_the_quota_and_its_burst(
+    seed: int, share: float, rate: float, warmth: list[float]
+) -> None:
     """Whoever asks as often as he can gets the share, and what may be saved up, in any window."""
     dice, now, taken = random.Random(seed), 0.0, []
     admission = RecoveryAdmission(replace(BACK, share=share, rate=rate), now)
@@ -79,7 +81,7 @@
             assert last - first + 1 <= part * window + 1.5 * spare + 2
 
 
-def test_the_saved_list_counts_as_cold_until_discovery_has_told_it() -> None:
+def test_a_cached_list_counts_as_warming_up_until_discovery_sends_one() -> None:
     """Nobody knows better: what is sent stays within the budget, far below what a warm tier gets."""
     free, bound = flood(returned(None), 2.0, 1000), flood(returned(), 2.0, 1000)
     assert bound[0] < 0.3 * free[0]
@@ -90,7 +92,7 @@
     assert flood(node, 2.0, 1000)[0] == pytest.approx(free[0], rel=0.1)
 
 
-def test_a_tier_that_is_cold_as_a_whole_serves_what_it_may() -> None:
+def test_a_tier_that_warms_up_as_a_whole_serves_its_capacity() -> None:
     """The rule for a single cold backend refuses half of what all can bear together."""
     cold = [entry(n, started_at=900.0) for n in NAMES]
     alone, together = returned(None), returned(replace(BACK, cold_since=0.0, share=1.0))
@@ -100,7 +102,7 @@
     assert by_rule[1] > 30 and by_share[1] < 10
 
 
-def test_valuable_requests_are_the_last_to_be_refused() -> None:
+def test_high_value_requests_are_the_last_to_be_rejected() -> None:
     """They overdraw what the others have used up, and no further."""
     admission = RecoveryAdmission(BACK, 0.0)
     admission.fill(100.0, [0.2] * 8, 8, BASE)
@@ -113,7 +115,7 @@
     assert more >= 1 and admission.tokens >= -admission.overdraft - 1
 
 
-def test_refused_clients_come_back_spread() -> None:
+def test_rejected_clients_retry_spread_over_time() -> None:
     """They are told to stay away for times that differ far more than at other times."""
     usual, spread = BASE.classes[0].latency_objective_ms / 4, []
     for word in (None, replace(BACK, rate=0.001)):
@@ -128,7 +130,7 @@
     assert spread[0] <= usual and spread[1] > 8 * usual
 
 
-def test_full_is_as_before() -> None:
+def test_after_recovery_a_node_decides_as_before() -> None:
     """After the last phase the node decides as one that never heard of a return."""
     node = returned()
     node.handle(1000.0, api.RecoveryProgressed(api.RecoveryPhase.FULL, 1.0))
@@ -142,7 +144,7 @@
 )  # fmt: skip
 
 
-def test_a_tier_that_returns_into_a_wave_of_clients_serves_more() -> None:
+def test_a_tier_that_recovers_into_a_surge_serves_more() -> None:
     """Forty nodes with a floor of two sends each would swamp four cold backends."""
     figures = [World(STRESS, 3, Cut(2.0, over=1.0), room).play() for room in (False, True)]
     without, with_room = (f.goodput(4.5, 8.5) for f in figures)
@@ -150,7 +152,7 @@
     assert with_room > 1.1 * without
 
 
-def test_a_small_tier_at_half_load_loses_nothing() -> None:
+def test_a_small_tier_at_half_load_rejects_little() -> None:
     """Where little is wanted of it, a cold tier refuses little: on the mean of seeds, as one is a draw."""
     spec = msgspec.structs.replace(
         STRESS, fleet=Fleet(nodes=6), faults=(), load=Load(utilisation=0.5), backends=Backends(count=6)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize(
     "state", [_ties, _one_low, _at_m, _kept_away, _low_ones_kept_away, _cold, _cold_at_m]
 )
-def test_each_backend_is_chosen_with_the_chance_that_the_rule_gives_it(
+def test_each_endpoint_is_chosen_with_the_probability_of_the_plain_rule(
     state: Callable[[Balancer, list[EndpointRecord]], None], kind: str
 ) -> None:
     """Chi-square of seeded draws against exact chances, in a subset that holds the whole list."""
@@ -145,7 +145,7 @@
     assert square <= free + 3.5 * math.sqrt(2 * free) + 1e-9
 
 
-def test_what_shows_idle_is_seen_at_once_and_what_got_fast_gets_more() -> None:
+def test_idle_reports_and_faster_responses_count_at_once() -> None:
     """Guards against bounds of the members that outlive what they were taken from."""
     b = _node()
     all_of = [b.index.records[name] for name in b.index.order]
@@ -171,7 +171,7 @@
     assert part > 0.3 and got == pytest.approx(part, abs=0.03)
 
 
-def test_one_that_has_become_warm_is_chosen_like_the_others() -> None:
+def test_an_endpoint_that_is_warm_now_is_chosen_like_the_others() -> None:
     b = _node()
     name = b.index.order.window(4, 5)[0]
     b.index.records[name].entry.started_at = NOW - CFG.slow_start_ms + 5.0
@@ -185,7 +185,7 @@
     assert _drawn(b, "read", None)[name] == pytest.approx(DRAWS * part, rel=0.2)
 
 
-def test_where_none_of_the_subset_is_eligible_its_reserve_is_and_then_any_that_is_ejected() -> None:
+def test_reserve_and_then_ejected_endpoints_stand_in_for_the_subset() -> None:
     b = _node(node_count=25)
     assert b.subsetting.width == 3
     view = b.index.window(0, 6)
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_all_nodes_together_stay_within_a_cold_backends_budget(name: str) -> None:
+def test_all_nodes_together_stay_within_a_warming_endpoints_budget(name: str) -> None:
     """Ruled out: traffic of very unequal nodes, retries, bursts in step and few nodes break the rule."""
     most, used, starts = plays(DAYS[name][0], range(DAYS[name][1]))
     assert most <= 1.0 and used > 0.08 and starts >= 12
@@ -326,27 +326,27 @@
 BACK = Day(30, 9, HARD, busy=6, at_once=1, put_back=True, length=7000.0)
 
 
-def test_a_backend_put_back_bears_what_all_nodes_send_it_at_once() -> None:
+def test_first_requests_of_all_nodes_stay_within_the_budget_of_a_returned_endpoint() -> None:
     """Thirty nodes hear of it within a second and a half, and it bears eight calls."""
     assert plays(BACK, range(4))[0] <= 1.0
     assert plays(replace(BACK, backends=30, cfg=SHORT, late=100.0), range(2))[0] <= 1.0
 
 
 @pytest.mark.parametrize("nodes", [1, 3, 30, 200])
-def test_a_backend_put_back_is_soon_in_use(nodes: int) -> None:
+def test_a_returned_endpoint_is_soon_in_use(nodes: int) -> None:
     for seed in range(5):
         day = replace(BACK, nodes=nodes, busy=0, late=100.0, length=6000.0)
         cold = next(iter(Fleet(day, seed).play().cold.values()))
         assert cold.sent and cold.sent[0] < cold.start + 2500.0
 
 
-def test_the_first_of_a_lost_zone_to_return_is_not_fed_for_the_zone() -> None:
+def test_the_first_returned_endpoint_of_a_lost_zone_gets_no_more_than_its_share() -> None:
     """All nodes of the zone prefer it while it is the only one of theirs."""
     day = Day(60, 60, ZONES, at_once=1, lost=True, every=9999.0, length=6500.0)
     assert plays(day, range(1))[0] <= 1.0
 
 
-def test_a_node_that_looks_gives_cold_backends_no_chance_for_others() -> None:
+def test_samples_for_health_checks_give_warming_endpoints_no_extra_chance() -> None:
     """Where most are cold it draws further, and each that it draws has the chance of one in three."""
     assert plays(Day(9, 9, LOOKS, at_once=9, load=1.2, length=8000.0), (2, 3))[0] <= 1.0
 
@@ -365,7 +365,7 @@
     return [sum(name in b.index.order.window(0, b.subsetting.width) for b in bank) for name in new]
 
 
-def test_new_backends_are_fed_by_as_many_nodes_as_others() -> None:
+def test_new_endpoints_are_in_as_many_subsets_as_others() -> None:
     """Drawn by each node for itself, some had twelve feeders where five are due."""
     counts = [count for seed in range(20) for count in feeders(30, 30, seed)]
     assert 4.5 < sum(counts) / len(counts) < 5.5
@@ -396,7 +396,7 @@
     return sent
 
 
-def test_a_burst_does_not_send_cold_backends_as_many_times_more() -> None:
+def test_a_burst_does_not_multiply_the_attempts_at_warming_endpoints() -> None:
     """Ruled out: where all are cold, what is refused costs nothing, and the chances add up without bound."""
     usual = burst = 0
     for seed in range(20):
@@ -412,12 +412,12 @@
 
 
 @pytest.mark.parametrize("day", [DAYS["few nodes"][0], DAYS["six of thirty are busy"][0], BACK])
-def test_the_check_catches_a_lost_slow_start(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_catches_a_missing_slow_start(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "warmth", lambda self, entry, now: 1.0)
     assert plays(replace(day, cfg=HARD, load=1.0, length=8000.0), [0])[0] > 1.0
 
 
-def test_a_deployment_without_a_ramp_serves() -> None:
+def test_a_deployment_without_slow_start_serves() -> None:
     """Guards against a rate or an age over a time of 0: each request was answered by a failed decision."""
     b = Balancer(replace(HARD, slow_start_ms=0.0, clock_granularity_ms=0.0), 1)
     b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, [entry("a"), entry("b", started_at=1000.0)]))
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -255,7 +255,7 @@
         agrees(b, plain)
 
 
-def test_places_are_a_list_whatever_is_done_to_them() -> None:
+def test_ordered_names_equal_a_plain_list_after_any_change() -> None:
     rng = random.Random(5)
     records = {f"n{i}": EndpointRecord(entry(f"n{i}")) for i in range(6 * BLOCK_SIZE)}
     places, plain, free = OrderedNames(records), list[str](), list(records)
@@ -285,7 +285,7 @@
     assert not places.blocks and not len(places)
 
 
-def test_the_least_is_the_least_and_its_heap_stays_small() -> None:
+def test_the_minimum_is_tracked_in_a_small_heap() -> None:
     rng, values = random.Random(3), dict[str, float]()
     tracker = MinimumTracker(lambda name: values.get(name, math.inf))
     for _ in range(5000):
@@ -296,7 +296,7 @@
     assert len(tracker.heap) <= 64 + 2 * 40
 
 
-def test_what_is_gone_is_forgotten_and_a_change_costs_no_more_after_50000_replacements() -> None:
+def test_removed_endpoints_are_forgotten_and_changes_cost_no_more_after_50000_replacements() -> None:
     """Guards against lists that go on changing: each id ever listed was kept and walked over at a change."""
     b = Balancer(replace(BASE, node_count=16), 1)
     b.handle(1000.0, api.ListUpdate(FULL, [entry(f"s{i}") for i in range(200)]))
@@ -330,7 +330,7 @@
     assert calls_of(lambda: replaced(50_000, 50_200, 10**6)) <= 1.2 * calls
 
 
-def test_a_zone_is_lost_and_back_cold_within_2_s_under_load_and_no_rule_breaks() -> None:
+def test_a_zone_is_lost_and_restored_within_2_s_under_load_and_no_rule_breaks() -> None:
     """One of nine zones, the node's own; told a piece a turn, what goes first, with requests in between."""
     size, piece, gap = 4500, 64, 1000.0 / 193
     cfg = replace(PRICED, node_count=round(size / 12.3), zone="a", slow_start_ms=60_000.0)
@@ -387,7 +387,7 @@
     assert sent["a"] > before  # cold ones get their part
 
 
-def test_a_ban_outlives_its_backends_record_and_holds_when_the_id_comes_again() -> None:
+def test_a_ban_outlives_the_record_and_applies_when_the_id_is_listed_again() -> None:
     b = Balancer(BASE, 1)
     b.handle(1000.0, api.ListUpdate(FULL, [entry("a"), entry("b")]))
     b.handle(1001.0, api.MaintenanceChanged("a", True))
@@ -403,7 +403,7 @@
 
 @pytest.mark.parametrize("price", [0.0, 0.1])
 @pytest.mark.parametrize("piece", [270, 30])
-def test_backends_that_come_later_are_fed_by_as_many_nodes_as_others(price: float, piece: int) -> None:
+def test_endpoints_listed_later_are_in_as_many_subsets_as_others(price: float, piece: int) -> None:
     """Guards against priced zones, where most that came later stood behind all near ones and got little."""
     fed = Counter[str]()
     zones = {f"{'old' if old else 'new'}{i}": "abc"[i % 3] for old in (True, False) for i in range(270)}
@@ -461,7 +461,7 @@
         ("far", 1.5),
     ],
 )
-def test_no_event_costs_more_calls_before_a_long_list(what: str, most: float) -> None:
+def test_no_event_costs_more_calls_with_a_long_list(what: str, most: float) -> None:
     """Counted calls; what a list or a dictionary does within one is in the benchmark (`lab scale`)."""
 
     def cost(size: int) -> int:
@@ -522,7 +522,7 @@
     assert cost(8_000) <= most * cost(250) + 40
 
 
-def test_a_choice_costs_no_more_calls_in_a_wide_subset_that_holds_cold_ones() -> None:
+def test_a_choice_costs_no_more_calls_in_a_wide_subset_with_warming_endpoints() -> None:
     """Guards against a look at all of a subset for each request while one of it is cold."""
 
     def cost(size: int) -> int:
@@ -546,7 +546,7 @@
     assert cost(8_000) <= 1.1 * cost(250)
 
 
-def test_a_piece_of_the_list_costs_few_calls_also_once_much_of_it_is_in() -> None:
+def test_a_piece_of_the_list_costs_few_calls_however_long_the_list_is() -> None:
     """Counted calls; guards against a walk through the blocks of the order for each entry of a piece, and
     against a generator of random numbers that is seeded for each.
     """
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -26,7 +26,7 @@
     told(locality="z", cell=3, size=2, up_since_ms=9).replace(b'"size"', b'"size": "x", "size"'),
     told(locality="z", cell=3, size=2, up_since_ms=9, new="\ud800"),
 ])  # fmt: skip
-def test_what_is_odd_but_clear_is_taken(text: bytes) -> None:
+def test_unusual_but_clear_entries_are_accepted(text: bytes) -> None:
     entry = api.Endpoint("a", "z", 3, 2.0, api.EndpointPhase.IN_SERVICE, 9.0, "")
     got = news_of(text)
     assert (got.revision, got.complete) == (7, False)
@@ -45,7 +45,7 @@
     ({"cell": float("inf")}, "members[0].cell makes no sense: inf"),
     ({"host_port": "b.example:80"}, "members[0].host_port makes no sense: 'b.example:80'"),
 ])  # fmt: skip
-def test_one_senseless_entry_is_named_and_spoils_the_list(over: dict[str, Any], line: str) -> None:
+def test_an_invalid_entry_is_named_and_invalidates_the_list(over: dict[str, Any], line: str) -> None:
     with pytest.raises(ListError) as err:
         news_of(told(**over))
     assert str(err.value) == line
@@ -56,13 +56,13 @@
     (b'{"members": []}', "revision is missing"),
     (b"[]", "the whole makes no sense: [], expected `object`, got `array`"),
 ])  # fmt: skip
-def test_what_is_no_list_is_said(text: bytes, line: str) -> None:
+def test_text_that_is_no_list_is_named(text: bytes, line: str) -> None:
     with pytest.raises(ListError) as err:
         news_of(text)
     assert str(err.value) == line
 
 
-def test_a_host_is_an_address_of_either_kind_and_never_a_name() -> None:
+def test_a_host_is_an_ip_address_and_never_a_name() -> None:
     assert address("[::1]:9") == ("::1", 9) and address("10.0.0.1:0") == ("10.0.0.1", 0)
     for wrong in ("localhost:80", "010.0.0.1:80", "10.0.0.1", "10.0.0.1:65536", "10.0.0.1:+1", " 10.0.0.1:1"):
         with pytest.raises(ValueError):
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("text", ["10.0.0.1:80", "[::1]:9", "::1:9", "255.249.99.0:65535", "1.2.3.4:0",
                                   "1.2.3.4:60000"])  # fmt: skip
-def test_an_address_stays_text_and_one_that_is_written_otherwise_is_the_same_one(text: str) -> None:
+def test_equal_addresses_in_different_notation_are_the_same_member(text: str) -> None:
     (member,) = news_of(told(host_port=text)).members
     assert member.address == address(text)
     host, _, port = text.rpartition(":")
@@ -89,7 +89,7 @@
     {"host_port": "10.0.0.9:81"}, {"phase": "terminating"}, {"phase": "terminated"}, {"locality": "y"},
     {"flavor": "n"}, {"cell": 70}, {"size": 2.0}, {"up_since_ms": 1e12},
 ])  # fmt: skip
-def test_what_is_told_again_is_the_same_object_and_what_is_new_another(over: dict[str, Any]) -> None:
+def test_unchanged_entries_are_the_same_objects(over: dict[str, Any]) -> None:
     """Guards against a second copy of a long list while nothing, or little, is new."""
     first = news_of(json.dumps({"revision": 7, "complete": True, "members": ROWS}).encode()).members
     held = {member.backend: member for member in first}
@@ -100,7 +100,7 @@
     assert got == news_of(data) and got.members[9] != first[9]
 
 
-def test_what_was_told_in_other_words_is_as_it_was() -> None:
+def test_the_same_entry_in_other_notation_is_the_same_object() -> None:
     first = news_of(told(cell=3, locality="z"))
     held = {"a": first.members[0]}
     assert news_of(told(cell="3", locality="z", new=1), held.get).members == first.members
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -29,7 +29,7 @@
     return api.AttemptEnded(rid, 0, backend, status, 50.0, closed, over.get("report"))  # type: ignore[arg-type]
 
 
-def test_a_send_adds_one_and_only_an_idle_sign_resets_it() -> None:
+def test_an_attempt_adds_one_and_only_an_idle_report_resets_the_estimate() -> None:
     b = node(replace(BASE, max_attempts=1), ["x"])
     kept = (
         api.AttemptStatus.OK,
@@ -80,7 +80,7 @@
     assert set(got) == set(NAMES) and min(got.values()) > 50
 
 
-def test_looking_sends_to_the_first_idle_backend_seen() -> None:
+def test_a_request_goes_to_the_first_endpoint_that_reports_idle() -> None:
     b = node(LOOKING, NAMES)
     probes = [a.backend for a in _arrive(b, "r") if isinstance(a, api.CheckHealth)]
     assert len(probes) >= 2 and not sends(_arrive(node(LOOKING, NAMES), "r"))
@@ -93,7 +93,7 @@
     assert [s.backend for s in out] == [probes[1]]
 
 
-def test_a_backend_that_does_not_answer_a_probe_in_time_is_passed_over() -> None:
+def test_an_endpoint_with_an_overdue_health_check_is_avoided() -> None:
     """Guards against waiting for a stalled backend: silence counts, whatever its cause."""
     b = node(LOOKING, NAMES)
     acts = _arrive(b, "r")
@@ -104,7 +104,7 @@
     assert all(b.index.records[p].ejected_until > timer.when for p in probes[1:])
 
 
-def test_first_try_time_is_learned_by_majority() -> None:
+def test_the_time_of_first_attempts_is_learned_by_majority() -> None:
     """Guards against refusing every first try once one retry came with more time than first tries have."""
     b = node(BASE, NAMES)
     for i in range(5):
@@ -114,7 +114,7 @@
         assert not answers(b.handle(1001.0, api.RequestArrived(f"b{i}", "read", 1701.0)))
 
 
-def test_a_retry_whose_aim_has_passed_is_refused_at_once() -> None:
+def test_a_retry_whose_objective_has_passed_is_rejected_at_once() -> None:
     b = node(BASE, NAMES)
     for i in range(5):
         b.handle(1000.0, api.RequestArrived(f"a{i}", "read", 1700.0))
@@ -123,13 +123,13 @@
     )
 
 
-def test_what_cannot_meet_its_aim_is_shed_early() -> None:
+def test_a_request_that_cannot_meet_its_objective_is_shed_early() -> None:
     b = node(replace(BASE, weight_by_work=True), NAMES)
     act = b.handle(1000.0, api.RequestArrived("huge", "read", 2000.0, work_hint=5000.0))
     assert isinstance(answers(act)[0], api.RejectRequest) and not sends(act)
 
 
-def test_each_backend_is_fed_by_few_nodes_where_nodes_cannot_look() -> None:
+def test_each_endpoint_is_in_few_subsets_without_health_checks() -> None:
     """Guards against routing as good as random: with all nodes on all backends own counts say nothing."""
     names = [f"b{i:02d}" for i in range(60)]
     fed: Counter[str] = Counter()
@@ -140,7 +140,7 @@
     assert max(fed.values()) < 40 / 3
 
 
-def test_looking_nodes_connect_to_few_backends() -> None:
+def test_nodes_with_health_checks_connect_to_few_endpoints() -> None:
     """Guards against filling the backends' connection tables, whose size no setting tells."""
     names = [f"b{i:02d}" for i in range(60)]
     b = node(replace(LOOKING, node_count=400), names)
@@ -156,7 +156,7 @@
     assert 3 <= len(looked) <= 12
 
 
-def test_a_node_that_carries_far_more_than_its_part_feeds_more_backends() -> None:
+def test_a_node_with_far_more_than_its_share_uses_more_endpoints() -> None:
     """Guards against a hot node that crowds the few backends an even share would give it."""
     names = [f"b{i:02d}" for i in range(60)]
     b = node(replace(BASE, node_count=300), names)
@@ -190,7 +190,7 @@
     return b.limit.limit
 
 
-def test_a_long_way_does_not_hold_the_limit_at_its_lowest_but_crowding_does() -> None:
+def test_network_latency_does_not_lower_the_limit_but_overload_does() -> None:
     """Guards against far backends that look crowded: the way takes part of the aim, however idle."""
     b = node(replace(BASE, classes=(SAFE,)), NAMES)
     grown = _limit_after(120.0, 60, b)  # over NEAR of the aim, and all of it on the way
@@ -198,7 +198,7 @@
     assert _limit_after(380.0, 60, b) < grown / 1.5
 
 
-def test_the_first_answers_of_crowded_new_backends_do_not_lift_the_limit() -> None:
+def test_the_first_responses_of_overloaded_new_endpoints_do_not_raise_the_limit() -> None:
     """Guards against quiet nodes in a release: nearly each answer is the least of its backend so far."""
     b = node(replace(BASE, classes=(SAFE,), node_count=100), NAMES)
     _limit_after(20.0, 60, b)
@@ -212,13 +212,13 @@
     assert b.classes.by_name["read"].overload > 0.5
 
 
-def test_a_new_node_lifts_its_limit_from_its_first_answers_on() -> None:
+def test_a_new_node_raises_its_limit_from_its_first_responses_on() -> None:
     """Guards against busy nodes that refuse in the seconds after a start, as their limit is slow to grow."""
     b = node(replace(BASE, classes=(SAFE,), node_count=100), NAMES)
     assert _limit_after(20.0, 5, b) > 2.0 * 1.01**5
 
 
-def test_an_answer_at_once_weighs_no_more_than_one_at_the_aim() -> None:
+def test_an_immediate_response_weighs_no_more_than_one_at_the_objective() -> None:
     """Guards against a few lucky answers that hide a crowded fleet from the limit."""
     b = node(replace(BASE, classes=(SAFE,)), NAMES)
     _limit_after(10.0, 5, b)
@@ -228,7 +228,7 @@
     assert b.classes.by_name["read"].overload > max(0.0, strain)
 
 
-def test_breaks_and_backends_without_room_do_not_lower_the_limit_but_time_outs_do() -> None:
+def test_resets_and_rejections_do_not_lower_the_limit_but_timeouts_do() -> None:
     """Guards against a network that breaks one attempt in ten and is taken for a crowded fleet."""
     for status in (
         api.AttemptStatus.RESET,
@@ -244,7 +244,7 @@
     assert _limit_after(400.0, 60, b, api.AttemptStatus.TIMEOUT) < grown
 
 
-def test_the_time_out_of_a_hasty_client_is_not_held_against_the_backend() -> None:
+def test_the_timeout_of_a_hasty_client_does_not_count_against_the_endpoint() -> None:
     """Guards against clients that wait for a tenth of the usual time and get the whole fleet ejected."""
     for given, told in ((60.0, False), (900.0, True)):
         b = node(replace(BASE, max_attempts=1), ["x"])
@@ -257,7 +257,7 @@
         assert (x.consecutive_failures > 0, x.ejected_until > now, x.slowness > 1.0, strained) == (told,) * 4
 
 
-def test_what_may_not_be_sent_again_fails_at_once_and_costs_no_retry() -> None:
+def test_a_request_that_may_not_be_retried_fails_at_once_and_costs_no_retry() -> None:
     """Guards against a broken order that is held behind the limit, and against others that miss its retry."""
     b = node(BASE, NAMES)
     (sent,) = sends(_arrive(b, "r", kind="once"))
@@ -284,7 +284,7 @@
     return got
 
 
-def test_own_zone_comes_first_also_where_the_subset_holds_the_whole_fleet() -> None:
+def test_the_own_zone_comes_first_also_where_the_subset_is_the_whole_fleet() -> None:
     """Guards against small fleets that cross zones at random, and against a home zone that is crowded."""
     b = Balancer(replace(BASE, charges=api.Charges(cross_zone=0.015)), 1)
     listed = [entry(name, zone="ab"[i % 2]) for i, name in enumerate(NAMES)]
@@ -294,7 +294,7 @@
     assert zones[:8] == ["a"] * 8 and zones.count("b") >= 4 and len(zones) == 16
 
 
-def test_a_share_for_other_zones_is_void_where_all_are_near() -> None:
+def test_spill_has_no_effect_where_all_endpoints_are_local() -> None:
     """Guards against a first draw over nothing, which alone may bring cold backends."""
     b = Balancer(BASE, 1)
     b.handle(10_000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, [entry("x", started_at=5_000.0)]))
@@ -302,7 +302,7 @@
     assert any(sends(_arrive(b, f"r{i}", 10_000.0 + i)) for i in range(50))
 
 
-def test_own_zone_is_preferred_by_the_price_and_left_when_it_is_worse() -> None:
+def test_the_own_zone_is_preferred_by_its_price_and_left_when_it_is_worse() -> None:
     """Guards against paying for crossings, and against a hot or failing zone that is kept to."""
 
     def made(price: float) -> Balancer:
@@ -326,7 +326,7 @@
     (1.0, 30, 100, 200),  # the way would cost all that it earns
     (0.12, 3, 150, 190),  # as large a part goes there as is cold
 ], ids=["all", "dear", "some"])  # fmt: skip
-def test_what_cold_near_backends_do_not_bear_others_take(
+def test_other_zones_take_the_overflow_of_warming_local_endpoints(
     price: float, cold: int, least: int, most: int
 ) -> None:
     """Guards against refusals while other zones have room, and against a flood of them where near ones fail.
@@ -356,7 +356,7 @@
     assert (got["b"] + got["c"] > 0) == (price < 1.0)
 
 
-def test_a_node_that_lost_all_trust_goes_on_trying() -> None:
+def test_a_node_without_any_success_goes_on_trying() -> None:
     """Guards against a node that throttles itself to nothing in an outage and never learns that it ended."""
     served = []
     for seed in range(10):
@@ -369,7 +369,7 @@
     assert min(served) > 0 and sum(served) > 60
 
 
-def test_late_answers_count_against_sending_more() -> None:
+def test_late_responses_lower_the_success_rate() -> None:
     """Guards against a jam in which all is served late, by hundreds of nodes too quiet for their limits."""
     cfg = replace(BASE, node_count=50, classes=(replace(BASE.classes[0], late_weight_fraction=0.5),))
     b, sent = node(cfg, ["x", "y", "z"]), 0
@@ -406,7 +406,7 @@
     return b, sent, repeats
 
 
-def test_lost_answers_are_asked_for_again_while_that_has_worth() -> None:
+def test_lost_responses_are_retried_while_that_has_worth() -> None:
     """Guards against waiting to the deadline for answers that get lost, and against cutting jobs short."""
     b, sent, repeats = _lossy(0.5, 3)
     assert sent == 300 and repeats >= 95  # all but the first few losses, none for want of budget or zone
@@ -418,7 +418,7 @@
     assert sends(worthless.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout > 390
 
 
-def test_a_jam_is_shed_sharply_but_not_what_is_worth_most() -> None:
+def test_an_overload_is_shed_sharply_but_not_high_value_requests() -> None:
     """Guards against hundreds of quiet nodes that keep a fleet overdriven; worth goes first."""
     classes = (replace(SAFE, name="cheap"), replace(SAFE, name="dear", priority_weight=50.0))
     sent: Counter[str] = Counter()
@@ -435,7 +435,7 @@
     assert sent["dear"] == 100 and 0.15 * 900 < sent["cheap"] < 0.65 * 900
 
 
-def test_one_bad_answer_sheds_nothing() -> None:
+def test_one_bad_response_sheds_nothing() -> None:
     """Guards against losing good requests on a quiet day to the noise of single answers."""
     for seed in range(40):
         b = node(replace(BASE, node_count=50, max_attempts=1), NAMES, seed)
@@ -445,7 +445,7 @@
             b.handle(1100.0 + 1000.0 * i, api.AttemptEnded(f"r{i}", 0, got[0].backend, status, 90.0, i > 0))
 
 
-def test_slow_backends_get_less_once_all_are_at_the_cap() -> None:
+def test_slow_endpoints_get_less_once_all_are_at_the_cap() -> None:
     """Guards against fleets whose speeds differ though nobody tells: the random pick follows answers."""
     b = node(replace(BASE, node_count=50), ["x", "y", "z"])
     got: Counter[str] = Counter()
@@ -460,7 +460,7 @@
     assert 0 < got["x"] < min(got["y"], got["z"]) / 2
 
 
-def test_turned_away_attempts_that_are_served_elsewhere_do_not_shed() -> None:
+def test_rejected_attempts_that_are_served_elsewhere_do_not_shed() -> None:
     """Guards against shedding by the throttle where short waiting rooms turn many first attempts away."""
     b, sent, rng = node(replace(BASE, node_count=50), NAMES), 0, random.Random(1)
     for i in range(300):
@@ -475,7 +475,7 @@
     assert sent == 300
 
 
-def test_panic_ignores_ejections_but_not_backends_without_room() -> None:
+def test_panic_ignores_ejections_but_not_busy_endpoints() -> None:
     """Guards against a node whose own trouble ejects all it feeds, and against storms of new connections."""
 
     def after(status: api.AttemptStatus) -> int:
@@ -521,7 +521,7 @@
     assert run("read", "a", "t") == run("zzz", "north", "q")
 
 
-def test_a_backend_that_restarted_is_not_left_alone_for_what_its_old_process_refused() -> None:
+def test_a_restarted_endpoint_is_not_avoided_for_failures_of_its_former_process() -> None:
     """Guards against a zone that is back and stands idle: ejections after lost connections had doubled."""
     b = node(replace(BASE, max_attempts=1), ["x"])
     for i in range(5):
@@ -533,7 +533,7 @@
     assert max(x.busy_until, x.ejected_until) <= b.now and x.consecutive_failures == 0
 
 
-def test_idle_signs_are_doubted_once_sends_on_them_fail() -> None:
+def test_idle_reports_are_doubted_once_attempts_on_them_fail() -> None:
     """Guards against reports that freeze at nothing in flight and draw every node to the same backends."""
 
     def sent_of(status: api.AttemptStatus) -> int:
@@ -555,7 +555,7 @@
     assert sent_of(api.AttemptStatus.REJECTED) < 60
 
 
-def test_quiet_nodes_shed_in_fractions_when_their_sends_fail() -> None:
+def test_quiet_nodes_shed_in_fractions_when_their_attempts_fail() -> None:
     """Guards against hundreds of nodes that each keep one request on a fleet that answers none."""
     b, sent = node(BASE, NAMES), 0
     for i in range(200):
@@ -568,7 +568,7 @@
     assert 0 < sent < 100
 
 
-def test_held_requests_end_in_time_also_after_a_first_attempt() -> None:
+def test_queued_requests_end_in_time_also_after_a_first_attempt() -> None:
     """Guards against losing a request that is held again after a refused attempt."""
     b = node(replace(BASE, max_attempts=3), ["x"])
     b.limit.limit = 1.0
@@ -582,7 +582,7 @@
     assert sorted(ended + [x.request for x in answers(again)]) == ["a", "b"]
 
 
-def test_each_backend_stands_once_in_a_nodes_order() -> None:
+def test_each_endpoint_is_in_a_nodes_order_once() -> None:
     """Guards against a home zone smaller than the subset, where one backend was laid into it often."""
     priced = replace(BASE, zone="a", charges=api.Charges(cross_zone=0.015))
     for home in range(1, 8):
@@ -617,7 +617,7 @@
     assert all(f"`{word}:" in page for word in ("panic", "list", "shedding"))
 
 
-def test_a_refused_client_is_told_when_to_return_within_the_limit() -> None:
+def test_retry_after_is_drawn_within_its_limit() -> None:
     """Guards against refused clients that come back in step: what they are told differs."""
     told: list[float] = []
     for longest in (0.0, 150.0, 1000.0):
@@ -630,7 +630,7 @@
     assert len(set(told)) == 20
 
 
-def test_the_lowest_limit_grows_with_the_backends_that_fall_to_a_node() -> None:
+def test_the_lowest_limit_grows_with_the_endpoints_per_node() -> None:
     """Guards against few busy nodes that starve a fleet where serving alone takes much of the aim."""
     many = [f"b{i}" for i in range(60)]
     b = node(replace(BASE, node_count=3), many)
@@ -641,7 +641,7 @@
     assert b.limit.limit >= 20.0
 
 
-def test_what_is_held_and_expired_is_forgotten() -> None:
+def test_expired_requests_leave_the_queue() -> None:
     """Guards against a list of held requests that grows for as long as an overload lasts."""
     b = node(BASE, NAMES)
     b.limit.in_flight = 99
@@ -652,7 +652,7 @@
     assert not b.router.queue and not b.requests.by_id
 
 
-def test_the_gauge_tells_why_requests_were_given_up() -> None:
+def test_the_gauge_counts_given_up_requests_by_reason() -> None:
     b = node(replace(BASE, max_attempts=1), ["x"])
     b.limit.limit = 1.0
     _arrive(b, "first")
@@ -665,7 +665,7 @@
     assert "given_up" not in b.gauge()
 
 
-def test_only_what_is_avoided_for_a_while_is_shown_as_unavailable() -> None:
+def test_only_endpoints_avoided_for_a_while_count_as_unavailable() -> None:
     b = node(replace(BASE, max_attempts=1), ["x", "y"])
     x = b.index.records["x"]
     b.handle(2000.0, api.TimerFired(0))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -25,7 +25,7 @@
     return balancer.handle(1020.0 + attempt, ended)
 
 
-def test_a_request_under_way_keeps_its_class_and_later_ones_get_the_stricter() -> None:
+def test_requests_under_way_keep_their_class_and_later_ones_get_the_new_one() -> None:
     balancer = node(BASE, ["b0", "b1", "b2"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("old", "pay", deadline=2001.0)))
     stricter = replace(KEYED, idempotency=api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=300.0)
@@ -38,9 +38,7 @@
 
 
 @pytest.mark.parametrize(("came", "now", "most"), [(3, 1, 3), (1, 3, 1), (2, 3, 2), (3, 2, 3)])
-def test_a_request_is_sent_as_often_as_the_settings_it_came_under_allow(
-    came: int, now: int, most: int
-) -> None:
+def test_allowed_attempts_are_those_at_arrival(came: int, now: int, most: int) -> None:
     balancer = node(replace(BASE, max_attempts=came), ["b0", "b1", "b2", "b3"])
     sent = sends(balancer.handle(1001.0, api.RequestArrived("r", "read", deadline=2001.0)))
     balancer.handle(1010.0, api.Reconfigured(replace(BASE, max_attempts=now)))
@@ -49,7 +47,7 @@
     assert len(sent) == most
 
 
-def test_what_was_learned_of_a_class_that_stays_is_kept() -> None:
+def test_statistics_of_a_class_outlive_new_settings() -> None:
     balancer = node(BASE, ["b0"])
     balancer.classes.by_name["read"].expected_ms = 77.0
     balancer.handle(
@@ -104,7 +102,7 @@
         (limit("most-tries", False), "limits.most-tries"),
     ],
 )
-def test_a_file_that_is_not_whole_and_sound_is_turned_down(
+def test_an_incomplete_or_invalid_file_is_rejected(
     tmp_path: Path, change: Callable[[dict[str, Any]], object], field: str
 ) -> None:
     path, raw = tmp_path / "config.json", json.loads(json.dumps(configuration([], 1)))
@@ -118,7 +116,9 @@
     assert field in str(err.value)
 
 
-async def test_classes_come_and_go_with_their_counts_a_broken_file_changes_nothing(tmp_path: Path) -> None:
+async def test_classes_come_and_go_with_their_counts_and_a_broken_file_changes_nothing(
+    tmp_path: Path,
+) -> None:
     go = asyncio.Event()
 
     async def slow(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("late_weight_fraction", [0.0, 0.5])
-def test_a_class_whose_times_get_shorter_is_still_sent(late_weight_fraction: float) -> None:
+def test_a_class_with_shorter_objectives_is_still_sent(late_weight_fraction: float) -> None:
     """Guards against a class that is shed whole, and so never learns that its new aim can be met."""
     read = replace(SAFE, late_weight_fraction=late_weight_fraction)
     shorter = replace(read, latency_objective_ms=read.latency_objective_ms / 8, deadline=read.deadline / 16)
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize(
     "status", [api.AttemptStatus.ERROR, api.AttemptStatus.RESET, api.AttemptStatus.CONNECT_FAILED]
 )
-def test_a_repeat_is_told_until_when_it_may_leave(status: api.AttemptStatus) -> None:
+def test_a_retry_has_a_latest_start(status: api.AttemptStatus) -> None:
     """It counts from the first copy that may have run; one that never ran starts no window."""
     balancer = node(BASE, ["b0", "b1", "b2"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("r", "pay", 2001.0)))[0]
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(("name", "again"), [("read", 1), ("once", 0)])
-def test_other_effects_know_no_window(name: str, again: int) -> None:
+def test_only_requests_with_a_key_have_a_deduplication_window(name: str, again: int) -> None:
     balancer = node(BASE, ["b0", "b1"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("r", name, 2001.0)))[0]
     more = sends(balancer.handle(1011.0, failed("r", 0, first.backend, api.AttemptStatus.RESET)))
@@ -83,7 +83,7 @@
 KEYED_ONLY = [CLASSES[1] | {"memory-span": SPAN, "give-up": HOUR, "objective": HOUR}]
 
 
-async def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(
+async def test_a_retry_that_connects_after_the_window_is_not_written(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     backends = Backend("b0", error), Backend("b1", error)
@@ -99,7 +99,7 @@
         assert sum(backend.got.qsize() for backend in backends) == 1 and on.nothing_left()
 
 
-async def test_a_repeat_whose_connection_comes_up_inside_the_window_is_served(
+async def test_a_retry_that_connects_inside_the_window_is_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It may work on after the window: what counts is when it was sent."""
@@ -128,7 +128,7 @@
         assert (got.code, got.body) == (200, b"late") and on.nothing_left()
 
 
-async def test_a_repeat_of_which_bytes_are_still_here_after_the_window_ends_there(
+async def test_a_retry_with_unsent_bytes_after_the_window_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It counts once its last byte has come, and that would come too late."""
@@ -192,7 +192,7 @@
 READ, PAY, ONCE = CLASSES
 
 
-async def test_a_request_whose_class_goes_before_its_last_byte_is_served(tmp_path: Path) -> None:
+async def test_a_request_whose_class_is_removed_before_its_last_byte_is_served(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running(tmp_path, backend) as rig:
         client = await head(rig, "/pay")
@@ -206,7 +206,7 @@
     ("classes", "limits"),
     [([READ, PAY | {"effect": "fragile"}], {}), ([READ, PAY], {"most-tries": 1})],
 )
-async def test_effect_and_attempts_are_those_of_the_head(
+async def test_idempotency_and_attempts_are_those_at_the_requests_head(
     tmp_path: Path, classes: list[dict[str, Any]], limits: dict[str, Any]
 ) -> None:
     respond = erring(1)
@@ -227,7 +227,7 @@
         assert sum(backend.got.qsize() for backend in backends) == 1
 
 
-async def test_an_effect_that_turns_milder_does_not_reach_back(tmp_path: Path) -> None:
+async def test_a_class_that_becomes_idempotent_does_not_change_requests_under_way(tmp_path: Path) -> None:
     respond = erring(1)
     backends = Backend("b0", respond), Backend("b1", respond)
     async with running(tmp_path, *backends) as rig:
@@ -238,7 +238,7 @@
         assert sum(backend.got.qsize() for backend in backends) == 1
 
 
-async def test_the_deadline_is_that_of_the_head(tmp_path: Path) -> None:
+async def test_the_deadline_is_that_at_the_requests_head(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running(tmp_path, backend) as rig:
         client = await head(rig, "/pay")
@@ -250,7 +250,7 @@
         assert new <= 2_000_000 < old
 
 
-def test_what_a_class_has_learned_is_used_for_an_old_head_and_not_lost() -> None:
+def test_statistics_of_a_class_serve_requests_of_former_settings() -> None:
     balancer = node(BASE, ["b0"])
     stricter = replace(BASE, classes=(replace(KEYED, idempotency=api.Idempotency.NOT_IDEMPOTENT),))
     balancer.classes.by_name["pay"].expected_ms = 33.0
@@ -268,7 +268,7 @@
 # --- a second answer, late
 
 
-async def test_a_second_answer_that_comes_late_is_nobody_elses(tmp_path: Path) -> None:
+async def test_a_late_second_response_is_given_to_no_other_request(tmp_path: Path) -> None:
     """It comes some ms behind the first, on a connection that was just given back, with others waiting."""
     stray = asyncio.Event()
 
@@ -294,7 +294,7 @@
         assert await asyncio.wait_for(backend.lost.get(), WAIT) == 1  # the stray bytes spoilt it
 
 
-async def test_a_connection_is_used_again_once_it_has_rested() -> None:
+async def test_a_connection_is_reused_after_a_rest() -> None:
     """Guards the backends' tables too: requests one right behind the other open no further connection."""
     loop, backend = asyncio.get_running_loop(), Backend("b0")
     await backend.start()
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize("spoil", ["bytes", "end", "drain", "drop"])
-async def test_what_ends_a_rest_ends_the_attempt_that_waits_for_it_as_never_sent(spoil: str) -> None:
+async def test_an_attempt_that_waits_for_a_rest_ends_as_not_started(spoil: str) -> None:
     here = Peer()
     peer = await here.idle()
     attempt = here.start(b"two")
@@ -346,7 +346,7 @@
 
 @pytest.mark.parametrize("path", ["/read", "/pay", "/once"])
 @pytest.mark.parametrize("order", list(itertools.permutations(["deadline", "timeout", "answer"])))
-async def test_two_timers_and_an_answer_in_one_turn_make_one_end(
+async def test_two_timers_and_a_response_in_one_turn_make_one_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, order: tuple[str, ...], path: str
 ) -> None:
     backends = Backend("b0", never), Backend("b1", never)
@@ -426,7 +426,7 @@
 
 
 @RUNS
-def test_a_reset_or_an_end_that_waits_on_a_resting_connection_costs_no_attempt(run: Run) -> None:
+def test_a_pending_reset_on_a_resting_connection_costs_no_attempt(run: Run) -> None:
     """Both come while it is idle, and the loop has not seen them when the request is to be written."""
 
     async def body() -> None:
@@ -449,7 +449,7 @@
 
 
 @RUNS
-def test_a_write_has_left_when_the_call_returns(run: Run) -> None:
+def test_a_write_is_sent_when_the_call_returns(run: Run) -> None:
     """No loop and no system holds a small request back: what was written is called so at once."""
 
     async def body() -> None:
@@ -470,7 +470,7 @@
 
 
 @RUNS
-def test_what_came_whole_is_never_said_not_to_have_run(run: Run) -> None:
+def test_a_complete_request_is_never_reported_as_not_executed(run: Run) -> None:
     """A reset right behind the last byte, while the loop may not yet know that this has left."""
     size = 4_000_000
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -138,12 +138,12 @@
             drive(cfg, seed)
 
 
-def test_the_checker_catches_a_lost_repeat_guard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_catches_a_missing_retry_guard(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Eligibility, "required_places", lambda self, request, now: set())
     _breaks(BASE, "rule 2")
 
 
-def test_the_checker_catches_a_lost_drain_guard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_catches_a_missing_drain_guard(monkeypatch: pytest.MonkeyPatch) -> None:
     keep = EndpointList.apply
 
     def deaf(self: EndpointList, ev: api.ListUpdate) -> None:
@@ -156,12 +156,12 @@
     _breaks(replace(BASE, drain_grace_ms=0.0), "rule 3")
 
 
-def test_the_checker_catches_a_lost_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_catches_a_missing_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Router, "retry", lambda self, request, now: None)
     _breaks(BASE, "rule 1")
 
 
-def test_unsafe_is_sent_again_only_after_proof_it_never_ran() -> None:
+def test_a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() -> None:
     b = node(BASE, ["x", "y", "z"])
     first = sends(b.handle(1000.0, api.RequestArrived("r", "once", 2000.0)))[0]
     again = sends(
@@ -172,7 +172,7 @@
     assert not sends(end) and isinstance(answers(end)[0], api.FailRequest)
 
 
-def test_keyed_stays_in_its_zone_once_it_may_have_run() -> None:
+def test_a_request_with_a_key_stays_in_its_zone_once_it_may_have_run() -> None:
     for seed in range(30):
         b = Balancer(BASE, seed)
         entries = [entry(f"b{i}", zone="ab"[i % 2]) for i in range(8)]
@@ -185,7 +185,7 @@
         assert again and zones[again[0].backend] == zones[first.backend]
 
 
-def test_nothing_goes_to_draining_or_vanished_backends() -> None:
+def test_draining_or_removed_endpoints_get_no_requests() -> None:
     b = node(BASE, ["x", "y", "z"])
     b.handle(1001.0, api.ListUpdate(api.ListUpdateKind.DELTA, [entry("x", phase=api.EndpointPhase.DRAINING)]))
     b.handle(
@@ -199,7 +199,7 @@
         assert {s.backend for s in sends(acts)} <= {"y"}
 
 
-def test_an_empty_list_refuses_and_loses_nothing() -> None:
+def test_an_empty_list_rejects_and_loses_nothing() -> None:
     for cfg in (BASE, LOOKING):
         b = Balancer(cfg, 1)
         b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, []))
@@ -233,12 +233,14 @@
 
 @pytest.mark.parametrize(("nodes", "rate"), [(300, 4), (12, 100), (3, 400)])
 @pytest.mark.parametrize("share", [0.14, 0.35])
-def test_all_nodes_together_stay_under_a_cold_backends_budget(nodes: int, rate: int, share: float) -> None:
+def test_all_nodes_together_stay_under_a_warming_endpoints_budget(
+    nodes: int, rate: int, share: float
+) -> None:
     """Rule 4 in fractions, whatever the number of nodes."""
     assert not over_cold_budget(nodes, rate, share)
 
 
-def test_the_cold_budget_check_catches_a_lost_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_warming_budget_check_catches_a_missing_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "warmth", lambda self, entry, now: 1.0)
     assert over_cold_budget(12, 100, 0.14)
 
@@ -290,7 +292,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "at_once"), DEPLOYS)
-def test_a_deploy_of_the_whole_fleet_stays_within_every_cold_budget(nodes: int, at_once: int) -> None:
+def test_a_deploy_of_the_whole_fleet_stays_within_every_warming_budget(nodes: int, at_once: int) -> None:
     cfg = replace(
         BASE,
         cold_capacity_fraction=0.12,
@@ -301,7 +303,7 @@
     assert 0.0 < deploy_day(cfg, nodes, at_once) <= 1.0
 
 
-def test_the_deploy_check_catches_a_lost_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_deploy_check_catches_a_missing_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "warmth", lambda self, entry, now: 1.0)
     cfg = replace(
         BASE,
@@ -313,7 +315,7 @@
     assert deploy_day(cfg, 60, 3) > 1.0
 
 
-def test_a_fleet_that_is_all_cold_still_serves() -> None:
+def test_a_fleet_that_warms_up_as_a_whole_still_serves() -> None:
     b = node(BASE, [f"b{i}" for i in range(10)], started_at=999.0)
     served = 0
     for i in range(400):
@@ -358,7 +360,7 @@
         assert len({round(wait, 3) for wait in drawn}) > 30
 
 
-def test_a_call_that_the_module_did_not_ask_for_is_followed_as_soon() -> None:
+def test_a_failed_call_that_polling_did_not_make_is_followed_as_soon() -> None:
     """A watch is opened anew without a word; that call may have taken as long as one may."""
     for seed in range(40):
         b = Balancer(replace(BASE, must_subscribe=True, list_max_age_ms=60_000.0), seed)
@@ -371,7 +373,7 @@
 
 
 @pytest.mark.parametrize("list_max_age_ms", [10_000.0, 60_000.0])
-def test_calls_that_discovery_itself_ends_are_followed_sooner_the_longer_it_told_nothing(
+def test_calls_that_discovery_ends_are_followed_sooner_the_longer_it_is_silent(
     list_max_age_ms: float,
 ) -> None:
     """Several have to fit into the time in which a change counts as told; later, two of them."""
@@ -427,7 +429,7 @@
         assert _asks_after(b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.FAILED, [])), 1000.0) < 940.0
 
 
-def test_without_a_backend_in_service_the_list_is_asked_for_at_once() -> None:
+def test_without_an_endpoint_in_service_discovery_is_called_at_once() -> None:
     """The node cannot be ready before discovery has told one."""
     leaving = entry("x", phase=api.EndpointPhase.DRAINING)
     for entries in ([], [leaving]):
@@ -440,7 +442,7 @@
     assert _asks_after(saved, 1000.0) > 0.0
 
 
-def test_one_ask_is_due_however_often_a_call_has_failed() -> None:
+def test_one_call_is_scheduled_however_many_have_failed() -> None:
     """Guards against two rows of calls: another one than the last asked for may fail, too."""
     b = Balancer(replace(BASE, must_subscribe=True), 1)
     tokens = []
@@ -469,7 +471,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=[path.name for path in MODULES])
-def test_each_module_of_the_decisions_is_short_and_says_what_it_is(path: Path) -> None:
+def test_each_module_of_the_decisions_is_short_and_documented(path: Path) -> None:
     lines = path.read_text("utf-8").split("\n")
     assert len(lines) <= 500 and max(map(len, lines)) <= 110
     assert lines[0].startswith('"""') and lines[0].endswith((".", '."""'))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -74,7 +74,7 @@
         ({"zone": 4}, "zone makes no sense: 4"),
     ],
 )
-def test_senseless_settings_are_named(change: dict[str, object], named: str) -> None:
+def test_invalid_settings_are_named(change: dict[str, object], named: str) -> None:
     with pytest.raises(api.SettingsError, match=named):
         parse_settings_text(json.dumps(INFO | change))
 
@@ -103,7 +103,7 @@
     assert (got.cpu_us_per_s, got.cpu_us_per_request, got.max_retry_after_ms) == (8000.0, 2.5, 250.0)
 
 
-def test_what_is_not_told_is_read_with_caution() -> None:
+def test_defaults_are_cautious() -> None:
     bare = parse_settings_text(json.dumps({"request-classes": INFO["request-classes"]}))
     assert bare.cold_capacity_fraction < 1 and bare.slow_start_ms > 0 and bare.overload_multiple <= 1
     assert (
@@ -238,7 +238,7 @@
     assert deploy["policy"] == ["balancer/interface.py", *package]
 
 
-def test_odd_but_legal_rounds_are_no_error() -> None:
+def test_unusual_but_legal_batches_are_no_error() -> None:
     head = START + "SYNC 1001\nCONTEXT 0\n"
     for body in (
         "RESOLVED ff 0 1.1.1.1:1 pass 1 1 -\nGO\n",
@@ -259,7 +259,7 @@
     assert out.count("FINISHED") == 3 and "EXCEPTION" not in out
 
 
-def test_broken_decision_code_is_declared(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def boom(*_: object) -> None:
         raise IndexError("off the end")
 
