--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -134,7 +134,7 @@
         self._opening: asyncio.Task[None] | None = None
         if table.membership is not None:
             listen, peers, everybody = _peers(config.read(env))
-            me = held.settings.me
+            me = held.settings.node_index
             _numbered(me, peers)
             from balancer.membership.config import Config as MembershipConfig
             from balancer.membership.peer_socket import PeerSocket
@@ -239,9 +239,9 @@
         if port is None or shell is None:
             return lambda: None
         listen, peers, everybody = _peers(config.read(env))
-        if new.settings.me != shell.node_id:
+        if new.settings.node_index != shell.node_id:
             raise FixedError(
-                f"settings: me cannot change from {shell.node_id} to {new.settings.me} in one life"
+                f"settings: me cannot change from {shell.node_id} to {new.settings.node_index} in one life"
             )
         _numbered(shell.node_id, peers)
         if listen != port.listen:
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -53,7 +53,9 @@
         self.saved_state = disk.state if disk is not None else DurableState()
         settings = node.settings
         config = RecoveryConfig(ramp_time=settings.slow_start_ms)
-        self.shell = RecoveryShell(config, settings.me, incarnation, node.config.seed, port, self, disk)
+        self.shell = RecoveryShell(
+            config, settings.node_index, incarnation, node.config.seed, port, self, disk
+        )
         self._handover = HandoverFile(node.meeting, node.now)
         sample = self.saved_state.learned_sample
         saved_rate = sample.request_rate if sample is not None else 0.0
--- a/balancer/sim/recovery_budget.py
+++ b/balancer/sim/recovery_budget.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from balancer.policy import COLD_PART
+from balancer.policy.slow_start import WARMING_BUDGET_FRACTION
 from balancer.recovery.phases import Phase
 from balancer.sim.recovery_environment import FALL_MULTIPLE, RAMP_MS, warmth
 from balancer.sim.recovery_process import Process
@@ -42,7 +42,7 @@
     capacity = None if process.phase is Phase.FULL else process.capacity
     share = capacity.share if capacity is not None else 1.0 / serving_count
     is_cold = believed_age < RAMP_MS
-    part = COLD_PART * FALL_MULTIPLE * warmth(believed_age) if is_cold else STORM_DEMAND
+    part = WARMING_BUDGET_FRACTION * FALL_MULTIPLE * warmth(believed_age) if is_cold else STORM_DEMAND
     return share * part * OBSERVATION_MS
 
 
