--- a/balancer/recovery/ban_requests.py
+++ b/balancer/recovery/ban_requests.py
@@ -51,9 +51,12 @@
     """The pending requests of a node; changes are applied one by one."""
 
     def __init__(
-        self, disk: DurableStore | None, apply_change: ApplyChange, handle_event: HandleEvent,
+        self,
+        disk: DurableStore | None,
+        apply_change: ApplyChange,
+        handle_event: HandleEvent,
         is_banned: Callable[[str], bool],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Start to apply changes on the running loop.
 
         Args:
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -86,9 +86,16 @@
         """Create the recovery of a process that starts at `now` (node clock, ms)."""
         generator = random.Random(seed)
         self.context = context = RecoveryContext(
-            config, node, node_count, generator, table, started_at=now, now=now, cold_since=now,
+            config,
+            node,
+            node_count,
+            generator,
+            table,
+            started_at=now,
+            now=now,
+            cold_since=now,
             phase_since=now,
-        )  # fmt: skip
+        )
         self.register = parts.register(node, incarnation, generator.randrange(MAX_SEQUENCE_START))
         limits = ExchangeLimits(config.datagrams_per_s, config.burst, config.survey_interval)
         self.exchange = parts.exchange(self.register, generator, limits, now)
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -38,7 +38,8 @@
 
     async def prepare(self) -> None:
         """Start everything but the nodes."""
-        places, loop = self.block.places, asyncio.get_running_loop()
+        places = self.block.places
+        loop = asyncio.get_running_loop()
         for backend in self.backends:
             await backend.start()
         for near in range(self.count):
@@ -53,7 +54,8 @@
 
     def write(self, node: int) -> None:
         """Write a node's files."""
-        places, home = self.block.places, self.home(node)
+        places = self.block.places
+        home = self.home(node)
         home.mkdir(exist_ok=True)
         table = configuration([b.member() for b in self.backends], self.discovery[node].port,
                               console=CONSOLE, me=node)  # fmt: skip
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -70,7 +70,8 @@
 @contextlib.asynccontextmanager
 async def new_home(folder: Path) -> AsyncIterator[Home]:
     """Provide backends, discovery and the files of one node."""
-    discovery, backends = FakeDiscovery(), [Backend(name) for name in BACKENDS]
+    discovery = FakeDiscovery()
+    backends = [Backend(name) for name in BACKENDS]
     await discovery.start()
     for backend in backends:
         await backend.start()
@@ -108,7 +109,8 @@
     """Request bans and lifts until the node is dead; `acknowledged` has what succeeded."""
     with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
         while True:
-            name, out = dice.choice(BACKENDS), dice.random() < 0.5
+            name = dice.choice(BACKENDS)
+            out = dice.random() < 0.5
             before = acknowledged.pop(name, None)  # until the answer nobody knows
             if (await rig.call(f"/backends/{name}/{'maint' if out else 'ready'}", "POST")).code == 200:
                 acknowledged[name] = out
@@ -118,7 +120,8 @@
 
 async def test_kill_nine_at_any_moment_loses_no_acknowledged_ban(tmp_path: Path) -> None:
     async with new_home(tmp_path) as home:
-        dice, acknowledged = random.Random(7), dict[str, bool]()
+        dice = random.Random(7)
+        acknowledged = dict[str, bool]()
         for _ in range(6):
             async with home.up() as rig:
                 calls = asyncio.create_task(operate(rig, dice, acknowledged))
@@ -175,7 +178,8 @@
     one = node(replace(BASE, reports=api.LoadReportMode.NONE), ["x", "y"])
     one.limit = 20.0
     one.classes["read"].usual = 37.0
-    one.backends["x"].slow, one.backends["x"].trip = 2.0, 5.0
+    one.backends["x"].slow = 2.0
+    one.backends["x"].trip = 5.0
     one._eject(one.backends["y"])
     return one.learned(1000.0), 1000.0
 
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -83,7 +83,8 @@
 
 
 async def test_discovery_is_polled_in_the_slot(setup: Setup) -> None:
-    adapter, watcher = setup.adapter, setup.watcher
+    adapter = setup.adapter
+    watcher = setup.watcher
     adapter.watch(True)
     adapter.fetch()
     assert watcher.calls == []
@@ -93,7 +94,8 @@
 
 
 async def test_a_failed_request_waits_for_the_next_slot(setup: Setup) -> None:
-    adapter, watcher = setup.adapter, setup.watcher
+    adapter = setup.adapter
+    watcher = setup.watcher
     adapter.shell.start(adapter.saved_state)
     adapter.list_request_failed()
     adapter.watch(True)
@@ -104,7 +106,8 @@
 
 
 async def test_a_request_that_fails_once_the_list_was_sent_is_left_to_the_watcher(setup: Setup) -> None:
-    adapter, watcher = setup.adapter, setup.watcher
+    adapter = setup.adapter
+    watcher = setup.watcher
     adapter.shell.start(adapter.saved_state)
     adapter.list_received(news(42, "a"), api.ListUpdateKind.SNAPSHOT)
     adapter.list_request_failed()
--- a/tests/test_recovery_register.py
+++ b/tests/test_recovery_register.py
@@ -19,19 +19,22 @@
 def test_merges_commute_associate_and_are_idempotent(
     one: list[BanEntry], two: list[BanEntry], three: list[BanEntry]
 ) -> None:
-    a, b = register_of(one, two, three), register_of(three, two, one, two)
+    a = register_of(one, two, three)
+    b = register_of(three, two, one, two)
     assert entry_states(a) == entry_states(b) and a.hash == b.hash and a.buckets == b.buckets
     assert not a.merge(b.entries()) and not b.merge(one)  # an old state changes nothing
 
 
 @given(entry_lists, entry_lists)
 def test_hashes_are_equal_exactly_where_entries_are(one: list[BanEntry], two: list[BanEntry]) -> None:
-    a, b = register_of(one), register_of(two)
+    a = register_of(one)
+    b = register_of(two)
     assert (a.hash == b.hash) == (a.buckets == b.buckets) == (entry_states(a) == entry_states(b))
 
 
 def test_a_concurrent_ban_and_lift_end_in_the_ban() -> None:
-    one, two = BanRegister(1, 1), BanRegister(2, 1)
+    one = BanRegister(1, 1)
+    two = BanRegister(2, 1)
     one.commit([one.new_ban("a", 0.0)])
     two.merge(one.entries())
     again = one.new_ban("a", 5.0)  # a second ban, that the lift below does not know of
@@ -48,7 +51,8 @@
 @given(st.lists(entries.map(lambda r: r._replace(node=0)), max_size=9), st.integers(0, 3))
 def test_a_former_incarnation_covers_no_ban_of_this_one(former: list[BanEntry], incarnation: int) -> None:
     """Guards a lost disk: incarnations begin anew, and peers have entries with greater counters."""
-    here, there = BanRegister(0, incarnation, sequence=1), register_of(former)
+    here = BanRegister(0, incarnation, sequence=1)
+    there = register_of(former)
     here.commit([here.new_ban("a", 0.0)])
     there.merge(here.entries())
     here.merge(former)
