--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -204,7 +204,7 @@
     limits = parts.limits() if parts is not None else None
     clients, upstream = limits or node.config.shares(2 if beside else 1)
     before, front.limit, node.pool.limit = front.limit, clients, upstream
-    node.pool.trim()
+    node.pool.enforce_limit()
     if clients < before:
         front.displace()
         # Guards requests against a 503 for being over a cap that was lowered under them.
--- a/balancer/lab/scale/listing.py
+++ b/balancer/lab/scale/listing.py
@@ -28,13 +28,13 @@
 from balancer.lab.scale import crowd, fleet, module, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
 from balancer.net.config import News, news_in_turns, news_of
+from balancer.net.connection_pool import ConnectionPool
 from balancer.net.discovery_call import most_object
-from balancer.net.figures import Figures
 from balancer.net.listing import Listing
 from balancer.net.objects import BrokenObject, Objects
-from balancer.net.stream import Budget
+from balancer.net.statistics import RequestStatistics
+from balancer.net.stream import StreamMemory
 from balancer.net.turns import Turns
-from balancer.net.upstream import Pool
 
 SIZES = (200, 700, 2_200, 7_000, 22_000, 45_000, 70_000)
 QUICK_SIZES = (200, 800, 3_200)
@@ -57,7 +57,7 @@
 LIST_LIMITS = (
     "Objects and the decoders as the node's watch uses them, in pieces of 64 KiB, without the socket; "
     "entries have ids of seven characters and one kind. A list is taken by the node's own Listing with its "
-    "Pool and Balancer, one turn after the other, without the pauses between them and with no request "
+    "pool and Balancer, one turn after the other, without the pauses between them and with no request "
     "under way; the cycle collector rests meanwhile, as it does in the node."
 )
 MEMORY_MB = 192.0  # of a node, as the platform's larger ones have
@@ -142,7 +142,7 @@
     def tell(event: api.ListUpdate) -> None:
         balancer.handle(now, event)
 
-    pool = Pool(balancer.cfg, 1, Figures(), Budget(MEMORY_MB))
+    pool = ConnectionPool(balancer.cfg, 1, RequestStatistics(), StreamMemory(MEMORY_MB))
     now = time.time() * 1000
     told = fleet.entries(backends, now - fleet.DAY)
     out = []
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -22,7 +22,7 @@
 from balancer.errors import BalancerError
 from balancer.net.rows import Layout, OddList, layout
 from balancer.net.shards import Shards
-from balancer.net.stream import BASE_MB, PROCESSES
+from balancer.net.stream import BASE_MEMORY_MB, UPGRADE_PROCESS_COUNT
 
 PREFIX = "PROXY_"
 PHASES = {
@@ -476,7 +476,7 @@
     sizes = {
         field: count * each / 2**20 for (field, each), count in zip(ENTRY_BYTES.items(), counts, strict=True)
     }
-    room = max(LEAST_TABLES_MB, told.limits.memory_mb / PROCESSES - BASE_MB)
+    room = max(LEAST_TABLES_MB, told.limits.memory_mb / UPGRADE_PROCESS_COUNT - BASE_MEMORY_MB)
     if (total := sum(sizes.values())) > room:
         longest = max(sizes, key=lambda field: sizes[field])
         count = counts[list(ENTRY_BYTES).index(longest)]
--- /dev/null
+++ b/balancer/net/connection_pool.py
@@ -0,0 +1,259 @@
+"""The pool of connections to backends, and the endpoints in force."""
+
+from __future__ import annotations
+
+import asyncio
+import bisect
+import logging
+from collections import Counter
+from itertools import takewhile
+
+from balancer import interface as api
+from balancer.interface import AttemptStatus
+from balancer.net.attempt import (
+    Attempt,
+    AttemptResult,
+    IsWanted,
+    OnResult,
+    OnStream,
+    always_wanted,
+    reject_stream,
+)
+from balancer.net.backend_connection import REUSE_DELAY_S, BackendConnection
+from balancer.net.config import Address, Member
+from balancer.net.rate_limited_log import RateLimitedLog
+from balancer.net.shards import Shards
+from balancer.net.statistics import CloseReason, RequestStatistics
+from balancer.net.stream import StreamMemory, Upload
+
+log = logging.getLogger(__name__)
+
+IDLE_TIMEOUT_FRACTION = 0.7  # of the backend's idle timeout after which this side closes
+SWEEP_INTERVAL_FRACTION = 0.1  # of the idle timeout between two sweeps
+MIN_SWEEP_INTERVAL_S = 0.05
+
+
+class EndpointConnections:
+    """One endpoint that was sent to: its address, whether it accepts requests, its idle connections.
+
+    The connection used last is last in `idle`. Most endpoints of a long list never have such an object.
+    """
+
+    __slots__ = ("address", "idle", "is_in_maintenance", "is_in_service")
+
+    def __init__(self, address: Address, is_in_maintenance: bool, is_in_service: bool = True) -> None:
+        self.address = address
+        self.is_in_maintenance = is_in_maintenance
+        self.is_in_service = is_in_service  # by the endpoint list
+        self.idle: list[BackendConnection] = []
+
+    @property
+    def accepts_requests(self) -> bool:
+        """Whether it may have new requests."""
+        return self.is_in_service and not self.is_in_maintenance
+
+
+class ConnectionPool:
+    """All connections to backends."""
+
+    def __init__(
+        self, settings: api.Settings, limit: int, statistics: RequestStatistics, memory: StreamMemory
+    ) -> None:
+        """Make a pool of at most `limit` connections; `memory` is that of streamed bodies."""
+        self.statistics = statistics
+        self.memory = memory
+        self.configure(settings)
+        self.limit = limit
+        self.connection_count = 0
+        self.members = Shards[Member]()  # the endpoint list
+        self.in_service_count = 0  # of the members
+        self.endpoints: dict[str, EndpointConnections] = {}  # the members that were sent to
+        self.idle: dict[BackendConnection, None] = {}  # of all endpoints, longest idle first
+        self.close_counts: Counter[CloseReason] = Counter()  # since the last counts line
+        self.in_maintenance: set[str] = set()  # endpoint ids, listed or not
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.loop = asyncio.get_running_loop()
+        self.warnings = RateLimitedLog(log, self.loop.time)
+
+    def configure(self, settings: api.Settings) -> None:
+        """Apply settings to what is connected and swept from now on."""
+        self.connect_timeout_s = settings.connect_timeout / 1000
+        self.idle_timeout_s = settings.connection_idle_ms / 1000
+
+    # --- endpoints
+
+    def update(self, members: tuple[Member, ...], complete: bool) -> None:
+        """Apply an update of the endpoint list; closes idle connections to what is removed or moved."""
+        if complete:
+            for name in self.members.keys() - {member.backend for member in members}:
+                self._remove_endpoint(name)
+        for member in members:
+            name = member.backend
+            if member.phase is api.EndpointPhase.REMOVED:
+                self._remove_endpoint(name)
+                continue
+            is_in_service = member.phase is api.EndpointPhase.IN_SERVICE
+            shard = self.members.part(name)
+            was_in_service = name in shard and shard[name].phase is api.EndpointPhase.IN_SERVICE
+            self.in_service_count += is_in_service - was_in_service
+            shard[name] = member
+            if (endpoint := self.endpoints.get(name)) is not None:
+                endpoint.is_in_service = is_in_service
+                address = member.address
+                if not endpoint.accepts_requests or endpoint.address != address:
+                    self.close_idle(name)
+                endpoint.address = address
+
+    def set_maintenance(self, name: str, is_out: bool) -> None:
+        """Take an endpoint out for maintenance, or put it back."""
+        if is_out:
+            self.in_maintenance.add(name)
+        else:
+            self.in_maintenance.discard(name)
+        if name in self.endpoints:
+            self.endpoints[name].is_in_maintenance = is_out
+            if is_out:
+                self.close_idle(name)
+
+    def _remove_endpoint(self, name: str) -> None:
+        """Forget an endpoint; an attempt that is out there ends on its own."""
+        if (member := self.members.pop(name, None)) is not None:
+            self.in_service_count -= member.phase is api.EndpointPhase.IN_SERVICE
+        if name in self.endpoints:
+            self.endpoints[name].is_in_service = False
+            self.close_idle(name)
+            del self.endpoints[name]
+
+    def endpoint(self, name: str) -> EndpointConnections:
+        """Return an endpoint of the list, made at its first use. Raises KeyError for one not in the list."""
+        if (endpoint := self.endpoints.get(name)) is None:
+            member = self.members[name]
+            is_in_service = member.phase is api.EndpointPhase.IN_SERVICE
+            endpoint = EndpointConnections(member.address, name in self.in_maintenance, is_in_service)
+            self.endpoints[name] = endpoint
+        return endpoint
+
+    # --- attempts
+
+    def start_attempt(
+        self,
+        name: str,
+        request: bytes,
+        on_result: OnResult,
+        on_stream: OnStream = reject_stream,
+        upload: Upload | None = None,
+        is_wanted: IsWanted = always_wanted,
+    ) -> Attempt:
+        """Begin an attempt, on an idle connection or a new one. `on_result` may be called at once.
+
+        An attempt waits where all idle connections were used less than `REUSE_DELAY_S` ago.
+        """
+        endpoint = self.endpoint(name)
+        attempt = Attempt(request, on_result, on_stream, upload, is_wanted)
+        if (connection := self._take_reusable(endpoint)) is not None:
+            connection.send(attempt)
+            return attempt
+        while endpoint.idle:  # a short wait costs less than a new connection
+            connection = endpoint.idle[0]
+            self.remove_idle(connection)
+            if connection.is_usable:
+                connection.send_after_delay(attempt)
+                return attempt
+            connection.close(CloseReason.PEER_CLOSED)
+        if self.connection_count >= self.limit and not self.evict_longest_idle():
+            attempt.finish(AttemptResult(AttemptStatus.NOT_STARTED))
+            return attempt
+        self._connect(endpoint, attempt)
+        return attempt
+
+    def _connect(self, endpoint: EndpointConnections, attempt: Attempt) -> None:
+        connection = BackendConnection(self, endpoint)
+        self.connection_count += 1
+        connection.attempt = attempt
+        attempt.connection = connection
+        connection.connect_task = self.loop.create_task(connection.connect())
+
+    def _take_reusable(self, endpoint: EndpointConnections) -> BackendConnection | None:
+        """Return the connection used last among those idle for `REUSE_DELAY_S`.
+
+        On one used more recently, a second response to the former request could pass for that to the next.
+        """
+        now = self.loop.time()
+        expired_before = now - IDLE_TIMEOUT_FRACTION * self.idle_timeout_s
+        while index := bisect.bisect_right(
+            endpoint.idle, now - REUSE_DELAY_S, key=lambda connection: connection.idle_since
+        ):
+            connection = endpoint.idle[index - 1]
+            self.remove_idle(connection)
+            if connection.idle_since < expired_before:
+                connection.close(CloseReason.IDLE_TIMEOUT)
+            elif connection.is_usable:
+                return connection
+            else:
+                connection.close(CloseReason.PEER_CLOSED)
+        return None
+
+    # --- connections
+
+    def remove_idle(self, connection: BackendConnection) -> None:
+        """Take a connection off the idle ones."""
+        del self.idle[connection]
+        connection.endpoint.idle.remove(connection)
+
+    def remove(self, connection: BackendConnection) -> None:
+        """Forget a connection that is being closed."""
+        self.connection_count -= 1
+        if connection in self.idle:
+            self.remove_idle(connection)
+
+    def release(self, connection: BackendConnection, is_reusable: bool) -> None:
+        """Take back a connection after its response."""
+        if not connection.is_endpoint_current:
+            connection.close(CloseReason.ENDPOINT_REMOVED)
+            return
+        if not is_reusable or connection.is_closed:
+            connection.close(CloseReason.NOT_REUSABLE)
+            return
+        connection.is_request_written = False
+        connection.idle_since = self.loop.time()
+        connection.endpoint.idle.append(connection)
+        self.idle[connection] = None
+        if self.sweep_timer is None:
+            self._schedule_sweep()
+
+    def close_idle(self, name: str) -> None:
+        """Close the idle connections to an endpoint."""
+        for connection in self.endpoints[name].idle[:] if name in self.endpoints else ():
+            connection.close(CloseReason.ENDPOINT_REMOVED)
+
+    def enforce_limit(self) -> None:
+        """Close the longest idle connections over the limit; those in use are closed when they end."""
+        while self.connection_count > self.limit and self.evict_longest_idle():
+            pass
+
+    def evict_longest_idle(self) -> bool:
+        """Close the connection that has been idle longest; returns whether there was one."""
+        for connection in self.idle:
+            connection.close(CloseReason.EVICTED)
+            return True
+        return False
+
+    def _schedule_sweep(self) -> None:
+        interval = max(SWEEP_INTERVAL_FRACTION * self.idle_timeout_s, MIN_SWEEP_INTERVAL_S)
+        self.sweep_timer = self.loop.call_later(interval, self.sweep)
+
+    def sweep(self) -> None:
+        """Close connections well before the backend's idle timeout, which might meet a request."""
+        self.sweep_timer = None
+        expired_before = self.loop.time() - IDLE_TIMEOUT_FRACTION * self.idle_timeout_s
+        for connection in [*takewhile(lambda item: item.idle_since < expired_before, self.idle)]:
+            connection.close(CloseReason.IDLE_TIMEOUT)
+        if self.idle:
+            self._schedule_sweep()
+
+    def close(self) -> None:
+        """Close all idle connections."""
+        for connection in [*self.idle]:
+            connection.close(CloseReason.IDLE_TIMEOUT)
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -13,8 +13,8 @@
 from balancer.net import watchdog
 from balancer.net.config import Address, News
 from balancer.net.discovery_call import Brought, Call, End, Reason, Stage, most_object
-from balancer.net.limited import LimitedWarnings
 from balancer.net.node import Node
+from balancer.net.rate_limited_log import RateLimitedLog
 
 log = logging.getLogger(__name__)
 
@@ -55,8 +55,8 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.unread: deque[tuple[Call, Brought]] = deque()
         self.reading: Call | None = None  # whose word is being taken
-        self.warnings = LimitedWarnings(log, self.loop.time)
-        self.notes = LimitedWarnings(log, self.loop.time, NOTES, logging.INFO)
+        self.warnings = RateLimitedLog(log, self.loop.time)
+        self.notes = RateLimitedLog(log, self.loop.time, NOTES, logging.INFO)
         self.numbers = 0  # calls made
         memory_mb = node.config.memory_mb
         log.info("list: at most %.1f MiB in one object, of %g MB", most_object(memory_mb) / 2**20, memory_mb)
@@ -158,11 +158,11 @@
 
     def note(self, what: str) -> None:
         """Log what becomes of the calls."""
-        self.notes.warn("call", f"discovery: {what}")
+        self.notes.log("call", f"discovery: {what}")
 
     def warn(self, what: str, why: str = "") -> None:
         """Log what went wrong, one line of a kind now and then."""
-        self.warnings.warn(what, f"{what}: {why:.200}" if why else what)
+        self.warnings.log(what, f"{what}: {why:.200}" if why else what)
 
     def read(self, call: Call, what: Brought) -> None:
         """Take what a call brought, after all that came before it: at once, unless there is a long list."""
--- a/balancer/net/front.py
+++ b/balancer/net/front.py
@@ -21,10 +21,10 @@
 
 from balancer import interface as api
 from balancer.interface import Idempotency
+from balancer.net.backend_connection import BackendConnection
 from balancer.net.config import Address, over
 from balancer.net.node import Node
-from balancer.net.stream import LARGEST, SMALL, Upload
-from balancer.net.upstream import Connection
+from balancer.net.stream import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Upload
 
 log = logging.getLogger(__name__)
 
@@ -98,7 +98,7 @@
         self.stage = Stage.OPEN
         self.mid = False  # a request has come in part
         self.keep_alive = True
-        self.source: Connection | None = None  # of a long answer under way
+        self.source: BackendConnection | None = None  # of a long answer under way
         self.chunked = self.framed = False  # that answer; whether the client can tell where it is to end
         self.kept = False  # its head lets the client send another request here: a close now would cross that
         self.slow: asyncio.TimerHandle | None = None  # for what the client sends
@@ -152,15 +152,15 @@
             name, self.request = self.request, None
             self.node.gone(name)
         if self.upload is not None:
-            self.upload.drop()
+            self.upload.discard()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Guards memory: no read is longer than what may wait for a slow backend."""
-        return self.node.budget.room()
+        return self.node.memory.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Something was read."""
-        self.data_received(self.node.budget.read(nbytes))
+        self.data_received(self.node.memory.take_read(nbytes))
 
     def data_received(self, data: bytes) -> None:
         """Read a request; what cannot be read gets a plain answer and a close."""
@@ -250,7 +250,7 @@
             raise BadRequest(431, "headers too long")
         self.in_body, self.size, self.since = True, 0, self.front.loop.time()
         self._check()
-        if (self.length or 0) > LARGEST:
+        if (self.length or 0) > MAX_BODY_BYTES:
             raise BadRequest(413, "body too large")
         expects = self.headers.get(b"expect", b"").strip().lower() == b"100-continue"
         if expects and self.parser.get_http_version() == "1.1" and self.transport is not None:
@@ -269,14 +269,14 @@
         self.size += len(body)
         if self.stage is Stage.DRAINING:
             return
-        if self.size > (SMALL if self.arrival is None else LARGEST):
+        if self.size > (MAX_BUFFERED_BODY_BYTES if self.arrival is None else MAX_BODY_BYTES):
             raise BadRequest(413, "body too large")
         if self.upload is not None:
             self.upload.feed(body)
             return
         self.body += body
-        if self.size > SMALL:
-            self.upload = Upload(self.length, self.node.budget, self._flow)
+        if self.size > MAX_BUFFERED_BODY_BYTES:
+            self.upload = Upload(self.length, self.node.memory, self._flow)
             self.upload.feed(self.body)
             self.body = bytearray()
             self._take()
@@ -325,7 +325,7 @@
         if self.upload is None:
             self._take()
             return
-        self.upload.end()
+        self.upload.complete()
         if self.request is not None:
             self.node.arrived(self.request, self.node.now() + self.wait)
 
@@ -386,7 +386,7 @@
             # Guards the descriptors and the open requests: nothing ran, so turning it away is harmless.
             self._write(503, b"too many requests\n")
             if upload is not None:
-                upload.drop()
+                upload.discard()
             return
         event.deadline, event.arriving = node.now() + self.wait, upload is not None
         self.request = event.request
@@ -440,7 +440,7 @@
                 self._break_off()
                 return
         if self.upload is not None:
-            self.upload.drop()
+            self.upload.discard()
             self.upload = None
         self.mid = True
         self._last_one()
@@ -474,13 +474,13 @@
 
     # --- a long answer
 
-    def begin(self, source: Connection, size: int | None, content_type: bytes) -> None:
+    def begin(self, source: BackendConnection, size: int | None, content_type: bytes) -> None:
         """Pass on a long answer as it comes, no faster than the client reads."""
         if self.closing or self.transport is None:
             return
         self.source = source
-        self.node.budget.streams += 1
-        self.transport.set_write_buffer_limits(high=self.node.budget.window)
+        self.node.memory.stream_count += 1
+        self.transport.set_write_buffer_limits(high=self.node.memory.window_bytes)
         self.chunked = size is None and self.parser.get_http_version() == "1.1"
         self.framed = self.chunked or size is not None
         if not self.framed:
@@ -520,7 +520,7 @@
         if self.closing or self.transport is None:
             return
         if self.source is not None:
-            self.source.pause()
+            self.source.pause_reading()
         elif self.stage is Stage.OPEN and not self.paused_at:
             # Guards memory against a client that sends and sends, and reads nothing.
             self.deaf = True
@@ -531,7 +531,7 @@
         """There is room again."""
         self._unstick()
         if self.source is not None:
-            self.source.resume()
+            self.source.resume_reading()
 
     def _unstick(self) -> None:
         if self.stuck is not None:
@@ -545,10 +545,10 @@
         self._unstick()
         if self.source is not None:
             self.source = None
-            self.node.budget.streams -= 1
+            self.node.memory.stream_count -= 1
 
     def _break_off(self) -> None:
-        """End a long answer that will not be whole, in a way that no client takes for its end.
+        """RequestOutcome a long answer that will not be whole, in a way that no client takes for its end.
 
         Guards against a reset where the framing tells: what is on its way to the client would go with it, and
         a connection that ends with nothing of an answer is one that lost its request.
--- a/balancer/net/listing.py
+++ b/balancer/net/listing.py
@@ -17,9 +17,9 @@
 from balancer import interface as api
 from balancer.net.changes import ListChanges
 from balancer.net.config import Member, News
+from balancer.net.connection_pool import ConnectionPool
 from balancer.net.shards import Shards, shard
 from balancer.net.turns import Turns
-from balancer.net.upstream import Pool
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     """Takes the news of the list in their order."""
 
     def __init__(
-        self, pool: Pool, tell: Callable[[api.ListUpdate], None], taken: Taken, turns: Turns
+        self, pool: ConnectionPool, tell: Callable[[api.ListUpdate], None], taken: Taken, turns: Turns
     ) -> None:
         """`pool` and `tell`, which leads to the module, get each piece; `pool` says what is in force."""
         self.pool, self.tell, self.taken, self.turns = pool, tell, taken, turns
--- /dev/null
+++ b/balancer/net/load_report.py
@@ -0,0 +1,50 @@
+"""The load report that a backend sends in a header of its responses."""
+
+from __future__ import annotations
+
+import math
+
+from balancer.interface import LoadReport
+
+TEXT_FORMAT = "TEXT"
+FIELDS = {
+    "inflight": "in_flight",
+    "active": "in_flight",
+    "queue": "queue",
+    "waiting": "queue",
+    "util": "cpu",
+    "cpu": "cpu",
+    "latency_ms": "mean_time",
+    "avg_ms": "mean_time",
+    "qps": "rate",
+    "rps": "rate",
+    "eps": "error_rate",
+    "err_rps": "error_rate",
+}
+
+
+class LoadReportError(ValueError):
+    """A header is no load report; it is logged, and the response counts without one."""
+
+
+def parse_load_report(value: str) -> LoadReport:
+    """Return the report in a header's value, without the fields of unknown names.
+
+    Raises:
+        LoadReportError: the value is not `TEXT name=number, ...`, or a number is negative or not finite.
+    """
+    report_format, _, fields = value.partition(" ")
+    report = LoadReport()
+    try:
+        if report_format != TEXT_FORMAT:
+            raise ValueError(report_format)
+        for field in fields.split(","):
+            name, text = field.strip().split("=")
+            number = float(text)
+            if not 0 <= number < math.inf:
+                raise ValueError(text)
+            if name in FIELDS:
+                setattr(report, FIELDS[name], number)
+    except ValueError:
+        raise LoadReportError(f"not a load report: {value!r:.120}") from None
+    return report
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -15,14 +15,16 @@
 
 from balancer import interface as api
 from balancer.errors import BalancerError
+from balancer.net.attempt import Attempt, AttemptResult, ResponseSink
+from balancer.net.backend_connection import BackendConnection
 from balancer.net.bans import Bans, stem
 from balancer.net.config import Config, Member, News
-from balancer.net.figures import End, Figures
+from balancer.net.connection_pool import ConnectionPool
 from balancer.net.listing import Listing
 from balancer.net.request_log import RequestLog
-from balancer.net.stream import Budget, Upload
+from balancer.net.statistics import RequestOutcome, RequestStatistics
+from balancer.net.stream import StreamMemory, Upload
 from balancer.net.turns import Turns
-from balancer.net.upstream import Answer, Attempt, Connection, Pool, Sink
 from balancer.policy import Balancer
 
 log = logging.getLogger(__name__)
@@ -49,7 +51,7 @@
     def failed(self) -> None:
         """Say that the request failed, or break off the long answer that has begun."""
 
-    def begin(self, source: Connection, size: int | None, content_type: bytes) -> None:
+    def begin(self, source: BackendConnection, size: int | None, content_type: bytes) -> None:
         """Pass on a long answer as it comes from `source`, by `feed`."""
 
     def feed(self, data: bytes) -> None:
@@ -120,7 +122,7 @@
     @property
     def arriving(self) -> bool:
         """Whether its body still comes in."""
-        return self.upload is not None and not self.upload.complete
+        return self.upload is not None and not self.upload.is_complete
 
 
 class Try:
@@ -146,11 +148,11 @@
         self.loop = asyncio.get_running_loop()
         # The clock is monotonic and set to Unix time once, at the start: it can read `up_since_ms` as it is.
         self._zero = time.time() * 1000 - time.monotonic() * 1000
-        self.figures = Figures()
+        self.figures = RequestStatistics()
         self.meeting = stem(os.environ, "{}:{}".format(*config.listen))
         self.bans = Bans(self.meeting, self.maintain)
-        self.budget = Budget(config.memory_mb)
-        self.pool = Pool(config.settings, config.shares(1)[1], self.figures, self.budget)
+        self.memory = StreamMemory(config.memory_mb)
+        self.pool = ConnectionPool(config.settings, config.shares(1)[1], self.figures, self.memory)
         self.turns = Turns(self.loop)
         self.listing = Listing(self.pool, self.event, self._listed, self.turns)
         self.open: dict[str, Open] = {}
@@ -187,12 +189,12 @@
         if self.fleet is not None:
             self.fleet.learned(self.balancer.learned, self.now())
         if self._pulses >= REPORT_EVERY and self.counts:
-            self.counts += Counter({f"closed_{why.value}": n for why, n in self.pool.closes.items()})
-            self.pool.closes.clear()
+            self.counts += Counter({f"closed_{why.value}": n for why, n in self.pool.close_counts.items()})
+            self.pool.close_counts.clear()
             text = " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
             log.info("counts: %s open=%d upstream=%d lag_ms=%.0f revision=%d heard_s=%.1f %s", text,
-                     len(self.open), self.pool.count, self._lag * 1000, self.revision, now - self.heard_at,
-                     self.balancer.gauge())  # fmt: skip
+                     len(self.open), self.pool.connection_count, self._lag * 1000, self.revision,
+                     now - self.heard_at, self.balancer.gauge())  # fmt: skip
             self.counts.clear()
             self._lag, self._pulses = 0.0, 0
         self.loop.call_at(now + PULSE, self.pulse, now + PULSE)
@@ -226,7 +228,7 @@
     def _abandon(self, name: str) -> None:
         if (request := self.open.get(name)) is None:
             return
-        self._answer(name, End.FAILED, lambda client: client.failed())
+        self._answer(name, RequestOutcome.FAILED, lambda client: client.failed())
         self.event(api.ClientDisconnected(name))
         self._call_off(request, True)
 
@@ -278,7 +280,7 @@
     def over_cap(self, class_name: str) -> None:
         """A request was turned away before it was taken, as there is no room for it."""
         self.counts["over_cap"] += 1
-        self.figures.ended(End.REJECTED, class_name)
+        self.figures.record_outcome(RequestOutcome.REJECTED, class_name)
 
     # --- for the operators
 
@@ -337,11 +339,12 @@
         client: its end would be told as if that had been all of it.
         """
         for item in request.attempts:
-            runs = item.attempt is not None and item.attempt.left
+            runs = item.attempt is not None and item.attempt.is_sent
             if not item.over and (begun or not runs):
                 self._stop(item)
                 self._outcome(
-                    item, Answer(api.AttemptStatus.CANCELLED if runs else api.AttemptStatus.NOT_STARTED)
+                    item,
+                    AttemptResult(api.AttemptStatus.CANCELLED if runs else api.AttemptStatus.NOT_STARTED),
                 )
 
     def held(self, name: str) -> Member | None:
@@ -373,12 +376,12 @@
             self.fresh.set()
             if self.fleet is not None:
                 self.fleet.listed(news, kind)
-        self.ready = self.ready or self.pool.listed > 0
+        self.ready = self.ready or self.pool.in_service_count > 0
 
     def maintain(self, backend: str, out: bool, since: float) -> None:
         """The operators take a backend out, or have put it back at the time `since`."""
         log.info("maintenance: %s %s", backend, "is out" if out else "is back")
-        self.pool.ban(backend, out)
+        self.pool.set_maintenance(backend, out)
         self.event(api.MaintenanceChanged(backend, out, since))
 
     def list_failed(self, reached: bool = False, queued: bool = False) -> None:
@@ -413,11 +416,13 @@
             case api.RejectRequest():
                 self.counts["refused"] += 1
                 self._unserved(action.request, "refused", action.reason)
-                self._answer(action.request, End.REJECTED, lambda client: client.refused(action.retry_after))
+                self._answer(
+                    action.request, RequestOutcome.REJECTED, lambda client: client.refused(action.retry_after)
+                )
             case api.FailRequest():
                 self.counts["failed"] += 1
                 self._unserved(action.request, "failed", action.reason)
-                self._answer(action.request, End.FAILED, lambda client: client.failed())
+                self._answer(action.request, RequestOutcome.FAILED, lambda client: client.failed())
             case api.CancelAttempt():
                 self._cancel(action)
             case api.CloseIdleConnections():
@@ -440,14 +445,14 @@
         number = len(request.attempts) if request else 0
         item = Try(action.request, number, action.backend, now)
         if request is None:
-            self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
+            self._outcome(item, AttemptResult(api.AttemptStatus.NOT_STARTED))
             return
         if request.attempts and (before := request.attempts[-1].status) is not None:
             self.requests.sent_again(action.request, number, action.backend, before)
         request.attempts.append(item)
         item.stop = action.timeout
         wait = self._clock(item, request)
-        spent = request.upload is not None and request.upload.spent
+        spent = request.upload is not None and request.upload.is_spent
         if (
             spent
             or action.backend not in self.pool.members
@@ -456,9 +461,9 @@
             or not self._wanted(action.request, request)
         ):
             if not item.over:  # else called off with its request
-                self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
+                self._outcome(item, AttemptResult(api.AttemptStatus.NOT_STARTED))
             return
-        item.attempt = self.pool.start(
+        item.attempt = self.pool.start_attempt(
             action.backend, request.render(wait), partial(self._outcome, item),
             partial(self._begin, item), request.upload, partial(self._wanted, action.request, request),
         )  # fmt: skip
@@ -469,9 +474,9 @@
 
     def _too_late(self, item: Try) -> None:
         """From now on a backend might take a repeat for a new request: what has not left stays here."""
-        if not item.over and (item.attempt is None or not item.attempt.left):
+        if not item.over and (item.attempt is None or not item.attempt.is_sent):
             self._stop(item)
-            self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
+            self._outcome(item, AttemptResult(api.AttemptStatus.NOT_STARTED))
 
     def _wanted(self, name: str, request: Open) -> bool:
         """Whether an answer is still owed; looks at a client that would not be seen to leave."""
@@ -479,7 +484,9 @@
             self.gone(name)
         return not request.answered
 
-    def _begin(self, item: Try, source: Connection, size: int | None, content_type: bytes) -> Sink | None:
+    def _begin(
+        self, item: Try, source: BackendConnection, size: int | None, content_type: bytes
+    ) -> ResponseSink | None:
         """A long answer begins: from here on it has all the time that it goes on, as long as it does come."""
         request = self.open.get(item.request)
         if request is None or request.answered:
@@ -498,16 +505,18 @@
     def _timeout(self, item: Try) -> None:
         if item.over:
             return
-        left = item.attempt is not None and item.attempt.left
+        left = item.attempt is not None and item.attempt.is_sent
         self._stop(item)
         # A connection that was still coming up when the time ran out carried nothing: it never ran.
-        self._outcome(item, Answer(api.AttemptStatus.TIMEOUT if left else api.AttemptStatus.CONNECT_FAILED))
+        self._outcome(
+            item, AttemptResult(api.AttemptStatus.TIMEOUT if left else api.AttemptStatus.CONNECT_FAILED)
+        )
 
     def _stop(self, item: Try) -> None:
         if item.timer is not None:
             item.timer.cancel()
         if item.attempt is not None:
-            item.attempt.drop()
+            item.attempt.cancel()
             item.attempt = None
 
     def _cancel(self, action: api.CancelAttempt) -> None:
@@ -517,9 +526,9 @@
         item = request.attempts[action.attempt]
         if not item.over:
             self._stop(item)
-            self._outcome(item, Answer(api.AttemptStatus.CANCELLED))
+            self._outcome(item, AttemptResult(api.AttemptStatus.CANCELLED))
 
-    def _outcome(self, item: Try, answer: Answer) -> None:
+    def _outcome(self, item: Try, answer: AttemptResult) -> None:
         """The one outcome of an attempt; a backend's whole answer goes to the client and ends the request."""
         item.over, item.attempt, item.status = True, None, answer.status
         if item.timer is not None:
@@ -532,15 +541,17 @@
         if request is not None and request.streaming:
             whole = answer.status is api.AttemptStatus.OK
             self._answer(
-                item.request, End.COMPLETED if whole else End.FAILED,
+                item.request, RequestOutcome.COMPLETED if whole else RequestOutcome.FAILED,
                 lambda client: client.finish() if whole else client.failed(),
             )  # fmt: skip
         elif answer.status is api.AttemptStatus.OK:
             self._answer(
-                item.request, End.COMPLETED, lambda client: client.served(answer.body, answer.content_type)
+                item.request,
+                RequestOutcome.COMPLETED,
+                lambda client: client.served(answer.body, answer.content_type),
             )
         closed = request is None or request.answered
-        spent = request is not None and request.upload is not None and request.upload.spent
+        spent = request is not None and request.upload is not None and request.upload.is_spent
         if request is not None and closed:
             self._forget(item.request, request)
         took = self.now() - item.sent
@@ -556,21 +567,21 @@
         request = self.open.get(name)
         if request is None or request.answered:
             return
-        if any(item.attempt is not None and item.attempt.long for item in request.attempts):
+        if any(item.attempt is not None and item.attempt.has_long_response for item in request.attempts):
             request.limit = self.loop.call_later(AGAIN, self._deadline, name)
             return
         for item in request.attempts:
             self._timeout(item)
         if name in self.open and not request.answered:
             self.counts["overdue"] += 1
-            self._answer(name, End.FAILED, lambda client: client.failed())
+            self._answer(name, RequestOutcome.FAILED, lambda client: client.failed())
             self.event(api.ClientDisconnected(name))
 
-    def _answer(self, name: str, end: End, tell: Callable[[Client], None]) -> None:
+    def _answer(self, name: str, end: RequestOutcome, tell: Callable[[Client], None]) -> None:
         request = self.open.get(name)
         if request is not None and not request.answered:
             client, arriving = request.client, request.arriving
-            self.figures.ended(end, request.class_name)
+            self.figures.record_outcome(end, request.class_name)
             self._close(name, request)
             tell(client)
             self._call_off(request, arriving)
@@ -580,7 +591,7 @@
         if request.limit is not None:
             request.limit.cancel()
         if request.upload is not None:
-            request.upload.drop()
+            request.upload.discard()
         self._forget(name, request)
 
     def _forget(self, name: str, request: Open) -> None:
--- a/balancer/net/parts.py
+++ b/balancer/net/parts.py
@@ -95,7 +95,7 @@
         """Descriptors that this process may hold under these limits, or holds yet from before them."""
         front, pool = self.front, self.node.pool
         taken = max(clients + over(clients), len(front.connections) + len(front.lingering))
-        return SPARE + LEAVING + taken + max(upstream, pool.count)
+        return SPARE + LEAVING + taken + max(upstream, pool.connection_count)
 
     def tell(self) -> None:
         """Say what this process may hold now, once its limits are in force."""
@@ -142,5 +142,5 @@
         if self.leaving:
             open_now = len(self.front.connections)
             clients = min(clients, open_now + over(clients))
-            upstream = min(upstream, max(1, self.node.pool.count, 2 * open_now))
+            upstream = min(upstream, max(1, self.node.pool.connection_count, 2 * open_now))
         return self._no_more((clients, upstream))
--- a/balancer/net/request_log.py
+++ b/balancer/net/request_log.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from balancer.interface import AttemptStatus
-from balancer.net.limited import LimitedWarnings
+from balancer.net.rate_limited_log import RateLimitedLog
 
 log = logging.getLogger(__name__)
 
@@ -19,21 +19,21 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         """`clock` tells seconds."""
-        self.lines = LimitedWarnings(log, clock, level=logging.INFO)
+        self.lines = RateLimitedLog(log, clock, level=logging.INFO)
 
     def attempt_failed(
         self, request: str, number: int, backend: str, status: AttemptStatus, took: float
     ) -> None:
         """An attempt, the first one being 0, has ended without a served answer after `took` ms."""
         text = f"request {request}: attempt {number + 1} at {backend}: {status.value} after {took:.0f} ms"
-        self.lines.warn(f"attempt {status.value}", text)
+        self.lines.log(f"attempt {status.value}", text)
 
     def sent_again(self, request: str, number: int, backend: str, before: AttemptStatus) -> None:
         """An attempt beyond the first goes out; `before` is how the one before it ended."""
         text = f"request {request}: attempt {number + 1} at {backend}, after one that ended: {before.value}"
-        self.lines.warn("sent again", text)
+        self.lines.log("sent again", text)
 
     def unserved(self, request: str, answer: str, reason: str, attempts: int) -> None:
         """The client is told that its request is refused, or has failed."""
         text = f"request {request}: {answer}, reason {reason}, attempts {attempts}"
-        self.lines.warn(f"{answer} {reason}", text)
+        self.lines.log(f"{answer} {reason}", text)
--- /dev/null
+++ b/balancer/net/response_parser.py
@@ -0,0 +1,169 @@
+"""Parsing of backend responses: framing, the few headers that matter, a body buffered or streamed."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import httptools
+
+from balancer.interface import AttemptStatus, LoadReport
+from balancer.net.attempt import AttemptResult, ResponseSink
+from balancer.net.load_report import parse_load_report
+from balancer.net.stream import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+
+MAX_HEADER_BYTES = 16 * 1024
+STATUS_OK = 200
+FIRST_FINAL_STATUS = 200  # lower ones are interim responses
+REJECTION_STATUSES = (503, 504)
+
+
+class ResponseTooLongError(ValueError):
+    """A body is longer than `MAX_BODY_BYTES`."""
+
+    def __init__(self) -> None:
+        super().__init__("longer than any response")
+
+
+class ResponseParser:
+    """Parser of the responses on one connection, one at a time; `reset` prepares it for the next.
+
+    The httptools callbacks are among its methods. `begin_streaming` is called when the body turns out too
+    long to be buffered; it may set `sink`.
+    """
+
+    def __init__(self, begin_streaming: Callable[[], None]) -> None:
+        self._begin_streaming = begin_streaming
+        self.reset()
+
+    def reset(self) -> None:
+        """Prepare for the response to the next request."""
+        self._parser = httptools.HttpResponseParser(self)
+        self.body = bytearray()
+        self.body_size = 0  # bytes of the body received, buffered or streamed
+        self.length: int | None = None  # by Content-Length
+        self.content_type = b""
+        self.load_report = b""
+        self.sink: ResponseSink | None = None
+        self.is_complete = False
+        self.has_excess = False  # a second response has begun
+        self.keep_alive = False
+        self._header_bytes = 0  # received since any of the body was
+        self._in_body = False
+        self._is_framed = False
+        self._not_started = False
+        self._status = 0
+
+    def feed(self, data: bytes) -> str:
+        """Parse received bytes; returns what is wrong with them, or an empty string."""
+        self._header_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
+            # The context is the first error: that of a callback.
+            return f"malformed response: {err.__context__ or err}"
+        return ""
+
+    @property
+    def has_excessive_headers(self) -> bool:
+        """Whether more header bytes came than are taken; the parser would keep them all."""
+        return self._header_bytes > MAX_HEADER_BYTES
+
+    def finish_at_eof(self) -> bool:
+        """Complete a response whose body lasts as long as its connection; False if that was broken off."""
+        if not self._in_body or self._is_framed or self.is_complete:
+            return False
+        self.is_complete = True
+        self.keep_alive = False
+        self._status = self._parser.get_status_code()
+        return True
+
+    def take_body(self) -> bytes:
+        """Return what is buffered of the body and buffer it no longer."""
+        data = bytes(self.body)
+        self.body = bytearray()
+        return data
+
+    def result(self, report: LoadReport | None) -> AttemptResult:
+        """Return the result that a complete response is."""
+        if self._status == STATUS_OK:
+            return AttemptResult(AttemptStatus.OK, report, bytes(self.body), self.content_type)
+        if self._status in REJECTION_STATUSES and self._not_started:
+            return AttemptResult(AttemptStatus.REJECTED, report)
+        return AttemptResult(AttemptStatus.ERROR, report)
+
+    def parse_load_report(self) -> LoadReport | None:
+        """Return the load report, if there is one. Raises LoadReportError."""
+        return parse_load_report(self.load_report.decode("latin-1")) if self.load_report else None
+
+    # --- httptools callbacks
+
+    def on_message_begin(self) -> None:
+        """Detect a second response, which is one too many."""
+        self.has_excess = self.is_complete
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep the headers that matter; trailers are not among them."""
+        if self.is_complete or self._in_body:
+            return
+        key = name.lower()
+        if key == b"server-load":
+            self.load_report = value
+        elif key == b"not-started":
+            self._not_started = value.strip() == b"1"
+        elif key == b"content-type":
+            self.content_type = value
+        elif key == b"content-length":
+            self._is_framed = True
+            self.length = int(value) if value.strip().isdigit() else None
+        elif key == b"transfer-encoding":
+            self._is_framed = True
+
+    def on_headers_complete(self) -> None:
+        """Begin to stream a long body. Raises ResponseTooLongError."""
+        self._in_body = True
+        if self.length is not None and self.length > MAX_BODY_BYTES:
+            raise ResponseTooLongError
+        if (
+            not self.is_complete
+            and self._has_status_ok
+            and self.length is not None
+            and self.length > MAX_BUFFERED_BODY_BYTES
+        ):
+            self._begin_streaming()
+
+    @property
+    def _has_status_ok(self) -> bool:
+        status: int = self._parser.get_status_code()
+        return status == STATUS_OK
+
+    def on_body(self, body: bytes) -> None:
+        """Stream or buffer a piece of the body; that of a response other than 200 is dropped."""
+        self._header_bytes = 0
+        if self.is_complete or not self._has_status_ok:
+            return
+        self.body_size += len(body)
+        if self.body_size > MAX_BODY_BYTES:
+            raise ResponseTooLongError
+        if self.sink is not None:
+            self.sink.feed(body)
+            return
+        self.body += body
+        if len(self.body) > MAX_BUFFERED_BODY_BYTES:
+            self._begin_streaming()
+
+    def on_message_complete(self) -> None:
+        """Complete the response, unless it was an interim one."""
+        if self.is_complete:
+            return
+        status = self._parser.get_status_code()
+        if status < FIRST_FINAL_STATUS:
+            self.load_report = b""
+            self.content_type = b""
+            self._not_started = False
+            self._in_body = False
+            self._is_framed = False
+            self.length = None
+            return
+        self.is_complete = True
+        self.keep_alive = self._parser.should_keep_alive()
+        self._status = status
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -20,8 +20,8 @@
 from balancer.membership.port import Port
 from balancer.net import handover
 from balancer.net.config import Member, News
-from balancer.net.figures import End
 from balancer.net.node import Node, Watcher
+from balancer.net.statistics import RequestOutcome
 from balancer.recovery import events
 from balancer.recovery.core import Config
 from balancer.recovery.phases import Path as Way
@@ -207,10 +207,10 @@
 
         Returns the most requests a second that the node has carried when warm; 0: unknown.
         """
-        ends, now = self.node.figures.ends, self.node.loop.time()
+        ends, now = self.node.figures.outcomes, self.node.loop.time()
         pending = sum(not request.answered for request in self.node.open.values())
         came = sum(counts.total() for counts in ends.values()) + pending
-        before, self._pulsed = self._pulsed, (now, came, ends[End.COMPLETED].total())
+        before, self._pulsed = self._pulsed, (now, came, ends[RequestOutcome.COMPLETED].total())
         if before is None or now <= before[0]:
             return self.rate
         since = now - before[0]
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -1,110 +1,123 @@
-"""Bodies that are too long to be held whole: what is kept of one, and how much all of them may hold."""
+"""Flow control of bodies that are too long to be buffered whole, and the memory that they share."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-SMALL = 64 * 1024  # bytes up to which a body is held whole
-LARGEST = 32 * 1024 * 1024  # bytes of the longest body that is taken, of a request or an answer
-PREFIX = 2 * SMALL  # bytes of a long request body that are kept for a further attempt
-LEAST, MOST = 8 * 1024, 64 * 1024  # bytes that wait for one slow peer
-COPIES = 3  # of its window that one stream may hold: what waits, what was just read, and its framed copy
-BASE_MB = 22  # memory of a process without any bodies, with room for the lists and small requests
-PROCESSES = 2  # that share the memory limit during an upgrade
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or a response
+MAX_REPLAY_BYTES = 2 * MAX_BUFFERED_BODY_BYTES  # of a streamed request body that are kept for a retry
+MIN_WINDOW_BYTES = 8 * 1024
+MAX_WINDOW_BYTES = 64 * 1024
+BUFFERS_PER_STREAM = 3  # of a window each: what waits, what was just read, and its framed copy
+BASE_MEMORY_MB = 22  # of a process without any bodies, with room for the lists and small requests
+UPGRADE_PROCESS_COUNT = 2  # processes that share the memory limit during an upgrade
+USABLE_FRACTION = 1 / 2  # of the memory for bodies: allocators do not give all back
 
-_room = memoryview(bytearray(MOST))  # every read goes through here and is taken out at once
+_read_buffer = memoryview(bytearray(MAX_WINDOW_BYTES))  # shared by all reads: each is copied out at once
 
 
-class Budget:
-    """The memory for long bodies, in even parts for all that are under way.
+class StreamMemory:
+    """The memory for streamed bodies, divided evenly among the streams under way.
 
-    `window` is how many bytes may wait for one peer, and the largest read.
+    `window_bytes` is the high watermark of one stream's buffer, and the size of the largest read.
     """
 
     def __init__(self, memory_mb: float) -> None:
-        # Half of what is left: allocators do not give all back.
-        self.total = max(0.0, memory_mb / PROCESSES - BASE_MB) / 2 * 1024 * 1024
-        self.streams = 0
+        available_mb = max(0.0, memory_mb / UPGRADE_PROCESS_COUNT - BASE_MEMORY_MB)
+        self.total_bytes = available_mb * USABLE_FRACTION * 1024 * 1024
+        self.stream_count = 0
 
     @property
-    def streams(self) -> int:
-        """Long bodies and answers under way."""
-        return self._streams
-
-    @streams.setter
-    def streams(self, count: int) -> None:
-        # Worked out here, as every read asks for it.
-        self._streams = count
-        self.window = int(min(MOST, max(LEAST, self.total / (COPIES * max(1, count)))))
-        self._view = _room[: self.window]
-
-    def room(self) -> memoryview:
-        """Where the next read goes."""
+    def stream_count(self) -> int:
+        """Number of streamed request and response bodies under way."""
+        return self._stream_count
+
+    @stream_count.setter
+    def stream_count(self, count: int) -> None:
+        self._stream_count = count
+        # Computed here, not in `read_buffer`, which every read calls.
+        fair_share = self.total_bytes / (BUFFERS_PER_STREAM * max(1, count))
+        self.window_bytes = int(min(MAX_WINDOW_BYTES, max(MIN_WINDOW_BYTES, fair_share)))
+        self._view = _read_buffer[: self.window_bytes]
+
+    def read_buffer(self) -> memoryview:
+        """Return the buffer for the next read."""
         return self._view
 
-    def read(self, count: int) -> bytes:
-        """What that read brought, copied out before any other one."""
-        return bytes(_room[:count])
+    def take_read(self, count: int) -> bytes:
+        """Return a copy of the `count` bytes that were just read into the buffer."""
+        return bytes(_read_buffer[:count])
 
 
 class Upload:
-    """A request's body on its way from one client to one backend at a time."""
-
-    def __init__(self, size: int | None, budget: Budget, flow: Callable[[bool], None]) -> None:
-        self.size, self.budget, self.flow = size, budget, flow  # `flow` lets the client send, or stops it
-        self.prefix = bytearray()  # what an attempt took, for the next one
-        self.queue = bytearray()  # what none has taken yet
-        self.spent = self.complete = self.paused = self.dropped = False
-        self.ready: Callable[[], None] | None = None  # the attempt, told when there is more
-        budget.streams += 1
+    """A streamed request body on its way from one client to one backend connection at a time."""
+
+    def __init__(self, size: int | None, memory: StreamMemory, set_reading: Callable[[bool], None]) -> None:
+        """Begin a body of `size` bytes, if known; `set_reading` resumes or pauses reading from the client."""
+        self.size = size
+        self.is_complete = False  # all of it has been received
+        self.is_spent = False  # its beginning is no longer kept, so no attempt may begin
+        self._memory = memory
+        self._set_reading = set_reading
+        self._replay = bytearray()  # what an attempt has taken, for the next one
+        self._pending = bytearray()  # what no attempt has taken
+        self._paused = False
+        self._discarded = False
+        self._on_data: Callable[[], None] | None = None  # of the attached attempt
+        memory.stream_count += 1
 
     def feed(self, data: bytes | bytearray) -> None:
-        """More has come in."""
-        if self.dropped:
+        """Add received bytes; pauses the client at the high watermark."""
+        if self._discarded:
             return
-        self.queue += data
-        if self.ready is not None:
-            self.ready()
-        if len(self.queue) >= self.budget.window and not self.paused:
-            self.paused = True
-            self.flow(False)
-
-    def end(self) -> None:
-        """All has come in."""
-        if not self.complete and not self.dropped:
-            self.complete = True
-            if self.ready is not None:
-                self.ready()
-
-    def attach(self, ready: Callable[[], None]) -> None:
-        """Begin an attempt, from the first byte on; not once it is spent."""
-        self.queue[:0] = self.prefix
-        self.prefix.clear()
-        self.ready = ready
+        self._pending += data
+        if self._on_data is not None:
+            self._on_data()
+        if len(self._pending) >= self._memory.window_bytes and not self._paused:
+            self._paused = True
+            self._set_reading(False)
+
+    def complete(self) -> None:
+        """Note that the last byte was received."""
+        if not self.is_complete and not self._discarded:
+            self.is_complete = True
+            if self._on_data is not None:
+                self._on_data()
+
+    def attach(self, on_data: Callable[[], None]) -> None:
+        """Begin an attempt at the first byte, which `is_spent` rules out; `on_data` is told of more bytes."""
+        self._pending[:0] = self._replay
+        self._replay.clear()
+        self._on_data = on_data
 
     def detach(self) -> None:
-        """The attempt is over."""
-        self.ready = None
+        """End the attempt."""
+        self._on_data = None
 
     def take(self) -> bytes:
-        """What the attempt may write next."""
-        data = bytes(self.queue)
-        self.queue.clear()
-        if not self.spent:
-            self.prefix += data
-            if len(self.prefix) > PREFIX:
-                self.prefix, self.spent = bytearray(), True
-        if self.paused:
-            self.paused = False
-            self.flow(True)
+        """Return the bytes that the attempt may write next, and let the client go on."""
+        data = bytes(self._pending)
+        self._pending.clear()
+        if not self.is_spent:
+            self._replay += data
+            if len(self._replay) > MAX_REPLAY_BYTES:
+                self._replay = bytearray()
+                self.is_spent = True
+        self._resume()
         return data
 
-    def drop(self) -> None:
-        """Nobody wants the rest: it is read and thrown away."""
-        if not self.dropped:
-            self.dropped, self.ready = True, None
-            self.prefix, self.queue = bytearray(), bytearray()
-            self.budget.streams -= 1
-            if self.paused:
-                self.paused = False
-                self.flow(True)
+    def discard(self) -> None:
+        """Free the memory: what still comes from the client is read and dropped."""
+        if not self._discarded:
+            self._discarded = True
+            self._on_data = None
+            self._replay = bytearray()
+            self._pending = bytearray()
+            self._memory.stream_count -= 1
+            self._resume()
+
+    def _resume(self) -> None:
+        if self._paused:
+            self._paused = False
+            self._set_reading(True)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -24,7 +24,7 @@
     wait_fixed,
 )
 
-from balancer.net.upstream import REST
+from balancer.net.backend_connection import REUSE_DELAY_S
 
 ROOT = Path(__file__).parents[1]
 WAIT = 30.0  # s until a test that waits for something that does not come fails
@@ -66,7 +66,7 @@
 
 async def rested() -> None:
     """Returns once the connections that have just been given back may be used again."""
-    await asyncio.sleep(2 * REST)
+    await asyncio.sleep(2 * REUSE_DELAY_S)
 
 
 @dataclass
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -20,12 +20,13 @@
 
 from balancer.interface import AttemptStatus, ListUpdateKind
 from balancer.net import front as front_file
+from balancer.net.attempt import AttemptResult
 from balancer.net.config import load, over
-from balancer.net.figures import Figures
+from balancer.net.connection_pool import ConnectionPool, EndpointConnections
 from balancer.net.front import ClientConnection, Front
 from balancer.net.node import Node
-from balancer.net.stream import Budget
-from balancer.net.upstream import Answer, Host, Pool
+from balancer.net.statistics import RequestStatistics
+from balancer.net.stream import StreamMemory
 from tests.helpers import BASE
 from tests.sockets import PATIENT, WAIT, Backend, Message, answer, configuration
 
@@ -59,21 +60,23 @@
 
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        pool = Pool(replace(BASE, connect_timeout=1000 * WAIT), 10, Figures(), Budget(192))
-        pool.hosts["b0"] = Host(listener.getsockname(), banned=False)
-        ended: list[Answer] = []
+        pool = ConnectionPool(
+            replace(BASE, connect_timeout=1000 * WAIT), 10, RequestStatistics(), StreamMemory(192)
+        )
+        pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
+        ended: list[AttemptResult] = []
         called = asyncio.Event()
         others: list[socket.socket] = []
 
         def call_off() -> None:
-            attempt.drop()
+            attempt.cancel()
             others.extend(socket.socketpair())  # the lowest numbers that are free
             called.set()
 
         loop.hook, loop.turns = call_off, turns
-        attempt = pool.start("b0", b"GET / HTTP/1.1\r\n\r\n", ended.append)
+        attempt = pool.start_attempt("b0", b"GET / HTTP/1.1\r\n\r\n", ended.append)
         assert attempt.connection is not None
-        task = attempt.connection.task
+        task = attempt.connection.connect_task
         assert task is not None
         known = attempt.connection
         await called.wait()
@@ -81,7 +84,9 @@
         accepted.settimeout(WAIT)
         assert accepted.recv(100) in (b"", b"GET / HTTP/1.1\r\n\r\n")
         await asyncio.wait([task])
-        while known.sock is not None and known.sock.fileno() >= 0:  # the loop lets go of it some turns later
+        while (
+            known.socket is not None and known.socket.fileno() >= 0
+        ):  # the loop lets go of it some turns later
             await asyncio.sleep(0)
         del known, task
         gc.collect()
@@ -90,7 +95,7 @@
         others[0].send(b"still here")
         assert others[1].recv(100) == b"still here"
         assert not ended
-        assert not pool.count
+        assert not pool.connection_count
         for sock in (*others, accepted, listener):
             sock.close()
 
@@ -104,10 +109,10 @@
     async def drive() -> None:
         full = socket.socket()  # bound and not listening: refused
         full.bind(("127.0.0.1", 0))
-        pool = Pool(BASE, 10, Figures(), Budget(192))
-        pool.hosts["b0"] = Host(full.getsockname(), banned=False)
-        ended: asyncio.Queue[Answer] = asyncio.Queue()
-        pool.start("b0", b"GET / HTTP/1.1\r\n\r\n", ended.put_nowait)
+        pool = ConnectionPool(BASE, 10, RequestStatistics(), StreamMemory(192))
+        pool.endpoints["b0"] = EndpointConnections(full.getsockname(), is_in_maintenance=False)
+        ended: asyncio.Queue[AttemptResult] = asyncio.Queue()
+        pool.start_attempt("b0", b"GET / HTTP/1.1\r\n\r\n", ended.put_nowait)
         assert (await ended.get()).status is AttemptStatus.CONNECT_FAILED
         others = socket.socketpair()
         gc.collect()
@@ -125,12 +130,14 @@
 
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        pool = Pool(replace(BASE, connect_timeout=1000 * WAIT), 10, Figures(), Budget(192))
-        pool.hosts["b0"] = Host(listener.getsockname(), banned=False)
-        ended: asyncio.Queue[Answer] = asyncio.Queue()
-        pool.start("b0", b"GET / HTTP/1.1\r\n\r\n", ended.put_nowait)
+        pool = ConnectionPool(
+            replace(BASE, connect_timeout=1000 * WAIT), 10, RequestStatistics(), StreamMemory(192)
+        )
+        pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
+        ended: asyncio.Queue[AttemptResult] = asyncio.Queue()
+        pool.start_attempt("b0", b"GET / HTTP/1.1\r\n\r\n", ended.put_nowait)
         assert (await ended.get()).status is AttemptStatus.CONNECT_FAILED
-        assert not pool.count
+        assert not pool.connection_count
         listener.close()
 
     class Unable(uvloop.Loop):
@@ -223,9 +230,9 @@
         accepted = await peer.reach(front)
         peer.sock.send(READ % 1)
         await backend.got.get()
-        while not front.node.pool.hosts["b0"].idle:
+        while not front.node.pool.endpoints["b0"].idle:
             await asyncio.sleep(0)
-        for connection in (accepted, front.node.pool.hosts["b0"].idle[0]):
+        for connection in (accepted, front.node.pool.endpoints["b0"].idle[0]):
             assert connection.transport is not None
             sock = connection.transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -344,7 +344,7 @@
     front = Front(Node(config), clients)
     for _ in range(clients + over(clients)):
         comes(front, unsent=1)
-    front.node.pool.count = upstream
+    front.node.pool.connection_count = upstream
     for _ in range(2):
         share(front.node, front, True)
         comes(front, unsent=1)
@@ -360,7 +360,7 @@
     old, new = Front(Node(config), clients), Front(Node(config), clients)
     for _ in range(clients):
         comes(old)
-    old.node.pool.count = upstream
+    old.node.pool.connection_count = upstream
     held = 0
     for front in (old, new):
         share(front.node, front, True)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,7 +19,7 @@
 from balancer.net.config import load
 from balancer.net.front import Front
 from balancer.net.node import Node
-from balancer.net.stream import PREFIX, SMALL
+from balancer.net.stream import MAX_BUFFERED_BODY_BYTES, MAX_REPLAY_BYTES
 from tests.sockets import HOUR, WAIT, Backend, Client, Message, answer, configuration, echo
 
 FULL = answer(b"", "503 Service Unavailable", "Not-Started: 1")
@@ -144,7 +144,7 @@
         gate = await on.dialled()
         await on.leave(first, reset)
         gate.set()
-        assert on.nothing_left() and on.node.pool.count == 0
+        assert on.nothing_left() and on.node.pool.connection_count == 0
         assert on.node.counts["attempt_moot"] + on.node.counts["attempt_cancelled"] == 1
         on.freely = 1
         second = await on.client()
@@ -195,7 +195,7 @@
         if cancel:
             assert on.node.counts["attempt_cancelled"] == 1
         else:
-            assert on.node.pool.count == 1 and on.node.balancer.out == 1
+            assert on.node.pool.connection_count == 1 and on.node.balancer.out == 1
             go.set()
             await on.until(lambda: on.node.counts["attempt_ok"] == 1)
         assert on.nothing_left() and backend.got.empty()
@@ -246,13 +246,14 @@
         on.freely = 1
         client = await on.client()
         client.writer.write(
-            b"POST /once HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\nContent-Length: %d\r\n\r\n" % PREFIX
+            b"POST /once HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\nContent-Length: %d\r\n\r\n"
+            % MAX_REPLAY_BYTES
         )
-        client.writer.write(b"x" * (PREFIX - 1))
-        await on.until(lambda: bool(on.node.open) and on.node.pool.count == 1)
+        client.writer.write(b"x" * (MAX_REPLAY_BYTES - 1))
+        await on.until(lambda: bool(on.node.open) and on.node.pool.connection_count == 1)
         client.writer.write(b"x")
         assert (await client.answer()).code == 502
-        assert on.nothing_left() and on.node.pool.count == 0
+        assert on.nothing_left() and on.node.pool.connection_count == 0
 
 
 async def test_a_request_that_a_fault_ends_while_it_dials_is_sent_on_to_nobody(
@@ -266,7 +267,7 @@
         on.node._abandon(name)
         gate.set()
         assert (await client.answer()).code == 502
-        assert on.nothing_left() and on.node.pool.count == 0 and backend.got.empty()
+        assert on.nothing_left() and on.node.pool.connection_count == 0 and backend.got.empty()
 
 
 # --- while nothing is read from it
@@ -292,7 +293,7 @@
     """
     client = await on.client()
     head = b"POST /pay HTTP/1.1\r\nRequest-Id: 1\r\nIdempotency-Key: k\r\nContent-Length: %d\r\n\r\n"
-    client.writer.write(head % (2 * SMALL) + b"x" * (2 * SMALL - 10))
+    client.writer.write(head % (2 * MAX_BUFFERED_BODY_BYTES) + b"x" * (2 * MAX_BUFFERED_BODY_BYTES - 10))
     gate = await on.dialled()
     await on.until(lambda: any(connection.paused_at for connection in on.front.connections))
     client.writer.write(rest)
@@ -316,7 +317,7 @@
         assert await asyncio.wait_for(backend.raw.get(), WAIT) == b""
         await on.until(on.nothing_left)
         assert on.node.counts["left"] == on.node.counts["attempt_moot"] == 1
-        assert on.node.pool.count == 0
+        assert on.node.pool.connection_count == 0
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -332,7 +333,7 @@
         gate.set()
         await on.until(on.nothing_left)
         assert on.node.counts["attempt_connect_failed"] == on.node.counts["attempt_moot"] == 1
-        assert on.dials.empty() and on.node.pool.count == 0
+        assert on.dials.empty() and on.node.pool.connection_count == 0
 
 
 async def test_a_client_that_reads_no_answers_and_leaves_is_sent_on_to_nobody(
@@ -350,7 +351,7 @@
         here = connection.transport.get_extra_info("socket")
         here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         text = b"GET /up HTTP/1.1\r\n\r\n" * 2500 + b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
-        assert len(text) < SMALL and sock.send(text) == len(text)  # one read
+        assert len(text) < MAX_BUFFERED_BODY_BYTES and sock.send(text) == len(text)  # one read
         gate = await on.dialled()
         assert connection.deaf and not connection.left
         sock.shutdown(socket.SHUT_WR)
@@ -386,7 +387,9 @@
         backend.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client = await on.client()
         head = b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
-        client.writer.write(head + b"%x\r\n%b\r\n" % (2 * SMALL, b"x" * 2 * SMALL))
+        client.writer.write(
+            head + b"%x\r\n%b\r\n" % (2 * MAX_BUFFERED_BODY_BYTES, b"x" * 2 * MAX_BUFFERED_BODY_BYTES)
+        )
         gate = await on.dialled()
         (connection,) = {
             item.attempt.connection
@@ -394,14 +397,14 @@
             for item in request.attempts
             if item.attempt is not None
         }
-        assert connection is not None and connection.sock is not None
-        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        assert connection is not None and connection.socket is not None
+        connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         gate.set()
-        await on.until(lambda: connection.blocked)
+        await on.until(lambda: connection.is_write_blocked)
         client.writer.write(b"5\r\nhello\r\n0\r\n\r\n")
         (request,) = on.node.open.values()
-        await on.until(lambda: request.upload is not None and request.upload.complete)
-        assert connection.blocked
+        await on.until(lambda: request.upload is not None and request.upload.is_complete)
+        assert connection.is_write_blocked
         await on.leave(client, False)
         backend.go.set()
         got = await asyncio.wait_for(backend.raw.get(), WAIT)
@@ -417,7 +420,7 @@
         client, gate = await paused(on, b"x" * 10)
         gate.set()
         assert (await client.answer()).code == 200
-        assert len((await backend.got.get()).body) == 2 * SMALL
+        assert len((await backend.got.get()).body) == 2 * MAX_BUFFERED_BODY_BYTES
 
 
 # --- the same id again
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -158,7 +158,7 @@
     assert len(pieces(world)) == 15 and max(map(len, pieces(world))) == PIECE
     assert {kind for kind, _ in world.module.told} == {ListUpdateKind.DELTA}
     assert world.module.held == dict.fromkeys((f"b{i}" for i in range(30)), UP)
-    assert node.pool.members.keys() == world.module.held.keys() and node.pool.listed == 30
+    assert node.pool.members.keys() == world.module.held.keys() and node.pool.in_service_count == 30
 
 
 def test_what_stops_goes_first_and_what_is_as_it_was_costs_the_module_nothing(tmp_path: Path) -> None:
@@ -517,7 +517,7 @@
         assert {name: m.phase is UP for name, m in node.pool.members.items()} == {
             name: phase is UP for name, phase in held.items()
         }
-        assert node.pool.listed == sum(phase is UP for phase in held.values())
+        assert node.pool.in_service_count == sum(phase is UP for phase in held.values())
         assert not said or world.taken[-1] == len(said)
         cast(Discovery, node.discovery).watch(False)
 
@@ -571,7 +571,7 @@
             at, size = at + size, size * 7 % 99_991 + 1
 
     node = world.live(say)
-    assert world.taken == [41] and node.pool.listed == len(world.module.held) == 70_000
+    assert world.taken == [41] and node.pool.in_service_count == len(world.module.held) == 70_000
     assert max(map(len, pieces(world))) == 128
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 
 from balancer.interface import AttemptStatus, EndpointPhase
 from balancer.net.changes import NAMES, ListChanges
-from balancer.net.limited import EVERY, LimitedWarnings
+from balancer.net.rate_limited_log import PERIOD_S, RateLimitedLog
 from balancer.net.request_log import RequestLog
 from tests.helpers import entry, member
 from tests.test_discovery import World
@@ -46,12 +46,12 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     now = 0.0
-    lines = LimitedWarnings(logging.getLogger("tests"), lambda: now, lines=2)
+    lines = RateLimitedLog(logging.getLogger("tests"), lambda: now, max_lines=2)
     for text in ("a", "b", "c", "d"):
-        lines.warn("kind", text)
-    lines.warn("other kind", "e")
-    now = EVERY
-    lines.warn("kind", "f")
+        lines.log("kind", text)
+    lines.log("other kind", "e")
+    now = PERIOD_S
+    lines.log("kind", "f")
     assert caplog.messages == ["a", "b", "e", "f (2 more since such a line)"]
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -14,9 +14,9 @@
 from balancer.interface import AttemptStatus, Settings
 from balancer.net import bans as bans_file
 from balancer.net.bans import Bans, BansError, Record, stem
-from balancer.net.figures import Figures
-from balancer.net.stream import Budget
-from balancer.net.upstream import Pool
+from balancer.net.connection_pool import ConnectionPool
+from balancer.net.statistics import RequestStatistics
+from balancer.net.stream import StreamMemory
 from balancer.policy import Balancer
 from tests.helpers import BASE, entry, node, sends
 from tests.sockets import Backend, running
@@ -85,14 +85,18 @@
 async def test_what_waits_for_a_connection_is_moot_once_its_backend_is_out() -> None:
     backend = Backend("b0")
     await backend.start()
-    pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0), 10, Figures(), Budget(64.0))
+    pool = ConnectionPool(
+        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+    )
     pool.update(_list("b0", backend.port), True)
-    assert (await _attempt(pool, b"x", lambda: pool.ban("b0", True))).status is AttemptStatus.NOT_STARTED
+    assert (
+        await _attempt(pool, b"x", lambda: pool.set_maintenance("b0", True))
+    ).status is AttemptStatus.NOT_STARTED
     pool.update(_list("b0", backend.port), False)
-    assert not pool.hosts["b0"].up and pool.count == 0 and backend.got.empty()
+    assert not pool.endpoints["b0"].accepts_requests and pool.connection_count == 0 and backend.got.empty()
     pool.update(_list("b1", backend.port), True)
     pool.update(_list("b0", backend.port), True)
-    assert not pool.host("b0").up
+    assert not pool.endpoint("b0").accepts_requests
     backend.stop()
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,12 +14,14 @@
 
 from balancer.interface import AttemptStatus, Idempotency, ListUpdateKind, Settings
 from balancer.interface import RequestClass as Class
+from balancer.net.attempt import AttemptResult
 from balancer.net.config import ListError, load, news
-from balancer.net.figures import Figures
+from balancer.net.connection_pool import ConnectionPool
 from balancer.net.front import Front
+from balancer.net.load_report import parse_load_report
 from balancer.net.node import Node
-from balancer.net.stream import LARGEST, Budget
-from balancer.net.upstream import Answer, Pool, parse_report
+from balancer.net.statistics import RequestStatistics
+from balancer.net.stream import MAX_BODY_BYTES, StreamMemory
 from tests.sockets import (
     PATIENT,
     WAIT,
@@ -121,10 +123,12 @@
     for sock in fill:
         sock.setblocking(False)
         sock.connect_ex(mute.getsockname())
-    pool = Pool(Settings(classes=(READ,), connect_timeout=100.0), 10, Figures(), Budget(64.0))
+    pool = ConnectionPool(
+        Settings(classes=(READ,), connect_timeout=100.0), 10, RequestStatistics(), StreamMemory(64.0)
+    )
     pool.update(_list("b0", mute.getsockname()[1]), True)
     assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
-    assert pool.count == 0
+    assert pool.connection_count == 0
     for sock in [mute, *fill]:
         sock.close()
 
@@ -137,9 +141,11 @@
     return news({"revision": 1, "complete": True, "members": [row]}).members
 
 
-async def _attempt(pool: Pool, data: bytes, meanwhile: Callable[[], Any] = lambda: None) -> Answer:
-    ends: asyncio.Queue[Answer] = asyncio.Queue()
-    pool.start("b0", data, ends.put_nowait)
+async def _attempt(
+    pool: ConnectionPool, data: bytes, meanwhile: Callable[[], Any] = lambda: None
+) -> AttemptResult:
+    ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
+    pool.start_attempt("b0", data, ends.put_nowait)
     meanwhile()
     return await ends.get()
 
@@ -153,7 +159,9 @@
         met.set()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0), 10, Figures(), Budget(64.0))
+    pool = ConnectionPool(
+        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+    )
     pool.update(_list("b0", server.sockets[0].getsockname()[1]), True)
     assert (await _attempt(pool, b"x" * 64_000_000)).status is AttemptStatus.CONNECT_FAILED
     await met.wait()
@@ -164,13 +172,15 @@
 async def test_a_backend_that_left_while_its_connection_came_up_is_sent_nothing() -> None:
     backend = Backend("b0")
     await backend.start()
-    pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0), 10, Figures(), Budget(64.0))
+    pool = ConnectionPool(
+        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+    )
     for change in ({"phase": "terminating"}, {"phase": "terminated"}, {"host_port": "127.0.0.1:9"}):
         pool.update(_list("b0", backend.port), True)
         late = _list("b0", backend.port, **change)
         got = await _attempt(pool, b"x", lambda late=late: pool.update(late, False))  # type: ignore[misc]
         assert got.status is AttemptStatus.NOT_STARTED
-        assert pool.count == 0
+        assert pool.connection_count == 0
     assert backend.got.empty()
     backend.stop()
 
@@ -179,14 +189,16 @@
     """Guards against a second copy that goes out while the first is still out on an open connection."""
 
     listener = socket.create_server(("127.0.0.1", 0))
-    pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0), 10, Figures(), Budget(64.0))
+    pool = ConnectionPool(
+        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+    )
     pool.update(_list("b0", listener.getsockname()[1]), True)
-    attempt = pool.start("b0", b"hello", lambda answer: None)
+    attempt = pool.start_attempt("b0", b"hello", lambda answer: None)
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     peer, _ = await loop.sock_accept(listener)
     assert await loop.sock_recv(peer, 10) == b"hello"
-    attempt.drop()
+    attempt.cancel()
     peer.setblocking(True)
     peer.settimeout(WAIT)
     assert peer.recv(1) == b""  # without a turn of the loop in between
@@ -198,7 +210,9 @@
     """The longest idle connection makes room; where none is idle the attempt was never sent."""
 
     backends = [Backend("b0"), Backend("b1", never)]
-    pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0), 1, Figures(), Budget(64.0))
+    pool = ConnectionPool(
+        Settings(classes=(READ,), connection_idle_ms=60_000.0), 1, RequestStatistics(), StreamMemory(64.0)
+    )
     members = ()
     for backend in backends:
         await backend.start()
@@ -206,12 +220,12 @@
     pool.update(members, True)
     request = b"GET / HTTP/1.1\r\nrequest-id: 1\r\n\r\n".replace(b"request-id:", b"Request-Id:")
     assert (await _attempt(pool, request)).status is AttemptStatus.OK
-    attempt = pool.start("b1", request, lambda answer: None)
+    attempt = pool.start_attempt("b1", request, lambda answer: None)
     await backends[1].got.get()
     await backends[0].lost.get()
-    assert pool.count == 1
+    assert pool.connection_count == 1
     assert (await _attempt(pool, request)).status is AttemptStatus.NOT_STARTED
-    attempt.drop()
+    attempt.cancel()
     for backend in backends:
         backend.stop()
 
@@ -221,7 +235,9 @@
 
     backend = Backend("b0", says(answer(b"x")))
     await backend.start()
-    pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0), 1, Figures(), Budget(64.0))
+    pool = ConnectionPool(
+        Settings(classes=(READ,), connection_idle_ms=60_000.0), 1, RequestStatistics(), StreamMemory(64.0)
+    )
     pool.update(_list("b0", backend.port), True)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (0, hard))
@@ -229,7 +245,7 @@
         got = await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    assert got.status is AttemptStatus.NOT_STARTED and pool.count == 0
+    assert got.status is AttemptStatus.NOT_STARTED and pool.connection_count == 0
     assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.OK
     backend.stop()
 
@@ -276,11 +292,11 @@
 
 
 def test_load_reports() -> None:
-    report = parse_report("TEXT inflight=7, queue=2, util=0.61, other=3")
+    report = parse_load_report("TEXT inflight=7, queue=2, util=0.61, other=3")
     assert (report.in_flight, report.queue, report.cpu) == (7.0, 2.0, 0.61)
     for bad in ("", "JSON {}", "TEXT inflight", "TEXT inflight=x", "TEXT inflight=nan", "TEXT queue=-1"):
         with pytest.raises(ValueError):
-            parse_report(bad)
+            parse_load_report(bad)
 
 
 async def test_a_broken_report_costs_one_log_line(tmp_path: Path) -> None:
@@ -504,7 +520,7 @@
         (b"POST /pay HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 0\r\n\r\n", 400),
         (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: -1\r\n\r\n", 400),
         (b"POST /once HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-        (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: %d\r\n\r\n" % (LARGEST + 1), 413),
+        (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
         (b"POST /up HTTP/1.1\r\nContent-Length: 65537\r\n\r\n" + b"x" * 65537, 413),
         (b"GET /read HTTP/1.1\r\nLong: " + b"x" * 20_000, 431),
         (b"GET /" + b"x" * 20_000, 431),
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -58,7 +58,9 @@
     def holds(self) -> int:
         """Descriptors, as if it used all that it keeps for itself."""
         front = self.front
-        return SPARE + LEAVING + len(front.connections) + len(front.lingering) + self.node.pool.count
+        return (
+            SPARE + LEAVING + len(front.connections) + len(front.lingering) + self.node.pool.connection_count
+        )
 
     def flood(self, count: int = SOCKETS, half: bool = False) -> None:
         """So many clients come, with half a head or with nothing, and all backends' connections are used."""
@@ -68,7 +70,7 @@
             self.transports[connection] = transport
             if half:
                 connection.data_received(HEAD)
-        self.node.pool.count = max(self.node.pool.count, self.node.pool.limit)
+        self.node.pool.connection_count = max(self.node.pool.connection_count, self.node.pool.limit)
         self.settle()
 
     def settle(self, lingering: bool = False) -> None:
@@ -84,7 +86,7 @@
         """All clients leave and all backends' connections are given up."""
         for transport in self.transports.values():
             transport.aborted = True
-        self.node.pool.count = 0
+        self.node.pool.connection_count = 0
         self.settle()
 
     def die(self) -> None:
@@ -219,7 +221,7 @@
     for _ in range(3):  # it is written anew at each look
         old.look()
         old.settle(lingering=True)
-        old.node.pool.count = 0
+        old.node.pool.connection_count = 0
         new.look()
         tier.check()
     assert new.parts.enough
@@ -235,14 +237,14 @@
     good = slot.read_bytes()
     slot.write_bytes(b"spoilt")
     new = tier.start()
-    new.node.pool.count = new.node.pool.limit
+    new.node.pool.connection_count = new.node.pool.limit
     slot.write_bytes(good)
     new.look()
     old.look()
     new.look()
     tier.check()
     assert (new.front.limit, new.node.pool.limit) == tier.config.within(LEAST)
-    new.node.pool.count = 0
+    new.node.pool.connection_count = 0
     new.look()
     tier.check()
     assert new.parts.part == SOCKETS - tier.config.elders
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -17,10 +17,12 @@
 import uvloop
 
 from balancer import interface as api
+from balancer.net.attempt import Attempt, AttemptResult
+from balancer.net.backend_connection import REUSE_DELAY_S
 from balancer.net.config import news
-from balancer.net.figures import Figures
-from balancer.net.stream import Budget
-from balancer.net.upstream import REST, Answer, Attempt, Pool
+from balancer.net.connection_pool import ConnectionPool
+from balancer.net.statistics import RequestStatistics
+from balancer.net.stream import StreamMemory
 from tests.helpers import BASE, KEYED, node, sends
 from tests.sockets import (
     CLASSES,
@@ -150,7 +152,7 @@
         attempt.connection.pause_writing()  # as the transport says it
         assert (await client.answer()).code == 502
         assert on.node.counts["attempt_moot"] == 1 and on.nothing_left()
-        assert on.node.pool.count == 1  # the first one's, at rest
+        assert on.node.pool.connection_count == 1  # the first one's, at rest
 
 
 # --- new settings between a request's head and its last byte
@@ -296,17 +298,17 @@
     """Guards the backends' tables too: requests one right behind the other open no further connection."""
     loop, backend = asyncio.get_running_loop(), Backend("b0")
     await backend.start()
-    pool = Pool(BASE, 9, Figures(), Budget(64.0))
+    pool = ConnectionPool(BASE, 9, RequestStatistics(), StreamMemory(64.0))
     pool.update(news({"revision": 1, "complete": True, "members": [backend.member()]}).members, True)
-    ends: asyncio.Queue[Answer] = asyncio.Queue()
-    back = -REST
+    ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
+    back = -REUSE_DELAY_S
     for count in range(1, 4):
-        pool.start("b0", b"GET / HTTP/1.1\r\nRequest-Id: %d\r\n\r\n" % count, ends.put_nowait)
+        pool.start_attempt("b0", b"GET / HTTP/1.1\r\nRequest-Id: %d\r\n\r\n" % count, ends.put_nowait)
         await asyncio.wait_for(backend.got.get(), WAIT)
-        assert loop.time() - back >= REST
+        assert loop.time() - back >= REUSE_DELAY_S
         assert (await asyncio.wait_for(ends.get(), WAIT)).body == b"b0 %d" % count
-        back = pool.hosts["b0"].idle[0].idle_since
-    assert backend.connections == pool.count == 1
+        back = pool.endpoints["b0"].idle[0].idle_since
+    assert backend.connections == pool.connection_count == 1
     pool.close()
     backend.stop()
 
@@ -316,15 +318,15 @@
     here = Peer()
     peer = await here.idle()
     attempt = here.start(b"two")
-    assert attempt.left
+    assert attempt.is_sent
     await asyncio.get_running_loop().sock_sendall(peer, answer(b"x"))
     assert await here.end() is api.AttemptStatus.OK
     attempt = here.start(b"three")
-    assert not attempt.left
+    assert not attempt.is_sent
     if spoil == "drop":
-        attempt.drop()
+        attempt.cancel()
     elif spoil == "drain":
-        here.pool.ban("b0", True)
+        here.pool.set_maintenance("b0", True)
         assert await here.end() is api.AttemptStatus.NOT_STARTED
     else:
         if spoil == "bytes":
@@ -332,7 +334,7 @@
         else:
             peer.shutdown(socket.SHUT_WR)
         assert await here.end() is api.AttemptStatus.NOT_STARTED
-    assert here.pool.count == 0
+    assert here.pool.connection_count == 0
     assert await asyncio.get_running_loop().sock_recv(peer, 9) == b"two"
     assert await asyncio.get_running_loop().sock_recv(peer, 9) == b""
     peer.close()
@@ -368,7 +370,7 @@
         assert (await client.ask("/up")).body.endswith(b"up\n")  # and not a second answer
         ends = [count for what, count in module.counts.items() if what.startswith("attempt_")]
         assert sum(ends) == len(request.attempts) and on.nothing_left()
-        assert sum(sum(counts.values()) for counts in module.figures.ends.values()) == 1
+        assert sum(sum(counts.values()) for counts in module.figures.outcomes.values()) == 1
 
 
 # --- what is said never to have run
@@ -379,14 +381,14 @@
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.pool = Pool(BASE, 9, Figures(), Budget(64.0))
+        self.pool = ConnectionPool(BASE, 9, RequestStatistics(), StreamMemory(64.0))
         row = {"id": "b0", "host_port": f"127.0.0.1:{self.listener.getsockname()[1]}", "phase": "in_service"}
         self.pool.update(news({"revision": 1, "complete": True, "members": [row]}).members, True)
-        self.ends: asyncio.Queue[Answer] = asyncio.Queue()
+        self.ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
 
     def start(self, data: bytes) -> Attempt:
         """Begin an attempt."""
-        return self.pool.start("b0", data, self.ends.put_nowait)
+        return self.pool.start_attempt("b0", data, self.ends.put_nowait)
 
     async def end(self) -> api.AttemptStatus:
         """How it ends."""
@@ -438,7 +440,7 @@
             assert await loop.sock_recv(other, 9) == b"two"
             await loop.sock_sendall(other, answer(b"x"))
             assert await here.end() is api.AttemptStatus.OK
-            assert here.pool.count == 1
+            assert here.pool.connection_count == 1
             here.pool.close()
             other.close()
         here.close()
@@ -456,7 +458,7 @@
         peer.setblocking(True)
         peer.settimeout(WAIT)
         attempt = here.start(b"two")
-        assert attempt.left and peer.recv(9) == b"two"  # without a turn of the loop in between
+        assert attempt.is_sent and peer.recv(9) == b"two"  # without a turn of the loop in between
         assert attempt.connection is not None and attempt.connection.transport is not None
         sock = attempt.connection.transport.get_extra_info("socket")
         assert run is asyncio.run or sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -16,11 +16,11 @@
 from balancer.lab.scale import fleet, size
 from balancer.net import listing
 from balancer.net.config import Member, News
-from balancer.net.figures import Figures
+from balancer.net.connection_pool import ConnectionPool
 from balancer.net.listing import Listing
-from balancer.net.stream import Budget
+from balancer.net.statistics import RequestStatistics
+from balancer.net.stream import StreamMemory
 from balancer.net.turns import Turns
-from balancer.net.upstream import Pool
 from balancer.policy import Balancer
 from balancer.sim.agenda import Agenda
 from tests.helpers import BASE, ColdBudget, RuleChecker
@@ -61,7 +61,7 @@
         self.balancer, self.checker = Balancer(SETTINGS, 3), RuleChecker(SETTINGS)
         self.budget = ColdBudget(SETTINGS, FULL_PER_S)
         self.seats: dict[str, int] = {}  # of backends sent to, by which they are taken together
-        pool = Pool(SETTINGS, 1, Figures(), Budget(192.0))
+        pool = ConnectionPool(SETTINGS, 1, RequestStatistics(), StreamMemory(192.0))
         self.listing = Listing(pool, self.told, self.taken, cast(Turns, self))
         self.number = self.refused = 0
         self.phases: dict[str, api.EndpointPhase] = {}  # the last word told of each
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -13,7 +13,14 @@
 import pytest
 
 from balancer import interface as api
-from balancer.net.stream import LARGEST, LEAST, MOST, PREFIX, Budget, Upload
+from balancer.net.stream import (
+    MAX_BODY_BYTES,
+    MAX_REPLAY_BYTES,
+    MAX_WINDOW_BYTES,
+    MIN_WINDOW_BYTES,
+    StreamMemory,
+    Upload,
+)
 from tests.helpers import BASE, answers, node, sends
 from tests.sockets import PATIENT, WAIT, Backend, Client, Message, Rig, answer, running
 from tests.test_console import CONSOLE
@@ -28,28 +35,28 @@
 
 
 def test_a_long_body_can_go_out_again_while_its_first_bytes_are_held() -> None:
-    budget = Budget(192.0)
+    memory = StreamMemory(192.0)
     flow: list[bool] = []
-    upload = Upload(None, budget, flow.append)
-    upload.feed(b"a" * PREFIX)
+    upload = Upload(None, memory, flow.append)
+    upload.feed(b"a" * MAX_REPLAY_BYTES)
     assert flow == [False]  # nobody takes it: the client waits
     upload.attach(lambda: None)
-    assert len(upload.take()) == PREFIX and flow == [False, True] and not upload.spent
+    assert len(upload.take()) == MAX_REPLAY_BYTES and flow == [False, True] and not upload.is_spent
     upload.attach(lambda: None)
     upload.feed(b"b")
-    assert upload.take() == b"a" * PREFIX + b"b" and upload.spent
-    upload.drop()
+    assert upload.take() == b"a" * MAX_REPLAY_BYTES + b"b" and upload.is_spent
+    upload.discard()
     upload.feed(b"c")
-    assert upload.take() == b"" and budget.streams == 0
+    assert upload.take() == b"" and memory.stream_count == 0
 
 
 def test_all_streams_share_one_budget() -> None:
-    budget = Budget(80.0)
-    assert budget.window == MOST
-    budget.streams = 200
-    assert 200 * budget.window * 2 <= 80 * MB / 2 and budget.window >= LEAST
-    assert len(budget.room()) == budget.window
-    assert Budget(32.0).window == LEAST
+    memory = StreamMemory(80.0)
+    assert memory.window_bytes == MAX_WINDOW_BYTES
+    memory.stream_count = 200
+    assert 200 * memory.window_bytes * 2 <= 80 * MB / 2 and memory.window_bytes >= MIN_WINDOW_BYTES
+    assert len(memory.read_buffer()) == memory.window_bytes
+    assert StreamMemory(32.0).window_bytes == MIN_WINDOW_BYTES
 
 
 # --- in the module
@@ -205,8 +212,8 @@
     wrote = [0]
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(OK + b"Content-Length: %d\r\n\r\n" % LARGEST)
-        for _ in range(LARGEST // len(PIECE)):
+        writer.write(OK + b"Content-Length: %d\r\n\r\n" % MAX_BODY_BYTES)
+        for _ in range(MAX_BODY_BYTES // len(PIECE)):
             writer.write(PIECE)
             wrote[0] += len(PIECE)
             await writer.drain()
@@ -221,13 +228,13 @@
         while wrote[0] != before:  # until nobody takes any more
             before = wrote[0]
             await asyncio.sleep(0.3)
-        assert wrote[0] < 8 * LARGEST
+        assert wrote[0] < 8 * MAX_BODY_BYTES
         assert _memory_mb(rig) < 40
         for client in clients:
             digest = hashlib.sha256()
-            for _ in range(LARGEST // len(PIECE)):
+            for _ in range(MAX_BODY_BYTES // len(PIECE)):
                 digest.update(await asyncio.wait_for(client.reader.readexactly(len(PIECE)), WAIT))
-            assert digest.digest() == hashlib.sha256(PIECE * (LARGEST // len(PIECE))).digest()
+            assert digest.digest() == hashlib.sha256(PIECE * (MAX_BODY_BYTES // len(PIECE))).digest()
         assert (await rig.stats())["completed"]["read"] == 8
         assert _memory_mb(rig) < 40
 
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -17,11 +17,14 @@
 import uvloop
 
 from balancer.interface import AttemptStatus, Idempotency, RequestClass, Settings
-from balancer.net import upstream
-from balancer.net.figures import Figures
+from balancer.net import backend_connection, response_parser
+from balancer.net.attempt import Attempt, AttemptResult
+from balancer.net.backend_connection import BackendConnection
+from balancer.net.connection_pool import ConnectionPool
 from balancer.net.node import AGAIN, MARGIN
-from balancer.net.stream import LARGEST, SMALL, Budget
-from balancer.net.upstream import MAX_HEAD, Answer, Attempt, CloseReason, Connection, Pool
+from balancer.net.response_parser import MAX_HEADER_BYTES
+from balancer.net.statistics import CloseReason, RequestStatistics
+from balancer.net.stream import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, StreamMemory
 from tests.sockets import HOUR, WAIT, Backend, Client, Message, answer, running
 from tests.test_console import CONSOLE
 from tests.test_node import _list
@@ -46,12 +49,12 @@
 class Wire:
     """A pool, the backend that it dials, and what it has read so far, to be awaited."""
 
-    pool: Pool
+    pool: ConnectionPool
     listener: socket.socket
     reads: asyncio.Queue[int]
-    connections: set[Connection]  # that have read something
+    connections: set[BackendConnection]  # that have read something
     begun: bytearray = field(default_factory=bytearray)  # a long answer
-    ends: asyncio.Queue[Answer] = field(default_factory=asyncio.Queue)
+    ends: asyncio.Queue[AttemptResult] = field(default_factory=asyncio.Queue)
 
     def feed(self, data: bytes) -> None:
         """A piece of a long answer."""
@@ -60,7 +63,9 @@
     def start(self, begin: bool = True) -> Attempt:
         """An attempt."""
         self.begun.clear()
-        return self.pool.start("b0", REQUEST, self.ends.put_nowait, lambda *_: self if begin else None)
+        return self.pool.start_attempt(
+            "b0", REQUEST, self.ends.put_nowait, lambda *_: self if begin else None
+        )
 
     async def accepted(self) -> socket.socket:
         """The backend's end of a new connection, once the request has come on it."""
@@ -78,16 +83,16 @@
         while count > 0:
             count -= await asyncio.wait_for(self.reads.get(), WAIT)
 
-    async def ended(self) -> Answer:
+    async def ended(self) -> AttemptResult:
         """The attempt's one end."""
         return await asyncio.wait_for(self.ends.get(), WAIT)
 
     def rested(self) -> None:
         """What rests has done so for a second."""
-        for connection in self.pool.hosts["b0"].idle:
+        for connection in self.pool.endpoints["b0"].idle:
             connection.idle_since -= 1.0
 
-    async def exchange(self, data: bytes, end: Close, apart: bool) -> Answer:
+    async def exchange(self, data: bytes, end: Close, apart: bool) -> AttemptResult:
         """Answer a request with these bytes and this end, at once or once the bytes were read."""
         self.start()
         peer = await self.accepted()
@@ -100,7 +105,7 @@
         shut(peer, end)
         got = await self.ended()
         peer.close()
-        return Answer(got.status, got.report, bytes(self.begun) + got.body)
+        return AttemptResult(got.status, got.report, bytes(self.begun) + got.body)
 
 
 def shut(peer: socket.socket, end: Close) -> None:
@@ -121,18 +126,23 @@
 
     async def run(body: Callable[[Wire], Coroutine[Any, Any, None]]) -> None:
         reads: asyncio.Queue[int] = asyncio.Queue()
-        connections: set[Connection] = set()
-        take = Connection.data_received
+        connections: set[BackendConnection] = set()
+        take = BackendConnection.data_received
 
-        def data_received(self: Connection, data: bytes) -> None:
+        def data_received(self: BackendConnection, data: bytes) -> None:
             connections.add(self)
             take(self, data)
             reads.put_nowait(len(data))
 
-        monkeypatch.setattr(Connection, "data_received", data_received)
+        monkeypatch.setattr(BackendConnection, "data_received", data_received)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0), 10, Figures(), Budget(64.0))
+        pool = ConnectionPool(
+            Settings(classes=(READ,), connection_idle_ms=60_000.0),
+            10,
+            RequestStatistics(),
+            StreamMemory(64.0),
+        )
         pool.update(_list("b0", listener.getsockname()[1]), True)
         try:
             await body(Wire(pool, listener, reads, connections))
@@ -166,7 +176,7 @@
                 if whole:
                     assert got.body == (b"helloyou" if form is CHUNKED else form[:cut].split(b"\r\n\r\n")[1])
                 if not whole or form is UNKNOWN:
-                    assert wire.pool.count == 0
+                    assert wire.pool.connection_count == 0
                 wire.pool.close_idle("b0")
 
     play(body)
@@ -189,7 +199,7 @@
     async def body(wire: Wire) -> None:
         for apart in (False, True):
             assert (await wire.exchange(text, end, apart)).status is AttemptStatus.RESET
-            assert wire.pool.count == 0
+            assert wire.pool.connection_count == 0
 
     play(body)
 
@@ -198,10 +208,10 @@
 def test_an_answer_without_a_body_is_whole_with_its_head(play: Play, code: bytes) -> None:
     async def body(wire: Wire) -> None:
         got = await wire.exchange(b"HTTP/1.1 " + code + b"\r\n\r\n", Close.NOT, False)
-        assert got.status is AttemptStatus.ERROR and len(wire.pool.hosts["b0"].idle) == 1
+        assert got.status is AttemptStatus.ERROR and len(wire.pool.endpoints["b0"].idle) == 1
         wire.pool.close_idle("b0")
         got = await wire.exchange(b"HTTP/1.1 " + code + b"\r\nContent-Length: 3\r\n\r\nabc", Close.NOT, False)
-        assert got.status is AttemptStatus.ERROR and wire.pool.count == 0
+        assert got.status is AttemptStatus.ERROR and wire.pool.connection_count == 0
 
     play(body)
 
@@ -219,7 +229,7 @@
     async def body(wire: Wire) -> None:
         for apart in (False, True):
             got = await wire.exchange(text, end, apart)
-            assert (got.status, got.body) == (AttemptStatus.OK, b"hello") and wire.pool.count == 0
+            assert (got.status, got.body) == (AttemptStatus.OK, b"hello") and wire.pool.connection_count == 0
 
     play(body)
 
@@ -252,12 +262,12 @@
         HEAD + b"Transfer-Encoding: chunked\r\n\r\nfffffffffffffffffffff\r\nhello",
         HEAD + b"Bad: a\0b\r\nContent-Length: 5\r\n\r\nhello",
         HEAD + b"no colon\r\nContent-Length: 5\r\n\r\nhello",
-        HEAD + b"Long: " + b"x" * 2 * MAX_HEAD,
-        b"HTTP/1.1 100 Continue\r\n\r\n" * MAX_HEAD,
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\n5;" + b"x" * 9 * MAX_HEAD,
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nLong: " + b"x" * 9 * MAX_HEAD,
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"Many: x\r\n" * MAX_HEAD,
-        HEAD + b"Content-Length: %d\r\n\r\nhello" % (LARGEST + 1),
+        HEAD + b"Long: " + b"x" * 2 * MAX_HEADER_BYTES,
+        b"HTTP/1.1 100 Continue\r\n\r\n" * MAX_HEADER_BYTES,
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\n5;" + b"x" * 9 * MAX_HEADER_BYTES,
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nLong: " + b"x" * 9 * MAX_HEADER_BYTES,
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"Many: x\r\n" * MAX_HEADER_BYTES,
+        HEAD + b"Content-Length: %d\r\n\r\nhello" % (MAX_BODY_BYTES + 1),
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 70_000,
     ],
 )
@@ -266,7 +276,7 @@
 
     async def body(wire: Wire) -> None:
         got = await wire.exchange(text, Close.NOT, False)
-        assert got.status is AttemptStatus.RESET and wire.pool.count == 0 and not wire.begun
+        assert got.status is AttemptStatus.RESET and wire.pool.connection_count == 0 and not wire.begun
 
     play(body)
 
@@ -277,15 +287,15 @@
 
     async def body(wire: Wire) -> None:
         got = await wire.exchange(HELLO + more, Close.NOT, False)
-        assert (got.status, got.body) == (AttemptStatus.OK, b"hello") and wire.pool.count == 0
+        assert (got.status, got.body) == (AttemptStatus.OK, b"hello") and wire.pool.connection_count == 0
         wire.start()
         peer = await wire.accepted()
         peer.send(HELLO)
-        assert (await wire.ended()).body == b"hello" and wire.pool.count == 1
+        assert (await wire.ended()).body == b"hello" and wire.pool.connection_count == 1
         await wire.read(len(HELLO))
         peer.send(more)
         await wire.read(len(more))
-        assert wire.pool.count == 0
+        assert wire.pool.connection_count == 0
         peer.close()
 
     play(body)
@@ -293,18 +303,18 @@
 
 def test_what_comes_before_a_request_is_no_answer_to_it(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
     """A backend that speaks first, read between the connection's coming up and the request's going out."""
-    made = Connection.connection_made
+    made = BackendConnection.connection_made
 
-    def connection_made(self: Connection, transport: asyncio.BaseTransport) -> None:
+    def connection_made(self: BackendConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         self.data_received(HELLO)
 
-    monkeypatch.setattr(Connection, "connection_made", connection_made)
+    monkeypatch.setattr(BackendConnection, "connection_made", connection_made)
 
     async def body(wire: Wire) -> None:
         wire.start()
         peer, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(wire.listener), WAIT)
-        assert (await wire.ended()).status is AttemptStatus.CONNECT_FAILED and wire.pool.count == 0
+        assert (await wire.ended()).status is AttemptStatus.CONNECT_FAILED and wire.pool.connection_count == 0
         with pytest.raises(ConnectionError):  # or nothing, but no request
             if await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 10), WAIT) == b"":
                 raise ConnectionError
@@ -325,7 +335,7 @@
         wire.start()
         peer = await wire.accepted()
         peer.send(HELLO)
-        assert (await wire.ended()).body == b"hello" and wire.pool.count == 1
+        assert (await wire.ended()).body == b"hello" and wire.pool.connection_count == 1
         if text:
             peer.send(text)
         shut(peer, end)
@@ -334,7 +344,7 @@
         other = await wire.accepted() if text or end is not Close.NOT else peer
         if other is peer:
             await wire.asked(peer)
-        assert wire.pool.count == 1
+        assert wire.pool.connection_count == 1
         other.send(answer(b"mine"))
         assert (await wire.ended()).body == b"mine"
         for sock in (peer, other):
@@ -355,21 +365,21 @@
         (connection,) = wire.connections
         peer.send(b"HTTP/1.1 200 O")
         connection.idle_since = -1e9
-        wire.pool._sweep()  # over unread bytes
-        assert wire.pool.count == 0 and not wire.pool.hosts["b0"].idle
+        wire.pool.sweep()  # over unread bytes
+        assert wire.pool.connection_count == 0 and not wire.pool.endpoints["b0"].idle
         for _ in range(2):
             connection.data_received(HELLO)
             assert connection.eof_received() is False
             connection.resume_writing()
-            connection.pause()
-            connection.resume()
+            connection.pause_reading()
+            connection.resume_reading()
             connection.connection_lost(ConnectionResetError())
-            connection.close(CloseReason.GIVEN_UP)
-        assert wire.pool.count == 0 and wire.ends.empty()
+            connection.close(CloseReason.ABANDONED)
+        assert wire.pool.connection_count == 0 and wire.ends.empty()
         wire.start()
         other = await wire.accepted()
         other.send(HELLO)
-        assert (await wire.ended()).body == b"hello" and wire.pool.count == 1
+        assert (await wire.ended()).body == b"hello" and wire.pool.connection_count == 1
         for sock in (peer, other):
             sock.close()
 
@@ -397,7 +407,7 @@
         else:
             shut(peer, Close.FIN if late == "end" else Close.RST)
         await asyncio.wait_for(lost.wait(), WAIT)
-        assert wire.pool.count == 0 and wire.ends.empty()
+        assert wire.pool.connection_count == 0 and wire.ends.empty()
         peer.close()
 
     play(body)
@@ -415,26 +425,28 @@
     play: Play, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against beginning the next answer on that connection before its backend has."""
-    monkeypatch.setattr(upstream, "HOLD", 2 * WAIT)
+    monkeypatch.setattr(backend_connection, "STREAMING_DELAY_S", 2 * WAIT)
 
     async def body(wire: Wire) -> None:
         wire.start()
         peer = await wire.accepted()
-        first = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(SMALL // 2)
+        first = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(MAX_BUFFERED_BODY_BYTES // 2)
         peer.send(first)
         await wire.read(len(first))
         connection = next(iter(wire.connections))
-        held = connection.held
+        held = connection.streaming_timer
         assert held is not None and not wire.begun
-        peer.send(chunk(SMALL))
-        await wire.read(len(chunk(SMALL)))
+        peer.send(chunk(MAX_BUFFERED_BODY_BYTES))
+        await wire.read(len(chunk(MAX_BUFFERED_BODY_BYTES)))
         assert wire.begun and held.cancelled()  # it has become long by its size
         peer.send(b"0\r\n\r\n")
-        assert (await wire.ended()).status is AttemptStatus.OK and len(wire.begun) == SMALL + SMALL // 2
+        assert (await wire.ended()).status is AttemptStatus.OK and len(
+            wire.begun
+        ) == MAX_BUFFERED_BODY_BYTES + MAX_BUFFERED_BODY_BYTES // 2
         wire.rested()
         wire.start()
         await wire.asked(peer)
-        assert connection.held is None
+        assert connection.streaming_timer is None
         peer.send(HELLO)
         assert (await wire.ended()).body == b"hello" and not wire.begun
         peer.close()
@@ -445,25 +457,25 @@
 def test_an_answer_of_unknown_length_ends_with_the_longest_that_there_is(
     play: Play, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "LARGEST", 3 * SMALL)
+    monkeypatch.setattr(response_parser, "MAX_BODY_BYTES", 3 * MAX_BUFFERED_BODY_BYTES)
 
     async def body(wire: Wire) -> None:
-        whole = HEAD + b"\r\n" + b"x" * 3 * SMALL
+        whole = HEAD + b"\r\n" + b"x" * 3 * MAX_BUFFERED_BODY_BYTES
         got = await wire.exchange(whole, Close.FIN, False)
-        assert got.status is AttemptStatus.OK and len(got.body) == 3 * SMALL
+        assert got.status is AttemptStatus.OK and len(got.body) == 3 * MAX_BUFFERED_BODY_BYTES
         got = await wire.exchange(whole + b"x", Close.NOT, False)
-        assert got.status is AttemptStatus.RESET and wire.pool.count == 0
+        assert got.status is AttemptStatus.RESET and wire.pool.connection_count == 0
 
     play(body)
 
 
 def test_what_is_long_is_told_from_what_does_not_end(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "HOLD", 0.0)
+    monkeypatch.setattr(backend_connection, "STREAMING_DELAY_S", 0.0)
 
     async def body(wire: Wire) -> None:
-        for head in (b"", b"Content-Length: %d\r\n" % (2 * SMALL)):
+        for head in (b"", b"Content-Length: %d\r\n" % (2 * MAX_BUFFERED_BODY_BYTES)):
             attempt = wire.start()
-            assert not attempt.long  # it has not even begun
+            assert not attempt.has_long_response  # it has not even begun
             peer = await wire.accepted()
             peer.send(HEAD + head + b"\r\nhello")
             async with asyncio.timeout(WAIT):
@@ -471,18 +483,18 @@
                     await asyncio.sleep(0)
             connection = attempt.connection
             assert connection is not None
-            connection.begun += HOUR  # it is not over yet
-            assert attempt.long
-            connection.begun -= 2 * HOUR
-            assert attempt.long == bool(head)
-            connection.pause()
-            assert attempt.long
-            connection.resume()
-            assert attempt.long == bool(head)
-            connection.on_body(b"x" * SMALL)
-            assert attempt.long
-            attempt.drop()
-            assert not attempt.long and wire.pool.count == 0
+            connection.streaming_since += HOUR  # it is not over yet
+            assert attempt.has_long_response
+            connection.streaming_since -= 2 * HOUR
+            assert attempt.has_long_response == bool(head)
+            connection.pause_reading()
+            assert attempt.has_long_response
+            connection.resume_reading()
+            assert attempt.has_long_response == bool(head)
+            connection.response.on_body(b"x" * MAX_BUFFERED_BODY_BYTES)
+            assert attempt.has_long_response
+            attempt.cancel()
+            assert not attempt.has_long_response and wire.pool.connection_count == 0
             peer.close()
 
     play(body)
@@ -547,7 +559,7 @@
     async with running(tmp_path, backend, console=CONSOLE) as rig:
         client, loop = await rig.client(), asyncio.get_running_loop()
         head = upload_head(None, "1", f"Request-Timeout: {TIME * 1000:.0f}m")
-        client.writer.write(head + chunk(SMALL + 1))
+        client.writer.write(head + chunk(MAX_BUFFERED_BODY_BYTES + 1))
         assert await asyncio.wait_for(client.reader.readuntil(b"xxx"), WAIT)
         begun = loop.time()
         await breaks_off(client, True)
@@ -587,7 +599,7 @@
 
     with caplog.at_level(logging.WARNING):
         play(body)
-    said = [r.getMessage() for r in caplog.records if "broken answer" in r.getMessage()]
+    said = [r.getMessage() for r in caplog.records if "malformed response" in r.getMessage()]
     assert len(said) == 2 and "more since" not in said[0] and said[1].endswith("(19 more since such a line)")
     assert sum("not a load report" in r.getMessage() for r in caplog.records) == 1
 
