--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -20,9 +20,10 @@
 from balancer.net import config as config_file
 from balancer.net.config import Config, ConfigError, load
 from balancer.net.console import Console
+from balancer.net.counts_log import CountsLog
 from balancer.net.discovery import Discovery
-from balancer.net.front import Front
 from balancer.net.handover import SOON, SUFFIX, give, take
+from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.pair import LOOK, Pair, steer, unsteer
 from balancer.net.parts import Parts
@@ -57,7 +58,7 @@
         config = config_file.reload(os.environ, node.config)
         rooms = fleet.checked(os.environ, config) if fleet is not None else None
     except ConfigError as err:
-        node.figures.reload_errors += 1
+        node.statistics.reload_errors += 1
         logging.warning("reload: %s; nothing is taken", err.line)
         return
     node.reconfigure(config)
@@ -94,10 +95,10 @@
     node.discovery = discovery = Discovery(node, config.discovery, known.revision)
     if fleet is not None:
         node.discovery = fleet.steer(node, discovery, known)
-    front, console = Front(node, config.shares(1)[0]), Console(node)
-    pair = Pair(node.meeting, partial(beside_changed, node, fleet))
-    parts = Parts(node, front, pair)
-    pair.looked = lambda: share(node, front, pair.beside, parts)
+    listener, console = Listener(node, config.shares(1)[0]), Console(node)
+    pair = Pair(node.shared_path, partial(beside_changed, node, fleet))
+    parts = Parts(node, listener, pair)
+    pair.looked = lambda: share(node, listener, pair.beside, parts)
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -107,11 +108,11 @@
         await console.listen(config.console)
         logging.info("console on %s:%d", *console.address)
         beside = pair.start()
-        share(node, front, beside, parts)
+        share(node, listener, beside, parts)
         node.bans.start(beside, *(fleet.bans() if fleet is not None else ()))
     if fleet is not None:
         fleet.take_over()
-    node.list(known, ListUpdateKind.CACHED)
+    node.update_endpoints(known, ListUpdateKind.CACHED)
     if not config.settings.must_subscribe:
         node.discovery.watch(True)
     if node.listing.waiting:  # a long list: what was learned is of backends that are in it
@@ -122,11 +123,11 @@
     if ready and beside:
         ready = await unless(stop, take_place(node, parts, recovered is None))
     if ready:
-        await listen(node, front, pair, fleet)
+        await listen(node, listener, pair, fleet)
         await stop.wait()
-        await end(node, front, pair, parts, fleet)
+        await end(node, listener, pair, parts, fleet)
     else:
-        node.stopping = True
+        node.is_stopping = True
         pair.refresh()
         if fleet is not None and not pair.beside:
             fleet.leave()
@@ -146,23 +147,23 @@
     node.event(TakeoverStarted())
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(FRESH):
-            await node.fresh.wait()
+            await node.endpoints_received.wait()
             while not parts.enough:
                 await asyncio.sleep(LOOK)
     if ask:
         node.loop.call_later(SOON, inherit, node)
 
 
-async def listen(node: Node, front: Front, pair: Pair, fleet: Fleet | None) -> None:
+async def listen(node: Node, listener: Listener, pair: Pair, fleet: Fleet | None) -> None:
     """Serve clients, and be present in the tier."""
     gc.freeze()
-    await front.listen(node.config.listen, shared=node.config.console is not None)
-    node.listening = True
+    await listener.listen(node.config.listen, shared=node.config.console is not None)
+    node.is_listening = True
     node.turns.hurry = False
-    if front.socket is not None and node.config.console is not None:
-        unsteer(front.socket)
-    node.pulse(node.loop.time())
-    logging.info("%s serves on %s:%d", node.config.name, *front.address)
+    if listener.socket is not None and node.config.console is not None:
+        unsteer(listener.socket)
+    CountsLog(node).start()
+    logging.info("%s serves on %s:%d", node.config.name, *listener.address)
     if fleet is not None and not pair.beside:
         fleet.start()
 
@@ -180,57 +181,57 @@
 
 def beside_changed(node: Node, fleet: Fleet | None, beside: bool) -> None:
     """The other process of this node has begun or ended; a successor then takes its place as a member."""
-    if beside and fleet is not None and not node.stopping:
+    if beside and fleet is not None and not node.is_stopping:
         fleet.hand_over()
-    if beside and node.listening and not node.stopping:  # a successor has come
-        give(node.meeting.with_suffix(SUFFIX), node.balancer.learned(node.now()))
-    if fleet is not None and not beside and node.listening and not node.stopping:
+    if beside and node.is_listening and not node.is_stopping:  # a successor has come
+        give(node.shared_path.with_suffix(SUFFIX), node.balancer.learned(node.now()))
+    if fleet is not None and not beside and node.is_listening and not node.is_stopping:
         fleet.take_over()  # where a successor had done so, and is gone
         fleet.start()
 
 
 def inherit(node: Node) -> None:
     """Go on from what the process before has learned, where it has left that."""
-    if (left := take(node.meeting.with_suffix(SUFFIX))) is not None:
+    if (left := take(node.shared_path.with_suffix(SUFFIX))) is not None:
         node.event(left)
         logging.info("handover: learned state taken over, limit %.1f", left.learned.limit)
 
 
-def share(node: Node, front: Front, beside: bool, parts: Parts | None = None) -> None:
+def share(node: Node, listener: Listener, beside: bool, parts: Parts | None = None) -> None:
     """Keep to this process's part of the descriptors: half of them where no part can be told.
 
     What is idle beyond that goes at once, what is in use when it ends; until then it counts as held.
     """
     limits = parts.limits() if parts is not None else None
     clients, upstream = limits or node.config.shares(2 if beside else 1)
-    before, front.limit, node.pool.limit = front.limit, clients, upstream
+    before, listener.limit, node.pool.limit = listener.limit, clients, upstream
     node.pool.enforce_limit()
     if clients < before:
-        front.displace()
+        listener.enforce_limit()
         # Guards requests against a 503 for being over a cap that was lowered under them.
-        front.limit = max(clients, min(before, len(front.connections)))
+        listener.limit = max(clients, min(before, len(listener.connections)))
     if parts is not None:
         parts.tell()
 
 
-async def end(node: Node, front: Front, pair: Pair, parts: Parts, fleet: Fleet | None) -> None:
+async def end(node: Node, listener: Listener, pair: Pair, parts: Parts, fleet: Fleet | None) -> None:
     """Answer all that was taken, before SIGKILL comes."""
     loop = asyncio.get_running_loop()
     killed = loop.time() + until_killed(node.settings)
     last = killed - END
     pair.refresh()
-    node.succeeded, node.stopping = pair.beside, True
-    if fleet is not None and not node.succeeded:
+    node.has_successor, node.is_stopping = pair.beside, True
+    if fleet is not None and not node.has_successor:
         fleet.leave()
-    if node.succeeded and front.socket is not None:
-        parts.leaving = steer(front.socket, 0 if pair.later else 1)
+    if node.has_successor and listener.socket is not None:
+        parts.leaving = steer(listener.socket, 0 if pair.later else 1)
         await asyncio.sleep(last - CLOSE - loop.time())  # to the last: it may come on any open connection
     else:
         await asyncio.sleep(min(ACCEPT, last - CLOSE - loop.time()))
-    front.stop()
-    await front.drained(max(0.0, last - loop.time()))
-    await node.finish(max(0.0, last - loop.time()))
-    await front.close(max(0.0, killed - LEAVE - loop.time()))
+    listener.stop()
+    await listener.wait_until_drained(max(0.0, last - loop.time()))
+    await node.requests.finish(max(0.0, last - loop.time()))
+    await listener.close(max(0.0, killed - LEAVE - loop.time()))
 
 
 def main() -> int:
--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -141,19 +141,19 @@
     entries: int = 0  # in all of them
     failed: int = 0
 
-    def held(self, name: str) -> None:
+    def member(self, name: str) -> None:
         """Nothing is in force."""
 
-    def list(self, news: News, kind: api.ListUpdateKind) -> None:
+    def update_endpoints(self, news: News, kind: api.ListUpdateKind) -> None:
         """A list, or a change."""
         self.whole += kind is api.ListUpdateKind.SNAPSHOT
         self.lines += kind is api.ListUpdateKind.DELTA
         self.entries += len(news.members)
 
-    def unchanged(self) -> None:
+    def endpoints_unchanged(self) -> None:
         """An empty line."""
 
-    def list_failed(self) -> None:
+    def discovery_failed(self) -> None:
         """A call has failed."""
         self.failed += 1
 
--- a/balancer/lab/variant.py
+++ b/balancer/lab/variant.py
@@ -34,10 +34,13 @@
 
 def slower(package: str, wait: float, burn: float) -> None:
     """Hold every request back for `wait` s, or spend `burn` s of processor time on it."""
-    node = import_module(f"{package}.net.node").Node
-    original = node.arrival
+    try:
+        owner, name = import_module(f"{package}.net.request_lifecycle").RequestLifecycle, "accept"
+    except ModuleNotFoundError:  # an earlier revision
+        owner, name = import_module(f"{package}.net.node").Node, "arrival"
+    original = getattr(owner, name)
 
-    def arrival(self: Any, *args: Any, **kwargs: Any) -> None:
+    def accept(self: Any, *args: Any, **kwargs: Any) -> None:
         until = time.thread_time() + burn
         while burn and time.thread_time() < until:
             pass
@@ -46,7 +49,7 @@
         else:
             original(self, *args, **kwargs)
 
-    node.arrival = arrival
+    setattr(owner, name, accept)
 
 
 def clock(by: float) -> None:
--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -57,13 +57,13 @@
 class Operated(Protocol):
     """What the console shows and steers."""
 
-    def health(self) -> str:
+    def unready_reason(self) -> str:
         """Why the process is not ready to serve; empty where it is."""
 
     def stats(self) -> dict[str, object]:
         """The figures."""
 
-    async def operate(self, backend: str, out: bool) -> bool:
+    async def set_maintenance(self, backend: str, is_out: bool) -> bool:
         """Take a backend out or put it back; False where it was never listed. Raises BalancerError."""
 
 
@@ -76,7 +76,7 @@
         self.parser = httptools.HttpRequestParser(self)
         self.timer: asyncio.TimerHandle | None = None
         self.target, self.size, self.body = b"", 0, 0
-        self.in_body = self.called = self.answered = False
+        self.in_body = self.called = self.is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Give the caller its time."""
@@ -86,14 +86,14 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The caller has left or was let go."""
-        self.answered = True
+        self.is_answered = True
         if self.timer is not None:
             self.timer.cancel()
         self.console.callers.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
         """Read the call; what comes after it is thrown away."""
-        if self.answered:
+        if self.is_answered:
             return
         if not self.in_body:
             self.size += len(data)
@@ -114,7 +114,7 @@
 
     def drop(self) -> None:
         """Let go without an answer."""
-        self.answered = True
+        self.is_answered = True
         if self.transport is not None:
             self.transport.abort()
 
@@ -136,7 +136,7 @@
 
     def on_message_complete(self) -> None:
         """The call is whole."""
-        if not self.answered and not self.called:
+        if not self.is_answered and not self.called:
             self.called = True
             self.console.start(self._carry_out(self.parser.get_method(), self.target))
 
@@ -163,9 +163,9 @@
 
     def answer(self, status: int, text: str, kind: str, extra: str = "") -> None:
         """Answer once and end the connection."""
-        if self.answered or self.transport is None:
+        if self.is_answered or self.transport is None:
             return
-        self.answered = True
+        self.is_answered = True
         body = text.encode()
         head = (f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: {kind}\r\n"
                 f"Content-Length: {len(body)}\r\n{extra}Connection: close\r\n\r\n")  # fmt: skip
@@ -219,7 +219,7 @@
         match [unquote_to_bytes(part).decode("utf-8", "replace") for part in path.split(b"/")[1:]]:
             case ["healthcheck"]:
                 _expect(method, b"GET")
-                why = self.node.health()
+                why = self.node.unready_reason()
                 return 503 if why else 200, f"{why or 'ready'}\n", "text/plain"
             case ["stats"]:
                 _expect(method, b"GET")
@@ -228,7 +228,7 @@
             case ["backends", backend, ("maint" | "ready") as word]:
                 _expect(method, b"POST")
                 try:
-                    known = await self.node.operate(backend, word == "maint")
+                    known = await self.node.set_maintenance(backend, word == "maint")
                 except BalancerError as err:
                     happened, remedy = err.report
                     return 503, _lines(f"{happened}; nothing is changed", remedy), "text/plain"
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -206,12 +206,12 @@
             return
         if update.complete:
             self.revision = update.revision
-            self.node.list(update, api.ListUpdateKind.SNAPSHOT)
+            self.node.update_endpoints(update, api.ListUpdateKind.SNAPSHOT)
         elif update.revision > self.revision:
             self.revision = update.revision
-            self.node.list(update, api.ListUpdateKind.DELTA)
+            self.node.update_endpoints(update, api.ListUpdateKind.DELTA)
         elif update.revision == self.revision:
-            self.node.unchanged()
+            self.node.endpoints_unchanged()
         call.known = self.revision
 
     def forget(self) -> None:
@@ -285,7 +285,7 @@
             self._connect(Reason.SILENT, quick=True)
         elif self.node.settings.must_subscribe and not (call.quick and call.told_at is None):
             if not call.done:
-                self.node.list_failed(call.reached, call.was_queued)
+                self.node.discovery_failed(call.reached, call.was_queued)
         elif call.watch:
             period = watchdog.TURNED_AWAY if call.reached else watchdog.PERIOD
             left = max(watchdog.REST, call.dialled + period - self.loop.time())
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -204,9 +204,9 @@
                 raise what
             update: News | None
             if isinstance(what, mmap):
-                update = yield from news_in_turns(what, self.owner.node.held)
+                update = yield from news_in_turns(what, self.owner.node.member)
             else:
-                update = news_of(what, self.owner.node.held) if what else None
+                update = news_of(what, self.owner.node.member) if what else None
         except (ListError, BrokenObject) as err:
             self._broken(err)
             return
@@ -225,7 +225,7 @@
             self.owner.note(f"call {self.number} answered after {now - self.dialled:.2f} s")
         self.owner.told(self)
         if update is None:
-            self.owner.node.unchanged()
+            self.owner.node.endpoints_unchanged()
         else:
             self.done = not self.watch
             self.owner.news(self, update)
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -24,7 +24,8 @@
     from balancer.membership.port import Port
     from balancer.membership.shell import MembershipShell
     from balancer.net.keeping import Keeping
-    from balancer.net.node import Node, Watcher
+    from balancer.net.node import Node
+    from balancer.net.node_ports import EndpointWatcher
     from balancer.net.returning import Returning
 
 log = logging.getLogger(__name__)
@@ -144,7 +145,7 @@
             self.port = Port(listen, peers, everybody)
             self.membership = MembershipShell(times, me, self.port, held.seed, least)
 
-    def steer(self, node: Node, watcher: Watcher, known: config.News) -> Watcher:
+    def steer(self, node: Node, watcher: EndpointWatcher, known: config.News) -> EndpointWatcher:
         """What brings the list to this node: the one given, or the room that asks it in turns.
 
         `known` is the list to begin with.
--- /dev/null
+++ b/balancer/net/open_request.py
@@ -0,0 +1,122 @@
+"""The state of an open request and of its attempts."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from balancer.interface import AttemptStatus
+from balancer.net.attempt import Attempt
+from balancer.net.node_ports import Client
+from balancer.net.stream import Upload
+
+Render = Callable[[float], bytes]
+"""Returns a request's bytes for a backend, which is told that the node waits so many milliseconds."""
+
+
+class RequestAttempt:
+    """One attempt of a request, with its timer."""
+
+    __slots__ = (
+        "attempt",
+        "endpoint",
+        "is_over",
+        "number",
+        "request_id",
+        "started_at",
+        "status",
+        "timeout_ms",
+        "timer",
+    )
+
+    def __init__(self, request_id: str, number: int, endpoint: str, started_at: float) -> None:
+        """Begin attempt `number`, from 0, at `started_at` (ms)."""
+        self.request_id = request_id
+        self.number = number
+        self.endpoint = endpoint
+        self.started_at = started_at
+        self.attempt: Attempt | None = None
+        self.timer: asyncio.TimerHandle | None = None
+        self.timeout_ms = 0.0  # 0: until the client's deadline
+        self.is_over = False
+        self.status: AttemptStatus | None = None  # once it is over
+
+    @property
+    def is_sent(self) -> bool:
+        """Whether the request's last byte may have left this node."""
+        return self.attempt is not None and self.attempt.is_sent
+
+    def cancel_timer(self) -> None:
+        """Stop the timeout."""
+        if self.timer is not None:
+            self.timer.cancel()
+
+    def cancel(self) -> None:
+        """Stop the timeout and close the connection."""
+        self.cancel_timer()
+        if self.attempt is not None:
+            self.attempt.cancel()
+            self.attempt = None
+
+
+class OpenRequest:
+    """A request whose response is to be sent, or that has an attempt under way."""
+
+    __slots__ = (
+        "attempts",
+        "class_name",
+        "client",
+        "deadline",
+        "deadline_timer",
+        "is_answered",
+        "is_streaming",
+        "render",
+        "request_id",
+        "timeout_ms",
+        "upload",
+    )
+
+    def __init__(
+        self,
+        request_id: str,
+        class_name: str,
+        client: Client,
+        deadline: float,
+        render: Render,
+        upload: Upload | None,
+    ) -> None:
+        """Open a request; with an upload `deadline` (ms) holds once its last byte has been received."""
+        self.request_id = request_id
+        self.class_name = class_name
+        self.client = client
+        self.deadline = deadline
+        self.render = render
+        self.upload = upload
+        self.timeout_ms = 0.0  # that the client gives from its last byte on
+        self.is_streaming = False  # a streamed response has begun
+        self.attempts: list[RequestAttempt] = []
+        self.is_answered = False
+        self.deadline_timer: asyncio.TimerHandle | None = None
+
+    @property
+    def is_receiving(self) -> bool:
+        """Whether its body is still being received."""
+        return self.upload is not None and not self.upload.is_complete
+
+    @property
+    def is_upload_spent(self) -> bool:
+        """Whether the beginning of its body is no longer kept for a retry."""
+        return self.upload is not None and self.upload.is_spent
+
+    @property
+    def has_no_attempt(self) -> bool:
+        """Whether no attempt is under way."""
+        return all(attempt.is_over for attempt in self.attempts)
+
+    def close(self) -> None:
+        """Note that it is answered, and free its body."""
+        self.is_answered = True
+        if self.deadline_timer is not None:
+            self.deadline_timer.cancel()
+        if self.upload is not None:
+            self.upload.discard()
--- a/balancer/net/parts.py
+++ b/balancer/net/parts.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from balancer.net.config import LEAST, LEAVING, SPARE, over
-from balancer.net.front import Front
+from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.pair import Pair
 
@@ -44,8 +44,8 @@
 class Parts:
     """The part of one process."""
 
-    def __init__(self, node: Node, front: Front, pair: Pair) -> None:
-        self.node, self.front, self.pair = node, front, pair
+    def __init__(self, node: Node, listener: Listener, pair: Pair) -> None:
+        self.node, self.listener, self.pair = node, listener, pair
         self.born = time.monotonic_ns()
         self.part = LEAST  # descriptors
         self.leaving = False  # new connections go to the other process: what ends here is not replaced
@@ -68,7 +68,7 @@
             return None
         config, others = self.node.config, self._others(self.pair.words)
         if not self.said:  # what was set without a slot never was in force
-            self.front.limit, self.node.pool.limit = config.within(LEAST)
+            self.listener.limit, self.node.pool.limit = config.within(LEAST)
         if self._followed(others):
             return self._elder(others)
         if (claimed := self._claimed(others)) is None:
@@ -89,18 +89,18 @@
 
     def _no_more(self, limits: tuple[int, int]) -> tuple[int, int]:
         """These, where they are lower than those in force."""
-        return min(limits[0], self.front.limit), min(limits[1], self.node.pool.limit)
+        return min(limits[0], self.listener.limit), min(limits[1], self.node.pool.limit)
 
     def _most(self, clients: int, upstream: int) -> int:
         """Descriptors that this process may hold under these limits, or holds yet from before them."""
-        front, pool = self.front, self.node.pool
-        taken = max(clients + over(clients), len(front.connections) + len(front.lingering))
+        listener, pool = self.listener, self.node.pool
+        taken = max(clients + over(clients), len(listener.connections) + len(listener.lingering))
         return SPARE + LEAVING + taken + max(upstream, pool.connection_count)
 
     def tell(self) -> None:
         """Say what this process may hold now, once its limits are in force."""
         if self.pair.mine >= 0:
-            self._say(self._most(self.front.limit, self.node.pool.limit))
+            self._say(self._most(self.listener.limit, self.node.pool.limit))
 
     def _say(self, most: int) -> bool:
         word = Claim(self.born, most).text()
@@ -140,7 +140,7 @@
         self.part = max(LEAST, left)
         clients, upstream = config.elder(self.part)
         if self.leaving:
-            open_now = len(self.front.connections)
+            open_now = len(self.listener.connections)
             clients = min(clients, open_now + over(clients))
             upstream = min(upstream, max(1, self.node.pool.connection_count, 2 * open_now))
         return self._no_more((clients, upstream))
--- /dev/null
+++ b/balancer/net/request_head.py
@@ -0,0 +1,113 @@
+"""What the head of a client's request says to the balancer, and the head that goes to the backend."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+from urllib.parse import parse_qs
+
+import httptools
+
+from balancer.interface import Idempotency, RequestArrived, RequestClass, Settings
+from balancer.net.request_parser import BadRequestError, RequestParser
+
+HEALTH_PATH = b"/up"
+TIMEOUT_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
+MAX_WORK_HINT_DIGITS = 12
+
+
+@dataclass(slots=True)
+class RequestHead:
+    """A request to be balanced; its deadline is set once its last byte has been received."""
+
+    event: RequestArrived
+    timeout_ms: float  # that the client gives from its last byte on
+
+
+def parse_timeout(value: bytes) -> float:
+    """Return a `Request-Timeout` in milliseconds. Raises BadRequestError."""
+    found = TIMEOUT_PATTERN.fullmatch(value.strip())
+    if found is None or not (number := float(found[1])):
+        raise BadRequestError(400, "bad Request-Timeout")
+    return number if found[2] == b"m" else number / 1000
+
+
+def read_head(
+    parser: RequestParser, classes: Mapping[str, RequestClass], settings: Settings
+) -> RequestHead | None:
+    """Return what a head says, or None for the health check of the node itself.
+
+    The target of a request to a proxy becomes the one for an origin server.
+
+    Raises:
+        BadRequestError: it names no class, or lacks what its class asks for.
+    """
+    try:
+        url = httptools.parse_url(parser.target)
+    except httptools.HttpParserInvalidURLError:
+        raise BadRequestError(400, "bad target") from None
+    path = url.path or b"/"
+    query = url.query or b""
+    if url.schema:
+        parser.target = path + (b"?" + query if query else b"")
+    if path == HEALTH_PATH:
+        return None
+    headers = parser.headers
+    class_name = path.removeprefix(b"/").partition(b"/")[0].decode("latin-1")
+    request_class = classes.get(class_name)
+    if request_class is None:
+        raise BadRequestError(404, "unknown class")
+    _check_class(request_class, parser)
+    name = headers.get(b"request-id", b"").decode("latin-1")
+    if not name:
+        raise BadRequestError(400, "no Request-Id")
+    timeout_ms = request_class.deadline
+    if b"request-timeout" in headers:
+        timeout_ms = min(timeout_ms, parse_timeout(headers[b"request-timeout"]))
+    key = parse_qs(query.decode("latin-1")).get("obj")
+    event = RequestArrived(
+        request=name,
+        class_name=class_name,
+        deadline=0.0,
+        is_retry=headers.get(b"client-retry") == b"1",
+        key=key[0] if key else None,
+        tenant=headers[b"tenant"].decode("latin-1") if b"tenant" in headers else None,
+        work_hint=_work_hint(headers),
+        writes=request_class.effect is not Idempotency.IDEMPOTENT,
+        under=settings,
+    )
+    return RequestHead(event, timeout_ms)
+
+
+def _check_class(request_class: RequestClass, parser: RequestParser) -> None:
+    """Check method and idempotency key. Raises BadRequestError."""
+    expected_method = b"GET" if request_class.effect is Idempotency.IDEMPOTENT else b"POST"
+    if parser.method != expected_method:
+        raise BadRequestError(405, "the method does not go with the class")
+    if request_class.effect is Idempotency.WITH_KEY and not parser.headers.get(b"idempotency-key"):
+        raise BadRequestError(400, "no Idempotency-Key")
+
+
+def _work_hint(headers: Mapping[bytes, bytes]) -> float | None:
+    value = headers.get(b"work-hint", b"")
+    return int(value) / 1000 if value.isdigit() and len(value) <= MAX_WORK_HINT_DIGITS else None
+
+
+def render_request(
+    method: bytes, target: bytes, headers: dict[bytes, bytes], framing: bytes, body: bytes, timeout_ms: float
+) -> bytes:
+    """Return the bytes of a request to a backend that the node waits `timeout_ms` for."""
+    lines = [
+        b"%b %b HTTP/1.1" % (method, target),
+        b"Host: " + headers.get(b"host", b"backend"),
+        b"Request-Id: " + headers[b"request-id"],
+        b"Request-Timeout: %du" % max(1, int(timeout_ms * 1000)),
+    ]
+    if b"idempotency-key" in headers:
+        lines.append(b"Idempotency-Key: " + headers[b"idempotency-key"])
+    if b"content-type" in headers:
+        lines.append(b"Content-Type: " + headers[b"content-type"])
+    if framing:
+        lines.append(framing)
+    return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- /dev/null
+++ b/balancer/net/request_lifecycle.py
@@ -0,0 +1,341 @@
+"""The life of each request: accepted, attempted as the decisions say, answered exactly once, forgotten."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections import Counter
+from collections.abc import Callable
+from functools import partial
+
+from balancer import interface as api
+from balancer.interface import AttemptStatus
+from balancer.net.attempt import AttemptResult, ResponseSink
+from balancer.net.backend_connection import BackendConnection
+from balancer.net.connection_pool import ConnectionPool
+from balancer.net.node_ports import Client
+from balancer.net.open_request import OpenRequest, Render, RequestAttempt
+from balancer.net.request_log import RequestLog
+from balancer.net.statistics import RequestOutcome, RequestStatistics
+from balancer.net.stream import Upload
+
+LONG_RESPONSE_CHECK_S = 0.25  # between two checks whether a response past the deadline is still under way
+DEADLINE_MARGIN_MS = 10.0  # before the client's deadline, which counts from its own send
+
+
+class RequestLifecycle:
+    """All open requests of the node. It carries out decisions and makes none.
+
+    It has more than 20 methods, as each event in a request's life is one.
+    """
+
+    def __init__(
+        self,
+        pool: ConnectionPool,
+        statistics: RequestStatistics,
+        counts: Counter[str],
+        clock: Callable[[], float],
+        handle_event: Callable[[api.Event], None],
+    ) -> None:
+        """Make an empty table; `clock` returns ms, `handle_event` takes what happens to the requests."""
+        self.open: dict[str, OpenRequest] = {}  # by request id
+        self._pool = pool
+        self._statistics = statistics
+        self._counts = counts
+        self._now = clock
+        self._handle_event = handle_event
+        self._loop = pool.loop
+        self._log = RequestLog(pool.loop.time)
+        self._drained: asyncio.Event | None = None  # set once no request is open
+
+    @property
+    def pending_count(self) -> int:
+        """Number of requests whose response is to be sent."""
+        return sum(not request.is_answered for request in self.open.values())
+
+    # --- from the client
+
+    def accept(
+        self, event: api.RequestArrived, client: Client, render: Render, upload: Upload | None = None
+    ) -> None:
+        """Open a request; with an `upload` its time starts at `body_received`, and `render` is its head."""
+        self._counts["taken"] += 1
+        deadline = event.deadline - DEADLINE_MARGIN_MS
+        request = OpenRequest(event.request, event.class_name, client, deadline, render, upload)
+        self.open[event.request] = request
+        request.timeout_ms = request.deadline - self._now()
+        if upload is None:
+            self._start_deadline(request)
+        self._handle_event(event)
+
+    def body_received(self, request_id: str, deadline: float) -> None:
+        """Start the time of a request whose upload is complete; `deadline` is the client's, in ms."""
+        request = self.open.get(request_id)
+        if request is None or request.is_answered or request.is_streaming:
+            return
+        request.deadline = deadline - DEADLINE_MARGIN_MS
+        now = self._now()
+        self._start_deadline(request)
+        for attempt in request.attempts:
+            if not attempt.is_over:
+                attempt.started_at = now
+                self._start_timeout(attempt, request)
+        self._handle_event(api.RequestBodyReceived(request_id, deadline))
+
+    def client_disconnected(self, request_id: str) -> None:
+        """Abandon a request whose client has left."""
+        request = self.open.get(request_id)
+        if request is None or request.is_answered:
+            return
+        self._counts["left" if request.attempts else "left_unsent"] += 1
+        is_unbounded = request.is_streaming or request.is_receiving  # no timeout ends its attempts
+        self._close(request)
+        self._handle_event(api.ClientDisconnected(request_id))
+        self._cancel_attempts(request, is_unbounded)
+
+    def abandon(self, request_id: str) -> None:
+        """Fail a request that cannot be decided on."""
+        request = self.open.get(request_id)
+        if request is None:
+            return
+        self._answer(request, RequestOutcome.FAILED, lambda client: client.fail())
+        self._handle_event(api.ClientDisconnected(request_id))
+        self._cancel_attempts(request, include_sent=True)
+
+    async def finish(self, timeout_s: float) -> None:
+        """Wait until all requests are answered, then fail the rest.
+
+        A streamed response that is still under way is broken off: SIGKILL would do the same.
+        """
+        self._drained = asyncio.Event()
+        if self.open:
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(self._drained.wait(), timeout_s)
+        for request_id in list(self.open):
+            self.abandon(request_id)
+
+    # --- decisions
+
+    def reject(self, action: api.RejectRequest) -> None:
+        """Reject a request."""
+        self._counts["refused"] += 1
+        request = self._log_unserved(action.request, "refused", action.reason)
+        if request is not None:
+            self._answer(request, RequestOutcome.REJECTED, lambda client: client.reject(action.retry_after))
+
+    def fail(self, action: api.FailRequest) -> None:
+        """Fail a request."""
+        self._counts["failed"] += 1
+        request = self._log_unserved(action.request, "failed", action.reason)
+        if request is not None:
+            self._answer(request, RequestOutcome.FAILED, lambda client: client.fail())
+
+    def start_attempt(self, action: api.StartAttempt) -> None:
+        """Send a request to a backend, unless it is too late for that."""
+        request = self.open.get(action.request)
+        now = self._now()
+        number = len(request.attempts) if request else 0
+        attempt = RequestAttempt(action.request, number, action.backend, now)
+        if request is None:
+            self._end_attempt(attempt, AttemptResult(AttemptStatus.NOT_STARTED))
+            return
+        if request.attempts and (status := request.attempts[-1].status) is not None:
+            self._log.retried(action.request, number, action.backend, status)
+        request.attempts.append(attempt)
+        attempt.timeout_ms = action.timeout
+        timeout_ms = self._start_timeout(attempt, request)
+        if (
+            request.is_upload_spent
+            or action.backend not in self._pool.members
+            or timeout_ms <= 0
+            or 0 < action.before <= now
+            or not self._is_wanted(request)
+        ):
+            if not attempt.is_over:  # else it was cancelled with its request
+                self._end_attempt(attempt, AttemptResult(AttemptStatus.NOT_STARTED))
+            return
+        attempt.attempt = self._pool.start_attempt(
+            action.backend,
+            request.render(timeout_ms),
+            partial(self._end_attempt, attempt),
+            partial(self._begin_stream, attempt),
+            request.upload,
+            partial(self._is_wanted, request),
+        )
+        if attempt.is_over:
+            attempt.attempt = None
+        elif action.before:
+            self._loop.call_later((action.before - now) / 1000, self._cancel_unsent, attempt)
+
+    def cancel_attempt(self, action: api.CancelAttempt) -> None:
+        """Cancel an attempt, if it is under way."""
+        request = self.open.get(action.request)
+        if request is None or action.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[action.attempt]
+        if not attempt.is_over:
+            attempt.cancel()
+            self._end_attempt(attempt, AttemptResult(AttemptStatus.CANCELLED))
+
+    def _log_unserved(self, request_id: str, response: str, reason: str) -> OpenRequest | None:
+        request = self.open.get(request_id)
+        self._log.unserved(request_id, response, reason, len(request.attempts) if request else 0)
+        return request
+
+    # --- timers
+
+    def _start_deadline(self, request: OpenRequest) -> None:
+        delay_s = max(0.0, request.deadline - self._now()) / 1000
+        request.deadline_timer = self._loop.call_later(delay_s, self.expire_deadline, request)
+
+    def expire_deadline(self, request: OpenRequest) -> None:
+        """End all attempts and fail the request, unless a long response is under way.
+
+        A small response of unknown length that never ends is no long one.
+        """
+        if request.is_answered:
+            return
+        if any(item.attempt is not None and item.attempt.has_long_response for item in request.attempts):
+            request.deadline_timer = self._loop.call_later(
+                LONG_RESPONSE_CHECK_S, self.expire_deadline, request
+            )
+            return
+        for attempt in request.attempts:
+            self.expire_attempt(attempt)
+        if not request.is_answered:
+            self._counts["overdue"] += 1
+            self._answer(request, RequestOutcome.FAILED, lambda client: client.fail())
+            self._handle_event(api.ClientDisconnected(request.request_id))
+
+    def _start_timeout(self, attempt: RequestAttempt, request: OpenRequest) -> float:
+        """Start an attempt's timeout; returns it in ms."""
+        remaining = request.timeout_ms if request.is_receiving else request.deadline - self._now()
+        timeout_ms = min(attempt.timeout_ms, remaining) if attempt.timeout_ms else remaining
+        if timeout_ms > 0 and not request.is_receiving:
+            attempt.timer = self._loop.call_later(timeout_ms / 1000, self.expire_attempt, attempt)
+        return timeout_ms
+
+    def expire_attempt(self, attempt: RequestAttempt) -> None:
+        """End an attempt whose timeout has passed."""
+        if attempt.is_over:
+            return
+        is_sent = attempt.is_sent
+        attempt.cancel()
+        # What was not sent whole, as on a connection still being established, never ran.
+        status = AttemptStatus.TIMEOUT if is_sent else AttemptStatus.CONNECT_FAILED
+        self._end_attempt(attempt, AttemptResult(status))
+
+    def _cancel_unsent(self, attempt: RequestAttempt) -> None:
+        """Cancel an attempt not yet sent: from now on a backend might take a retry for a new request."""
+        if not attempt.is_over and not attempt.is_sent:
+            attempt.cancel()
+            self._end_attempt(attempt, AttemptResult(AttemptStatus.NOT_STARTED))
+
+    # --- attempts
+
+    def _is_wanted(self, request: OpenRequest) -> bool:
+        """Return whether the response is still to be sent; detects a client that has left unseen."""
+        if not request.is_answered and request.client.has_left:
+            self.client_disconnected(request.request_id)
+        return not request.is_answered
+
+    def _begin_stream(
+        self, attempt: RequestAttempt, backend: BackendConnection, size: int | None, content_type: bytes
+    ) -> ResponseSink | None:
+        """Begin a streamed response, which has no deadline while it goes on."""
+        request = self.open.get(attempt.request_id)
+        if request is None or request.is_answered:
+            return None
+        attempt.cancel_timer()
+        if request.deadline_timer is None:  # the rest of its upload is not wanted
+            request.deadline = self._now() + request.timeout_ms
+            self._start_deadline(request)
+        request.is_streaming = True
+        request.client.begin_stream(backend, size, content_type)
+        elapsed_ms = self._now() - attempt.started_at
+        self._handle_event(
+            api.ResponseStarted(attempt.request_id, attempt.number, attempt.endpoint, elapsed_ms)
+        )
+        return request.client
+
+    def _end_attempt(self, attempt: RequestAttempt, result: AttemptResult) -> None:
+        """Report the one result of an attempt; a complete response goes to the client."""
+        status = result.status
+        attempt.is_over = True
+        attempt.attempt = None
+        attempt.status = status
+        attempt.cancel_timer()
+        self._counts[f"attempt_{status.value}"] += 1
+        if status is not AttemptStatus.OK:
+            elapsed_ms = self._now() - attempt.started_at
+            self._log.attempt_failed(attempt.request_id, attempt.number, attempt.endpoint, status, elapsed_ms)
+        request = self.open.get(attempt.request_id)
+        if request is not None:
+            self._answer_with_result(request, result)
+        is_closed = request is None or request.is_answered
+        is_spent = request is not None and request.is_upload_spent
+        if request is not None and is_closed:
+            self._forget(request)
+        elapsed_ms = self._now() - attempt.started_at
+        self._handle_event(
+            api.AttemptEnded(
+                attempt.request_id,
+                attempt.number,
+                attempt.endpoint,
+                status,
+                elapsed_ms,
+                is_closed,
+                result.report,
+                is_spent,
+            )
+        )
+
+    def _cancel_attempts(self, request: OpenRequest, include_sent: bool) -> None:
+        """Cancel the attempts of a request that is answered: those not sent, or all of them.
+
+        The rest of an upload is dropped with its client, so an attempt that takes it must not go on: its end
+        would pass for the end of the whole body.
+        """
+        for attempt in request.attempts:
+            is_sent = attempt.is_sent
+            if not attempt.is_over and (include_sent or not is_sent):
+                attempt.cancel()
+                status = AttemptStatus.CANCELLED if is_sent else AttemptStatus.NOT_STARTED
+                self._end_attempt(attempt, AttemptResult(status))
+
+    # --- responses
+
+    def _answer_with_result(self, request: OpenRequest, result: AttemptResult) -> None:
+        is_ok = result.status is AttemptStatus.OK
+        if request.is_streaming and is_ok:
+            self._answer(request, RequestOutcome.COMPLETED, lambda client: client.finish_stream())
+        elif request.is_streaming:
+            self._answer(request, RequestOutcome.FAILED, lambda client: client.fail())
+        elif is_ok:
+            self._answer(
+                request,
+                RequestOutcome.COMPLETED,
+                lambda client: client.send_response(result.body, result.content_type),
+            )
+
+    def _answer(
+        self, request: OpenRequest, outcome: RequestOutcome, respond: Callable[[Client], None]
+    ) -> None:
+        if request.is_answered:
+            return
+        is_receiving = request.is_receiving
+        self._statistics.record_outcome(outcome, request.class_name)
+        self._close(request)
+        respond(request.client)
+        self._cancel_attempts(request, include_sent=is_receiving)
+
+    def _close(self, request: OpenRequest) -> None:
+        request.close()
+        self._forget(request)
+
+    def _forget(self, request: OpenRequest) -> None:
+        """Remove a request that is answered and has no attempt under way."""
+        if request.request_id in self.open and request.has_no_attempt:
+            del self.open[request.request_id]
+            if not self.open and self._drained is not None:
+                self._drained.set()
--- a/balancer/net/request_log.py
+++ b/balancer/net/request_log.py
@@ -1,6 +1,6 @@
-"""Log lines on single requests: failed attempts, repeats and unserved answers, with id and reason.
+"""Log lines on single requests: failed attempts, retries and unserved requests, with id and reason.
 
-A line of a kind comes once in 10 s at most and stands for the others: the counts have them all.
+One line of a kind is written in 10 s and stands for the others: the counts line has them all.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 
 class RequestLog:
-    """Names one request for each kind of trouble, now and then."""
+    """Names one request for each kind of fault, now and then."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """`clock` tells seconds."""
-        self.lines = RateLimitedLog(log, clock, level=logging.INFO)
+        """Make a log; `clock` returns seconds."""
+        self._lines = RateLimitedLog(log, clock, level=logging.INFO)
 
     def attempt_failed(
-        self, request: str, number: int, backend: str, status: AttemptStatus, took: float
+        self, request_id: str, number: int, backend: str, status: AttemptStatus, elapsed_ms: float
     ) -> None:
-        """An attempt, the first one being 0, has ended without a served answer after `took` ms."""
-        text = f"request {request}: attempt {number + 1} at {backend}: {status.value} after {took:.0f} ms"
-        self.lines.log(f"attempt {status.value}", text)
-
-    def sent_again(self, request: str, number: int, backend: str, before: AttemptStatus) -> None:
-        """An attempt beyond the first goes out; `before` is how the one before it ended."""
-        text = f"request {request}: attempt {number + 1} at {backend}, after one that ended: {before.value}"
-        self.lines.log("sent again", text)
-
-    def unserved(self, request: str, answer: str, reason: str, attempts: int) -> None:
-        """The client is told that its request is refused, or has failed."""
-        text = f"request {request}: {answer}, reason {reason}, attempts {attempts}"
-        self.lines.log(f"{answer} {reason}", text)
+        """Log an attempt, the first being 0, that ended without a response that is passed on."""
+        text = f"attempt {number + 1} at {backend}: {status.value} after {elapsed_ms:.0f} ms"
+        self._lines.log(f"attempt {status.value}", f"request {request_id}: {text}")
+
+    def retried(self, request_id: str, number: int, backend: str, previous: AttemptStatus) -> None:
+        """Log an attempt beyond the first; `previous` is how the one before it ended."""
+        text = f"attempt {number + 1} at {backend}, after one that ended: {previous.value}"
+        self._lines.log("retry", f"request {request_id}: {text}")
+
+    def unserved(self, request_id: str, response: str, reason: str, attempts: int) -> None:
+        """Log a request that is rejected or failed."""
+        text = f"{response}, reason {reason}, attempts {attempts}"
+        self._lines.log(f"{response} {reason}", f"request {request_id}: {text}")
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -20,7 +20,8 @@
 from balancer.membership.port import Port
 from balancer.net import handover
 from balancer.net.config import Member, News
-from balancer.net.node import Node, Watcher
+from balancer.net.node import Node
+from balancer.net.node_ports import EndpointWatcher
 from balancer.net.statistics import RequestOutcome
 from balancer.recovery import events
 from balancer.recovery.core import Config
@@ -43,7 +44,7 @@
     """The return of one process of a node; to the module it is what brings the list."""
 
     def __init__(
-        self, node: Node, watcher: Watcher, known: News, port: Port, life: int, disk: Durable | None
+        self, node: Node, watcher: EndpointWatcher, known: News, port: Port, life: int, disk: Durable | None
     ) -> None:
         self.node, self.watcher, self.disk = node, watcher, disk
         self.kept = disk.kept if disk is not None else Kept()
@@ -99,7 +100,7 @@
 
     async def _inherited(self) -> Left | None:
         """What the predecessor leaves, once it has seen this process."""
-        path = self.node.meeting.with_suffix(SUFFIX)
+        path = self.node.shared_path.with_suffix(SUFFIX)
         until = self.node.loop.time() + SOON
         while (left := take(path, self._clock())) is None and self.node.loop.time() < until:
             await asyncio.sleep(LOOK)
@@ -107,7 +108,7 @@
 
     def hand_over(self) -> None:
         """A successor has come."""
-        give(self.node.meeting.with_suffix(SUFFIX), self.shell.left(), self._clock())
+        give(self.node.shared_path.with_suffix(SUFFIX), self.shell.left(), self._clock())
 
     def _clock(self) -> float:
         """The node's clock where the system's monotonic one is 0: that one all processes share."""
@@ -148,9 +149,13 @@
                 replace(m, phase=api.EndpointPhase.DRAINING)
                 if m.backend in ids else _copy(m) for m in self._saved.members
             ]  # fmt: skip
-            self.node.list(News(self._saved.revision, True, tuple(drained)), api.ListUpdateKind.CACHED)
+            self.node.update_endpoints(
+                News(self._saved.revision, True, tuple(drained)), api.ListUpdateKind.CACHED
+            )
         elif again := [_copy(m) for name, m in self._list.items() if name in before - ids]:
-            self.node.list(News(self._saved.revision, False, tuple(again), True), api.ListUpdateKind.DELTA)
+            self.node.update_endpoints(
+                News(self._saved.revision, False, tuple(again), True), api.ListUpdateKind.DELTA
+            )
 
     # --- what brings the list
 
@@ -207,8 +212,8 @@
 
         Returns the most requests a second that the node has carried when warm; 0: unknown.
         """
-        ends, now = self.node.figures.outcomes, self.node.loop.time()
-        pending = sum(not request.answered for request in self.node.open.values())
+        ends, now = self.node.statistics.outcomes, self.node.loop.time()
+        pending = sum(not request.is_answered for request in self.node.requests.open.values())
         came = sum(counts.total() for counts in ends.values()) + pending
         before, self._pulsed = self._pulsed, (now, came, ends[RequestOutcome.COMPLETED].total())
         if before is None or now <= before[0]:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -19,11 +19,12 @@
 import uvloop
 
 from balancer.interface import AttemptStatus, ListUpdateKind
-from balancer.net import front as front_file
+from balancer.net import client_connection as client_file
 from balancer.net.attempt import AttemptResult
+from balancer.net.client_connection import ClientConnection
 from balancer.net.config import load, over
 from balancer.net.connection_pool import ConnectionPool, EndpointConnections
-from balancer.net.front import ClientConnection, Front
+from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import StreamMemory
@@ -151,7 +152,7 @@
 
 
 @contextlib.asynccontextmanager
-async def front_of(tmp: Path, *backends: Backend, limit: int = 100) -> AsyncIterator[Front]:
+async def listener_of(tmp: Path, *backends: Backend, limit: int = 100) -> AsyncIterator[Listener]:
     """A node's client side, listening."""
     for backend in backends:
         await backend.start()
@@ -159,15 +160,15 @@
     path.write_text(json.dumps(configuration([b.member() for b in backends], 1, **PATIENT)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
-    node.list(config.known, ListUpdateKind.CACHED)
-    node.listening = node.ready = True
-    front = Front(node, limit)
-    await front.listen(("127.0.0.1", 0), shared=False)
+    node.update_endpoints(config.known, ListUpdateKind.CACHED)
+    node.is_listening = node.has_endpoints = True
+    listener = Listener(node, limit)
+    await listener.listen(("127.0.0.1", 0), shared=False)
     try:
-        yield front
+        yield listener
     finally:
-        front.stop()
-        await front.close(0.0)
+        listener.stop()
+        await listener.close(0.0)
         node.pool.close()
         for backend in backends:
             backend.stop()
@@ -183,11 +184,11 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window)
         self.sock.setblocking(False)
 
-    async def reach(self, front: Front) -> ClientConnection:
+    async def reach(self, listener: Listener) -> ClientConnection:
         """Connect; the node's side of it."""
-        known = front.connections | front.lingering.keys()
-        await asyncio.get_running_loop().sock_connect(self.sock, front.address)
-        while not (new := (front.connections | front.lingering.keys()) - known):
+        known = listener.connections | listener.lingering.keys()
+        await asyncio.get_running_loop().sock_connect(self.sock, listener.address)
+        while not (new := (listener.connections | listener.lingering.keys()) - known):
             await asyncio.sleep(0)
         return new.pop()
 
@@ -225,14 +226,14 @@
 
 async def _nodelay(tmp: Path) -> None:
     backend = Backend("b0")
-    async with front_of(tmp, backend) as front:
+    async with listener_of(tmp, backend) as listener:
         peer = Peer()
-        accepted = await peer.reach(front)
+        accepted = await peer.reach(listener)
         peer.sock.send(READ % 1)
         await backend.got.get()
-        while not front.node.pool.endpoints["b0"].idle:
+        while not listener.node.pool.endpoints["b0"].idle:
             await asyncio.sleep(0)
-        for connection in (accepted, front.node.pool.endpoints["b0"].idle[0]):
+        for connection in (accepted, listener.node.pool.endpoints["b0"].idle[0]):
             assert connection.transport is not None
             sock = connection.transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -244,22 +245,22 @@
 async def _crossed(tmp: Path) -> None:
     """A request that has come unread when an idle connection is ended meets a clean end, and goes nowhere."""
     backend = Backend("b0")
-    async with front_of(tmp, backend) as front:
-        for end in (ClientConnection.linger, ClientConnection._too_slow):
+    async with listener_of(tmp, backend) as listener:
+        for end in (ClientConnection.linger, ClientConnection.on_receive_timeout):
             peer = Peer()
-            connection = await peer.reach(front)
+            connection = await peer.reach(listener)
             peer.sock.send(UP)
             assert await peer.read(len(ANSWERED)) == ANSWERED
             peer.sock.send(READ % 1)  # in the kernel, as the loop has had no turn
             end(connection)
             assert await peer.read(1) == b""
             peer.sock.send(READ % 2)  # nor is one taken that comes later
-            assert connection in front.lingering
+            assert connection in listener.lingering
             peer.sock.close()
-            while front.lingering:
+            while listener.lingering:
                 await asyncio.sleep(0)
         assert backend.got.empty()
-        assert not front.node.open
+        assert not listener.node.requests.open
 
 
 test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_taken = on_uvloop(_crossed)
@@ -272,11 +273,11 @@
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(body))
 
-    async with front_of(tmp, Backend("b0", respond)) as front:
+    async with listener_of(tmp, Backend("b0", respond)) as listener:
         peer = Peer(window=4096)
-        connection = await peer.reach(front)
+        connection = await peer.reach(listener)
         peer.sock.send(READ.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") % 1)
-        while not connection.closing:  # the answer is on its way
+        while not connection.is_closing:  # the answer is on its way
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         peer.sock.send(b"x" * 1000)
@@ -292,19 +293,19 @@
 async def _bounded(tmp: Path) -> None:
     """Clients that rest after the node's end: no new one is crowded out, and there are only so many."""
     limit = 3
-    async with front_of(tmp, limit=limit) as front:
+    async with listener_of(tmp, limit=limit) as listener:
         peers, seen = [], []
         for _ in range(limit + over(limit) + 5):
             peers.append(Peer())
-            seen.append(await peers[-1].reach(front))
+            seen.append(await peers[-1].reach(listener))
             peers[-1].sock.send(UP)
             assert await peers[-1].read(len(ANSWERED)) == ANSWERED  # not over the cap
-            assert len(front.connections) <= limit
-            assert len(front.connections) + len(front.lingering) <= limit + over(limit)
+            assert len(listener.connections) <= limit
+            assert len(listener.connections) + len(listener.lingering) <= limit + over(limit)
         first = seen[0].transport
         assert first is not None
         assert first.is_closing()
-        assert [c.closing for c in seen] == [True] * (over(limit) + 5) + [False] * limit
+        assert [c.is_closing for c in seen] == [True] * (over(limit) + 5) + [False] * limit
         for peer in peers:
             peer.sock.close()
 
@@ -314,30 +315,30 @@
 
 async def _resting(tmp: Path) -> None:
     """One that never ends its side is let go after a while."""
-    async with front_of(tmp) as front:
+    async with listener_of(tmp) as listener:
         peer = Peer()
-        connection = await peer.reach(front)
+        connection = await peer.reach(listener)
         connection.linger()
         assert await peer.read(1) == b""
-        while front.lingering:
+        while listener.lingering:
             await asyncio.sleep(0.01)
         peer.sock.close()
 
 
 def test_a_client_that_rests_on_is_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The lingering is bounded in time."""
-    monkeypatch.setattr(front_file, "LINGER", 0.05)
+    monkeypatch.setattr(client_file, "LINGER_TIMEOUT_S", 0.05)
     on_uvloop(_resting)(tmp_path)
 
 
 async def _reset_first(tmp: Path) -> None:
     """Ruled out: a client that resets in the moment of the close costs no log line."""
-    async with front_of(tmp) as front:
+    async with listener_of(tmp) as listener:
         peer = Peer()
-        connection = await peer.reach(front)
+        connection = await peer.reach(listener)
         peer.reset()
         connection.linger()
-        while front.connections or front.lingering:
+        while listener.connections or listener.lingering:
             await asyncio.sleep(0)
 
 
@@ -350,16 +351,16 @@
 
 async def _flood(tmp: Path) -> None:
     """Requests without end from a client that reads no answer: it is left waiting."""
-    async with front_of(tmp) as front:
+    async with listener_of(tmp) as listener:
         peer = Peer(window=4096)
-        connection = await peer.reach(front)
+        connection = await peer.reach(listener)
         transport = connection.transport
         assert transport is not None
         whole = 0
         while transport.is_reading():
             assert peer.sock.send(UP * 100) == 100 * len(UP)
             whole += 100
-            while connection.unread and transport.is_reading():
+            while connection.has_unread_data and transport.is_reading():
                 await asyncio.sleep(0)
             assert transport.get_write_buffer_size() < 200_000
         assert await peer.read(whole * len(ANSWERED)) == ANSWERED * whole  # and then it goes on
@@ -379,25 +380,25 @@
         writer.write(answer(b"done"))
 
     backend = Backend("b0", respond)
-    async with front_of(tmp, backend) as front:
+    async with listener_of(tmp, backend) as listener:
         for rest in (b"nonsense\r\n\r\n", READ % 2 + b"\0\0\0", READ % 2 * 30_000, b"x" * 2_000_000):
             go.clear()
             peer = Peer()
-            connection = await peer.reach(front)
+            connection = await peer.reach(listener)
             peer.sock.send(READ % 1)
             await backend.got.get()
             await asyncio.get_running_loop().sock_sendall(peer.sock, rest)
-            while connection.stage is front_file.Stage.OPEN:
+            while connection.stage is client_file.Stage.OPEN:
                 await asyncio.sleep(0)
             go.set()
             got = await peer.read(1_000_000)
             assert got.count(b"HTTP/1.1 200 OK\r\nConnection: close\r\n") == 1 == got.count(b"HTTP/1.1")
             assert got.endswith(b"done")
             assert backend.got.empty()
-            assert len(connection.headers) == 2
+            assert len(connection.parser.headers) == 2
             assert not connection.body
             peer.sock.close()
-            while front.lingering:
+            while listener.lingering:
                 await asyncio.sleep(0)
 
 
@@ -410,10 +411,10 @@
 
 async def _early(tmp: Path) -> None:
     """A flood behind a request that was answered at once as bad gets no second answer."""
-    async with front_of(tmp) as front:
+    async with listener_of(tmp) as listener:
         for leave in (Peer.reset, lambda peer: peer.sock.close()):
             peer = Peer()
-            connection = await peer.reach(front)
+            connection = await peer.reach(listener)
             peer.sock.send(b"GET /nobody HTTP/1.1\r\n\r\n" + READ % 1 * 1000)
             got = await peer.read(100_000)
             assert got.count(b"HTTP/1.1") == 1
@@ -421,10 +422,10 @@
             with contextlib.suppress(BlockingIOError):
                 peer.sock.send(b"x" * 1_000_000)
             leave(peer)
-            while front.connections or front.lingering:
+            while listener.connections or listener.lingering:
                 await asyncio.sleep(0)
-            assert connection.stage is front_file.Stage.CLOSED
-            assert not front.node.open
+            assert connection.stage is client_file.Stage.CLOSED
+            assert not listener.node.requests.open
 
 
 test_one_answer_for_a_flood_behind_a_bad_request = on_uvloop(_early)
@@ -433,15 +434,15 @@
 async def _queued(tmp: Path) -> None:
     """Connections that wait to be accepted when the listener closes are served their request."""
     backend = Backend("b0")
-    async with front_of(tmp, backend) as front:
+    async with listener_of(tmp, backend) as listener:
         peers = [Peer() for _ in range(5)]
         for number, peer in enumerate(peers):
             with contextlib.suppress(BlockingIOError):
-                peer.sock.connect(front.address)  # the kernel takes it up; the loop has had no turn
+                peer.sock.connect(listener.address)  # the kernel takes it up; the loop has had no turn
             peer.sock.send(READ % number)
-        front.node.stopping = True
-        front.stop()
-        await front.drained(WAIT)
+        listener.node.is_stopping = True
+        listener.stop()
+        await listener.wait_until_drained(WAIT)
         for peer in peers:
             got = await peer.read(1000)
             assert got.startswith(b"HTTP/1.1 200 OK\r\nConnection: close")
@@ -453,20 +454,20 @@
 
 async def _spared(tmp: Path) -> None:
     """A connection spared at the stop, as something has come there, that is no whole request."""
-    async with front_of(tmp) as front:
+    async with listener_of(tmp) as listener:
         peer, other = Peer(), Peer()
         for each in (peer, other):
-            await each.reach(front)
+            await each.reach(listener)
             each.sock.send(UP)
             assert await each.read(len(ANSWERED)) == ANSWERED
         peer.sock.send(UP[:10])
         other.sock.send(UP[:10])
-        front.node.stopping = True
-        front.stop()
+        listener.node.is_stopping = True
+        listener.stop()
         other.sock.send(UP[10:])
         assert b"\r\nConnection: close\r\n" in await other.read(1000)
-        await front.drained(0.0)
-        await front.close(0.0)
+        await listener.wait_until_drained(0.0)
+        await listener.close(0.0)
         assert await peer.read(1) == b""
         for each in (peer, other):
             each.sock.close()
@@ -478,16 +479,16 @@
 async def _closed(tmp: Path) -> None:
     """Once the client side is closed nothing is taken, whatever comes and wherever it stands."""
     backend = Backend("b0")
-    async with front_of(tmp, backend) as front:
+    async with listener_of(tmp, backend) as listener:
         peers = [Peer() for _ in range(3)]
         for peer in peers:
-            await peer.reach(front)
+            await peer.reach(listener)
         peers[1].sock.send(READ[:20])  # in the middle of a head
-        while not front.connections & {c for c in front.connections if c.mid}:
+        while not listener.connections & {c for c in listener.connections if c.parser.is_receiving}:
             await asyncio.sleep(0)
         peers[2].sock.send(READ % 3)  # unread
-        front.node.stopping = True
-        ending = asyncio.ensure_future(front.close(WAIT))
+        listener.node.is_stopping = True
+        ending = asyncio.ensure_future(listener.close(WAIT))
         await asyncio.sleep(0)
         peers[0].sock.send(READ % 1)
         peers[1].sock.send(READ[20:] % 2)
@@ -498,7 +499,7 @@
             peer.sock.close()
         await ending
         assert backend.got.empty()
-        assert not front.node.open
+        assert not listener.node.requests.open
 
 
 test_once_closed_nothing_is_taken = on_uvloop(_closed)
@@ -516,9 +517,9 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async with front_of(tmp, Backend("b0", respond)) as front:
+    async with listener_of(tmp, Backend("b0", respond)) as listener:
         peer = Peer()
-        await peer.reach(front)
+        await peer.reach(listener)
         peer.sock.send(b"GET /read HTTP/1.0\r\nRequest-Id: 1\r\n\r\n")
         assert (await peer.read(60_000)).startswith(b"HTTP/1.1 200 OK")
         go.set()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,9 +18,10 @@
 import pytest
 
 from balancer.__main__ import share
+from balancer.net.client_connection import ClientConnection
 from balancer.net.config import LEAVING, SPARE, Config, load, over
 from balancer.net.console import CALLERS
-from balancer.net.front import BACKLOG, ClientConnection, Front
+from balancer.net.listener import BACKLOG, Listener
 from balancer.net.node import Node
 from tests.sockets import (
     PATIENT,
@@ -290,48 +291,48 @@
         self.closed = self.aborted = True
 
 
-def front_of(tmp: Path, limit: int) -> Front:
+def listener_of(tmp: Path, limit: int) -> Listener:
     """A listener's part for so many connections, without a listener."""
-    return Front(Node(config_of(tmp, [], 1)), limit)
+    return Listener(Node(config_of(tmp, [], 1)), limit)
 
 
-def comes(front: Front, unsent: int = 0) -> FakeTransport:
+def comes(listener: Listener, unsent: int = 0) -> FakeTransport:
     """One more connection, just accepted."""
     transport = FakeTransport(unsent)
-    ClientConnection(front).connection_made(transport)
+    ClientConnection(listener).connection_made(transport)
     return transport
 
 
 async def test_a_request_that_has_come_unread_keeps_its_connection(tmp_path: Path) -> None:
     """Guards against a reset that takes a request with it: the longest idle one without any goes."""
-    front = front_of(tmp_path, 3)
-    first, second, third = (comes(front) for _ in range(3))
+    listener = listener_of(tmp_path, 3)
+    first, second, third = (comes(listener) for _ in range(3))
     first.client.send(b"GET /read HTTP/1.1\r\n")
-    last = comes(front)
+    last = comes(listener)
     assert [t.closed for t in (first, second, third, last)] == [False, True, False, False]
-    assert not front.crowded
+    assert not listener.is_over_limit
 
 
 async def test_those_that_read_no_answers_hold_neither_the_descriptors_nor_the_places(tmp_path: Path) -> None:
     """Guards the descriptors: one that is ended before its client has read all lingers, as few may."""
-    front = front_of(tmp_path, 16)
-    slow = [comes(front, unsent=1) for _ in range(16)]
-    late = [comes(front, unsent=1) for _ in range(over(16))]
+    listener = listener_of(tmp_path, 16)
+    slow = [comes(listener, unsent=1) for _ in range(16)]
+    late = [comes(listener, unsent=1) for _ in range(over(16))]
     assert [transport.closed for transport in slow] == [True] * over(16) + [False] * (16 - over(16))
-    assert not front.crowded and not any(transport.closed for transport in late)
+    assert not listener.is_over_limit and not any(transport.closed for transport in late)
     assert not any(transport.aborted for transport in slow)  # for now
     for _ in range(64):
-        last = comes(front, unsent=1)
+        last = comes(listener, unsent=1)
         slow.append(last)
         held = [transport for transport in slow + late if not transport.aborted]
-        assert len(held) == 16 + over(16) and not last.closed and not front.crowded
+        assert len(held) == 16 + over(16) and not last.closed and not listener.is_over_limit
 
 
 async def test_where_all_places_are_taken_the_longest_lingering_one_goes(tmp_path: Path) -> None:
-    front = front_of(tmp_path, 16)
-    slow = [comes(front, unsent=1) for _ in range(15)]
-    rest = [comes(front) for _ in range(over(16) + 1)]
-    last = comes(front)
+    listener = listener_of(tmp_path, 16)
+    slow = [comes(listener, unsent=1) for _ in range(15)]
+    rest = [comes(listener) for _ in range(over(16) + 1)]
+    last = comes(listener)
     assert not any(transport.closed for transport in (*rest, last))
     assert [transport.closed for transport in slow] == [True] * (over(16) + 1) + [False] * (14 - over(16))
     assert [transport.aborted for transport in slow] == [True] + [False] * 14
@@ -341,28 +342,28 @@
     """Guards the descriptors of a full process: those over the cap are no part of what may stay."""
     config = config_of(tmp_path, [], 1, sockets=256)
     clients, upstream = config.shares(1)
-    front = Front(Node(config), clients)
+    listener = Listener(Node(config), clients)
     for _ in range(clients + over(clients)):
-        comes(front, unsent=1)
-    front.node.pool.connection_count = upstream
+        comes(listener, unsent=1)
+    listener.node.pool.connection_count = upstream
     for _ in range(2):
-        share(front.node, front, True)
-        comes(front, unsent=1)
-        assert front.limit + over(front.limit) + LEAVING + front.node.pool.limit + SPARE <= 256
-    share(front.node, front, False)
-    assert (front.limit, front.node.pool.limit) == (clients, upstream)
+        share(listener.node, listener, True)
+        comes(listener, unsent=1)
+        assert listener.limit + over(listener.limit) + LEAVING + listener.node.pool.limit + SPARE <= 256
+    share(listener.node, listener, False)
+    assert (listener.limit, listener.node.pool.limit) == (clients, upstream)
 
 
 async def test_two_processes_of_a_node_keep_to_one_limit_together(tmp_path: Path) -> None:
     """An idle flood fills the first before the second comes, and then that one."""
     config = config_of(tmp_path, [], 1, sockets=256)
     clients, upstream = config.shares(1)
-    old, new = Front(Node(config), clients), Front(Node(config), clients)
+    old, new = Listener(Node(config), clients), Listener(Node(config), clients)
     for _ in range(clients):
         comes(old)
     old.node.pool.connection_count = upstream
     held = 0
-    for front in (old, new):
-        share(front.node, front, True)
-        held += front.limit + over(front.limit) + LEAVING + front.node.pool.limit + SPARE
+    for listener in (old, new):
+        share(listener.node, listener, True)
+        held += listener.limit + over(listener.limit) + LEAVING + listener.node.pool.limit + SPARE
     assert held <= 256, held
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,7 +21,8 @@
 from balancer.net.config import Address
 from balancer.net.discovery import Discovery
 from balancer.net.discovery_call import Stage
-from balancer.net.node import Node, Rooms
+from balancer.net.node import Node
+from balancer.net.node_ports import FleetServices
 from balancer.net.watchdog import PERIOD
 from tests.sockets import configuration
 
@@ -247,14 +248,14 @@
         node = Node(held)
         node.now = lambda: self.now * 1000  # type: ignore[method-assign]
         node.discovery = out = Discovery(node, held.discovery, 0)
-        take = node.list
+        take = node.update_endpoints
 
         def told(news: config.News, kind: ListUpdateKind) -> None:
             self.heard.append((self.now, news.revision))
             take(news, kind)
 
-        node.list = told  # type: ignore[method-assign]
-        node.list(held.known, ListUpdateKind.CACHED)
+        node.update_endpoints = told  # type: ignore[method-assign]
+        node.update_endpoints(held.known, ListUpdateKind.CACHED)
         if not held.settings.must_subscribe:
             out.watch(True)
         return node
@@ -482,7 +483,7 @@
     """It comes 9 s after it was first asked for: the call goes on beside the next ones, which end with it."""
     world = World(tmp_path, must_subscribe, "slow")
     node = world.play(60)
-    assert node.ready and len(node.pool.members) == 12
+    assert node.has_endpoints and len(node.pool.members) == 12
     assert [round(at, 6) for at, _ in world.heard[1:]] == [9.0]
     assert len(world.asked) == 3
     assert [line.ended < 9.01 for line in world.lines] == [False, True, True]
@@ -505,7 +506,7 @@
                 world.loop.call_later(1.0, discovery.watch, True)
 
         rooms = SimpleNamespace(list_failed=list_failed, listed=lambda *_: None, unchanged=lambda: None)
-        discovery.node.fleet = cast(Rooms, rooms)
+        discovery.node.fleet = cast(FleetServices, rooms)
         # The module is heard until its turn is over.
         watcher = SimpleNamespace(watch=lambda on: None if failed else discovery.watch(on))
         discovery.node.discovery = cast(Discovery, watcher)
@@ -515,7 +516,7 @@
         assert failed == [] and [round(at, 6) for at, _ in world.heard[1:]] == [9.0]
     else:
         # No timer is left behind a stop: the room's turn alone brings the next call.
-        assert not node.ready
+        assert not node.has_endpoints
         assert [round(at, 2) for at in world.dialled] == [0.0, 4.05, 8.1, 12.15, 16.2, 20.25, 24.3]
         assert [round(at, 2) for at in failed] == [round(t + 3.05, 2) for t in world.dialled]
 
@@ -531,7 +532,7 @@
                 discovery.watch(True)
 
         rooms = SimpleNamespace(list_failed=lambda: None, listed=listed, unchanged=lambda: None)
-        discovery.node.fleet = cast(Rooms, rooms)
+        discovery.node.fleet = cast(FleetServices, rooms)
 
     world.play(60, steer)
     assert world.dialled == [0.0, 0.0]
@@ -542,7 +543,7 @@
     """Guards against a call that trickles for ever and keeps its place from those that come to something."""
     world = World(tmp_path, False, "endless", "slow")
     node = world.play(90)
-    assert node.ready and world.lines[0].ended < 68
+    assert node.has_endpoints and world.lines[0].ended < 68
     assert sum(line.open_at(89) for line in world.lines) == 1
 
 
@@ -552,7 +553,7 @@
 ) -> None:
     world = World(tmp_path, must_subscribe, "spoilt")
     node = world.play(60)
-    assert node.ready
+    assert node.has_endpoints
     assert 20 <= len(world.asked) <= 120
     assert {target for _, target, _ in world.asked} == {"/discovery/hosts?watch=1&from=0"}
     assert 5 <= sum("bad list" in line for line in caplog.messages) <= 7
@@ -684,7 +685,7 @@
     tmp_path: Path, all_at_most: None, must_subscribe: bool, failure: str, back: float
 ) -> None:
     world = World(tmp_path, must_subscribe, failure, back=back, queue=QUEUE)
-    assert world.play(40).ready
+    assert world.play(40).has_endpoints
     told = next(at for at, revision in world.heard if revision == NEW)
     assert told - back <= PERIOD + QUEUE + 0.01
     assert world.dialled[0] == 0.0
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -210,13 +210,13 @@
         """One node of the tier."""
         settings = replace(self.config.settings, me=number, node_count=NODES)
         node = self.node(replace(self.config, seed=seed, settings=settings))
-        take = node.list
+        take = node.update_endpoints
 
         def told(news: News, kind: ListUpdateKind) -> None:
             self.taken.append(Told(self.now, number, news.revision))
             take(news, kind)
 
-        node.list = told  # type: ignore[method-assign]
+        node.update_endpoints = told  # type: ignore[method-assign]
         return node
 
     async def life(self, seed: int) -> dict[int, float]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,7 +65,7 @@
 PLAYS = 3  # at most, until one is not void
 
 
-class Watcher:
+class EndpointWatcher:
     """Looks at node 0's console as the command does, once it has heard of the kill."""
 
     def __init__(self) -> None:
@@ -85,7 +85,7 @@
     folder = tmp_path_factory.mktemp("fleet")
     (folder / "spec.toml").write_text(SPEC)
     for number in range(PLAYS):
-        watcher = Watcher()
+        watcher = EndpointWatcher()
         seen = uvloop.run(play(load(folder / "spec.toml"), 1, NODE, folder / f"{number}", False, watcher))
         if not void(seen):
             break
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,7 +17,7 @@
 from balancer import interface as api
 from balancer.interface import ListUpdateKind
 from balancer.net.config import load
-from balancer.net.front import Front
+from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.stream import MAX_BUFFERED_BODY_BYTES, MAX_REPLAY_BYTES
 from tests.sockets import HOUR, WAIT, Backend, Client, Message, answer, configuration, echo
@@ -32,8 +32,8 @@
 class Scene:
     """A node in this process, on sockets, whose connections to backends come up when the test says so."""
 
-    def __init__(self, node: Node, front: Front, backends: tuple[Backend, ...]) -> None:
-        self.node, self.front, self.backends = node, front, backends
+    def __init__(self, node: Node, listener: Listener, backends: tuple[Backend, ...]) -> None:
+        self.node, self.listener, self.backends = node, listener, backends
         self.clients: list[Client] = []
         self.dials: asyncio.Queue[asyncio.Event] = asyncio.Queue()  # each waits until it is set
         self.freely = 0  # so many connections come up at once
@@ -57,7 +57,7 @@
 
     async def client(self) -> Client:
         """A new connection to the node."""
-        out = Client(*await asyncio.open_connection(*self.front.address))
+        out = Client(*await asyncio.open_connection(*self.listener.address))
         self.clients.append(out)
         return out
 
@@ -73,14 +73,14 @@
 
     async def leave(self, client: Client, reset: bool) -> None:
         """The client closes its connection, and the node has seen it."""
-        count = len(self.front.connections)
+        count = len(self.listener.connections)
         depart(client, reset)
-        await self.until(lambda: len(self.front.connections) < count)
+        await self.until(lambda: len(self.listener.connections) < count)
 
     def nothing_left(self) -> bool:
         """Whether neither the node nor its module has anything under way."""
         module = self.node.balancer
-        return not (self.node.open or module.requests or module.out)
+        return not (self.node.requests.open or module.requests or module.out)
 
 
 def depart(client: Client, reset: bool) -> None:
@@ -104,20 +104,20 @@
     path.write_text(json.dumps(configuration(members, 1, limits=limits, **over)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
-    node.list(config.known, ListUpdateKind.CACHED)
-    front = Front(node, 100)
-    await front.listen(("127.0.0.1", 0), shared=False)
-    out = Scene(node, front, backends)
+    node.update_endpoints(config.known, ListUpdateKind.CACHED)
+    listener = Listener(node, 100)
+    await listener.listen(("127.0.0.1", 0), shared=False)
+    out = Scene(node, listener, backends)
     monkeypatch.setattr(out.loop, "sock_connect", out.dial)
     try:
         yield out
     finally:
-        front.stop()
+        listener.stop()
         for client in out.clients:
             client.writer.transport.abort()
         for backend in backends:
             backend.stop()
-        await out.until(lambda: not (front.connections or node.open))
+        await out.until(lambda: not (listener.connections or node.requests.open))
         node.pool.close()
 
 
@@ -250,7 +250,7 @@
             % MAX_REPLAY_BYTES
         )
         client.writer.write(b"x" * (MAX_REPLAY_BYTES - 1))
-        await on.until(lambda: bool(on.node.open) and on.node.pool.connection_count == 1)
+        await on.until(lambda: bool(on.node.requests.open) and on.node.pool.connection_count == 1)
         client.writer.write(b"x")
         assert (await client.answer()).code == 502
         assert on.nothing_left() and on.node.pool.connection_count == 0
@@ -264,7 +264,7 @@
         client = await on.client()
         name = send(client, "/once")
         gate = await on.dialled()
-        on.node._abandon(name)
+        on.node.requests.abandon(name)
         gate.set()
         assert (await client.answer()).code == 502
         assert on.nothing_left() and on.node.pool.connection_count == 0 and backend.got.empty()
@@ -295,7 +295,7 @@
     head = b"POST /pay HTTP/1.1\r\nRequest-Id: 1\r\nIdempotency-Key: k\r\nContent-Length: %d\r\n\r\n"
     client.writer.write(head % (2 * MAX_BUFFERED_BODY_BYTES) + b"x" * (2 * MAX_BUFFERED_BODY_BYTES - 10))
     gate = await on.dialled()
-    await on.until(lambda: any(connection.paused_at for connection in on.front.connections))
+    await on.until(lambda: any(connection.receive_timer.is_paused for connection in on.listener.connections))
     client.writer.write(rest)
     await on.until(lambda: not client.writer.transport.get_write_buffer_size())
     return client, gate
@@ -344,16 +344,16 @@
     async with scene(tmp_path, monkeypatch, backend, limits={"cancel": False}) as on:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect(on.front.address)
-        await on.until(lambda: bool(on.front.connections))
-        (connection,) = on.front.connections
+        sock.connect(on.listener.address)
+        await on.until(lambda: bool(on.listener.connections))
+        (connection,) = on.listener.connections
         assert connection.transport is not None
         here = connection.transport.get_extra_info("socket")
         here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         text = b"GET /up HTTP/1.1\r\n\r\n" * 2500 + b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
         assert len(text) < MAX_BUFFERED_BODY_BYTES and sock.send(text) == len(text)  # one read
         gate = await on.dialled()
-        assert connection.deaf and not connection.left
+        assert connection.responses.is_reading_paused and not connection.has_left
         sock.shutdown(socket.SHUT_WR)
         gate.set()
         assert await asyncio.wait_for(backend.raw.get(), WAIT) == b""
@@ -393,7 +393,7 @@
         gate = await on.dialled()
         (connection,) = {
             item.attempt.connection
-            for request in on.node.open.values()
+            for request in on.node.requests.open.values()
             for item in request.attempts
             if item.attempt is not None
         }
@@ -402,7 +402,7 @@
         gate.set()
         await on.until(lambda: connection.is_write_blocked)
         client.writer.write(b"5\r\nhello\r\n0\r\n\r\n")
-        (request,) = on.node.open.values()
+        (request,) = on.node.requests.open.values()
         await on.until(lambda: request.upload is not None and request.upload.is_complete)
         assert connection.is_write_blocked
         await on.leave(client, False)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -23,7 +23,8 @@
 from balancer.net.config import Member, News
 from balancer.net.discovery import Discovery
 from balancer.net.discovery_call import MOST_OBJECT, most_object
-from balancer.net.node import Node, Rooms
+from balancer.net.node import Node
+from balancer.net.node_ports import FleetServices
 from balancer.net.watchdog import Watchdog
 from balancer.policy import Balancer
 from tests import test_discovery
@@ -125,7 +126,7 @@
             list_failed=lambda: None, unchanged=lambda: self.taken.append(-1),
             listed=lambda news, kind: self.taken.append(news.revision),
         )  # fmt: skip
-        node.fleet = cast(Rooms, rooms)
+        node.fleet = cast(FleetServices, rooms)
         return node
 
     def live(self, *steps: Callable[[Node, Discovery], None], seconds: float = 1.0) -> Node:
@@ -149,12 +150,14 @@
     world, seen = Long(tmp_path), list[tuple[bool, bool, int]]()
 
     def say(node: Node, discovery: Discovery) -> None:
-        world.module.then = lambda _: seen.append((node.ready, node.fresh.is_set(), len(world.taken)))
+        world.module.then = lambda _: seen.append(
+            (node.has_endpoints, node.endpoints_received.is_set(), len(world.taken))
+        )
         world.says(whole(8, 30))(node, discovery)
 
     node = world.live(say)
     assert {ready for ready, _, _ in seen} == {fresh for _, fresh, _ in seen} == {False}
-    assert node.ready and node.fresh.is_set() and world.taken == [8]
+    assert node.has_endpoints and node.endpoints_received.is_set() and world.taken == [8]
     assert len(pieces(world)) == 15 and max(map(len, pieces(world))) == PIECE
     assert {kind for kind, _ in world.module.told} == {ListUpdateKind.DELTA}
     assert world.module.held == dict.fromkeys((f"b{i}" for i in range(30)), UP)
@@ -196,9 +199,9 @@
     async def life() -> None:
         node = Node(world.config)
         node.balancer = cast(Balancer, world.module)
-        node.list(saved, ListUpdateKind.CACHED)
+        node.update_endpoints(saved, ListUpdateKind.CACHED)
         await node.listing.settled()
-        fresh.extend((node.fresh.is_set(), node.ready))
+        fresh.extend((node.endpoints_received.is_set(), node.has_endpoints))
 
     world.loop.run_until_complete(life())
     world.loop.close()
@@ -245,12 +248,12 @@
     world = Long(tmp_path)
 
     def say(node: Node, _: Discovery) -> None:
-        node.list(whole(9, 4), ListUpdateKind.SNAPSHOT)
+        node.update_endpoints(whole(9, 4), ListUpdateKind.SNAPSHOT)
         later = change(10, b29=GONE, b28=GONE)
         work = node.loop.call_soon
 
         def wait(left: int) -> None:
-            work(wait, left - 1) if left else node.list(later, ListUpdateKind.DELTA)
+            work(wait, left - 1) if left else node.update_endpoints(later, ListUpdateKind.DELTA)
 
         wait(turns)
 
@@ -285,17 +288,17 @@
     world, seen = Long(tmp_path), list[bool]()
 
     def beat(node: Node, _: Discovery) -> None:
-        world.module.then = lambda _: seen.append(node.fresh.is_set())
+        world.module.then = lambda _: seen.append(node.endpoints_received.is_set())
         world.lines[0].put(text(whole(8, 30)) + b"\n\n", first=False)
 
     node = world.live(beat)
-    assert seen and not any(seen) and node.fresh.is_set() and world.taken == [8]
+    assert seen and not any(seen) and node.endpoints_received.is_set() and world.taken == [8]
 
 
 def test_an_empty_line_alone_is_news(tmp_path: Path) -> None:
     world = Long(tmp_path)
     node = world.live(lambda *_: world.lines[0].put(b"\n", first=False))
-    assert node.fresh.is_set() and world.taken == [-1]
+    assert node.endpoints_received.is_set() and world.taken == [-1]
 
 
 @pytest.mark.parametrize("pieces_before", [None, 0, 5])
@@ -424,18 +427,18 @@
     repeated = whole(7, 30, b1=DRAINING, b2=DRAINING)
 
     def say(node: Node, _: Discovery) -> None:
-        node.list(whole(8, 30, b3=GONE), ListUpdateKind.SNAPSHOT)
-        node.list(repeated, ListUpdateKind.CACHED)
-        node.list(News(7, False, (member("b3"),), again=True), ListUpdateKind.DELTA)
+        node.update_endpoints(whole(8, 30, b3=GONE), ListUpdateKind.SNAPSHOT)
+        node.update_endpoints(repeated, ListUpdateKind.CACHED)
+        node.update_endpoints(News(7, False, (member("b3"),), again=True), ListUpdateKind.DELTA)
 
     world.live(say, seconds=2.0)
     assert world.module.held == dict.fromkeys((f"b{i}" for i in range(30) if i != 3), UP)
     world = Long(tmp_path)
 
     def saved(node: Node, _: Discovery) -> None:
-        node.list(whole(7, 30), ListUpdateKind.CACHED)
-        node.list(change(8, b1=UP, b4=GONE), ListUpdateKind.DELTA)
-        node.list(repeated, ListUpdateKind.CACHED)
+        node.update_endpoints(whole(7, 30), ListUpdateKind.CACHED)
+        node.update_endpoints(change(8, b1=UP, b4=GONE), ListUpdateKind.DELTA)
+        node.update_endpoints(repeated, ListUpdateKind.CACHED)
 
     world.live(saved, seconds=2.0)
     assert world.taken == [8] and "b4" not in world.module.held
@@ -449,9 +452,9 @@
         def listed(news: News, kind: ListUpdateKind) -> None:
             world.taken.append(news.revision)
             if news.revision == 8:
-                node.list(change(9, b0=GONE), ListUpdateKind.DELTA)
-                node.list(whole(10, 20), ListUpdateKind.SNAPSHOT)
-                node.list(change(11, b1=GONE), ListUpdateKind.DELTA)
+                node.update_endpoints(change(9, b0=GONE), ListUpdateKind.DELTA)
+                node.update_endpoints(whole(10, 20), ListUpdateKind.SNAPSHOT)
+                node.update_endpoints(change(11, b1=GONE), ListUpdateKind.DELTA)
 
         cast(Any, node.fleet).listed = listed
         world.says(whole(8, 30))(node, _)
@@ -504,7 +507,7 @@
             members = tuple(member(name, phase, port=port) for name, phase in phases.items())
             last = phases if not complete else dict.fromkeys(NAMES, GONE) | phases
             kind = ListUpdateKind.SNAPSHOT if complete else ListUpdateKind.DELTA
-            node.list(News(number, complete, members), kind)
+            node.update_endpoints(News(number, complete, members), kind)
             if complete:
                 expected.clear()
             expected.update(phases)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -60,7 +60,7 @@
     requests = RequestLog(lambda: 0.0)
     for name in ("r1", "r2"):
         requests.attempt_failed(name, 0, "b0", AttemptStatus.RESET, 3.2)
-        requests.sent_again(name, 1, "b1", AttemptStatus.RESET)
+        requests.retried(name, 1, "b1", AttemptStatus.RESET)
         requests.unserved(name, "refused", "held", 2)
     requests.unserved("r3", "failed", "held", 2)
     assert caplog.messages == [
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,7 +17,7 @@
 from balancer.net.attempt import AttemptResult
 from balancer.net.config import ListError, load, news
 from balancer.net.connection_pool import ConnectionPool
-from balancer.net.front import Front
+from balancer.net.listener import Listener
 from balancer.net.load_report import parse_load_report
 from balancer.net.node import Node
 from balancer.net.statistics import RequestStatistics
@@ -602,21 +602,21 @@
     path.write_text(json.dumps(configuration([backend.member()], 1)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
-    node.list(config.known, ListUpdateKind.CACHED)
-    front = Front(node, 2)
-    await front.listen(("127.0.0.1", 0), shared=False)
-    clients = [Client(*await asyncio.open_connection(*front.address)) for _ in range(2)]
+    node.update_endpoints(config.known, ListUpdateKind.CACHED)
+    listener = Listener(node, 2)
+    await listener.listen(("127.0.0.1", 0), shared=False)
+    clients = [Client(*await asyncio.open_connection(*listener.address)) for _ in range(2)]
     for client in clients:
         client.send("/read")
         await backend.got.get()
-    last = Client(*await asyncio.open_connection(*front.address))
+    last = Client(*await asyncio.open_connection(*listener.address))
     got = await last.ask("/read")
     assert got.code == 503 and got.headers["connection"] == "close"
     assert await last.ended() == b"" and backend.got.empty()
-    front.stop()
+    listener.stop()
     for client in clients:
         client.writer.transport.abort()
-    while front.connections or node.open:
+    while listener.connections or node.requests.open:
         await asyncio.sleep(0)
     backend.stop()
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -14,8 +14,9 @@
 
 from balancer.__main__ import share
 from balancer.net import pair as pair_file
+from balancer.net.client_connection import ClientConnection
 from balancer.net.config import LEAST, LEAVING, SPARE, Config
-from balancer.net.front import ClientConnection, Front
+from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.pair import Pair
 from balancer.net.parts import Claim, Parts, parse
@@ -33,9 +34,9 @@
 
     def __init__(self, folder: Path, config: Config) -> None:
         self.node = Node(config)
-        self.front = Front(self.node, config.shares(1)[0])
+        self.listener = Listener(self.node, config.shares(1)[0])
         self.pair = Pair(folder / "x", lambda beside: None)
-        self.parts = Parts(self.node, self.front, self.pair)
+        self.parts = Parts(self.node, self.listener, self.pair)
         self.transports: dict[ClientConnection, FakeTransport] = {}
         self.pair.start()
         self.pair.stop()  # a test says when it looks
@@ -44,7 +45,7 @@
     def look(self) -> None:
         """As every `pair.LOOK` seconds."""
         self.pair.refresh()
-        share(self.node, self.front, self.pair.beside, self.parts)
+        share(self.node, self.listener, self.pair.beside, self.parts)
 
     @property
     def said(self) -> int:
@@ -57,15 +58,19 @@
     @property
     def holds(self) -> int:
         """Descriptors, as if it used all that it keeps for itself."""
-        front = self.front
+        listener = self.listener
         return (
-            SPARE + LEAVING + len(front.connections) + len(front.lingering) + self.node.pool.connection_count
+            SPARE
+            + LEAVING
+            + len(listener.connections)
+            + len(listener.lingering)
+            + self.node.pool.connection_count
         )
 
     def flood(self, count: int = SOCKETS, half: bool = False) -> None:
         """So many clients come, with half a head or with nothing, and all backends' connections are used."""
         for _ in range(count):
-            transport, connection = FakeTransport(), ClientConnection(self.front)
+            transport, connection = FakeTransport(), ClientConnection(self.listener)
             connection.connection_made(transport)
             self.transports[connection] = transport
             if half:
@@ -149,14 +154,14 @@
             old.answer()
     for one in order:
         one.look()
-    assert new.parts.enough and new.front.limit >= 30 and new.node.pool.limit >= 15
-    assert old.front.limit == SOCKETS // 3
+    assert new.parts.enough and new.listener.limit >= 30 and new.node.pool.limit >= 15
+    assert old.listener.limit == SOCKETS // 3
     old.parts.leaving = True  # after SIGTERM: new connections come to the other
     old.answer()
     for one in (old, new):
         one.look()
         tier.check()
-    assert new.front.limit > SOCKETS // 3 and new.parts.part > SOCKETS * 3 // 4
+    assert new.listener.limit > SOCKETS // 3 and new.parts.part > SOCKETS * 3 // 4
     new.flood(half=half)
     tier.check()
 
@@ -164,18 +169,20 @@
 async def test_a_request_under_way_is_not_cut_for_a_newcomer(tier: Tier) -> None:
     """Guards against a 503 too: what stays over the lowered cap does not count as a crowd."""
     old = tier.start()
-    limit = old.front.limit
+    limit = old.listener.limit
     old.flood(limit, half=True)
-    before = set(old.front.connections)
+    before = set(old.listener.connections)
     tier.start()
     for _ in range(3):
         old.look()
-    assert old.front.connections == before and not old.front.lingering and not old.front.crowded
+    assert (
+        old.listener.connections == before and not old.listener.lingering and not old.listener.is_over_limit
+    )
     for connection in list(before)[: limit - 20]:
         old.transports[connection].aborted = True
     old.settle()
     old.look()
-    assert old.front.limit == tier.config.elder(old.parts.part)[0] and len(old.front.connections) == 20
+    assert old.listener.limit == tier.config.elder(old.parts.part)[0] and len(old.listener.connections) == 20
 
 
 async def test_one_that_dies_leaves_all_to_the_other(tier: Tier) -> None:
@@ -187,7 +194,7 @@
     tier.all.remove(old)
     old.die()
     new.look()
-    assert new.parts.part == tier.config.alone > part and new.front.limit == tier.config.shares(1)[0]
+    assert new.parts.part == tier.config.alone > part and new.listener.limit == tier.config.shares(1)[0]
     newest = tier.start()
     for _ in range(2):
         new.look()
@@ -196,7 +203,7 @@
     tier.all.remove(newest)
     newest.die()  # before it has taken over
     new.look()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.shares(1)
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(1)
 
 
 @pytest.mark.parametrize("text", ["", "x" * 200, "\xff\n", "1 2 3\n", Claim(1, 2).text()[:-4]])
@@ -210,7 +217,7 @@
     good = slot.read_bytes()
     slot.write_bytes(text.encode("latin-1"))
     new = tier.start()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.shares(2) and new.parts.enough
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2) and new.parts.enough
     slot.write_bytes(good)
     new.look()
     tier.check()
@@ -243,7 +250,7 @@
     old.look()
     new.look()
     tier.check()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.within(LEAST)
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.within(LEAST)
     new.node.pool.connection_count = 0
     new.look()
     tier.check()
@@ -333,7 +340,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, "pwrite", fails)
         new.look()
-        assert (new.front.limit, new.node.pool.limit) == tier.config.shares(2)
+        assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2)
     new.look()
     tier.check()
 
@@ -353,10 +360,10 @@
 async def test_without_a_console_nothing_is_kept_free_and_nothing_said(tmp_path: Path) -> None:
     config = config_of(tmp_path, [], 1, sockets=SOCKETS)
     node = Node(config)
-    front = Front(node, config.shares(1)[0])
+    listener = Listener(node, config.shares(1)[0])
     pair = Pair(tmp_path / "x", lambda beside: None)
-    share(node, front, False, Parts(node, front, pair))
-    assert (front.limit, node.pool.limit) == config.shares(1) and config.alone == SOCKETS
+    share(node, listener, False, Parts(node, listener, pair))
+    assert (listener.limit, node.pool.limit) == config.shares(1) and config.alone == SOCKETS
     assert not list(tmp_path.glob("x*"))
 
 
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -147,7 +147,7 @@
         client = await on.client()
         name = send(client, "/pay")
         await on.until(lambda: sum(backend.got.qsize() for backend in backends) == 2)
-        attempt = on.node.open[name].attempts[1].attempt
+        attempt = on.node.requests.open[name].attempts[1].attempt
         assert attempt is not None and attempt.connection is not None
         attempt.connection.pause_writing()  # as the transport says it
         assert (await client.answer()).code == 502
@@ -355,13 +355,13 @@
         client, module = await on.client(), on.node
         name = send(client, path)
         await on.until(lambda: sum(backend.got.qsize() for backend in backends) == 1)
-        request = module.open[name]
+        request = module.requests.open[name]
         item = request.attempts[0]
         connection = item.attempt.connection if item.attempt is not None else None
         assert connection is not None
         due: dict[str, Callable[[], None]] = {
-            "deadline": partial(module._deadline, name),
-            "timeout": partial(module._timeout, item),
+            "deadline": partial(module.requests.expire_deadline, request),
+            "timeout": partial(module.requests.expire_attempt, item),
             "answer": partial(connection.data_received, answer(b"x")),
         }
         for what in order:
@@ -370,7 +370,7 @@
         assert (await client.ask("/up")).body.endswith(b"up\n")  # and not a second answer
         ends = [count for what, count in module.counts.items() if what.startswith("attempt_")]
         assert sum(ends) == len(request.attempts) and on.nothing_left()
-        assert sum(sum(counts.values()) for counts in module.figures.outcomes.values()) == 1
+        assert sum(sum(counts.values()) for counts in module.statistics.outcomes.values()) == 1
 
 
 # --- what is said never to have run
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -53,7 +53,11 @@
         told.append((kind, {m.backend: m.phase for m in update.members}))
 
     one: Any = SimpleNamespace(
-        settings=BASE, config=SimpleNamespace(seed=1), now=lambda: 1000.0, list=take, event=lambda event: None
+        settings=BASE,
+        config=SimpleNamespace(seed=1),
+        now=lambda: 1000.0,
+        update_endpoints=take,
+        event=lambda event: None,
     )
     watcher = Watcher()
     out = Returning(cast(Node, one), watcher, news(41, *names), Port(HERE, [HERE], HERE), 1, None)
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -21,7 +21,7 @@
 from balancer.net.attempt import Attempt, AttemptResult
 from balancer.net.backend_connection import BackendConnection
 from balancer.net.connection_pool import ConnectionPool
-from balancer.net.node import AGAIN, MARGIN
+from balancer.net.request_lifecycle import DEADLINE_MARGIN_MS, LONG_RESPONSE_CHECK_S
 from balancer.net.response_parser import MAX_HEADER_BYTES
 from balancer.net.statistics import CloseReason, RequestStatistics
 from balancer.net.stream import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, StreamMemory
@@ -501,7 +501,7 @@
 
 
 def test_two_looks_at_an_answer_after_its_time_are_closer_than_what_may_pass() -> None:
-    assert (AGAIN + MARGIN / 1000) < SLACK
+    assert (LONG_RESPONSE_CHECK_S + DEADLINE_MARGIN_MS / 1000) < SLACK
 
 
 TIME = 0.7  # s that a client gives
