--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -12,12 +12,13 @@
 
 from balancer import interface as api
 from balancer.errors import BalancerError
-from balancer.net.bans import Bans, stem
 from balancer.net.config import Config, Member, News
 from balancer.net.connection_pool import ConnectionPool
 from balancer.net.listing import Listing
+from balancer.net.maintenance_file import MaintenanceFile
 from balancer.net.node_ports import EndpointWatcher, FleetServices
 from balancer.net.request_lifecycle import RequestLifecycle
+from balancer.net.shared_files import shared_path
 from balancer.net.statistics import RequestOutcome, RequestStatistics
 from balancer.net.stream import StreamMemory
 from balancer.net.turns import Turns
@@ -41,8 +42,8 @@
         self._clock_offset = time.time() * 1000 - time.monotonic() * 1000
         self.statistics = RequestStatistics()
         self.counts: Counter[str] = Counter()  # since the last counts line
-        self.shared_path = stem(os.environ, "{}:{}".format(*config.listen))
-        self.bans = Bans(self.shared_path, self.apply_maintenance)
+        self.shared_path = shared_path(os.environ, "{}:{}".format(*config.listen))
+        self.maintenance = MaintenanceFile(self.shared_path, self.apply_maintenance)
         self.memory = StreamMemory(config.memory_mb)
         self.pool = ConnectionPool(config.settings, config.shares(1)[1], self.statistics, self.memory)
         self.requests = RequestLifecycle(self.pool, self.statistics, self.counts, self.now, self.event)
@@ -152,14 +153,14 @@
 
     async def set_maintenance(self, backend: str, is_out: bool) -> bool:
         """Take a backend out or put it back; False if it was never listed. Raises BalancerError."""
-        if not self.balancer.listed(backend) and not self.bans.known(backend):
+        if not self.balancer.listed(backend) and not self.maintenance.is_known(backend):
             return False
         now = self.now()
-        is_change = is_out != (backend in self.bans.record.out)
+        is_change = is_out != (backend in self.maintenance.record.out)
         if self.fleet is not None:
             await self.fleet.banned(backend, is_out, now, is_change)
         try:
-            await self.bans.change(backend, is_out, now, self.settings.slow_start_ms)
+            await self.maintenance.change(backend, is_out, now, self.settings.slow_start_ms)
         except BalancerError:
             if self.fleet is not None and is_change:  # the call fails: no later process may take it as done
                 with contextlib.suppress(BalancerError):
--- /dev/null
+++ b/balancer/net/node_process.py
@@ -0,0 +1,168 @@
+"""One process of a node: its parts, its start beside another process or alone, its end."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import os
+import signal
+from collections.abc import Coroutine
+from functools import partial
+from typing import TYPE_CHECKING
+
+from balancer.interface import LearnedStateRestored, ListUpdateKind
+from balancer.net.config import Config
+from balancer.net.connection_steering import stop_steering
+from balancer.net.console import Console
+from balancer.net.counts_log import CountsLog
+from balancer.net.descriptor_shares import DescriptorShares
+from balancer.net.discovery import Discovery
+from balancer.net.listener import Listener
+from balancer.net.node import Node
+from balancer.net.process_slots import ProcessSlots
+from balancer.net.reload import reload
+from balancer.net.shutdown import shut_down
+from balancer.net.takeover import handle_peer_change, prepare_takeover
+
+if TYPE_CHECKING:
+    from balancer.net.fleet import Fleet
+
+log = logging.getLogger(__name__)
+
+
+def fleet_of(config: Config) -> Fleet | None:
+    """Return the fleet's services if `PROXY_FLEET` names their file; else none of them is imported."""
+    if not os.environ.get("PROXY_FLEET"):
+        return None
+    from balancer.net.fleet import Fleet
+
+    return Fleet(os.environ, config)
+
+
+class NodeProcess:
+    """The parts of one process."""
+
+    def __init__(self, config: Config) -> None:
+        """Make the parts. Raises ConfigError."""
+        self.config = config
+        self.node = Node(config)
+        self.fleet = fleet_of(config)
+        self.known = config.known  # the endpoint list to begin with
+        self.recovered: LearnedStateRestored | None = None  # learned state that an earlier process has saved
+        self.node.fleet = self.fleet
+        if self.fleet is not None:
+            self.known = self.fleet.known(config.known)
+            self.recovered = self.fleet.recovered()
+        self.discovery = Discovery(self.node, config.discovery, self.known.revision)
+        self.node.discovery = self.discovery
+        if self.fleet is not None:
+            self.node.discovery = self.fleet.steer(self.node, self.discovery, self.known)
+        self.listener = Listener(self.node, config.shares(1)[0])
+        self.console = Console(self.node)
+        self.slots = ProcessSlots(self.node.shared_path, partial(handle_peer_change, self.node, self.fleet))
+        self.shares = DescriptorShares(self.node, self.listener, self.slots)
+        self.slots.on_refresh = self.shares.apply
+        self._stop = asyncio.Event()
+
+    async def run(self) -> None:
+        """Serve until SIGTERM or SIGINT, then answer all accepted requests. Raises SlotError, OSError."""
+        self._handle_signals()
+        has_peer = await self._open_console() if self.config.console is not None else False
+        if self.fleet is not None:
+            self.fleet.take_over()
+        await self._load_endpoints()
+        if await self._become_ready(has_peer):
+            await self._listen()
+            await self._stop.wait()
+            await shut_down(self.node, self.listener, self.slots, self.shares, self.fleet)
+        else:
+            self._abandon_start()
+        self._close()
+        log.info("%s ends", self.config.name)
+
+    def _handle_signals(self) -> None:
+        loop = asyncio.get_running_loop()
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self._stop.set)
+        loop.add_signal_handler(signal.SIGHUP, reload, self.node, self.discovery, self.fleet)
+
+    async def _open_console(self) -> bool:
+        """Open what only a node with a console has; returns whether another process of the node runs."""
+        assert self.config.console is not None
+        await self.console.listen(self.config.console)
+        log.info("console on %s:%d", *self.console.address)
+        has_peer = self.slots.acquire()
+        self.shares.apply()
+        saved = self.fleet.bans() if self.fleet is not None else ()
+        self.node.maintenance.start(has_peer, *saved)
+        return has_peer
+
+    async def _load_endpoints(self) -> None:
+        """Begin with the endpoints known, and watch them."""
+        node = self.node
+        node.update_endpoints(self.known, ListUpdateKind.CACHED)
+        if not self.config.settings.must_subscribe and node.discovery is not None:
+            node.discovery.watch(True)
+        if node.listing.waiting:  # what was learned is of backends in a long list: it has to be in force
+            await self._unless_stopped(node.listing.settled())
+
+    async def _become_ready(self, has_peer: bool) -> bool:
+        """Recover state and take over from another process; returns whether the process is to listen."""
+        fleet = self.fleet
+        returns_to_fleet = fleet is not None and fleet.returning is not None
+        if self.recovered is not None and not returns_to_fleet:
+            self.node.event(self.recovered)
+        is_ready = True
+        if fleet is not None and returns_to_fleet:
+            is_ready = await self._unless_stopped(fleet.returned(has_peer))
+        if is_ready and has_peer:
+            takeover = prepare_takeover(self.node, self.shares, self.recovered is None)
+            is_ready = await self._unless_stopped(takeover)
+        return is_ready
+
+    async def _listen(self) -> None:
+        """Serve clients, and join the fleet."""
+        gc.freeze()
+        node = self.node
+        await self.listener.listen(node.config.listen, shared=node.config.console is not None)
+        node.is_listening = True
+        node.turns.hurry = False
+        if self.listener.socket is not None and node.config.console is not None:
+            stop_steering(self.listener.socket)
+        CountsLog(node).start()
+        log.info("%s serves on %s:%d", node.config.name, *self.listener.address)
+        if self.fleet is not None and not self.slots.has_peer:
+            self.fleet.start()
+
+    async def _unless_stopped(self, work: Coroutine[None, None, None]) -> bool:
+        """Carry out `work` unless the process is to end before that; returns whether it goes on."""
+        task = asyncio.create_task(work)
+        stopped = asyncio.create_task(self._stop.wait())
+        await asyncio.wait((task, stopped), return_when=asyncio.FIRST_COMPLETED)
+        task.cancel()
+        stopped.cancel()
+        if task.done():
+            task.result()
+        return not self._stop.is_set()
+
+    def _abandon_start(self) -> None:
+        """End before having listened."""
+        self.node.is_stopping = True
+        self.slots.refresh()
+        if self.fleet is not None and not self.slots.has_peer:
+            self.fleet.leave()
+
+    def _close(self) -> None:
+        self.discovery.watch(False)
+        self.node.pool.close()
+        self.console.close()
+        self.node.maintenance.stop()
+        self.slots.stop()
+        if self.fleet is not None:
+            self.fleet.close()
+
+
+async def serve(config: Config) -> None:
+    """Run a process of a node. Raises ConfigError, SlotError, OSError."""
+    await NodeProcess(config).run()
--- /dev/null
+++ b/balancer/net/reload.py
@@ -0,0 +1,39 @@
+"""SIGHUP: apply a replaced configuration file."""
+
+from __future__ import annotations
+
+import logging
+import os
+from typing import TYPE_CHECKING
+
+from balancer.net import config as config_file
+from balancer.net.config import ConfigError
+from balancer.net.discovery import Discovery
+from balancer.net.node import Node
+
+if TYPE_CHECKING:
+    from balancer.net.fleet import Fleet
+
+log = logging.getLogger(__name__)
+
+
+def reload(node: Node, discovery: Discovery, fleet: Fleet | None) -> None:
+    """Apply the configuration file; one that makes no sense changes nothing."""
+    try:
+        config = config_file.reload(os.environ, node.config)
+        apply_to_fleet = fleet.checked(os.environ, config) if fleet is not None else None
+    except ConfigError as err:
+        node.statistics.reload_errors += 1
+        log.warning("reload: %s; nothing is taken", err.line)
+        return
+    node.reconfigure(config)
+    if apply_to_fleet is not None:
+        apply_to_fleet()
+    log.info(
+        "reload: classes %s, %d attempts, discovery at %s:%d",
+        " ".join(node.classes),
+        config.settings.max_attempts,
+        *config.discovery,
+    )
+    if config.discovery != discovery.address:
+        discovery.move(config.discovery)
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -18,7 +18,7 @@
 from balancer.durable.shell import Durable
 from balancer.errors import BalancerError
 from balancer.membership.port import Port
-from balancer.net import handover
+from balancer.net import state_handover
 from balancer.net.config import Member, News
 from balancer.net.node import Node
 from balancer.net.node_ports import EndpointWatcher
@@ -89,7 +89,7 @@
     async def _reconcile(self) -> None:
         """Bans that stand in `$TMPDIR` alone: a disk that holds has the last word, else they are taken up."""
         holds = self.disk is not None and self.disk.off is None and not (self.disk.lost or self.disk.fresh)
-        for backend in sorted(self.node.bans.record.out):
+        for backend in sorted(self.node.maintenance.record.out):
             if self.shell.banned(backend):
                 continue
             if holds or self.shell.knows(backend):
@@ -122,7 +122,7 @@
 
     async def follow(self, backend: str, out: bool, since: float) -> None:
         """The bans follow the register, in both processes of an upgrade."""
-        await self.node.bans.follow(backend, out, since, self.node.settings.slow_start_ms)
+        await self.node.maintenance.follow(backend, out, since, self.node.settings.slow_start_ms)
 
     def admit(self, phase: Phase, admit: events.Admit | None) -> None:
         """Tell the module. What the list says of the backends' starts counts once discovery has told one."""
@@ -237,7 +237,7 @@
     """Leave it for the successor."""
     table = {"clock": clock, "phase": int(left.phase), "path": left.path.value,
              "cold_since": left.cold_since, "rows": left.rows}  # fmt: skip
-    handover.leave(path, table, "recovery")
+    state_handover.write_table(path, table, "recovery")
 
 
 def take(path: Path, clock: float) -> Left | None:
@@ -251,4 +251,4 @@
         )
         return Left(Phase(raw["phase"]), Way(raw["path"]), float(raw["cold_since"]) + shift, rows)
 
-    return handover.taken(path, read, "recovery")
+    return state_handover.take_table(path, read, "recovery")
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -24,7 +24,8 @@
 from balancer.durable.store import Store, load
 from balancer.membership.core import Config as MembershipConfig
 from balancer.membership.messages import State
-from balancer.net import bans, handover, returning
+from balancer.net import maintenance_file, returning, state_handover
+from balancer.net.shared_files import shared_path
 from balancer.policy import Balancer
 from balancer.recovery.phases import Path as RecoveryPath
 from balancer.recovery.phases import Phase
@@ -182,8 +183,8 @@
         store.rotate(_kept(folder).encode())
         store.append([records.encode(records.Listed(42, False, 1_500.0, rows[:1]))], sync=True)
         store.close()
-        stem = bans.stem({"TMPDIR": str(folder)}, "n0")
-        handover.give(stem.with_suffix(handover.SUFFIX), learned)
+        stem = shared_path({"TMPDIR": str(folder)}, "n0")
+        state_handover.write_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX), learned)
         register = (Row("b2", 1, 7, 3, True, 900.0), Row("b2", 0, 6, 1, False, 800.0))
         left = Left(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
         returning.give(stem.with_suffix(returning.SUFFIX), left, 50.0)
@@ -191,7 +192,7 @@
 
 
 async def _ban(stem: Path) -> None:
-    table = bans.Bans(stem, lambda name, out, since: None)
+    table = maintenance_file.MaintenanceFile(stem, lambda name, out, since: None)
     table.start(False)
     await table.change("b1", True, 1_000.0, 10_000.0)
     await table.change("b2", True, 2_000.0, 10_000.0)
@@ -211,10 +212,10 @@
         kept = records.total(loaded.snapshot, loaded.records)
         yield f"{loaded.number} {loaded.fence} {loaded.generation} {loaded.lost} {loaded.notes}"
         yield kept.encode().hex()
-        stem = bans.stem({"TMPDIR": str(folder)}, "n0")
-        record = bans.parse(stem.with_suffix(".bans").read_text("utf-8"))
-        yield f"{sorted(record.out)} {sorted(record.back.items())}"
-        recovered = handover.take(stem.with_suffix(handover.SUFFIX))
+        stem = shared_path({"TMPDIR": str(folder)}, "n0")
+        record = maintenance_file.parse_record(stem.with_suffix(".bans").read_text("utf-8"))
+        yield f"{sorted(record.out)} {sorted(record.returned_at.items())}"
+        recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
         assert recovered is not None
         yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
         left = returning.take(stem.with_suffix(returning.SUFFIX), 150.0)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,10 +17,10 @@
 
 import pytest
 
-from balancer.__main__ import share
 from balancer.net.client_connection import ClientConnection
 from balancer.net.config import LEAVING, SPARE, Config, load, over
 from balancer.net.console import CALLERS
+from balancer.net.descriptor_shares import apply_limits, fallback_limits
 from balancer.net.listener import BACKLOG, Listener
 from balancer.net.node import Node
 from tests.sockets import (
@@ -347,10 +347,10 @@
         comes(listener, unsent=1)
     listener.node.pool.connection_count = upstream
     for _ in range(2):
-        share(listener.node, listener, True)
+        apply_limits(listener.node, listener, fallback_limits(listener.node, True))
         comes(listener, unsent=1)
         assert listener.limit + over(listener.limit) + LEAVING + listener.node.pool.limit + SPARE <= 256
-    share(listener.node, listener, False)
+    apply_limits(listener.node, listener, fallback_limits(listener.node, False))
     assert (listener.limit, listener.node.pool.limit) == (clients, upstream)
 
 
@@ -364,6 +364,6 @@
     old.node.pool.connection_count = upstream
     held = 0
     for listener in (old, new):
-        share(listener.node, listener, True)
+        apply_limits(listener.node, listener, fallback_limits(listener.node, True))
         held += listener.limit + over(listener.limit) + LEAVING + listener.node.pool.limit + SPARE
     assert held <= 256, held
--- a/tests/test_handover_crossings.py
+++ b/tests/test_handover_crossings.py
@@ -14,9 +14,9 @@
 import pytest
 
 from balancer import interface as api
-from balancer.net import bans, handover, pair
-from balancer.net.handover import give, take
-from balancer.net.pair import Pair
+from balancer.net import maintenance_file, process_slots, state_handover
+from balancer.net.process_slots import ProcessSlots
+from balancer.net.state_handover import take_learned, write_learned
 
 BACKEND = (0.0, 1.0, math.inf, 1, 90.0)
 LEARNED = api.LearnedState(21.5, 0.9, 0.0, {"read": (30.0, 4.0, 0.1)}, {"b0": BACKEND})
@@ -24,7 +24,7 @@
 
 def left(path: Path, change: dict[str, Any]) -> None:
     """What a process leaves, with something changed."""
-    give(path, LEARNED)
+    write_learned(path, LEARNED)
     path.write_text(json.dumps(json.loads(path.read_text()) | change))
 
 
@@ -37,13 +37,13 @@
 ) -> None:
     """Guards against one that is looked at again and again."""
     path = tmp_path / "x.learned"
-    give(path, LEARNED)
+    write_learned(path, LEARNED)
     path.write_bytes((whole := path.read_bytes())[: len(whole) * cut // 100])
     with caplog.at_level(logging.INFO):
-        assert take(path) is None and take(path) is None
+        assert take_learned(path) is None and take_learned(path) is None
     assert not path.exists() and len(caplog.records) == 1
-    give(path, LEARNED)
-    assert take(path) is not None
+    write_learned(path, LEARNED)
+    assert take_learned(path) is not None
 
 
 @pytest.mark.parametrize(
@@ -53,18 +53,18 @@
 def test_a_file_that_makes_no_sense_is_no_exception(tmp_path: Path, text: bytes) -> None:
     path = tmp_path / "x.learned"
     path.write_bytes(text)
-    assert take(path) is None
+    assert take_learned(path) is None
 
 
 @pytest.mark.parametrize("number", ["1e999", "1" + "0" * 400, "NaN", '"x"', "null", "[]"])
 @pytest.mark.parametrize("place", range(5))
 def test_a_number_that_is_none_is_no_exception(tmp_path: Path, number: str, place: int) -> None:
     path = tmp_path / "x.learned"
-    give(path, LEARNED)
+    write_learned(path, LEARNED)
     table = json.loads(path.read_text())
     table["learned"]["backends"]["b0"][place] = "here"
     path.write_text(json.dumps(table).replace('"here"', number))
-    got = take(path)
+    got = take_learned(path)
     assert got is None or (place == 2 and got.learned == LEARNED)  # the one that may be infinite
 
 
@@ -74,14 +74,14 @@
 
     def read_text(self: Path, *args: Any) -> str:
         text = read(self, *args)
-        give(path, LEARNED)
+        write_learned(path, LEARNED)
         return text
 
-    give(path, LEARNED)
+    write_learned(path, LEARNED)
     monkeypatch.setattr(Path, "read_text", read_text)
-    got = take(path)
+    got = take_learned(path)
     monkeypatch.undo()
-    assert got is not None and got.learned == LEARNED and take(path) is None
+    assert got is not None and got.learned == LEARNED and take_learned(path) is None
 
 
 @pytest.mark.parametrize("at", ["write_text", "replace"])
@@ -89,7 +89,7 @@
     tmp_path: Path, at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "x.learned"
-    give(path, LEARNED)
+    write_learned(path, LEARNED)
 
     def dies(*args: Any) -> None:
         raise SystemExit
@@ -97,21 +97,21 @@
     with monkeypatch.context() as patch:
         patch.setattr(*((os, at, dies) if at == "replace" else (Path, at, dies)))
         with pytest.raises(SystemExit):
-            give(path, api.LearnedState(1.0, 1.0, 0.0, {}, {}))
-    got = take(path)
+            write_learned(path, api.LearnedState(1.0, 1.0, 0.0, {}, {}))
+    got = take_learned(path)
     assert got is not None and got.learned == LEARNED
 
 
 def test_a_successor_that_comes_back_late_goes_on_from_nothing_old(tmp_path: Path) -> None:
     path = tmp_path / "x.learned"
     left(path, {"at": 1000.0})
-    assert take(path) is None and not path.exists()
+    assert take_learned(path) is None and not path.exists()
 
 
 @pytest.mark.parametrize("when", ["1" + "0" * 400, "1e999", "NaN", "-1", "true", '"x"'])
 def test_a_time_of_return_that_is_none_is_a_broken_file(when: str) -> None:
     with pytest.raises(ValueError):
-        bans.parse('{"out": [], "back": {"b0": ' + when + "}}")
+        maintenance_file.parse_record('{"out": [], "back": {"b0": ' + when + "}}")
 
 
 # --- the slots
@@ -127,20 +127,20 @@
 ) -> None:
     """Guards against a process that takes the place of its successor back, which is there."""
     told: list[bool] = []
-    old, new = Pair(tmp_path / "x", told.append), Pair(tmp_path / "x", told.append)
-    assert not old.start() and new.start()
+    old, new = ProcessSlots(tmp_path / "x", told.append), ProcessSlots(tmp_path / "x", told.append)
+    assert not old.acquire() and new.acquire()
     old.refresh()
     assert told == [True]
     with monkeypatch.context() as patch:
         patch.setattr(os, "open", no_descriptor)
         old.refresh()
         new.refresh()
-        old._look()
-    assert told == [True] and old.beside and new.beside
+        old.refresh_periodically()
+    assert told == [True] and old.has_peer and new.has_peer
     new.stop()
     new.release()
     old.refresh()
-    assert told == [True, False] and not old.beside
+    assert told == [True, False] and not old.has_peer
     old.stop()
     old.release()
 
@@ -149,13 +149,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     told: list[bool] = []
-    one, other = Pair(tmp_path / "x", told.append), Pair(tmp_path / "x", lambda beside: None)
-    other.start()
+    one, other = ProcessSlots(tmp_path / "x", told.append), ProcessSlots(tmp_path / "x", lambda beside: None)
+    other.acquire()
     with monkeypatch.context() as patch:
-        patch.setattr(pair, "_held", no_descriptor)
-        assert not one.start()
-    one._look()
-    assert told == [True] and one.beside
+        patch.setattr(process_slots, "read_slot", no_descriptor)
+        assert not one.acquire()
+    one.refresh_periodically()
+    assert told == [True] and one.has_peer
     for each in (one, other):
         each.stop()
         each.release()
@@ -165,11 +165,11 @@
     tmp_path: Path,
 ) -> None:
     told: list[bool] = []
-    old = Pair(tmp_path / "x", told.append)
-    old.start()
+    old = ProcessSlots(tmp_path / "x", told.append)
+    old.acquire()
     for _ in range(2):  # it never listens, and dies
-        new = Pair(tmp_path / "x", lambda beside: None)
-        assert new.start() and new.later
+        new = ProcessSlots(tmp_path / "x", lambda beside: None)
+        assert new.acquire() and new.peer_was_first
         old.refresh()
         new.stop()
         new.release()
@@ -181,23 +181,23 @@
 
 async def test_a_look_at_a_slot_keeps_no_newcomer_out(tmp_path: Path) -> None:
     """A shared lock for a moment: the newcomer takes the next slot."""
-    one = Pair(tmp_path / "x", lambda beside: None)
-    looks = os.open(one.slots[0], os.O_RDWR | os.O_CREAT, 0o600)
+    one = ProcessSlots(tmp_path / "x", lambda beside: None)
+    looks = os.open(one.paths[0], os.O_RDWR | os.O_CREAT, 0o600)
     fcntl.flock(looks, fcntl.LOCK_SH | fcntl.LOCK_NB)
-    assert not one.start() and one.mine == 1
+    assert not one.acquire() and one.own_slot == 1
     os.close(looks)
-    other = Pair(tmp_path / "x", lambda beside: None)
-    assert other.start() and other.mine == 0
+    other = ProcessSlots(tmp_path / "x", lambda beside: None)
+    assert other.acquire() and other.own_slot == 0
     for each in (one, other):
         each.stop()
         each.release()
-    assert not pair._held(one.slots[0])
+    assert not process_slots.read_slot(one.paths[0])
 
 
 def test_the_bound_of_age_is_in_force_at_both_ends(tmp_path: Path) -> None:
     path = tmp_path / "x.learned"
-    for at, taken in ((0.0, True), (handover.OLDEST + 1000.0, False), (-60_000.0, False)):
-        give(path, LEARNED)
+    for at, taken in ((0.0, True), (state_handover.MAX_AGE_MS + 1000.0, False), (-60_000.0, False)):
+        write_learned(path, LEARNED)
         table = json.loads(path.read_text())
         path.write_text(json.dumps(table | {"at": table["at"] - at}))
-        assert (take(path) is not None) == taken and not path.exists()
+        assert (take_learned(path) is not None) == taken and not path.exists()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -17,7 +17,6 @@
 from hypothesis import strategies as st
 
 from balancer import interface as api
-from balancer.__main__ import take_place
 from balancer.interface import EndpointPhase, ListUpdateKind
 from balancer.net import config, discovery_call, listing, objects, rows
 from balancer.net.config import Member, News
@@ -25,6 +24,7 @@
 from balancer.net.discovery_call import MOST_OBJECT, most_object
 from balancer.net.node import Node
 from balancer.net.node_ports import FleetServices
+from balancer.net.takeover import prepare_takeover
 from balancer.net.watchdog import Watchdog
 from balancer.policy import Balancer
 from tests import test_discovery
@@ -271,7 +271,7 @@
     seen = list[tuple[float, int]]()
 
     async def take_over(node: Node) -> None:
-        await take_place(node, cast(Any, SimpleNamespace(enough=True)), False)
+        await prepare_takeover(node, cast(Any, SimpleNamespace(has_enough=True)), False)
         seen.append((round(world.now, 2), len(world.module.held)))
 
     def begin(node: Node, _: Discovery) -> None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -12,9 +12,10 @@
 
 from balancer import interface as api
 from balancer.interface import AttemptStatus, Settings
-from balancer.net import bans as bans_file
-from balancer.net.bans import Bans, BansError, Record, stem
+from balancer.net import maintenance_file
 from balancer.net.connection_pool import ConnectionPool
+from balancer.net.maintenance_file import MaintenanceError, MaintenanceFile, MaintenanceRecord
+from balancer.net.shared_files import shared_path
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import StreamMemory
 from balancer.policy import Balancer
@@ -102,9 +103,9 @@
 
 async def test_both_processes_follow_the_file(tmp_path: Path) -> None:
     told: list[tuple[str, bool, float]] = []
-    where = stem({"TMPDIR": str(tmp_path)}, "127.0.0.1:1")
-    one = Bans(where, lambda *_: None)
-    two = Bans(where, lambda *change: told.append(change))
+    where = shared_path({"TMPDIR": str(tmp_path)}, "127.0.0.1:1")
+    one = MaintenanceFile(where, lambda *_: None)
+    two = MaintenanceFile(where, lambda *change: told.append(change))
     one.start(False)
     await one.change("a/../b", True, 1000.0, 500.0)
     await one.change("c", True, 1100.0, 500.0)
@@ -112,10 +113,10 @@
     assert told == [("a/../b", True, 0.0), ("c", True, 0.0)]
     await two.change("c", False, 1200.0, 500.0)
     assert told[2:] == [("c", False, 1200.0)]
-    one._refresh()
-    assert one.record == Record(frozenset({"a/../b"}), {"c": 1200.0})
+    one.refresh()
+    assert one.record == MaintenanceRecord(frozenset({"a/../b"}), {"c": 1200.0})
     await one.change("a/../b", False, 1800.0, 500.0)
-    assert one.record == Record(frozenset(), {"a/../b": 1800.0})  # c has been warm for long
+    assert one.record == MaintenanceRecord(frozenset(), {"a/../b": 1800.0})  # c has been warm for long
     assert sorted(p.suffix for p in tmp_path.iterdir()) == [".bans", ".lock"]
     one.stop()
     two.stop()
@@ -128,19 +129,19 @@
 async def test_a_spoilt_file_costs_one_warning_and_changes_nothing(
     tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    bans = Bans(stem({"TMPDIR": str(tmp_path)}, "x"), lambda *_: None)
+    bans = MaintenanceFile(shared_path({"TMPDIR": str(tmp_path)}, "x"), lambda *_: None)
     bans.start(False)
     await bans.change("a", True, 1000.0, 500.0)
     bans.path.write_text(text)
-    bans._refresh()
-    bans._refresh()
-    assert len(caplog.records) == 1 and bans.known("a")
+    bans.refresh()
+    bans.refresh()
+    assert len(caplog.records) == 1 and bans.is_known("a")
     await bans.change("b", True, 1000.0, 500.0)
     assert json.loads(bans.path.read_text())["out"] == ["a", "b"]
     bans.path.unlink()
-    bans._refresh()
-    bans._refresh()
-    assert len(caplog.records) == 2 and bans.known("a")
+    bans.refresh()
+    bans.refresh()
+    assert len(caplog.records) == 2 and bans.is_known("a")
     bans.stop()
 
 
@@ -148,19 +149,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     told: list[tuple[str, bool, float]] = []
-    nowhere = Bans(stem({"TMPDIR": str(tmp_path / "none")}, "x"), lambda *change: told.append(change))
+    nowhere = MaintenanceFile(
+        shared_path({"TMPDIR": str(tmp_path / "none")}, "x"), lambda *change: told.append(change)
+    )
     nowhere.start(False)
-    with pytest.raises(BansError):
+    with pytest.raises(MaintenanceError):
         await nowhere.change("a", True, 1000.0, 500.0)
-    monkeypatch.setattr(bans_file, "LOCK_WAIT", 0.0)
-    locked = Bans(stem({"TMPDIR": str(tmp_path)}, "x"), lambda *change: told.append(change))
+    monkeypatch.setattr(maintenance_file, "LOCK_TIMEOUT_S", 0.0)
+    locked = MaintenanceFile(shared_path({"TMPDIR": str(tmp_path)}, "x"), lambda *change: told.append(change))
     locked.start(False)
-    fd = os.open(locked.lock, os.O_RDWR | os.O_CREAT)
+    fd = os.open(locked.lock_path, os.O_RDWR | os.O_CREAT)
     fcntl.flock(fd, fcntl.LOCK_EX)
-    with pytest.raises(BansError):
+    with pytest.raises(MaintenanceError):
         await locked.change("a", True, 1000.0, 500.0)
     os.close(fd)
-    assert told == [] and not locked.known("a")
+    assert told == [] and not locked.is_known("a")
     nowhere.stop()
     locked.stop()
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,14 +12,13 @@
 
 import pytest
 
-from balancer.__main__ import share
-from balancer.net import pair as pair_file
+from balancer.net import process_slots as slots_file
 from balancer.net.client_connection import ClientConnection
 from balancer.net.config import LEAST, LEAVING, SPARE, Config
+from balancer.net.descriptor_shares import DescriptorClaim, DescriptorShares, parse_claim
 from balancer.net.listener import Listener
 from balancer.net.node import Node
-from balancer.net.pair import Pair
-from balancer.net.parts import Claim, Parts, parse
+from balancer.net.process_slots import ProcessSlots
 from tests.sockets import PATIENT, Backend, FakeDiscovery, started
 from tests.test_console import CONSOLE
 from tests.test_descriptors import Crowd, FakeTransport, config_of, held
@@ -35,25 +34,25 @@
     def __init__(self, folder: Path, config: Config) -> None:
         self.node = Node(config)
         self.listener = Listener(self.node, config.shares(1)[0])
-        self.pair = Pair(folder / "x", lambda beside: None)
-        self.parts = Parts(self.node, self.listener, self.pair)
+        self.slots = ProcessSlots(folder / "x", lambda beside: None)
+        self.shares = DescriptorShares(self.node, self.listener, self.slots)
         self.transports: dict[ClientConnection, FakeTransport] = {}
-        self.pair.start()
-        self.pair.stop()  # a test says when it looks
+        self.slots.acquire()
+        self.slots.stop()  # a test says when it looks
         self.look()
 
     def look(self) -> None:
-        """As every `pair.LOOK` seconds."""
-        self.pair.refresh()
-        share(self.node, self.listener, self.pair.beside, self.parts)
+        """As every `REFRESH_INTERVAL_S` seconds."""
+        self.slots.refresh()
+        self.shares.apply()
 
     @property
     def said(self) -> int:
         """What it claims, as the others read it."""
-        text = self.pair.slots[self.pair.mine].read_text()
-        claim = parse(text)
+        text = self.slots.paths[self.slots.own_slot].read_text()
+        claim = parse_claim(text)
         assert claim is not None, text
-        return claim.most
+        return claim.max_descriptors
 
     @property
     def holds(self) -> int:
@@ -97,7 +96,7 @@
     def die(self) -> None:
         """Its descriptors go, the lock among them."""
         self.answer()
-        self.pair.release()
+        self.slots.release()
 
 
 class Tier:
@@ -139,7 +138,7 @@
     new = tier.start()
     new.flood(half=half)
     tier.check()
-    assert not new.parts.enough
+    assert not new.shares.has_enough
     order = (old, new) if first == 0 else (new, old)
     for end in range(12):
         for one in order:
@@ -154,14 +153,14 @@
             old.answer()
     for one in order:
         one.look()
-    assert new.parts.enough and new.listener.limit >= 30 and new.node.pool.limit >= 15
+    assert new.shares.has_enough and new.listener.limit >= 30 and new.node.pool.limit >= 15
     assert old.listener.limit == SOCKETS // 3
-    old.parts.leaving = True  # after SIGTERM: new connections come to the other
+    old.shares.is_draining = True  # after SIGTERM: new connections come to the other
     old.answer()
     for one in (old, new):
         one.look()
         tier.check()
-    assert new.listener.limit > SOCKETS // 3 and new.parts.part > SOCKETS * 3 // 4
+    assert new.listener.limit > SOCKETS // 3 and new.shares.share > SOCKETS * 3 // 4
     new.flood(half=half)
     tier.check()
 
@@ -182,7 +181,9 @@
         old.transports[connection].aborted = True
     old.settle()
     old.look()
-    assert old.listener.limit == tier.config.elder(old.parts.part)[0] and len(old.listener.connections) == 20
+    assert (
+        old.listener.limit == tier.config.elder(old.shares.share)[0] and len(old.listener.connections) == 20
+    )
 
 
 async def test_one_that_dies_leaves_all_to_the_other(tier: Tier) -> None:
@@ -190,11 +191,11 @@
     for _ in range(2):
         old.look()
         new.look()
-    part = new.parts.part
+    part = new.shares.share
     tier.all.remove(old)
     old.die()
     new.look()
-    assert new.parts.part == tier.config.alone > part and new.listener.limit == tier.config.shares(1)[0]
+    assert new.shares.share == tier.config.alone > part and new.listener.limit == tier.config.shares(1)[0]
     newest = tier.start()
     for _ in range(2):
         new.look()
@@ -206,41 +207,41 @@
     assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(1)
 
 
-@pytest.mark.parametrize("text", ["", "x" * 200, "\xff\n", "1 2 3\n", Claim(1, 2).text()[:-4]])
+@pytest.mark.parametrize("text", ["", "x" * 200, "\xff\n", "1 2 3\n", DescriptorClaim(1, 2).encode()[:-4]])
 async def test_what_cannot_be_read_counts_as_half_and_as_before_where_it_was_read(
     tier: Tier, text: str
 ) -> None:
-    assert parse(text) is None
+    assert parse_claim(text) is None
     old = tier.start()
     old.flood()
-    slot = old.pair.slots[0]
+    slot = old.slots.paths[0]
     good = slot.read_bytes()
     slot.write_bytes(text.encode("latin-1"))
     new = tier.start()
-    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2) and new.parts.enough
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2) and new.shares.has_enough
     slot.write_bytes(good)
     new.look()
     tier.check()
-    assert new.parts.part == LEAST  # the old one has not looked yet
+    assert new.shares.share == LEAST  # the old one has not looked yet
     slot.write_bytes(text.encode("latin-1"))
     new.look()
-    assert new.parts.part == LEAST
+    assert new.shares.share == LEAST
     for _ in range(3):  # it is written anew at each look
         old.look()
         old.settle(lingering=True)
         old.node.pool.connection_count = 0
         new.look()
         tier.check()
-    assert new.parts.enough
-    new.pair.slots[1].write_bytes(text.encode("latin-1"))
+    assert new.shares.has_enough
+    new.slots.paths[1].write_bytes(text.encode("latin-1"))
     old.look()  # it is known to have come later
-    assert old.parts.part == tier.config.elders
+    assert old.shares.share == tier.config.elders
 
 
 async def test_who_holds_more_than_its_part_does_not_grow_until_that_is_gone(tier: Tier) -> None:
     """It took half while the other could not be read."""
     old = tier.start()
-    slot = old.pair.slots[0]
+    slot = old.slots.paths[0]
     good = slot.read_bytes()
     slot.write_bytes(b"spoilt")
     new = tier.start()
@@ -254,15 +255,15 @@
     new.node.pool.connection_count = 0
     new.look()
     tier.check()
-    assert new.parts.part == SOCKETS - tier.config.elders
+    assert new.shares.share == SOCKETS - tier.config.elders
 
 
 async def test_a_claim_is_read_as_it_was_written_and_no_other() -> None:
-    text = Claim(123_456_789_012, 219).text()
-    assert parse(text) == parse(text + "rest") == Claim(123_456_789_012, 219)
+    text = DescriptorClaim(123_456_789_012, 219).encode()
+    assert parse_claim(text) == parse_claim(text + "rest") == DescriptorClaim(123_456_789_012, 219)
     for at in range(len(text) - 1):
-        assert parse(text[:at] + chr(ord(text[at]) ^ 1) + text[at + 1 :]) is None
-        assert parse(text[:at]) is None
+        assert parse_claim(text[:at] + chr(ord(text[at]) ^ 1) + text[at + 1 :]) is None
+        assert parse_claim(text[:at]) is None
 
 
 async def test_three_in_a_row_keep_to_the_limit_and_the_last_one_grows(tier: Tier) -> None:
@@ -273,7 +274,7 @@
         first.look()
         second.look()
         tier.check()
-    first.parts.leaving = True
+    first.shares.is_draining = True
     for _ in range(2):
         first.look()
         second.look()
@@ -288,17 +289,17 @@
         assert second.said <= most  # also as the first gives up what it held
         most = second.said
     tier.check()
-    assert third.parts.part > LEAST
+    assert third.shares.share > LEAST
     tier.all.remove(first)
     first.die()
-    second.parts.leaving = True
+    second.shares.is_draining = True
     for one in (second, third):
         one.look()
         tier.check()
     tier.all.remove(second)
     second.die()
     third.look()
-    assert third.parts.part == tier.config.alone
+    assert third.shares.share == tier.config.alone
 
 
 async def test_one_that_comes_while_another_grows_is_seen_before_that_is_used(
@@ -307,17 +308,17 @@
     old, new = tier.start(), tier.start()
     old.look()
     last: list[Process] = []
-    read = Pair.read
+    read = ProcessSlots.read_peers
 
-    def comes(pair: Pair) -> dict[int, str] | None:
-        if pair is new.pair and new.said > LEAST and not last:  # between what it says and its look
+    def comes(slots: ProcessSlots) -> dict[int, str] | None:
+        if slots is new.slots and new.said > LEAST and not last:  # between what it says and its look
             last.append(tier.start())
-        return read(pair)
+        return read(slots)
 
     with monkeypatch.context() as patch:
-        patch.setattr(Pair, "read", comes)
+        patch.setattr(ProcessSlots, "read_peers", comes)
         new.look()
-    assert last and new.parts.part == LEAST and last[0].parts.part == LEAST
+    assert last and new.shares.share == LEAST and last[0].shares.share == LEAST
     for _ in range(2):
         for one in tier.all:
             one.look()
@@ -332,10 +333,10 @@
 
     old = tier.start()
     with monkeypatch.context() as patch:
-        patch.setattr(pair_file, "_held", fails)
+        patch.setattr(slots_file, "read_slot", fails)
         new = tier.start()
         tier.check()
-        assert new.parts.part == LEAST
+        assert new.shares.share == LEAST
     old.look()
     with monkeypatch.context() as patch:
         patch.setattr(os, "pwrite", fails)
@@ -361,8 +362,8 @@
     config = config_of(tmp_path, [], 1, sockets=SOCKETS)
     node = Node(config)
     listener = Listener(node, config.shares(1)[0])
-    pair = Pair(tmp_path / "x", lambda beside: None)
-    share(node, listener, False, Parts(node, listener, pair))
+    slots = ProcessSlots(tmp_path / "x", lambda beside: None)
+    DescriptorShares(node, listener, slots).apply()
     assert (listener.limit, node.pool.limit) == config.shares(1) and config.alone == SOCKETS
     assert not list(tmp_path.glob("x*"))
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,13 +16,14 @@
 import pytest
 
 from balancer import interface as api
-from balancer.__main__ import until_killed
-from balancer.net import pair as pair_file
+from balancer.net import process_slots as slots_file
 from balancer.net.config import load
-from balancer.net.handover import give, take
+from balancer.net.connection_steering import steer_connections, stop_steering
 from balancer.net.listing import SHORT
 from balancer.net.objects import LONG
-from balancer.net.pair import Pair, SlotError, steer, unsteer
+from balancer.net.process_slots import ProcessSlots, SlotError
+from balancer.net.shutdown import seconds_until_kill
+from balancer.net.state_handover import take_learned, write_learned
 from balancer.policy import Balancer
 from tests.helpers import BASE, SAFE, entry
 from tests.sockets import (
@@ -53,28 +54,28 @@
 
 async def test_processes_see_one_another_come_and_go(tmp_path: Path) -> None:
     told: list[tuple[str, bool]] = []
-    old = Pair(tmp_path / "x", lambda beside: told.append(("old", beside)))
-    new = Pair(tmp_path / "x", lambda beside: told.append(("new", beside)))
-    assert not old.start() and new.start()
-    old._look()
-    assert told == [("old", True)] and not old.later and new.later
+    old = ProcessSlots(tmp_path / "x", lambda beside: told.append(("old", beside)))
+    new = ProcessSlots(tmp_path / "x", lambda beside: told.append(("new", beside)))
+    assert not old.acquire() and new.acquire()
+    old.refresh_periodically()
+    assert told == [("old", True)] and not old.peer_was_first and new.peer_was_first
     old.stop()
     new.stop()
     old.release()
-    new._look()
-    assert told[1:] == [("new", False)] and not new.later
+    new.refresh_periodically()
+    assert told[1:] == [("new", False)] and not new.peer_was_first
     new.stop()
-    third = Pair(tmp_path / "x", lambda beside: None)
-    assert third.start() and third.later
+    third = ProcessSlots(tmp_path / "x", lambda beside: None)
+    assert third.acquire() and third.peer_was_first
     third.stop()
 
 
 async def test_there_are_only_so_many_processes_of_one_node(tmp_path: Path) -> None:
-    pairs = [Pair(tmp_path / "x", lambda beside: None) for _ in range(pair_file.SLOTS + 1)]
+    pairs = [ProcessSlots(tmp_path / "x", lambda beside: None) for _ in range(slots_file.SLOT_COUNT + 1)]
     for pair in pairs[:-1]:
-        pair.start()
+        pair.acquire()
     with pytest.raises(SlotError):
-        pairs[-1].start()
+        pairs[-1].acquire()
     for pair in pairs:
         pair.stop()
         pair.release()
@@ -105,9 +106,9 @@
                 socket.create_connection(("127.0.0.1", port)).close()
             return [_accepted(listener) for listener in listeners]
 
-        assert steer(listeners[0], 1) and split() == [0, 32]
-        assert steer(listeners[1], 0) and split() == [32, 0]
-        unsteer(listeners[1])
+        assert steer_connections(listeners[0], 1) and split() == [0, 32]
+        assert steer_connections(listeners[1], 0) and split() == [32, 0]
+        stop_steering(listeners[1])
         assert min(split()) > 0  # 2 to the power of -31 to fail where the system deals them out at random
 
 
@@ -132,7 +133,7 @@
 @pytest.mark.parametrize(("deadline", "seconds"), [(400.0, 1.1), (1200.0, 1.9), (9000.0, 3.7)])
 def test_the_time_to_the_kill_follows_from_the_longest_deadline(deadline: float, seconds: float) -> None:
     classes = (replace(SAFE, deadline=100.0), replace(SAFE, name="long", deadline=deadline))
-    assert until_killed(replace(BASE, classes=classes)) == pytest.approx(seconds)
+    assert seconds_until_kill(replace(BASE, classes=classes)) == pytest.approx(seconds)
 
 
 async def test_a_new_version_takes_over_and_no_connection_is_lost(tmp_path: Path) -> None:
@@ -282,11 +283,11 @@
 
 def test_what_was_learned_is_handed_over_once(tmp_path: Path) -> None:
     path = tmp_path / "x.learned"
-    give(path, LEARNED)
-    left = take(path)
+    write_learned(path, LEARNED)
+    left = take_learned(path)
     assert left is not None and left.learned == LEARNED and 0 <= left.age < 10_000
-    assert take(path) is None
-    give(tmp_path / "no" / "x.learned", LEARNED)  # nowhere to write: no exception
+    assert take_learned(path) is None
+    write_learned(tmp_path / "no" / "x.learned", LEARNED)  # nowhere to write: no exception
 
 
 @pytest.mark.parametrize(
@@ -295,12 +296,12 @@
 )
 def test_what_makes_no_sense_is_not_taken_over(tmp_path: Path, change: dict[str, Any]) -> None:
     path = tmp_path / "x.learned"
-    give(path, LEARNED)
+    write_learned(path, LEARNED)
     table = json.loads(path.read_text())
     inner = change.get("learned")
     change = change | ({"learned": table["learned"] | inner} if isinstance(inner, dict) else {})
     path.write_text(json.dumps(table | change))
-    assert take(path) is None
+    assert take_learned(path) is None
 
 
 async def _news(discovery: FakeDiscovery) -> None:
