--- a/balancer/lab/scale/listing.py
+++ b/balancer/lab/scale/listing.py
@@ -30,8 +30,8 @@
 from balancer.net.config import News, news_in_turns, news_of
 from balancer.net.connection_pool import ConnectionPool
 from balancer.net.discovery_call import most_object
+from balancer.net.json_stream import JsonSplitter, JsonStreamError
 from balancer.net.listing import Listing
-from balancer.net.objects import BrokenObject, Objects
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import StreamMemory
 from balancer.net.turns import Turns
@@ -81,7 +81,7 @@
         yield Point("list", "change", "bytes", backends, float(len(change)), True)
         try:
             decode(data)
-        except BrokenObject as err:
+        except JsonStreamError as err:
             yield NotPlayed(f"list.decode at {backends}", f"refused whole: {err.line}")
             continue
         took = fleet.spent_us(lambda data=data: decode(data), 1.0, 50)  # type: ignore[misc]
@@ -90,8 +90,8 @@
 
 
 def decode(data: bytes) -> tuple[News | None, float]:
-    """Cut and decode a list as it comes: its news, and the us of the longest turn. Raises BrokenObject."""
-    objects, news, longest = Objects(most_object(MEMORY_MB)), None, 0.0
+    """Cut and decode a list as it comes: its news, and the us of the longest turn. Raises JsonStreamError."""
+    objects, news, longest = JsonSplitter(most_object(MEMORY_MB)), None, 0.0
     for at in range(0, len(data), PIECE):
         begin = time.process_time_ns()
         for item in objects.feed(data[at : at + PIECE]):
--- a/balancer/net/attempt.py
+++ b/balancer/net/attempt.py
@@ -72,6 +72,7 @@
         upload: Upload | None,
         is_wanted: IsWanted,
     ) -> None:
+        """Make an attempt that has no connection yet."""
         self.request = request
         self.on_result = on_result
         self.on_stream = on_stream
--- a/balancer/net/backend_connection.py
+++ b/balancer/net/backend_connection.py
@@ -31,6 +31,7 @@
     """
 
     def __init__(self, pool: ConnectionPool, endpoint: EndpointConnections) -> None:
+        """Make a connection to `endpoint` that is not established yet."""
         self.pool = pool
         self.endpoint = endpoint
         self.address = endpoint.address
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -21,7 +21,7 @@
 from balancer import wire
 from balancer.errors import BalancerError
 from balancer.net.rows import Layout, OddList, layout
-from balancer.net.shards import Shards
+from balancer.net.sharded_dict import ShardedDict
 from balancer.net.stream import BASE_MEMORY_MB, UPGRADE_PROCESS_COUNT
 
 PREFIX = "PROXY_"
@@ -110,7 +110,7 @@
     complete: bool
     members: tuple[Member, ...]
     again: bool = False
-    named: Shards[Member] | None = field(default=None, compare=False, repr=False)  # by id, each once
+    named: ShardedDict[Member] | None = field(default=None, compare=False, repr=False)  # by id, each once
 
 
 # What the fields hold in JSON. An integer is taken for a float, and what is unknown is skipped.
@@ -301,16 +301,16 @@
 def _told(told: _List, held: Held = nothing) -> News:
     out = _news(told, held)
     if out.complete:
-        _distinct(out.members, 0, Shards())
+        _distinct(out.members, 0, ShardedDict())
     return out
 
 
-def _distinct(members: Sequence[Member], first: int, seen: Shards[Member]) -> None:
+def _distinct(members: Sequence[Member], first: int, seen: ShardedDict[Member]) -> None:
     """Guards against a whole list that names a backend twice: nobody knows which word counts.
 
     Takes them into `seen`; the first of `members` has that index. Raises ListError.
     """
-    part_of = seen.part
+    part_of = seen.shard
     for index, member in enumerate(members, first):
         name = member.backend
         part = part_of(name)
@@ -392,7 +392,7 @@
 def _decoded(data: mmap, parts: Layout, held: Held, members: list[Member]) -> Generator[None, None, News]:
     """All but the members, and those into `members`. Raises as `news_of`."""
     told = _list_of(data[: parts.rows] + data[parts.last :])
-    seen, begin = Shards[Member](), parts.rows
+    seen, begin = ShardedDict[Member](), parts.rows
     for end in parts.runs:
         run = b"[" + data[begin:end] + b"]"
         begin = end + 1
--- a/balancer/net/connection_pool.py
+++ b/balancer/net/connection_pool.py
@@ -22,7 +22,7 @@
 from balancer.net.backend_connection import REUSE_DELAY_S, BackendConnection
 from balancer.net.config import Address, Member
 from balancer.net.rate_limited_log import RateLimitedLog
-from balancer.net.shards import Shards
+from balancer.net.sharded_dict import ShardedDict
 from balancer.net.statistics import CloseReason, RequestStatistics
 from balancer.net.stream import StreamMemory, Upload
 
@@ -42,6 +42,7 @@
     __slots__ = ("address", "idle", "is_in_maintenance", "is_in_service")
 
     def __init__(self, address: Address, is_in_maintenance: bool, is_in_service: bool = True) -> None:
+        """Make an endpoint without connections."""
         self.address = address
         self.is_in_maintenance = is_in_maintenance
         self.is_in_service = is_in_service  # by the endpoint list
@@ -65,7 +66,7 @@
         self.configure(settings)
         self.limit = limit
         self.connection_count = 0
-        self.members = Shards[Member]()  # the endpoint list
+        self.members = ShardedDict[Member]()  # the endpoint list
         self.in_service_count = 0  # of the members
         self.endpoints: dict[str, EndpointConnections] = {}  # the members that were sent to
         self.idle: dict[BackendConnection, None] = {}  # of all endpoints, longest idle first
@@ -93,7 +94,7 @@
                 self._remove_endpoint(name)
                 continue
             is_in_service = member.phase is api.EndpointPhase.IN_SERVICE
-            shard = self.members.part(name)
+            shard = self.members.shard(name)
             was_in_service = name in shard and shard[name].phase is api.EndpointPhase.IN_SERVICE
             self.in_service_count += is_in_service - was_in_service
             shard[name] = member
--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -1,4 +1,4 @@
-"""The operators' own listener: one call to a connection, answered at once or turned away in time."""
+"""The operators' console: a listener of its own, with one call a connection."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import json
 import logging
 from collections.abc import Coroutine
+from dataclasses import dataclass
 from typing import Protocol, cast
 from urllib.parse import unquote_to_bytes
 
@@ -16,239 +17,277 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD = 8 * 1024
-MAX_BODY = 64 * 1024  # no call needs one; what comes is read and thrown away
-PATIENCE = 2.5  # s for a call to come in whole
-LINGER = 1.0  # s for a caller to read its answer while it still sends
-CALLERS = 8  # connections at a time; over that the longest waiting one goes
-BACKLOG = 32  # callers that wait to be accepted
-REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
+MAX_HEADER_BYTES = 8 * 1024
+MAX_BODY_BYTES = 64 * 1024  # no call needs a body: it is read and dropped
+CALL_TIMEOUT_S = 2.5  # for a call to be received
+LINGER_TIMEOUT_S = 1.0  # for a caller to read its response while it still sends
+MAX_CONNECTIONS = 8  # above that the longest open one is closed
+BACKLOG = 32  # connections that wait to be accepted
+TEXT = "text/plain"
+JSON = "application/json"
+REASON_PHRASES = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
     503: "Service Unavailable",
-}  # fmt: skip
+}
 
 
-class CallRefused(BalancerError):
+class CallError(BalancerError):
     """A call of the console makes no sense; the text says why."""
 
     code = "CON01"
     remedy = "GET /healthcheck, GET /stats, POST /backends/ID/maint, POST /backends/ID/ready are the calls"
 
-    def __init__(self, status: int, why: str, allow: str = "") -> None:
-        super().__init__(why)
-        self.status, self.allow = status, allow
+    def __init__(self, status: int, reason: str, allowed_method: str = "") -> None:
+        """Make the error with the status of its response, and its Allow header if there is one."""
+        super().__init__(reason)
+        self.status = status
+        self.allowed_method = allowed_method
 
 
-class UnknownBackend(CallRefused):
+class UnknownBackendError(CallError):
     """The backend that is to be taken out or put back was never listed here."""
 
     code = "CON02"
     remedy = "compare the id with discovery's list (/ is %2F in the path); call again once it is listed"
 
 
-class CallFailed(CallRefused):
+class InternalCallError(CallError):
     """A call failed by a defect of the node, which goes on; the log has its trace."""
 
     code = "CON03"
     remedy = "call again; if it fails again, take the trace from the log and report it"
 
 
-class Operated(Protocol):
-    """What the console shows and steers."""
+@dataclass(slots=True, frozen=True)
+class CallResponse:
+    """The response to one call."""
+
+    status: int
+    text: str
+    content_type: str = TEXT
+    extra_headers: str = ""
+
+
+class ConsoleTarget(Protocol):
+    """What the console shows and controls."""
 
     def unready_reason(self) -> str:
-        """Why the process is not ready to serve; empty where it is."""
+        """Return why the process is not ready to serve, empty if it is."""
 
     def stats(self) -> dict[str, object]:
-        """The figures."""
+        """Return the statistics."""
 
     async def set_maintenance(self, backend: str, is_out: bool) -> bool:
-        """Take a backend out or put it back; False where it was never listed. Raises BalancerError."""
+        """Take a backend out or put it back; False if it was never listed. Raises BalancerError."""
 
 
-class Caller(asyncio.Protocol):
-    """One connection, one call."""
+class ConsoleConnection(asyncio.Protocol):
+    """One connection, which carries one call."""
 
     def __init__(self, console: Console) -> None:
-        self.console = console
-        self.transport: asyncio.Transport | None = None
-        self.parser = httptools.HttpRequestParser(self)
-        self.timer: asyncio.TimerHandle | None = None
-        self.target, self.size, self.body = b"", 0, 0
-        self.in_body = self.called = self.is_answered = False
+        """Make the protocol of a connection to `console`."""
+        self._console = console
+        self._transport: asyncio.Transport | None = None
+        self._parser = httptools.HttpRequestParser(self)
+        self._timer: asyncio.TimerHandle | None = None
+        self._target = b""
+        self._header_bytes = 0
+        self._body_bytes = 0
+        self._in_body = False
+        self._is_called = False
+        self._is_answered = False
+
+    # --- asyncio protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Give the caller its time."""
-        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
-        self.timer = self.console.loop.call_later(PATIENCE, self._stalled)
-        self.console.took(self)
+        """Start the timeout of the call."""
+        self._transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        self._timer = self._console.loop.call_later(CALL_TIMEOUT_S, self._expire)
+        self._console.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The caller has left or was let go."""
-        self.is_answered = True
-        if self.timer is not None:
-            self.timer.cancel()
-        self.console.callers.pop(self, None)
+        """Forget the caller."""
+        self._is_answered = True
+        if self._timer is not None:
+            self._timer.cancel()
+        self._console.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        """Read the call; what comes after it is thrown away."""
-        if self.is_answered:
+        """Parse the call; what follows it is dropped."""
+        if self._is_answered:
             return
-        if not self.in_body:
-            self.size += len(data)
+        if not self._in_body:
+            self._header_bytes += len(data)
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._no(CallRefused(400, "no upgrade is to be had here"))
-        except httptools.HttpParserError as err:
-            if isinstance(err, httptools.HttpParserCallbackError):
-                self._failed()
-            else:
-                self._no(CallRefused(400, "malformed call"))
-        if not self.in_body and self.size > MAX_HEAD:
-            self._no(CallRefused(431, "headers too long"))
-
-    def _stalled(self) -> None:
-        self._no(CallRefused(408, "call took too long"))
+            self._reject(CallError(400, "no upgrade is to be had here"))
+        except httptools.HttpParserCallbackError:
+            self._fail()
+        except httptools.HttpParserError:
+            self._reject(CallError(400, "malformed call"))
+        if not self._in_body and self._header_bytes > MAX_HEADER_BYTES:
+            self._reject(CallError(431, "headers too long"))
+
+    def _expire(self) -> None:
+        self._reject(CallError(408, "call took too long"))
 
     def drop(self) -> None:
-        """Let go without an answer."""
-        self.is_answered = True
-        if self.transport is not None:
-            self.transport.abort()
+        """Close without a response."""
+        self._is_answered = True
+        if self._transport is not None:
+            self._transport.abort()
 
-    # --- httptools
+    # --- httptools callbacks
 
     def on_url(self, url: bytes) -> None:
-        """The target, in pieces."""
-        self.target += url
+        """Add a piece of the target."""
+        self._target += url
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
-        self.in_body = True
+        """End the head."""
+        self._in_body = True
 
     def on_body(self, body: bytes) -> None:
-        """No call needs a body."""
-        self.body += len(body)
-        if self.body > MAX_BODY:
-            self._no(CallRefused(413, "body too large"))
+        """Drop a piece of the body."""
+        self._body_bytes += len(body)
+        if self._body_bytes > MAX_BODY_BYTES:
+            self._reject(CallError(413, "body too large"))
 
     def on_message_complete(self) -> None:
-        """The call is whole."""
-        if not self.is_answered and not self.called:
-            self.called = True
-            self.console.start(self._carry_out(self.parser.get_method(), self.target))
+        """Carry out the call."""
+        if not self._is_answered and not self._is_called:
+            self._is_called = True
+            self._console.start(self._carry_out(self._parser.get_method(), self._target))
 
     async def _carry_out(self, method: bytes, target: bytes) -> None:
         try:
-            status, text, kind = await self.console.call(method, target)
-        except CallRefused as err:
-            self._no(err)
-        except Exception:  # guards against one bad call ending the node
-            self._failed()
+            response = await self._console.call(method, target)
+        except CallError as err:
+            self._reject(err)
+        except Exception:  # one bad call must not end the node
+            self._fail()
         else:
-            self.answer(status, text, kind)
+            self._respond(response)
 
-    # --- answers
+    # --- responses
 
-    def _no(self, why: CallRefused) -> None:
-        extra = f"Allow: {why.allow}\r\n" if why.allow else ""
-        self.answer(why.status, _lines(*why.report), "text/plain", extra)
+    def _reject(self, error: CallError) -> None:
+        extra_headers = f"Allow: {error.allowed_method}\r\n" if error.allowed_method else ""
+        self._respond(CallResponse(error.status, _lines(*error.report), TEXT, extra_headers))
 
-    def _failed(self) -> None:
-        why = CallFailed(500, "internal error")
-        log.exception("console: %s", why.line)
-        self._no(why)
+    def _fail(self) -> None:
+        error = InternalCallError(500, "internal error")
+        log.exception("console: %s", error.line)
+        self._reject(error)
 
-    def answer(self, status: int, text: str, kind: str, extra: str = "") -> None:
-        """Answer once and end the connection."""
-        if self.is_answered or self.transport is None:
+    def _respond(self, response: CallResponse) -> None:
+        """Respond once and end the connection."""
+        if self._is_answered or self._transport is None:
             return
-        self.is_answered = True
-        body = text.encode()
-        head = (f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: {kind}\r\n"
-                f"Content-Length: {len(body)}\r\n{extra}Connection: close\r\n\r\n")  # fmt: skip
-        self.transport.write(head.encode() + body)
-        # Guards against a reset that takes the answer with it: it is what closing does while bytes come in.
-        self.transport.write_eof()
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = self.console.loop.call_later(LINGER, self.drop)
+        self._is_answered = True
+        body = response.text.encode()
+        head = (
+            f"HTTP/1.1 {response.status} {REASON_PHRASES[response.status]}\r\n"
+            f"Content-Type: {response.content_type}\r\n"
+            f"Content-Length: {len(body)}\r\n"
+            f"{response.extra_headers}"
+            "Connection: close\r\n\r\n"
+        )
+        self._transport.write(head.encode() + body)
+        # A close while bytes are received would be a reset, which discards the response.
+        self._transport.write_eof()
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._console.loop.call_later(LINGER_TIMEOUT_S, self.drop)
 
 
 class Console:
-    """The listener and its callers."""
+    """The listener and its connections."""
 
-    def __init__(self, node: Operated) -> None:
-        self.node, self.loop = node, asyncio.get_running_loop()
-        self.callers: dict[Caller, None] = {}  # longest here first
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.server: asyncio.Server | None = None
+    def __init__(self, target: ConsoleTarget) -> None:
+        """Make a console of `target` that does not listen yet."""
+        self.loop = asyncio.get_running_loop()
+        self.connections: dict[ConsoleConnection, None] = {}  # longest open first
+        self._target = target
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._server: asyncio.Server | None = None
 
     @property
     def address(self) -> Address:
         """Where it listens."""
-        assert self.server is not None
-        host, port = self.server.sockets[0].getsockname()[:2]
+        assert self._server is not None
+        host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     async def listen(self, address: Address) -> None:
-        """Accept callers on this address only."""
-        self.server = await self.loop.create_server(lambda: Caller(self), *address, backlog=BACKLOG)
+        """Accept connections on this address only."""
+        self._server = await self.loop.create_server(
+            lambda: ConsoleConnection(self), *address, backlog=BACKLOG
+        )
 
-    def took(self, caller: Caller) -> None:
-        """A caller came; guards the descriptors and true callers against those that finish no call."""
-        self.callers[caller] = None
-        if len(self.callers) > CALLERS:
-            next(iter(self.callers)).drop()
+    def add(self, connection: ConsoleConnection) -> None:
+        """Register a connection; above the limit the longest open one is closed: it has finished no call."""
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            next(iter(self.connections)).drop()
 
     def start(self, call: Coroutine[None, None, None]) -> None:
-        """Carry out a call beside the others."""
+        """Carry out a call in the background."""
         task = self.loop.create_task(call)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def call(self, method: bytes, target: bytes) -> tuple[int, str, str]:
-        """Carry out one call; returns its answer's status, text and type. Raises CallRefused."""
+    async def call(self, method: bytes, target: bytes) -> CallResponse:
+        """Carry out one call. Raises CallError."""
         try:
             path = httptools.parse_url(target).path or b"/"
         except httptools.HttpParserInvalidURLError:
-            raise CallRefused(400, "bad target") from None
-        # Cut into segments before decoding: an id may hold a slash.
+            raise CallError(400, "bad target") from None
+        # Split into segments before decoding: an id may hold a slash.
         match [unquote_to_bytes(part).decode("utf-8", "replace") for part in path.split(b"/")[1:]]:
             case ["healthcheck"]:
-                _expect(method, b"GET")
-                why = self.node.unready_reason()
-                return 503 if why else 200, f"{why or 'ready'}\n", "text/plain"
+                _check_method(method, b"GET")
+                reason = self._target.unready_reason()
+                return CallResponse(503 if reason else 200, f"{reason or 'ready'}\n")
             case ["stats"]:
-                _expect(method, b"GET")
-                figures = json.dumps(self.node.stats(), separators=(",", ":"))
-                return 200, figures + "\n", "application/json"
-            case ["backends", backend, ("maint" | "ready") as word]:
-                _expect(method, b"POST")
-                try:
-                    known = await self.node.set_maintenance(backend, word == "maint")
-                except BalancerError as err:
-                    happened, remedy = err.report
-                    return 503, _lines(f"{happened}; nothing is changed", remedy), "text/plain"
-                if not known:
-                    raise UnknownBackend(404, "no such backend was ever listed")
-                return 200, f"{backend} is {'out' if word == 'maint' else 'back'}\n", "text/plain"
-        raise CallRefused(404, "no such call")
+                _check_method(method, b"GET")
+                table = json.dumps(self._target.stats(), separators=(",", ":"))
+                return CallResponse(200, table + "\n", JSON)
+            case ["backends", backend, ("maint" | "ready") as state]:
+                _check_method(method, b"POST")
+                return await self._set_maintenance(backend, state == "maint")
+        raise CallError(404, "no such call")
+
+    async def _set_maintenance(self, backend: str, is_out: bool) -> CallResponse:
+        try:
+            is_known = await self._target.set_maintenance(backend, is_out)
+        except BalancerError as err:
+            happened, remedy = err.report
+            return CallResponse(503, _lines(f"{happened}; nothing is changed", remedy))
+        if not is_known:
+            raise UnknownBackendError(404, "no such backend was ever listed")
+        return CallResponse(200, f"{backend} is {'out' if is_out else 'back'}\n")
 
     def close(self) -> None:
-        """Accept no more and let go of all callers."""
-        if self.server is not None:
-            self.server.close()
-        for caller in list(self.callers):
-            caller.drop()
+        """Accept no more and close all connections."""
+        if self._server is not None:
+            self._server.close()
+        for connection in list(self.connections):
+            connection.drop()
 
 
 def _lines(*lines: str) -> str:
     return "\n".join(lines) + "\n"
 
 
-def _expect(method: bytes, only: bytes) -> None:
-    if method != only:
-        raise CallRefused(405, f"this call is made with {only.decode()}", only.decode())
+def _check_method(method: bytes, allowed: bytes) -> None:
+    if method != allowed:
+        raise CallError(405, f"this call is made with {allowed.decode()}", allowed.decode())
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -13,7 +13,7 @@
 
 from balancer.net import watchdog
 from balancer.net.config import ListError, News, news_in_turns, news_of
-from balancer.net.objects import BrokenObject, Objects
+from balancer.net.json_stream import JsonSplitter, JsonStreamError
 from balancer.net.watchdog import Watchdog
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
     OVER = "it is closed, and what else comes of it is not read"
 
 
-Brought = bytes | mmap | BrokenObject | End
+Brought = bytes | mmap | JsonStreamError | End
 """What a call brings: an object or an empty line, what cannot become one, its end."""
 
 
@@ -84,7 +84,7 @@
         self.dog = Watchdog(owner.loop.time(), answer, random.uniform(*watchdog.SILENT))
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
-        self.objects = Objects(most_object(owner.node.config.memory_mb))
+        self.objects = JsonSplitter(most_object(owner.node.config.memory_mb))
         self.timer: asyncio.TimerHandle | None = None
         self.told_at: float | None = None  # when it first told something
         self.done = self.doubt = False
@@ -188,7 +188,7 @@
                 self.owner.read(self, item)
                 if self.over:  # by what it told first
                     return
-        except BrokenObject as err:
+        except JsonStreamError as err:
             self.spoilt = True
             self.owner.read(self, err)
 
@@ -200,18 +200,18 @@
             self.end(what)
             return
         try:
-            if isinstance(what, BrokenObject):
+            if isinstance(what, JsonStreamError):
                 raise what
             update: News | None
             if isinstance(what, mmap):
                 update = yield from news_in_turns(what, self.owner.node.member)
             else:
                 update = news_of(what, self.owner.node.member) if what else None
-        except (ListError, BrokenObject) as err:
+        except (ListError, JsonStreamError) as err:
             self._broken(err)
             return
         except (ValueError, RecursionError) as err:
-            self._broken(BrokenObject(str(err)))
+            self._broken(JsonStreamError(str(err)))
             return
         self._told(update)
 
@@ -231,7 +231,7 @@
             self.owner.news(self, update)
         self.owner.settled(self)
 
-    def _broken(self, err: ListError | BrokenObject) -> None:
+    def _broken(self, err: ListError | JsonStreamError) -> None:
         """What it said is lost, and later changes do not repeat it: only the whole list will do."""
         if self.stage is Stage.OVER:  # nobody wants it any more
             return
@@ -241,8 +241,8 @@
 
     def on_message_complete(self) -> None:
         """The end of a whole list, or of a watch."""
-        if not (self.watch or self.stage is Stage.OVER or self.spoilt or self.objects.between):
-            self.owner.read(self, BrokenObject("the answer ends before its JSON does"))
+        if not (self.watch or self.stage is Stage.OVER or self.spoilt or self.objects.is_between_objects):
+            self.owner.read(self, JsonStreamError("the answer ends before its JSON does"))
         refused = self.parser.get_status_code() != 200
         self._over(End.REFUSED if refused else End.CLOSED if self.watch else End.COMPLETE)
 
--- a/balancer/net/listing.py
+++ b/balancer/net/listing.py
@@ -18,7 +18,7 @@
 from balancer.net.changes import ListChanges
 from balancer.net.config import Member, News
 from balancer.net.connection_pool import ConnectionPool
-from balancer.net.shards import Shards, shard
+from balancer.net.sharded_dict import ShardedDict, shard_index
 from balancer.net.turns import Turns
 
 log = logging.getLogger(__name__)
@@ -131,7 +131,7 @@
     def _pieces(self, news: News, kind: api.ListUpdateKind) -> Iterator[None]:
         """Put one object in force, a step a turn."""
         if (named := news.named) is None:
-            named = Shards[Member]()  # the last word of each
+            named = ShardedDict[Member]()  # the last word of each
             for some in _cut(news.members, LOOKS):
                 for member in some:
                     named[member.backend] = member
@@ -173,24 +173,24 @@
             log.info("list: revision %d: %s", news.revision, text)
             self._changes = ListChanges()
 
-    def _left_out(self, named: Shards[Member]) -> Iterator[tuple[Member, ...]]:
+    def _left_out(self, named: ShardedDict[Member]) -> Iterator[tuple[Member, ...]]:
         """What a whole list names no more, as gone; empty where a turn found nothing."""
-        for held, told in zip(self.pool.members.parts, named.parts, strict=True):
+        for held, told in zip(self.pool.members.shards, named.shards, strict=True):
             left = [member for name, member in held.items() if name not in told]
             for some in _cut(left, PIECE):
                 yield tuple(replace(m, phase=api.EndpointPhase.REMOVED) for m in some if m.backend in held)
             if not left:
                 yield ()
 
-    def _changed(self, told: tuple[Member, ...], named: Shards[Member]) -> Iterator[tuple[Member, ...]]:
+    def _changed(self, told: tuple[Member, ...], named: ShardedDict[Member]) -> Iterator[tuple[Member, ...]]:
         """What is not in force as it was told: first all that stops, then what serves, then the others."""
-        held, words = self.pool.members.parts, named.parts
+        held, words = self.pool.members.shards, named.shards
         serve, others = list[Member](), list[Member]()
         for some in _cut(told, LOOKS):
             stop = []
             for member in some:
                 name, phase = member.backend, member.phase
-                part = shard(name)
+                part = shard_index(name)
                 was = held[part].get(name)
                 if member is was or member == was or words[part][name] is not member:
                     continue
--- a/balancer/net/request_head.py
+++ b/balancer/net/request_head.py
@@ -59,16 +59,24 @@
     if request_class is None:
         raise BadRequestError(404, "unknown class")
     _check_class(request_class, parser)
-    name = headers.get(b"request-id", b"").decode("latin-1")
-    if not name:
-        raise BadRequestError(400, "no Request-Id")
     timeout_ms = request_class.deadline
+    event = _arrival(request_class, query, headers, settings)
     if b"request-timeout" in headers:
         timeout_ms = min(timeout_ms, parse_timeout(headers[b"request-timeout"]))
+    return RequestHead(event, timeout_ms)
+
+
+def _arrival(
+    request_class: RequestClass, query: bytes, headers: Mapping[bytes, bytes], settings: Settings
+) -> RequestArrived:
+    """Return the event of a request; its deadline counts from its last byte. Raises BadRequestError."""
+    name = headers.get(b"request-id", b"").decode("latin-1")
+    if not name:
+        raise BadRequestError(400, "no Request-Id")
     key = parse_qs(query.decode("latin-1")).get("obj")
-    event = RequestArrived(
+    return RequestArrived(
         request=name,
-        class_name=class_name,
+        class_name=request_class.name,
         deadline=0.0,
         is_retry=headers.get(b"client-retry") == b"1",
         key=key[0] if key else None,
@@ -77,7 +85,6 @@
         writes=request_class.effect is not Idempotency.IDEMPOTENT,
         under=settings,
     )
-    return RequestHead(event, timeout_ms)
 
 
 def _check_class(request_class: RequestClass, parser: RequestParser) -> None:
--- a/balancer/net/response_parser.py
+++ b/balancer/net/response_parser.py
@@ -21,6 +21,7 @@
     """A body is longer than `MAX_BODY_BYTES`."""
 
     def __init__(self) -> None:
+        """Make the error."""
         super().__init__("longer than any response")
 
 
@@ -32,6 +33,7 @@
     """
 
     def __init__(self, begin_streaming: Callable[[], None]) -> None:
+        """Make a parser that waits for a response."""
         self._begin_streaming = begin_streaming
         self.reset()
 
--- a/balancer/net/rows.py
+++ b/balancer/net/rows.py
@@ -7,19 +7,19 @@
 from dataclasses import dataclass
 from mmap import mmap
 
-from balancer.net.objects import (
+from balancer.net.json_stream import (
     BACKSLASH,
     BRACE,
     BRACKET,
     COMMA,
-    ENDS,
     FLAT,
     GAP,
+    OPENING_OF,
     PLAIN,
     QUOTE,
     STRING,
-    TEXT,
-    end,
+    STRING_INSIDE,
+    match_end,
 )
 
 STEP = 64  # rows that are looked at at once
@@ -64,14 +64,14 @@
 
 def _layout(data: bytes | mmap, leap: bool) -> Generator[None, None, Layout]:
     found: Layout | None = None
-    at = end(GAP, data, 0) + 1
+    at = match_end(GAP, data, 0) + 1
     while True:
-        at = end(GAP, data, at)
+        at = match_end(GAP, data, at)
         key, at = at, _string(data, at)
         if BACKSLASH in data[key:at]:  # it may spell "members", too
             raise OddList
         name = data[key:at]
-        if (value := end(COLON, data, at)) == at:
+        if (value := match_end(COLON, data, at)) == at:
             raise OddList
         if name == MEMBERS:
             if found is not None or data[value] != BRACKET:
@@ -80,8 +80,8 @@
             at = found.last + 1
         else:
             at = _value(data, value)
-        at = end(GAP, data, at)
-        if data[at] in ENDS:
+        at = match_end(GAP, data, at)
+        if data[at] in OPENING_OF:
             break
         if data[at] != COMMA:
             raise OddList
@@ -97,9 +97,9 @@
         runs.append(end_of_row + 1)
         begin = at = end_of_row + len(MEET)
     while True:
-        stop = end(FLAT_ROWS, data, at)
+        stop = match_end(FLAT_ROWS, data, at)
         if stop == at:  # a row that nests something, or is none
-            stop = end(GAP, data, _value(data, end(GAP, data, at)))
+            stop = match_end(GAP, data, _value(data, match_end(GAP, data, at)))
         if data[stop] == ENDING:
             return Layout(first, (*runs, stop), stop)
         if data[stop] != COMMA:
@@ -115,7 +115,7 @@
 def _string(data: bytes | mmap, at: int) -> int:
     if data[at] != QUOTE:
         raise OddList
-    at = end(TEXT, data, at + 1)
+    at = match_end(STRING_INSIDE, data, at + 1)
     if data[at] != QUOTE:
         raise OddList
     return at + 1
@@ -126,15 +126,15 @@
     if data[at] == QUOTE:
         return _string(data, at)
     if data[at] not in (BRACE, BRACKET):
-        if (stop := end(SCALAR, data, at)) == at:
+        if (stop := match_end(SCALAR, data, at)) == at:
             raise OddList
         return stop
-    if (stop := end(FLAT, data, at)) > at:
+    if (stop := match_end(FLAT, data, at)) > at:
         return stop
     depth = 0
     while True:  # the brackets match: it ends
         sign = data[at]
-        if sign in ENDS:
+        if sign in OPENING_OF:
             depth -= 1
         elif sign in (BRACE, BRACKET):
             depth += 1
@@ -143,4 +143,4 @@
         at += 1
         if not depth:
             return at
-        at = end(PLAIN, data, at)
+        at = match_end(PLAIN, data, at)
--- a/balancer/net/statistics.py
+++ b/balancer/net/statistics.py
@@ -32,6 +32,7 @@
     """
 
     def __init__(self) -> None:
+        """Begin at zero."""
         self.outcomes: dict[RequestOutcome, Counter[str]] = {outcome: Counter() for outcome in RequestOutcome}
         self.attempts_sent = 0  # attempts whose last byte has been sent
         self.reloads = 0
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -24,6 +24,7 @@
     """
 
     def __init__(self, memory_mb: float) -> None:
+        """Share out what a process that may use `memory_mb` has for bodies."""
         available_mb = max(0.0, memory_mb / UPGRADE_PROCESS_COUNT - BASE_MEMORY_MB)
         self.total_bytes = available_mb * USABLE_FRACTION * 1024 * 1024
         self.stream_count = 0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
 
 from balancer.net.client_connection import ClientConnection
 from balancer.net.config import LEAVING, SPARE, Config, load, over
-from balancer.net.console import CALLERS
+from balancer.net.console import MAX_CONNECTIONS
 from balancer.net.descriptor_shares import apply_limits, fallback_limits
 from balancer.net.listener import BACKLOG, Listener
 from balancer.net.node import Node
@@ -150,7 +150,7 @@
         for _ in range(upstream - 1):  # one is left for the backend that nobody knows yet
             (await rig.client()).send("/read")
             await old.got.get()
-        crowd.join(rig.console_port, 2 * CALLERS)
+        crowd.join(rig.console_port, 2 * MAX_CONNECTIONS)
         attack(rig, crowd)
         await rig.stats()  # the node has taken in what came before
         await discovery.start()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -18,7 +18,7 @@
 
 from balancer import interface as api
 from balancer.interface import EndpointPhase, ListUpdateKind
-from balancer.net import config, discovery_call, listing, objects, rows
+from balancer.net import config, discovery_call, json_stream, listing, rows
 from balancer.net.config import Member, News
 from balancer.net.discovery import Discovery
 from balancer.net.discovery_call import MOST_OBJECT, most_object
@@ -48,7 +48,7 @@
 @pytest.fixture(autouse=True)
 def soon_long(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """A list of some entries is a long one."""
-    monkeypatch.setattr(objects, "LONG", 100)
+    monkeypatch.setattr(json_stream, "LONG_OBJECT_BYTES", 100)
     monkeypatch.setattr(rows, "RUN", 100)
     monkeypatch.setattr(rows, "STEP", 2)
     monkeypatch.setattr(rows, "LOOKS", 1)
@@ -540,7 +540,7 @@
 
     def say(node: Node, discovery: Discovery) -> None:
         assert discovery.call is not None
-        discovery.call.objects.most = 1000
+        discovery.call.objects.max_bytes = 1000
         world.says(whole(8, 30))(node, discovery)
 
     world.live(say, seconds=5.0)
@@ -552,7 +552,7 @@
 
 def test_seventy_thousand_in_odd_pieces_are_taken(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for where, name, value in (
-        (objects, "LONG", 65_536),
+        (json_stream, "LONG_OBJECT_BYTES", 65_536),
         (rows, "RUN", 16_384),
         (rows, "LOOKS", 8),
         (listing, "SHORT", 256),
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from balancer.net.objects import BrokenObject, Objects
+from balancer.net.json_stream import JsonSplitter, JsonStreamError
 
 MOST = 8 * 1024 * 1024
 ROW = {"id": 'a"b\\', "x": "}{][\n\t", "y": "ü\u2028💥"}
@@ -22,7 +22,7 @@
 
 def cut(pieces: Iterable[bytes], most: int = MOST) -> list[Any]:
     """What comes out, decoded; None for a mark that nothing is new."""
-    objects = Objects(most)
+    objects = JsonSplitter(most)
     return [json.loads(item[:]) if item else None for piece in pieces for item in objects.feed(piece)]
 
 
@@ -62,9 +62,9 @@
     assert cut([b"{}\n{}\n"]) == cut([b"{}", b"\r\n{}{}\n"])[:2] == [{}, {}]
     assert cut([b"{}\n\n{}\n", b"\n"]) == [{}, None, {}, None]
     assert cut([b'{"a":\n\n', b"\n\n", b"\n1}"]) == [{"a": 1}]
-    objects = Objects(MOST)
-    assert (list(objects.feed(b"\n{")), objects.between) == ([b""], False)
-    assert (list(objects.feed(b"}")), objects.between) == ([b"{}"], True)
+    objects = JsonSplitter(MOST)
+    assert (list(objects.feed(b"\n{")), objects.is_between_objects) == ([b""], False)
+    assert (list(objects.feed(b"}")), objects.is_between_objects) == ([b"{}"], True)
 
 
 @pytest.mark.parametrize(
@@ -79,8 +79,8 @@
 def test_a_broken_object_shows_before_the_sound_one_behind_it_is_taken(bad: bytes) -> None:
     sound = b'{"revision":44,"complete":false,"members":[{"id":"s-1"}]}\n'
     for size in (1, 7, 1000):
-        objects, out = Objects(MOST), []
-        with pytest.raises(BrokenObject):
+        objects, out = JsonSplitter(MOST), []
+        with pytest.raises(JsonStreamError):
             for piece in parts(b"{}\n" + bad + sound, size):
                 for item in objects.feed(piece):
                     out.append(item)
@@ -91,7 +91,7 @@
     blanks = b" \r\n\t" * (2 * 1024 * 1024)
     for head, tail in ((b"", b"{}"), (b"{", b"}"), (b'{"a": [1,', b"2]}")):
         pieces = [head, *parts(blanks, 65_536), tail]
-        objects = Objects(64)
+        objects = JsonSplitter(64)
         tracemalloc.start()
         out = [item for piece in pieces for item in objects.feed(piece) if item]
         peak = tracemalloc.get_traced_memory()[1]
@@ -104,7 +104,7 @@
 def test_the_bytes_of_a_long_object_are_not_the_allocators() -> None:
     """Guards against room for the longest list that is kept for ever once the list has been taken."""
     data = b'{"a":"' + b"x" * 6_000_000 + b'"}'
-    pieces, objects = parts(data, 65_536), Objects(MOST)
+    pieces, objects = parts(data, 65_536), JsonSplitter(MOST)
     tracemalloc.start()
     (whole,) = (item for piece in pieces for item in objects.feed(piece))
     peak = tracemalloc.get_traced_memory()[1]
@@ -116,7 +116,7 @@
     fits, longer = (b'{"a":"%b"}' % (b"x" * n) for n in (92, 93))
     for size in (9, 1000):
         assert cut(parts(fits, size), most=100) == [json.loads(fits)]
-        with pytest.raises(BrokenObject):
+        with pytest.raises(JsonStreamError):
             cut(parts(longer, size), most=100)
-    with pytest.raises(BrokenObject):
+    with pytest.raises(JsonStreamError):
         cut([b'{"a":' + b"[" * 100])
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -9,14 +9,14 @@
 from balancer.net.backend_connection import BackendConnection
 from balancer.net.config import Member
 from balancer.net.connection_pool import IDLE_TIMEOUT_FRACTION, ConnectionPool, EndpointConnections
-from balancer.net.shards import Shards
+from balancer.net.sharded_dict import ShardedDict
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import StreamMemory
 from tests.helpers import BASE
 from tests.test_discovery import VirtualLoop
 
 
-class Unwalked(Shards[Member]):
+class Unwalked(ShardedDict[Member]):
     """Backends of which there are too many to look through."""
 
     def __iter__(self) -> Any:
--- a/tests/test_rows.py
+++ b/tests/test_rows.py
@@ -16,14 +16,14 @@
 from balancer.errors import BalancerError
 from balancer.net import config, rows
 from balancer.net.config import ListError, News, news_in_turns, news_of
-from balancer.net.objects import Pages
+from balancer.net.json_stream import PageBuffer
 
 ROW = {"id": "a", "host_port": "10.0.0.1:80", "phase": "in_service"}
 
 
 def in_turns(data: bytes) -> tuple[News, int]:
     """What comes of it, after how many turns."""
-    work = news_in_turns(Pages(data).whole())
+    work = news_in_turns(PageBuffer(data).finish())
     for turns in count(1):
         try:
             next(work)
@@ -171,7 +171,7 @@
     data, turns = json.dumps(table(4000, cell=None)).encode(), list[int]()
     for let_go in (10_000, 50):
         monkeypatch.setattr(config, "LET_GO", let_go)
-        work = news_in_turns(Pages(data).whole())
+        work = news_in_turns(PageBuffer(data).finish())
         turn = 0
         with pytest.raises(ListError):
             while True:
@@ -210,7 +210,7 @@
 
 
 def test_the_bytes_are_given_back_before_the_list_is_taken_and_no_second_copy_is_held() -> None:
-    data = Pages(json.dumps(table(20_000), indent=4).encode()).whole()
+    data = PageBuffer(json.dumps(table(20_000), indent=4).encode()).finish()
     size, work = len(data), news_in_turns(data)
     tracemalloc.start()
     for _ in work:
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -9,14 +9,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.net.shards import SHARDS, Shards
+from balancer.net.sharded_dict import SHARD_COUNT, ShardedDict
 
 NAMES = st.text(max_size=3)
 
 
 @given(st.lists(st.tuples(NAMES, st.sampled_from(["set", "pop", "get"])), max_size=60))
 def test_it_holds_what_a_dict_holds(steps: list[tuple[str, str]]) -> None:
-    table, plain = Shards[int](), dict[str, int]()
+    table, plain = ShardedDict[int](), dict[str, int]()
     for number, (name, what) in enumerate(steps):
         if what == "set":
             table[name] = plain[name] = number
@@ -30,12 +30,12 @@
 
 def test_no_part_holds_much_more_than_its_share() -> None:
     """Guards against a long turn: a dict that grows moves all that it holds."""
-    table = Shards((f"s-{i:08x}", i) for i in range(70_000))
-    assert max(map(len, table.parts)) < 1.2 * 70_000 / SHARDS
+    table = ShardedDict((f"s-{i:08x}", i) for i in range(70_000))
+    assert max(map(len, table.shards)) < 1.2 * 70_000 / SHARD_COUNT
 
 
 def test_names_may_go_while_others_are_gone_through() -> None:
-    table, seen = Shards((f"b{i}", i) for i in range(500)), list[str]()
+    table, seen = ShardedDict((f"b{i}", i) for i in range(500)), list[str]()
     for name in table:
         seen.append(name)
         table.pop("b7", None)
@@ -44,10 +44,13 @@
 
 
 def test_the_order_is_the_same_in_each_process() -> None:
-    text = "from balancer.net.shards import Shards; print(*Shards((f'b{i}', i) for i in range(300)))"
+    text = (
+        "from balancer.net.sharded_dict import ShardedDict; "
+        "print(*ShardedDict((f'b{i}', i) for i in range(300)))"
+    )
     said = {
         subprocess.run([sys.executable, "-c", text], env={"PYTHONHASHSEED": seed}, check=True,
                        capture_output=True).stdout
         for seed in ("1", "2")
     }  # fmt: skip
-    assert said == {" ".join(Shards((f"b{i}", i) for i in range(300))).encode() + b"\n"}
+    assert said == {" ".join(ShardedDict((f"b{i}", i) for i in range(300))).encode() + b"\n"}
