--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -24,7 +24,8 @@
     from balancer.membership.peer_socket import PeerSocket
     from balancer.membership.shell import MembershipShell
     from balancer.net.durable_adapter import DurableAdapter
-    from balancer.net.node import Node, Watcher
+    from balancer.net.node import Node
+    from balancer.net.node_ports import EndpointWatcher
     from balancer.net.recovery_adapter import RecoveryAdapter
 
 log = logging.getLogger(__name__)
@@ -145,7 +146,7 @@
             self.port = PeerSocket(listen, peers, everybody)
             self.membership = MembershipShell(times, me, self.port, held.seed, least)
 
-    def steer(self, node: Node, watcher: Watcher, known: config.News) -> Watcher:
+    def steer(self, node: Node, watcher: EndpointWatcher, known: config.News) -> EndpointWatcher:
         """What brings the list to this node: the one given, or the room that asks it in turns.
 
         `known` is the list to begin with.
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -15,10 +15,11 @@
 from balancer.errors import BalancerError
 from balancer.membership.peer_socket import PeerSocket
 from balancer.net.config import Member, News
-from balancer.net.figures import End
-from balancer.net.node import Node, Watcher
+from balancer.net.node import Node
+from balancer.net.node_ports import EndpointWatcher
 from balancer.net.rate_meter import RateMeter, RequestCounts
 from balancer.net.recovery_handover import HandoverFile
+from balancer.net.statistics import RequestOutcome
 from balancer.recovery import events
 from balancer.recovery.actions import CapacityGranted
 from balancer.recovery.ban_requests import BanCallError
@@ -40,7 +41,7 @@
     def __init__(
         self,
         node: Node,
-        watcher: Watcher,
+        watcher: EndpointWatcher,
         known: News,
         port: PeerSocket,
         incarnation: int,
@@ -56,7 +57,7 @@
         self.shell = RecoveryShell(
             config, settings.node_index, incarnation, node.config.seed, port, self, disk
         )
-        self._handover = HandoverFile(node.meeting, node.now)
+        self._handover = HandoverFile(node.shared_path, node.now)
         sample = self.saved_state.learned_sample
         saved_rate = sample.request_rate if sample is not None else 0.0
         self._rates = RateMeter(saved_rate)
@@ -111,7 +112,7 @@
         is_authoritative = (
             disk is not None and disk.disabled_by is None and not (disk.has_lost_records or disk.is_new)
         )
-        for backend in sorted(self.node.bans.record.out):
+        for backend in sorted(self.node.maintenance.record.out):
             if self.shell.is_banned(backend):
                 continue
             if is_authoritative or self.shell.has_entries(backend):
@@ -128,7 +129,7 @@
 
     async def apply_ban(self, backend: str, banned: bool, since: float) -> None:
         """Follow the register, in both processes of an upgrade."""
-        await self.node.bans.follow(backend, banned, since, self.node.settings.slow_start_ms)
+        await self.node.maintenance.follow(backend, banned, since, self.node.settings.slow_start_ms)
 
     def set_admission(self, phase: Phase, capacity: CapacityGranted | None) -> None:
         """Tell the balancer. The list's start times of backends count once discovery has sent one."""
@@ -157,11 +158,13 @@
                 replace(m, phase=api.EndpointPhase.DRAINING) if m.backend in ids else _copy(m)
                 for m in self._saved.members
             )
-            self.node.list(News(self._saved.revision, True, members), api.ListUpdateKind.CACHED)
+            self.node.update_endpoints(News(self._saved.revision, True, members), api.ListUpdateKind.CACHED)
             return
         members = tuple(_copy(member) for name, member in self._list.items() if name in released)
         if members:
-            self.node.list(News(self._saved.revision, False, members, True), api.ListUpdateKind.DELTA)
+            self.node.update_endpoints(
+                News(self._saved.revision, False, members, True), api.ListUpdateKind.DELTA
+            )
 
     # --- for the balancer: `Watcher`
 
@@ -239,11 +242,11 @@
         return self._rates.peak
 
     def _count_requests(self) -> RequestCounts:
-        ends = self.node.figures.ends
+        ends = self.node.statistics.outcomes
         counted_at = self.node.loop.time()
-        pending = sum(not request.answered for request in self.node.open.values())
+        pending = sum(not request.is_answered for request in self.node.requests.open.values())
         arrived = sum(counts.total() for counts in ends.values()) + pending
-        return RequestCounts(counted_at, arrived, ends[End.COMPLETED].total())
+        return RequestCounts(counted_at, arrived, ends[RequestOutcome.COMPLETED].total())
 
 
 def _copy(member: Member) -> Member:
--- a/balancer/net/recovery_handover.py
+++ b/balancer/net/recovery_handover.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from balancer.net import handover
+from balancer.net import state_handover
 from balancer.recovery.ban_register import BanEntry
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.shell import RecoveryHandover
@@ -59,7 +59,7 @@
         "cold_since": state.cold_since,
         "rows": state.entries,
     }
-    handover.leave(path, table, LOG_NAME)
+    state_handover.write_table(path, table, LOG_NAME)
 
 
 def read_handover(path: Path, clock: float) -> RecoveryHandover | None:
@@ -75,7 +75,7 @@
             tuple(_parse_entry(row, shift) for row in table["rows"]),
         )
 
-    return handover.taken(path, parse, LOG_NAME)
+    return state_handover.take_table(path, parse, LOG_NAME)
 
 
 def _parse_entry(row: Any, shift: float) -> BanEntry:
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -27,7 +27,8 @@
 from balancer.durable.writer import LogWriter
 from balancer.membership.config import Config as MembershipConfig
 from balancer.membership.messages import MemberState
-from balancer.net import bans, handover, recovery_handover
+from balancer.net import maintenance_file, recovery_handover, state_handover
+from balancer.net.shared_files import shared_path
 from balancer.policy import Balancer
 from balancer.recovery.ban_register import BanEntry
 from balancer.recovery.phases import Phase, RecoveryPath
@@ -198,8 +199,8 @@
             [records.encode_record(records.EndpointListReceived(42, False, 1_500.0, rows[:1]))], sync=True
         )
         store.close()
-        stem = bans.stem({"TMPDIR": str(folder)}, "n0")
-        handover.give(stem.with_suffix(handover.SUFFIX), learned)
+        stem = shared_path({"TMPDIR": str(folder)}, "n0")
+        state_handover.write_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX), learned)
         register = (BanEntry("b2", 1, 7, 3, True, 900.0), BanEntry("b2", 0, 6, 1, False, 800.0))
         left = RecoveryHandover(Phase.WARMING, RecoveryPath.POWER, 77.0, register)
         recovery_handover.write_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), left, 50.0)
@@ -207,7 +208,7 @@
 
 
 async def _ban(stem: Path) -> None:
-    table = bans.Bans(stem, lambda name, out, since: None)
+    table = maintenance_file.MaintenanceFile(stem, lambda name, out, since: None)
     table.start(False)
     await table.change("b1", True, 1_000.0, 10_000.0)
     await table.change("b2", True, 2_000.0, 10_000.0)
@@ -228,10 +229,10 @@
         health = f"{loaded.has_lost_records} {loaded.problems}"
         yield f"{loaded.last_number} {loaded.fence} {loaded.generation} {health}"
         yield kept.encode_snapshot().hex()
-        stem = bans.stem({"TMPDIR": str(folder)}, "n0")
-        record = bans.parse(stem.with_suffix(".bans").read_text("utf-8"))
-        yield f"{sorted(record.out)} {sorted(record.back.items())}"
-        recovered = handover.take(stem.with_suffix(handover.SUFFIX))
+        stem = shared_path({"TMPDIR": str(folder)}, "n0")
+        record = maintenance_file.parse_record(stem.with_suffix(".bans").read_text("utf-8"))
+        yield f"{sorted(record.out)} {sorted(record.returned_at.items())}"
+        recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
         assert recovered is not None
         yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
         left = recovery_handover.read_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), 150.0)
--- a/tests/test_files_of_former_version.py
+++ b/tests/test_files_of_former_version.py
@@ -33,7 +33,8 @@
 from balancer.durable.timestamp import Timestamp
 from balancer.durable.writer import LogWriter
 from balancer.interface import LearnedState
-from balancer.net import bans, handover, recovery_handover
+from balancer.net import maintenance_file, recovery_handover, state_handover
+from balancer.net.shared_files import shared_path
 from balancer.recovery.ban_register import BanEntry
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.shell import RecoveryHandover
@@ -88,7 +89,7 @@
 @pytest.fixture
 def stem(tmpdir: Path) -> Path:
     """Return where today's processes of the node meet."""
-    return bans.stem({"TMPDIR": str(tmpdir)}, NODE)
+    return shared_path({"TMPDIR": str(tmpdir)}, NODE)
 
 
 @pytest.fixture
@@ -231,16 +232,16 @@
 
 def test_processes_of_both_versions_use_the_same_suffixes() -> None:
     suffixes = {path.suffix for path in FIXTURES.iterdir() if path.is_file()}
-    assert suffixes == {".bans", ".lock", handover.SUFFIX, recovery_handover.HANDOVER_SUFFIX}
+    assert suffixes == {".bans", ".lock", state_handover.LEARNED_SUFFIX, recovery_handover.HANDOVER_SUFFIX}
 
 
 def test_the_bans_file_is_read(stem: Path) -> None:
-    record = bans.parse(stem.with_suffix(".bans").read_text("utf-8"))
-    assert record == bans.Record(frozenset({"b2"}), {"b1": 3_000.0})
+    record = maintenance_file.parse_record(stem.with_suffix(".bans").read_text("utf-8"))
+    assert record == maintenance_file.MaintenanceRecord(frozenset({"b2"}), {"b1": 3_000.0})
 
 
 async def test_the_bans_file_is_written_to_the_same_bytes(tmp_path: Path, stem: Path) -> None:
-    table = bans.Bans(tmp_path / stem.name, lambda name, out, since: None)
+    table = maintenance_file.MaintenanceFile(tmp_path / stem.name, lambda name, out, since: None)
     table.start(False)
     await table.change("b1", True, 1_000.0, 10_000.0)
     await table.change("b2", True, 2_000.0, 10_000.0)
@@ -251,15 +252,15 @@
 
 @pytest.mark.usefixtures("_read_time")
 def test_the_learned_state_of_a_predecessor_is_read(stem: Path) -> None:
-    recovered = handover.take(stem.with_suffix(handover.SUFFIX))
+    recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
     assert recovered is not None
     assert (recovered.learned, recovered.age) == (LEARNED, 1_000.0)
 
 
 @pytest.mark.usefixtures("_write_time")
 def test_the_learned_state_is_written_to_the_same_bytes(tmp_path: Path, stem: Path) -> None:
-    handover.give(tmp_path / "new", LEARNED)
-    assert (tmp_path / "new").read_bytes() == stem.with_suffix(handover.SUFFIX).read_bytes()
+    state_handover.write_learned(tmp_path / "new", LEARNED)
+    assert (tmp_path / "new").read_bytes() == stem.with_suffix(state_handover.LEARNED_SUFFIX).read_bytes()
 
 
 @pytest.mark.usefixtures("_read_time")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from balancer.__main__ import share
-from balancer.net import pair as pair_file
+from balancer.net import process_slots as slots_file
+from balancer.net.client_connection import ClientConnection
 from balancer.net.config import LEAST, LEAVING, SPARE, Config
-from balancer.net.front import ClientConnection, Front
+from balancer.net.descriptor_shares import DescriptorClaim, DescriptorShares, parse_claim
+from balancer.net.listener import Listener
 from balancer.net.node import Node
-from balancer.net.pair import Pair
-from balancer.net.parts import Claim, Parts, parse
+from balancer.net.process_slots import ProcessSlots
 from tests.sockets import PATIENT, Backend, FakeDiscovery, started
 from tests.test_console import CONSOLE
 from tests.test_descriptors import Crowd, FakeTransport, config_of, held
@@ -33,42 +33,48 @@
 
     def __init__(self, folder: Path, config: Config) -> None:
         self.node = Node(config)
-        self.front = Front(self.node, config.shares(1)[0])
-        self.pair = Pair(folder / "x", lambda beside: None)
-        self.parts = Parts(self.node, self.front, self.pair)
+        self.listener = Listener(self.node, config.shares(1)[0])
+        self.slots = ProcessSlots(folder / "x", lambda beside: None)
+        self.shares = DescriptorShares(self.node, self.listener, self.slots)
         self.transports: dict[ClientConnection, FakeTransport] = {}
-        self.pair.start()
-        self.pair.stop()  # a test says when it looks
+        self.slots.acquire()
+        self.slots.stop()  # a test says when it looks
         self.look()
 
     def look(self) -> None:
-        """As every `pair.LOOK` seconds."""
-        self.pair.refresh()
-        share(self.node, self.front, self.pair.beside, self.parts)
+        """As every `REFRESH_INTERVAL_S` seconds."""
+        self.slots.refresh()
+        self.shares.apply()
 
     @property
     def said(self) -> int:
         """What it claims, as the others read it."""
-        text = self.pair.slots[self.pair.mine].read_text()
-        claim = parse(text)
+        text = self.slots.paths[self.slots.own_slot].read_text()
+        claim = parse_claim(text)
         assert claim is not None, text
-        return claim.most
+        return claim.max_descriptors
 
     @property
     def holds(self) -> int:
         """Descriptors, as if it used all that it keeps for itself."""
-        front = self.front
-        return SPARE + LEAVING + len(front.connections) + len(front.lingering) + self.node.pool.count
+        listener = self.listener
+        return (
+            SPARE
+            + LEAVING
+            + len(listener.connections)
+            + len(listener.lingering)
+            + self.node.pool.connection_count
+        )
 
     def flood(self, count: int = SOCKETS, half: bool = False) -> None:
         """So many clients come, with half a head or with nothing, and all backends' connections are used."""
         for _ in range(count):
-            transport, connection = FakeTransport(), ClientConnection(self.front)
+            transport, connection = FakeTransport(), ClientConnection(self.listener)
             connection.connection_made(transport)
             self.transports[connection] = transport
             if half:
                 connection.data_received(HEAD)
-        self.node.pool.count = max(self.node.pool.count, self.node.pool.limit)
+        self.node.pool.connection_count = max(self.node.pool.connection_count, self.node.pool.limit)
         self.settle()
 
     def settle(self, lingering: bool = False) -> None:
@@ -84,13 +90,13 @@
         """All clients leave and all backends' connections are given up."""
         for transport in self.transports.values():
             transport.aborted = True
-        self.node.pool.count = 0
+        self.node.pool.connection_count = 0
         self.settle()
 
     def die(self) -> None:
         """Its descriptors go, the lock among them."""
         self.answer()
-        self.pair.release()
+        self.slots.release()
 
 
 class Tier:
@@ -132,7 +138,7 @@
     new = tier.start()
     new.flood(half=half)
     tier.check()
-    assert not new.parts.enough
+    assert not new.shares.has_enough
     order = (old, new) if first == 0 else (new, old)
     for end in range(12):
         for one in order:
@@ -147,14 +153,14 @@
             old.answer()
     for one in order:
         one.look()
-    assert new.parts.enough and new.front.limit >= 30 and new.node.pool.limit >= 15
-    assert old.front.limit == SOCKETS // 3
-    old.parts.leaving = True  # after SIGTERM: new connections come to the other
+    assert new.shares.has_enough and new.listener.limit >= 30 and new.node.pool.limit >= 15
+    assert old.listener.limit == SOCKETS // 3
+    old.shares.is_draining = True  # after SIGTERM: new connections come to the other
     old.answer()
     for one in (old, new):
         one.look()
         tier.check()
-    assert new.front.limit > SOCKETS // 3 and new.parts.part > SOCKETS * 3 // 4
+    assert new.listener.limit > SOCKETS // 3 and new.shares.share > SOCKETS * 3 // 4
     new.flood(half=half)
     tier.check()
 
@@ -162,18 +168,22 @@
 async def test_a_request_under_way_is_not_cut_for_a_newcomer(tier: Tier) -> None:
     """Guards against a 503 too: what stays over the lowered cap does not count as a crowd."""
     old = tier.start()
-    limit = old.front.limit
+    limit = old.listener.limit
     old.flood(limit, half=True)
-    before = set(old.front.connections)
+    before = set(old.listener.connections)
     tier.start()
     for _ in range(3):
         old.look()
-    assert old.front.connections == before and not old.front.lingering and not old.front.crowded
+    assert (
+        old.listener.connections == before and not old.listener.lingering and not old.listener.is_over_limit
+    )
     for connection in list(before)[: limit - 20]:
         old.transports[connection].aborted = True
     old.settle()
     old.look()
-    assert old.front.limit == tier.config.elder(old.parts.part)[0] and len(old.front.connections) == 20
+    assert (
+        old.listener.limit == tier.config.elder(old.shares.share)[0] and len(old.listener.connections) == 20
+    )
 
 
 async def test_one_that_dies_leaves_all_to_the_other(tier: Tier) -> None:
@@ -181,11 +191,11 @@
     for _ in range(2):
         old.look()
         new.look()
-    part = new.parts.part
+    part = new.shares.share
     tier.all.remove(old)
     old.die()
     new.look()
-    assert new.parts.part == tier.config.alone > part and new.front.limit == tier.config.shares(1)[0]
+    assert new.shares.share == tier.config.alone > part and new.listener.limit == tier.config.shares(1)[0]
     newest = tier.start()
     for _ in range(2):
         new.look()
@@ -194,66 +204,66 @@
     tier.all.remove(newest)
     newest.die()  # before it has taken over
     new.look()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.shares(1)
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(1)
 
 
-@pytest.mark.parametrize("text", ["", "x" * 200, "\xff\n", "1 2 3\n", Claim(1, 2).text()[:-4]])
+@pytest.mark.parametrize("text", ["", "x" * 200, "\xff\n", "1 2 3\n", DescriptorClaim(1, 2).encode()[:-4]])
 async def test_what_cannot_be_read_counts_as_half_and_as_before_where_it_was_read(
     tier: Tier, text: str
 ) -> None:
-    assert parse(text) is None
+    assert parse_claim(text) is None
     old = tier.start()
     old.flood()
-    slot = old.pair.slots[0]
+    slot = old.slots.paths[0]
     good = slot.read_bytes()
     slot.write_bytes(text.encode("latin-1"))
     new = tier.start()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.shares(2) and new.parts.enough
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2) and new.shares.has_enough
     slot.write_bytes(good)
     new.look()
     tier.check()
-    assert new.parts.part == LEAST  # the old one has not looked yet
+    assert new.shares.share == LEAST  # the old one has not looked yet
     slot.write_bytes(text.encode("latin-1"))
     new.look()
-    assert new.parts.part == LEAST
+    assert new.shares.share == LEAST
     for _ in range(3):  # it is written anew at each look
         old.look()
         old.settle(lingering=True)
-        old.node.pool.count = 0
+        old.node.pool.connection_count = 0
         new.look()
         tier.check()
-    assert new.parts.enough
-    new.pair.slots[1].write_bytes(text.encode("latin-1"))
+    assert new.shares.has_enough
+    new.slots.paths[1].write_bytes(text.encode("latin-1"))
     old.look()  # it is known to have come later
-    assert old.parts.part == tier.config.elders
+    assert old.shares.share == tier.config.elders
 
 
 async def test_who_holds_more_than_its_part_does_not_grow_until_that_is_gone(tier: Tier) -> None:
     """It took half while the other could not be read."""
     old = tier.start()
-    slot = old.pair.slots[0]
+    slot = old.slots.paths[0]
     good = slot.read_bytes()
     slot.write_bytes(b"spoilt")
     new = tier.start()
-    new.node.pool.count = new.node.pool.limit
+    new.node.pool.connection_count = new.node.pool.limit
     slot.write_bytes(good)
     new.look()
     old.look()
     new.look()
     tier.check()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.within(LEAST)
-    new.node.pool.count = 0
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.within(LEAST)
+    new.node.pool.connection_count = 0
     new.look()
     tier.check()
-    assert new.parts.part == SOCKETS - tier.config.elders
+    assert new.shares.share == SOCKETS - tier.config.elders
 
 
 async def test_a_claim_is_read_as_it_was_written_and_no_other() -> None:
-    text = Claim(123_456_789_012, 219).text()
-    assert parse(text) == parse(text + "rest") == Claim(123_456_789_012, 219)
+    text = DescriptorClaim(123_456_789_012, 219).encode()
+    assert parse_claim(text) == parse_claim(text + "rest") == DescriptorClaim(123_456_789_012, 219)
     for at in range(len(text) - 1):
-        assert parse(text[:at] + chr(ord(text[at]) ^ 1) + text[at + 1 :]) is None
-        assert parse(text[:at]) is None
+        assert parse_claim(text[:at] + chr(ord(text[at]) ^ 1) + text[at + 1 :]) is None
+        assert parse_claim(text[:at]) is None
 
 
 async def test_three_in_a_row_keep_to_the_limit_and_the_last_one_grows(tier: Tier) -> None:
@@ -264,7 +274,7 @@
         first.look()
         second.look()
         tier.check()
-    first.parts.leaving = True
+    first.shares.is_draining = True
     for _ in range(2):
         first.look()
         second.look()
@@ -279,17 +289,17 @@
         assert second.said <= most  # also as the first gives up what it held
         most = second.said
     tier.check()
-    assert third.parts.part > LEAST
+    assert third.shares.share > LEAST
     tier.all.remove(first)
     first.die()
-    second.parts.leaving = True
+    second.shares.is_draining = True
     for one in (second, third):
         one.look()
         tier.check()
     tier.all.remove(second)
     second.die()
     third.look()
-    assert third.parts.part == tier.config.alone
+    assert third.shares.share == tier.config.alone
 
 
 async def test_one_that_comes_while_another_grows_is_seen_before_that_is_used(
@@ -298,17 +308,17 @@
     old, new = tier.start(), tier.start()
     old.look()
     last: list[Process] = []
-    read = Pair.read
+    read = ProcessSlots.read_peers
 
-    def comes(pair: Pair) -> dict[int, str] | None:
-        if pair is new.pair and new.said > LEAST and not last:  # between what it says and its look
+    def comes(slots: ProcessSlots) -> dict[int, str] | None:
+        if slots is new.slots and new.said > LEAST and not last:  # between what it says and its look
             last.append(tier.start())
-        return read(pair)
+        return read(slots)
 
     with monkeypatch.context() as patch:
-        patch.setattr(Pair, "read", comes)
+        patch.setattr(ProcessSlots, "read_peers", comes)
         new.look()
-    assert last and new.parts.part == LEAST and last[0].parts.part == LEAST
+    assert last and new.shares.share == LEAST and last[0].shares.share == LEAST
     for _ in range(2):
         for one in tier.all:
             one.look()
@@ -323,15 +333,15 @@
 
     old = tier.start()
     with monkeypatch.context() as patch:
-        patch.setattr(pair_file, "_held", fails)
+        patch.setattr(slots_file, "read_slot", fails)
         new = tier.start()
         tier.check()
-        assert new.parts.part == LEAST
+        assert new.shares.share == LEAST
     old.look()
     with monkeypatch.context() as patch:
         patch.setattr(os, "pwrite", fails)
         new.look()
-        assert (new.front.limit, new.node.pool.limit) == tier.config.shares(2)
+        assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2)
     new.look()
     tier.check()
 
@@ -351,10 +361,10 @@
 async def test_without_a_console_nothing_is_kept_free_and_nothing_said(tmp_path: Path) -> None:
     config = config_of(tmp_path, [], 1, sockets=SOCKETS)
     node = Node(config)
-    front = Front(node, config.shares(1)[0])
-    pair = Pair(tmp_path / "x", lambda beside: None)
-    share(node, front, False, Parts(node, front, pair))
-    assert (front.limit, node.pool.limit) == config.shares(1) and config.alone == SOCKETS
+    listener = Listener(node, config.shares(1)[0])
+    slots = ProcessSlots(tmp_path / "x", lambda beside: None)
+    DescriptorShares(node, listener, slots).apply()
+    assert (listener.limit, node.pool.limit) == config.shares(1) and config.alone == SOCKETS
     assert not list(tmp_path.glob("x*"))
 
 
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -69,10 +69,10 @@
 
     node: Any = SimpleNamespace(
         settings=BASE,
-        meeting=Path("unused"),
+        shared_path=Path("unused"),
         config=SimpleNamespace(seed=1),
         now=lambda: 1000.0,
-        list=take,
+        update_endpoints=take,
         event=lambda event: None,
     )
     watcher = Watcher()
