--- a/balancer/net/backend_connection.py
+++ b/balancer/net/backend_connection.py
@@ -307,7 +307,7 @@
     # --- receiving
 
     def _begin_streaming(self) -> None:
-        """Pass the response on from here: it is too long, or takes too long, to be buffered whole."""
+        """Stream the response from here on: it is too long, or takes too long, to be buffered."""
         response = self.response
         if self.streaming_timer is not None:
             self.streaming_timer.cancel()
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -57,7 +57,7 @@
         self.has_successor = False  # another process of this node takes over
         self.endpoints_received = asyncio.Event()  # from discovery
         self.endpoint_revision = config.known.revision
-        self.last_discovery_at = -math.inf  # loop time of discovery's last word
+        self.last_discovery_at = -math.inf  # loop time of discovery's last response
         self._is_failure_reported = False  # to the module, since discovery last said that nothing has changed
         self._events: deque[api.Event] = deque()
         self._is_handling = False
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -1,4 +1,4 @@
-"""One process of a node: its parts, its start beside another process or alone, its end."""
+"""One process of a node: its parts, its start alone or at a take-over, its end."""
 
 from __future__ import annotations
 
--- a/balancer/net/open_request.py
+++ b/balancer/net/open_request.py
@@ -105,7 +105,7 @@
 
     @property
     def is_upload_spent(self) -> bool:
-        """Whether the beginning of its body is no longer kept for a retry."""
+        """Whether the beginning of its body is no longer buffered for a retry."""
         return self.upload is not None and self.upload.is_spent
 
     @property
--- a/balancer/net/process_slots.py
+++ b/balancer/net/process_slots.py
@@ -34,7 +34,7 @@
     """This process's slot, and what the other processes' slots show."""
 
     def __init__(self, path: Path, on_peer_change: Callable[[bool], None]) -> None:
-        """Make it without a slot; `on_peer_change` is told when a peer appears, and when none is left."""
+        """Make it without a slot; `on_peer_change` is called when a peer appears, and when none is left."""
         self.paths = [path.with_suffix(f".slot{number}") for number in range(SLOT_COUNT)]
         self.on_refresh: Callable[[], None] = lambda: None
         self.peer_texts: dict[int, str] = {}  # the lines read last, by slot
@@ -108,7 +108,7 @@
             self._on_peer_change(has_peer)
 
     def read_peers(self) -> dict[int, str] | None:
-        """Return the peers' lines by slot, or None if they cannot be seen; a change is told by `refresh`."""
+        """Return the peers' lines by slot, or None if they cannot be seen; `refresh` tells of a change."""
         try:
             texts = {
                 number: read_slot(path) for number, path in enumerate(self.paths) if number != self.own_slot
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -221,7 +221,7 @@
             return
         is_sent = attempt.is_sent
         attempt.cancel()
-        # What was not sent whole, as on a connection still being established, never ran.
+        # What was not sent completely, as on a connection still being established, never ran.
         status = AttemptStatus.TIMEOUT if is_sent else AttemptStatus.CONNECT_FAILED
         self._end_attempt(attempt, AttemptResult(status))
 
--- a/balancer/net/response_writer.py
+++ b/balancer/net/response_writer.py
@@ -1,4 +1,4 @@
-"""Writing of responses to a client: whole ones, and streamed ones with flow control."""
+"""Writing of responses to a client: complete ones, and streamed ones with flow control."""
 
 from __future__ import annotations
 
@@ -111,10 +111,10 @@
         if not connection.is_draining_body:
             self._complete()
 
-    # --- whole responses
+    # --- complete responses
 
     def write(self, status: int, body: bytes, extra_headers: bytes = b"") -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         connection = self.connection
         if connection.is_closing or connection.transport is None:
             return
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -1,4 +1,4 @@
-"""Flow control of bodies that are too long to be buffered whole, and the memory that they share."""
+"""Flow control of bodies that are too long to be buffered, and the memory that they share."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed
 MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or a response
-MAX_REPLAY_BYTES = 2 * MAX_BUFFERED_BODY_BYTES  # of a streamed request body that are kept for a retry
+MAX_REPLAY_BYTES = 2 * MAX_BUFFERED_BODY_BYTES  # of a streamed request body that are buffered for a retry
 MIN_WINDOW_BYTES = 8 * 1024
 MAX_WINDOW_BYTES = 64 * 1024
 BUFFERS_PER_STREAM = 3  # of a window each: what waits, what was just read, and its framed copy
-BASE_MEMORY_MB = 22  # of a process without any bodies, with room for the lists and small requests
+BASE_MEMORY_MB = 22  # of a process without any bodies, including lists and small requests
 UPGRADE_PROCESS_COUNT = 2  # processes that share the memory limit during an upgrade
 USABLE_FRACTION = 1 / 2  # of the memory for bodies: allocators do not give all back
 
@@ -58,7 +58,7 @@
         """Begin a body of `size` bytes, if known; `set_reading` resumes or pauses reading from the client."""
         self.size = size
         self.is_complete = False  # all of it has been received
-        self.is_spent = False  # its beginning is no longer kept, so no attempt may begin
+        self.is_spent = False  # its beginning is no longer buffered, so no attempt may begin
         self._memory = memory
         self._set_reading = set_reading
         self._replay = bytearray()  # what an attempt has taken, for the next one
@@ -87,7 +87,7 @@
                 self._on_data()
 
     def attach(self, on_data: Callable[[], None]) -> None:
-        """Begin an attempt at the first byte, which `is_spent` rules out; `on_data` is told of more bytes."""
+        """Begin an attempt at the first byte, unless `is_spent`; `on_data` is called for more bytes."""
         self._pending[:0] = self._replay
         self._replay.clear()
         self._on_data = on_data
