--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -18,9 +18,10 @@
 from balancer.errors import BalancerError
 from balancer.interface import ListUpdateKind, Settings, TakeoverStarted
 from balancer.net import config as config_file
-from balancer.net.config import Config, ConfigError, load
+from balancer.net.config import Config, load
+from balancer.net.config_errors import ConfigError
 from balancer.net.console import Console
-from balancer.net.discovery import Discovery
+from balancer.net.discovery import DiscoveryClient
 from balancer.net.front import Front
 from balancer.net.handover import SOON, SUFFIX, give, take
 from balancer.net.node import Node
@@ -51,7 +52,7 @@
     remedy = "install requirements-fleet.txt where run has its libraries, or unset PROXY_FLEET"
 
 
-def reload(node: Node, discovery: Discovery, fleet: Fleet | None) -> None:
+def reload(node: Node, discovery: DiscoveryClient, fleet: Fleet | None) -> None:
     """SIGHUP: the configuration file has been replaced; a bad one changes nothing."""
     try:
         config = config_file.reload(os.environ, node.config)
@@ -91,10 +92,10 @@
     known, recovered = config.known, None
     if fleet is not None:
         known, recovered = fleet.known(known), fleet.recovered()
-    node.discovery = discovery = Discovery(node, config.discovery, known.revision)
+    node.discovery = discovery = DiscoveryClient(node, config.discovery, known.revision)
     if fleet is not None:
         node.discovery = fleet.steer(node, discovery, known)
-    front, console = Front(node, config.shares(1)[0]), Console(node)
+    front, console = Front(node, config.limits_per_process(1)[0]), Console(node)
     pair = Pair(node.meeting, partial(beside_changed, node, fleet))
     parts = Parts(node, front, pair)
     pair.looked = lambda: share(node, front, pair.beside, parts)
@@ -114,8 +115,8 @@
     node.list(known, ListUpdateKind.CACHED)
     if not config.settings.must_subscribe:
         node.discovery.watch(True)
-    if node.listing.waiting:  # a long list: what was learned is of backends that are in it
-        await unless(stop, node.listing.settled())
+    if node.listing.pending:  # a long list: what was learned is of backends that are in it
+        await unless(stop, node.listing.wait_idle())
     if recovered is not None and not (fleet is not None and fleet.returning):
         node.event(recovered)
     ready = fleet is None or not fleet.returning or await unless(stop, fleet.returned(beside))
@@ -158,7 +159,7 @@
     gc.freeze()
     await front.listen(node.config.listen, shared=node.config.console is not None)
     node.listening = True
-    node.turns.hurry = False
+    node.turns.skips_pauses = False
     if front.socket is not None and node.config.console is not None:
         unsteer(front.socket)
     node.pulse(node.loop.time())
@@ -202,7 +203,7 @@
     What is idle beyond that goes at once, what is in use when it ends; until then it counts as held.
     """
     limits = parts.limits() if parts is not None else None
-    clients, upstream = limits or node.config.shares(2 if beside else 1)
+    clients, upstream = limits or node.config.limits_per_process(2 if beside else 1)
     before, front.limit, node.pool.limit = front.limit, clients, upstream
     node.pool.trim()
     if clients < before:
--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -21,7 +21,7 @@
 
 from balancer.cli.output import Exit, stop
 from balancer.errors import BalancerError
-from balancer.net.config import address
+from balancer.net.endpoints import parse_address
 
 
 class ArgumentError(BalancerError):
@@ -103,7 +103,7 @@
     import httpx  # some 50 ms that the other commands need not wait
 
     try:
-        host, port = address(console)
+        host, port = parse_address(console)
     except ValueError as err:
         raise stop(ArgumentError(f"--console makes no sense: {err}")) from None
     url = httpx.URL(scheme="http", host=host, port=port, path="/stats")
--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -19,10 +19,10 @@
 from balancer import wire
 from balancer.lab.scale import fleet, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
-from balancer.net.config import News
-from balancer.net.discovery import Discovery
+from balancer.net.cooperative import CooperativeScheduler
+from balancer.net.discovery import DiscoveryClient
+from balancer.net.endpoints import EndpointUpdate
 from balancer.net.node import Node
-from balancer.net.turns import Turns
 
 WATCHERS = (40, 80, 160, 320, round(size.NODES / size.CONTROL_MACHINES), 800)
 QUICK_WATCHERS = (10, 20, 40)
@@ -133,7 +133,7 @@
     """What a watch of the list needs of a node."""
 
     settings: api.Settings
-    turns: Turns
+    turns: CooperativeScheduler
     config: HollowConfig = HollowConfig()
     fleet: None = None
     whole: int = 0  # lists
@@ -144,7 +144,7 @@
     def held(self, name: str) -> None:
         """Nothing is in force."""
 
-    def list(self, news: News, kind: api.ListUpdateKind) -> None:
+    def list(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """A list, or a change."""
         self.whole += kind is api.ListUpdateKind.SNAPSHOT
         self.lines += kind is api.ListUpdateKind.DELTA
@@ -165,7 +165,7 @@
         self.count, self.directory = count, directory
         self.settings = wire.parse_settings(fleet.raw_settings(LISTED))
         self.nodes: list[HollowNode] = []
-        self.discoveries: list[Discovery] = []
+        self.discoveries: list[DiscoveryClient] = []
         self.revisions = itertools.count(2)
 
     async def start(self) -> None:
@@ -177,18 +177,18 @@
         self.address = self.server.sockets[0].getsockname()[:2]
         self.directory.beat()
         for _ in range(self.count):
-            self.nodes.append(HollowNode(self.settings, Turns(loop)))
+            self.nodes.append(HollowNode(self.settings, CooperativeScheduler(loop)))
             self.discoveries.append(self._dial(self.nodes[-1]))
 
-    def _dial(self, node: HollowNode) -> Discovery:
-        out = Discovery(cast(Node, node), self.address, 0)
+    def _dial(self, node: HollowNode) -> DiscoveryClient:
+        out = DiscoveryClient(cast(Node, node), self.address, 0)
         out.watch(True)
         return out
 
     def restart(self, number: int) -> None:
         """This one loses all it knew, and dials."""
         self.discoveries[number].watch(False)
-        self.nodes[number] = HollowNode(self.settings, Turns(asyncio.get_running_loop()))
+        self.nodes[number] = HollowNode(self.settings, CooperativeScheduler(asyncio.get_running_loop()))
         self.discoveries[number] = self._dial(self.nodes[number])
 
     async def until(self, done: Callable[[HollowNode], bool]) -> None:
--- a/balancer/lab/scale/listing.py
+++ b/balancer/lab/scale/listing.py
@@ -27,13 +27,14 @@
 from balancer.lab.programs import ROOT
 from balancer.lab.scale import crowd, fleet, module, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
-from balancer.net.config import News, news_in_turns, news_of
-from balancer.net.discovery_call import most_object
+from balancer.net.cooperative import CooperativeScheduler
+from balancer.net.discovery_call import max_object_bytes
+from balancer.net.endpoint_decoder import decode_update, decode_update_in_slices
+from balancer.net.endpoint_updater import EndpointUpdater
+from balancer.net.endpoints import EndpointUpdate
 from balancer.net.figures import Figures
-from balancer.net.listing import Listing
 from balancer.net.objects import BrokenObject, Objects
 from balancer.net.stream import Budget
-from balancer.net.turns import Turns
 from balancer.net.upstream import Pool
 
 SIZES = (200, 700, 2_200, 7_000, 22_000, 45_000, 70_000)
@@ -89,17 +90,17 @@
         yield from uvloop.run(taken(backends))
 
 
-def decode(data: bytes) -> tuple[News | None, float]:
+def decode(data: bytes) -> tuple[EndpointUpdate | None, float]:
     """Cut and decode a list as it comes: its news, and the us of the longest turn. Raises BrokenObject."""
-    objects, news, longest = Objects(most_object(MEMORY_MB)), None, 0.0
+    objects, news, longest = Objects(max_object_bytes(MEMORY_MB)), None, 0.0
     for at in range(0, len(data), PIECE):
         begin = time.process_time_ns()
         for item in objects.feed(data[at : at + PIECE]):
             if isinstance(item, mmap):
-                steps = Steps(news_in_turns(item))
+                steps = Steps(decode_update_in_slices(item))
                 news, longest = steps.result, max(longest, steps.longest_us)
             elif item:
-                news = news_of(item)
+                news = decode_update(item)
             begin = time.process_time_ns()
         longest = max(longest, (time.process_time_ns() - begin) / 1000)
     return news, longest
@@ -110,7 +111,7 @@
 
     def __init__(self, work: Iterator[None] | None = None) -> None:
         self.spent_us = self.longest_us = 0.0
-        self.result: News | None = None
+        self.result: EndpointUpdate | None = None
         if work is not None:
             self.add(work)
 
@@ -147,7 +148,7 @@
     told = fleet.entries(backends, now - fleet.DAY)
     out = []
 
-    def news(revision: int, entries: list[api.Endpoint]) -> News:
+    def news(revision: int, entries: list[api.Endpoint]) -> EndpointUpdate:
         found, longest = decode(fleet.line(entries, revision, True))
         assert found is not None
         if revision == 1:
@@ -155,7 +156,7 @@
         return found
 
     steps = Steps()
-    listing = Listing(pool, tell, lambda *_: None, cast(Turns, steps))
+    listing = EndpointUpdater(pool, tell, lambda *_: None, cast(CooperativeScheduler, steps))
     rest = [entry for entry in told if entry.zone != told[0].zone]
     for revision, (name, entries) in enumerate([("take", told), ("zone_lost", rest), ("zone_back", told)], 1):
         what, steps.longest_us = news(revision, entries), 0.0
--- /dev/null
+++ b/balancer/net/change_summary.py
@@ -0,0 +1,79 @@
+"""Summary of what updates of the endpoint list change, as one log line."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from enum import Enum
+
+from balancer import interface as api
+from balancer.net.endpoints import Member
+
+MAX_NAMES = 8  # backends named for each kind of change; the others are counted
+
+
+class Change(Enum):
+    """A kind of change of a backend."""
+
+    DRAINING = "draining"
+    REMOVED = "removed"
+    IN_SERVICE = "in service"
+    RESTARTED = "restarted"
+
+
+CHANGE_BY_PHASE = {
+    api.EndpointPhase.DRAINING: Change.DRAINING,
+    api.EndpointPhase.REMOVED: Change.REMOVED,
+    api.EndpointPhase.IN_SERVICE: Change.IN_SERVICE,
+}
+"""The change of a backend whose phase is a new one."""
+
+
+@dataclass(slots=True)
+class _Tally:
+    """Backends with one kind of change."""
+
+    count: int = 0
+    names: list[str] = field(default_factory=list)
+
+    def add(self, name: str) -> None:
+        self.count += 1
+        if self.count <= MAX_NAMES:
+            self.names.append(name)
+
+    def text(self) -> str:
+        unnamed = self.count - len(self.names)
+        return " ".join(self.names) + (f" and {unnamed} more" if unnamed else "")
+
+
+class ChangeSummary:
+    """Changes of the list, collected until they are logged."""
+
+    def __init__(self) -> None:
+        self._tallies = {change: _Tally() for change in Change}
+        self._by_phase = {phase: self._tallies[change] for phase, change in CHANGE_BY_PHASE.items()}
+
+    def add_update(self, member: Member, current: Member | None) -> None:
+        """Compare a member of an update with the one in force, and add what changes."""
+        phase = api.EndpointPhase.REMOVED if current is None else current.phase
+        if member.phase is not phase:
+            self._by_phase[member.phase].add(member.backend)
+        elif current is not None and member.started_at > current.started_at:
+            self._tallies[Change.RESTARTED].add(member.backend)
+
+    def add_changed(self, members: Iterable[Member]) -> None:
+        """Add members that have all changed; those in force are not looked up, as there may be many."""
+        tallies = self._by_phase
+        for member in members:
+            tallies[member.phase].add(member.backend)
+
+    def add_removed(self, names: Iterable[str]) -> None:
+        """Add backends that a complete list leaves out."""
+        for name in names:
+            self._tallies[Change.REMOVED].add(name)
+
+    def text(self) -> str:
+        """Return all changes; empty where there are none."""
+        return ", ".join(
+            f"{change.value} {tally.text()}" for change, tally in self._tallies.items() if tally.count
+        )
--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -12,7 +12,7 @@
 import httptools
 
 from balancer.errors import BalancerError
-from balancer.net.config import Address
+from balancer.net.endpoints import Address
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -11,22 +11,23 @@
 
 import httptools
 
-from balancer.net import watchdog
-from balancer.net.config import ListError, News, news_in_turns, news_of
+from balancer.net import liveness
+from balancer.net.endpoint_decoder import decode_update, decode_update_in_slices
+from balancer.net.endpoints import EndpointListError, EndpointUpdate
+from balancer.net.liveness import LivenessTimeout
 from balancer.net.objects import BrokenObject, Objects
-from balancer.net.watchdog import Watchdog
 
 if TYPE_CHECKING:
-    from balancer.net.discovery import Discovery
+    from balancer.net.discovery import DiscoveryClient
 
-MOST_OBJECT = 8 * 1024 * 1024  # bytes that an object may have on any node
+MIN_OBJECT_LIMIT_BYTES = 8 * 1024 * 1024  # bytes that an object may have on any node
 MOST_PART = 1 / 12  # of the node's memory that it may have: entries take thrice their bytes, new ones twice
 SLICE = 64 * 1024  # bytes that are read in one turn
 
 
-def most_object(memory_mb: float) -> int:
+def max_object_bytes(memory_mb: float) -> int:
     """Bytes of one object at most, for a node with so much memory."""
-    return max(MOST_OBJECT, int(memory_mb * MOST_PART * 1024 * 1024))
+    return max(MIN_OBJECT_LIMIT_BYTES, int(memory_mb * MOST_PART * 1024 * 1024))
 
 
 class Reason(Enum):
@@ -53,7 +54,7 @@
     OVERTAKEN = "another call has told the list"
 
 
-class Stage(Enum):
+class CallStage(Enum):
     """How far a call is."""
 
     DIALLING = "its connection comes up"
@@ -67,10 +68,12 @@
 """What a call brings: an object or an empty line, what cannot become one, its end."""
 
 
-class Call(asyncio.Protocol):
+class DiscoveryCall(asyncio.Protocol):
     """One call: a watch that goes on until its connection ends, or the whole list once."""
 
-    def __init__(self, owner: Discovery, number: int, target: str, watch: bool, quick: bool = False) -> None:
+    def __init__(
+        self, owner: DiscoveryClient, number: int, target: str, watch: bool, quick: bool = False
+    ) -> None:
         """`number` names it in the log; `quick` where what it is to tell is due soon: after a silence, or at
         a new address.
         """
@@ -79,12 +82,12 @@
         self.dialled = owner.loop.time()
         self.objects_told = 0
         self.known = owner.revision  # what the node held when it was dialled, or took from it last
-        self.stage = Stage.DIALLING
-        answer = watchdog.HURRY if quick else watchdog.ANSWER
-        self.dog = Watchdog(owner.loop.time(), answer, random.uniform(*watchdog.SILENT))
+        self.stage = CallStage.DIALLING
+        answer = liveness.URGENT_MESSAGE_TIMEOUT_S if quick else liveness.FIRST_MESSAGE_TIMEOUT_S
+        self.dog = LivenessTimeout(owner.loop.time(), answer, random.uniform(*liveness.SILENCE_TIMEOUT_S))
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
-        self.objects = Objects(most_object(owner.node.config.memory_mb))
+        self.objects = Objects(max_object_bytes(owner.node.config.memory_mb))
         self.timer: asyncio.TimerHandle | None = None
         self.told_at: float | None = None  # when it first told something
         self.done = self.doubt = False
@@ -98,20 +101,20 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Ask, unless the call was closed while its connection came up."""
         self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
-        if self.stage is Stage.OVER:
+        if self.stage is CallStage.OVER:
             self.transport.abort()
             return
-        self.stage = Stage.ASKED
+        self.stage = CallStage.ASKED
         host, port = self.address
         keep = "keep-alive" if self.watch else "close"
         self.transport.write(
             f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: {keep}\r\n\r\n".encode("ascii")
         )
-        if self.stage is not Stage.OVER:
+        if self.stage is not CallStage.OVER:
             self._arm()
 
     def _due(self) -> float:
-        return self.dog.due(patient=self.stage is Stage.SLOW or not self.watch)
+        return self.dog.expires_at(is_patient=self.stage is CallStage.SLOW or not self.watch)
 
     def _arm(self) -> None:
         self.timer = self.owner.loop.call_at(self._due(), self._look)
@@ -124,9 +127,9 @@
             self._arm()
         elif not self.doubt or self.owner.reads(self):
             self.doubt = True  # the node may have stood still itself, with news unread, or it decodes a list
-            self.timer = self.owner.loop.call_later(watchdog.LOOK, self._look)
+            self.timer = self.owner.loop.call_later(liveness.RECHECK_DELAY_S, self._look)
         elif self.owner.call is self and self.owner.slow is None and self._may_still_tell(now):
-            self.doubt, self.stage = False, Stage.SLOW
+            self.doubt, self.stage = False, CallStage.SLOW
             self._arm()
             self.owner.slowed(self)
         else:
@@ -137,10 +140,10 @@
 
         A hurried one may have come far in discovery's queue: given up, the next one would begin at its end.
         """
-        if self.dog.trickles(now):
+        if self.dog.is_receiving_bytes(now):
             return True
-        if self.quick and self.stage is Stage.ASKED:
-            self.dog.extend(watchdog.ANSWER)
+        if self.quick and self.stage is CallStage.ASKED:
+            self.dog.extend(liveness.FIRST_MESSAGE_TIMEOUT_S)
             return True
         return False
 
@@ -178,13 +181,13 @@
 
     def on_body(self, body: bytes) -> None:
         """Objects may be cut anywhere."""
-        if self.stage is Stage.OVER or self.spoilt or self.parser.get_status_code() != 200:
+        if self.stage is CallStage.OVER or self.spoilt or self.parser.get_status_code() != 200:
             return
         now = self.owner.loop.time()
-        self.dog.fed(now)
+        self.dog.bytes_received(now)
         try:
             for item in self.objects.feed(body):
-                self.dog.told(now)
+                self.dog.message_received(now)
                 self.owner.read(self, item)
                 if self.over:  # by what it told first
                     return
@@ -194,7 +197,7 @@
 
     def heard(self, what: Brought) -> Iterator[None]:
         """Take it, unless the call was closed since; a long list takes some turns."""
-        if self.stage is Stage.OVER:
+        if self.stage is CallStage.OVER:
             return
         if isinstance(what, End):
             self.end(what)
@@ -202,12 +205,12 @@
         try:
             if isinstance(what, BrokenObject):
                 raise what
-            update: News | None
+            update: EndpointUpdate | None
             if isinstance(what, mmap):
-                update = yield from news_in_turns(what, self.owner.node.held)
+                update = yield from decode_update_in_slices(what, self.owner.node.held)
             else:
-                update = news_of(what, self.owner.node.held) if what else None
-        except (ListError, BrokenObject) as err:
+                update = decode_update(what, self.owner.node.held) if what else None
+        except (EndpointListError, BrokenObject) as err:
             self._broken(err)
             return
         except (ValueError, RecursionError) as err:
@@ -215,10 +218,10 @@
             return
         self._told(update)
 
-    def _told(self, update: News | None) -> None:
+    def _told(self, update: EndpointUpdate | None) -> None:
         now = self.owner.loop.time()
-        self.dog.told(now)
-        self.stage = Stage.OPEN
+        self.dog.message_received(now)
+        self.stage = CallStage.OPEN
         self.objects_told += 1
         if self.told_at is None:
             self.told_at = now
@@ -231,9 +234,9 @@
             self.owner.news(self, update)
         self.owner.settled(self)
 
-    def _broken(self, err: ListError | BrokenObject) -> None:
+    def _broken(self, err: EndpointListError | BrokenObject) -> None:
         """What it said is lost, and later changes do not repeat it: only the whole list will do."""
-        if self.stage is Stage.OVER:  # nobody wants it any more
+        if self.stage is CallStage.OVER:  # nobody wants it any more
             return
         self.owner.warn("discovery: bad list", err.line)
         self.owner.forget()
@@ -241,7 +244,7 @@
 
     def on_message_complete(self) -> None:
         """The end of a whole list, or of a watch."""
-        if not (self.watch or self.stage is Stage.OVER or self.spoilt or self.objects.between):
+        if not (self.watch or self.stage is CallStage.OVER or self.spoilt or self.objects.between):
             self.owner.read(self, BrokenObject("the answer ends before its JSON does"))
         refused = self.parser.get_status_code() != 200
         self._over(End.REFUSED if refused else End.CLOSED if self.watch else End.COMPLETE)
@@ -264,12 +267,12 @@
     @property
     def was_queued(self) -> bool:
         """Whether it was turned away after a wait, with nothing told."""
-        return self.reached and self.told_at is None and self.lasted >= watchdog.QUEUED
+        return self.reached and self.told_at is None and self.lasted >= liveness.QUEUED_AFTER_S
 
     @property
     def over(self) -> bool:
         """Whether it is closed."""
-        return self.stage is Stage.OVER
+        return self.stage is CallStage.OVER
 
     def flow(self) -> None:
         """Read no more while something that came is still to be taken: lists may come faster than that."""
@@ -284,11 +287,11 @@
 
     def close(self, how: End) -> None:
         """Nobody wants it any more."""
-        if self.stage is not Stage.OVER:
+        if self.stage is not CallStage.OVER:
             self.how, self.lasted = how, self.owner.loop.time() - self.dialled
             told = f"{self.objects_told} objects: {how.value}"
             self.owner.note(f"call {self.number} ended after {self.lasted:.2f} s, {told}")
-        self.stage = Stage.OVER
+        self.stage = CallStage.OVER
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
@@ -296,7 +299,7 @@
 
     def end(self, how: End) -> None:
         """It has come to its end by itself, or by the other side: the owner hears of it, once."""
-        if self.stage is not Stage.OVER:
+        if self.stage is not CallStage.OVER:
             self.close(how)
             self.owner.lost(self, how is End.SILENT)
 
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -18,7 +18,9 @@
 from balancer import interface as api
 from balancer.errors import BalancerError
 from balancer.net import config
-from balancer.net.config import Address, ConfigError, address, address_at
+from balancer.net.config_errors import ConfigError
+from balancer.net.config_file import address_at, read_config_file
+from balancer.net.endpoints import Address, EndpointUpdate, parse_address
 
 if TYPE_CHECKING:
     from balancer.membership.port import Port
@@ -96,7 +98,7 @@
     found: list[Address] = []
     for index, row in enumerate(rows):
         try:
-            one = address(row)
+            one = parse_address(row)
         except ValueError:
             raise ConfigError(f"peers[{index}] makes no sense: {row!r:.120}") from None
         if one in found:
@@ -133,7 +135,7 @@
         self._returns = table.recovery is not None
         self._opening: asyncio.Task[None] | None = None
         if table.membership is not None:
-            listen, peers, everybody = _peers(config.read(env))
+            listen, peers, everybody = _peers(read_config_file(env))
             me = held.settings.me
             _numbered(me, peers)
             from balancer.membership.port import Port
@@ -144,7 +146,7 @@
             self.port = Port(listen, peers, everybody)
             self.membership = MembershipShell(times, me, self.port, held.seed, least)
 
-    def steer(self, node: Node, watcher: Watcher, known: config.News) -> Watcher:
+    def steer(self, node: Node, watcher: Watcher, known: EndpointUpdate) -> Watcher:
         """What brings the list to this node: the one given, or the room that asks it in turns.
 
         `known` is the list to begin with.
@@ -188,7 +190,7 @@
         if self.returning is not None and self.returning.shell.serving.is_set():
             self.returning.resume()
 
-    def known(self, told: config.News) -> config.News:
+    def known(self, told: EndpointUpdate) -> EndpointUpdate:
         """The list to begin with: the one told at the start, or a newer one that was kept."""
         return told if self.keeping is None else self.keeping.known(told)
 
@@ -200,7 +202,7 @@
         """What the operators had taken out and put back, as it was kept: id to time."""
         return ({}, {}) if self.keeping is None else (self.keeping.kept.out, self.keeping.kept.back)
 
-    def listed(self, news: config.News, kind: api.ListUpdateKind) -> None:
+    def listed(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
         if self.keeping is not None:
             self.keeping.listed(news, kind)
@@ -235,7 +237,7 @@
         port, shell = self.port, self.membership
         if port is None or shell is None:
             return lambda: None
-        listen, peers, everybody = _peers(config.read(env))
+        listen, peers, everybody = _peers(read_config_file(env))
         if new.settings.me != shell.me:
             raise FixedError(f"settings: me cannot change from {shell.me} to {new.settings.me} in one life")
         _numbered(shell.me, peers)
--- a/balancer/net/front.py
+++ b/balancer/net/front.py
@@ -21,7 +21,8 @@
 
 from balancer import interface as api
 from balancer.interface import Idempotency
-from balancer.net.config import Address, over
+from balancer.net.connection_limits import overflow_limit
+from balancer.net.endpoints import Address
 from balancer.net.node import Node
 from balancer.net.stream import LARGEST, SMALL, Upload
 from balancer.net.upstream import Connection
@@ -657,7 +658,7 @@
         if self.crowded and (oldest := self._oldest(connection)) is not None:
             self.node.counts["client_displaced"] += 1
             oldest.linger()
-        if len(self.connections) + len(self.lingering) > self.limit + over(self.limit):
+        if len(self.connections) + len(self.lingering) > self.limit + overflow_limit(self.limit):
             first = next(iter(self.lingering), connection)
             self.lingering.pop(first, None)
             first.close()
--- a/balancer/net/keeping.py
+++ b/balancer/net/keeping.py
@@ -12,7 +12,7 @@
 from balancer import interface as api
 from balancer.durable.records import Back, Listed, Out, Row, Sampled, Started, stamp
 from balancer.durable.shell import Durable
-from balancer.net.config import Member, News
+from balancer.net.endpoints import EndpointUpdate, Member
 
 
 class Keeping:
@@ -27,11 +27,11 @@
         self.durable.take_over()
         self.durable.note(Started(life, stamp().wall))
 
-    def known(self, told: News) -> News:
+    def known(self, told: EndpointUpdate) -> EndpointUpdate:
         """The list to begin with: the one kept or the one told at the start, whichever is newer."""
         if not self.kept.rows or self.kept.revision <= told.revision:
             return told
-        return News(self.kept.revision, True, tuple(map(_member, self.kept.rows.values())))
+        return EndpointUpdate(self.kept.revision, True, tuple(map(_member, self.kept.rows.values())))
 
     def recovered(self) -> api.LearnedStateRestored | None:
         """What an earlier process had learned, and how long ago at least."""
@@ -40,7 +40,7 @@
             return None
         return api.LearnedStateRestored(sampled.learned, age)
 
-    def listed(self, news: News, kind: api.ListUpdateKind) -> None:
+    def listed(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
         whole = kind is api.ListUpdateKind.SNAPSHOT
         self.durable.note(Listed(news.revision, whole, stamp().wall, list(map(_row, news.members))))
--- /dev/null
+++ b/balancer/net/list_layout.py
@@ -0,0 +1,153 @@
+"""Finds where the runs of rows of a long list end, so that it can be decoded in slices. Decodes nothing."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Generator
+from dataclasses import dataclass
+from mmap import mmap
+
+from balancer.net.objects import (
+    BACKSLASH,
+    BRACE,
+    BRACKET,
+    COMMA,
+    ENDS,
+    FLAT,
+    GAP,
+    PLAIN,
+    QUOTE,
+    STRING,
+    TEXT,
+    end,
+)
+
+ROWS_PER_MATCH = 64
+MIN_RUN_BYTES = 16 * 1024
+RUNS_PER_SLICE = 8
+MEMBERS_KEY = b'"members"'
+ARRAY_END = ord("]")
+
+_GAP = rb"[ \t\r\n]*+"
+_ROW = rb"\{[^\"{}\[\]]*+(?:" + STRING + rb"[^\"{}\[\]]*+)*+\}"
+FLAT_ROWS = re.compile(
+    _GAP + _ROW + _GAP + rb"(?:," + _GAP + _ROW + _GAP + rb"){0,%d}+" % (ROWS_PER_MATCH - 1)
+)
+SCALAR = re.compile(rb'[^"{}\[\],]*+')
+ROW_BOUNDARY = b"},"
+COLON = re.compile(_GAP + rb":" + _GAP)
+
+
+class UnusualLayout(Exception):
+    """The bytes are not laid out as lists usually are; they may still be a list."""
+
+
+@dataclass(slots=True, frozen=True)
+class ListLayout:
+    """Offsets of the parts of a list in its bytes."""
+
+    first_row: int
+    run_ends: tuple[int, ...]  # of each run of rows; a comma, or the end of the array, follows
+    rows_end: int  # of the array's closing bracket
+
+
+def scan_layout(data: bytes | mmap, skip_rows: bool = False) -> Generator[None, None, ListLayout]:
+    """Scan a complete object whose brackets match, in slices. Raises UnusualLayout.
+
+    All fields but `members` must be short enough for one slice; a longer one only makes that slice longer.
+    With `skip_rows` most of the rows are not scanned, which takes no time: the boundaries of runs are then a
+    guess, and it was right where each run decodes by itself as an array of rows.
+    """
+    try:
+        return (yield from _scan(data, skip_rows))
+    except IndexError:  # the data ends early: a bracket closes one of another kind
+        raise UnusualLayout from None
+
+
+def _scan(data: bytes | mmap, skip_rows: bool) -> Generator[None, None, ListLayout]:
+    layout: ListLayout | None = None
+    at = end(GAP, data, 0) + 1
+    while True:
+        at = end(GAP, data, at)
+        key_begin = at
+        at = _string_end(data, at)
+        if BACKSLASH in data[key_begin:at]:  # it may be "members" with escapes
+            raise UnusualLayout
+        key = data[key_begin:at]
+        if (value := end(COLON, data, at)) == at:
+            raise UnusualLayout
+        if key == MEMBERS_KEY:
+            if layout is not None or data[value] != BRACKET:
+                raise UnusualLayout
+            layout = yield from _scan_rows(data, value + 1, skip_rows)
+            at = layout.rows_end + 1
+        else:
+            at = _value_end(data, value)
+        at = end(GAP, data, at)
+        if data[at] in ENDS:
+            break
+        if data[at] != COMMA:
+            raise UnusualLayout
+        at += 1
+    if layout is None:
+        raise UnusualLayout
+    return layout
+
+
+def _scan_rows(data: bytes | mmap, first_row: int, skip_rows: bool) -> Generator[None, None, ListLayout]:
+    at = run_begin = first_row
+    run_ends = list[int]()
+    while skip_rows:
+        row_end = data.find(ROW_BOUNDARY, at + MIN_RUN_BYTES, at + 2 * MIN_RUN_BYTES)
+        if row_end < 0:
+            break
+        run_ends.append(row_end + 1)
+        at = run_begin = row_end + len(ROW_BOUNDARY)
+    while True:
+        stop = end(FLAT_ROWS, data, at)
+        if stop == at:  # a nested row, or something that is no row
+            stop = end(GAP, data, _value_end(data, end(GAP, data, at)))
+        if data[stop] == ARRAY_END:
+            return ListLayout(first_row, (*run_ends, stop), stop)
+        if data[stop] != COMMA:
+            raise UnusualLayout
+        at = stop + 1
+        if at - run_begin >= MIN_RUN_BYTES:
+            run_begin = at
+            run_ends.append(stop)
+            if len(run_ends) % RUNS_PER_SLICE == 0:
+                yield
+
+
+def _string_end(data: bytes | mmap, at: int) -> int:
+    if data[at] != QUOTE:
+        raise UnusualLayout
+    at = end(TEXT, data, at + 1)
+    if data[at] != QUOTE:
+        raise UnusualLayout
+    return at + 1
+
+
+def _value_end(data: bytes | mmap, at: int) -> int:
+    """Return the offset behind the value that begins there. Raises UnusualLayout where none does."""
+    if data[at] == QUOTE:
+        return _string_end(data, at)
+    if data[at] not in (BRACE, BRACKET):
+        if (stop := end(SCALAR, data, at)) == at:
+            raise UnusualLayout
+        return stop
+    if (stop := end(FLAT, data, at)) > at:
+        return stop
+    depth = 0
+    while True:  # ends, as the brackets match
+        char = data[at]
+        if char in ENDS:
+            depth -= 1
+        elif char in (BRACE, BRACKET):
+            depth += 1
+        else:
+            raise UnusualLayout
+        at += 1
+        if not depth:
+            return at
+        at = end(PLAIN, data, at)
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -16,12 +16,13 @@
 from balancer import interface as api
 from balancer.errors import BalancerError
 from balancer.net.bans import Bans, stem
-from balancer.net.config import Config, Member, News
+from balancer.net.config import Config
+from balancer.net.cooperative import CooperativeScheduler
+from balancer.net.endpoint_updater import EndpointUpdater
+from balancer.net.endpoints import EndpointUpdate, Member
 from balancer.net.figures import End, Figures
-from balancer.net.listing import Listing
 from balancer.net.request_log import RequestLog
 from balancer.net.stream import Budget, Upload
-from balancer.net.turns import Turns
 from balancer.net.upstream import Answer, Attempt, Connection, Pool, Sink
 from balancer.policy import Balancer
 
@@ -65,7 +66,7 @@
     def stats(self) -> dict[str, object]:
         """Their part of the figures."""
 
-    def listed(self, news: News, kind: api.ListUpdateKind) -> None:
+    def listed(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
 
     def unchanged(self) -> None:
@@ -150,9 +151,9 @@
         self.meeting = stem(os.environ, "{}:{}".format(*config.listen))
         self.bans = Bans(self.meeting, self.maintain)
         self.budget = Budget(config.memory_mb)
-        self.pool = Pool(config.settings, config.shares(1)[1], self.figures, self.budget)
-        self.turns = Turns(self.loop)
-        self.listing = Listing(self.pool, self.event, self._listed, self.turns)
+        self.pool = Pool(config.settings, config.limits_per_process(1)[1], self.figures, self.budget)
+        self.turns = CooperativeScheduler(self.loop)
+        self.listing = EndpointUpdater(self.pool, self.event, self._listed, self.turns)
         self.open: dict[str, Open] = {}
         self.discovery: Watcher | None = None
         self.fleet: Rooms | None = None
@@ -348,7 +349,7 @@
         """What is in force of a backend."""
         return self.pool.members.get(name)
 
-    def list(self, news: News, kind: api.ListUpdateKind) -> None:
+    def list(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """The list, or a change of it."""
         if kind is not api.ListUpdateKind.CACHED:
             self.revision, self.heard_at = news.revision, self.loop.time()
@@ -359,7 +360,7 @@
         self.heard_at = self.loop.time()
         self.listing.put(None, api.ListUpdateKind.DELTA)
 
-    def _listed(self, news: News | None, kind: api.ListUpdateKind) -> None:
+    def _listed(self, news: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
         """News are in force."""
         if news is None:
             if self.list_failures:  # the module is to know that discovery answers, though nothing is new
--- a/balancer/net/parts.py
+++ b/balancer/net/parts.py
@@ -12,7 +12,7 @@
 import zlib
 from dataclasses import dataclass
 
-from balancer.net.config import LEAST, LEAVING, SPARE, over
+from balancer.net.connection_limits import CLOSING_FDS, MIN_FDS, RESERVED_FDS, overflow_limit
 from balancer.net.front import Front
 from balancer.net.node import Node
 from balancer.net.pair import Pair
@@ -47,7 +47,7 @@
     def __init__(self, node: Node, front: Front, pair: Pair) -> None:
         self.node, self.front, self.pair = node, front, pair
         self.born = time.monotonic_ns()
-        self.part = LEAST  # descriptors
+        self.part = MIN_FDS  # descriptors
         self.leaving = False  # new connections go to the other process: what ends here is not replaced
         self._before: set[int] | None = None  # slots of those that were there when this one came
         self._heard: dict[int, Claim | None] = {}  # by slot
@@ -57,7 +57,7 @@
     @property
     def enough(self) -> bool:
         """Whether the others have made the room that a newcomer may count on."""
-        return self.part >= self.node.config.sockets - self.node.config.elders
+        return self.part >= self.node.config.sockets - self.node.config.predecessor_fds
 
     def limits(self) -> tuple[int, int] | None:
         """Connections of clients and to backends, from now on; None where nobody can tell the others' parts.
@@ -68,14 +68,14 @@
             return None
         config, others = self.node.config, self._others(self.pair.words)
         if not self.said:  # what was set without a slot never was in force
-            self.front.limit, self.node.pool.limit = config.within(LEAST)
+            self.front.limit, self.node.pool.limit = config.connection_limits(MIN_FDS)
         if self._followed(others):
             return self._elder(others)
         if (claimed := self._claimed(others)) is None:
             self.part = config.sockets // 2
             return None
-        part = max(LEAST, config.sockets - claimed) if others else config.alone
-        limits = config.within(part)
+        part = max(MIN_FDS, config.sockets - claimed) if others else config.sole_process_fds
+        limits = config.connection_limits(part)
         if (most := self._most(*limits)) > self.said:
             if most > part:  # more is in use yet than these limits allow
                 return self._no_more(limits)
@@ -94,8 +94,8 @@
     def _most(self, clients: int, upstream: int) -> int:
         """Descriptors that this process may hold under these limits, or holds yet from before them."""
         front, pool = self.front, self.node.pool
-        taken = max(clients + over(clients), len(front.connections) + len(front.lingering))
-        return SPARE + LEAVING + taken + max(upstream, pool.count)
+        taken = max(clients + overflow_limit(clients), len(front.connections) + len(front.lingering))
+        return RESERVED_FDS + CLOSING_FDS + taken + max(upstream, pool.count)
 
     def tell(self) -> None:
         """Say what this process may hold now, once its limits are in force."""
@@ -136,11 +136,11 @@
         """Beside one that came later: never more than before, and once this one leaves what it still uses."""
         config = self.node.config
         claimed = self._claimed(others)
-        left = config.elders - (claimed if claimed is not None else config.sockets // 2)
-        self.part = max(LEAST, left)
-        clients, upstream = config.elder(self.part)
+        left = config.predecessor_fds - (claimed if claimed is not None else config.sockets // 2)
+        self.part = max(MIN_FDS, left)
+        clients, upstream = config.predecessor_limits(self.part)
         if self.leaving:
             open_now = len(self.front.connections)
-            clients = min(clients, open_now + over(clients))
+            clients = min(clients, open_now + overflow_limit(clients))
             upstream = min(upstream, max(1, self.node.pool.count, 2 * open_now))
         return self._no_more((clients, upstream))
--- a/balancer/net/returning.py
+++ b/balancer/net/returning.py
@@ -19,7 +19,7 @@
 from balancer.errors import BalancerError
 from balancer.membership.port import Port
 from balancer.net import handover
-from balancer.net.config import Member, News
+from balancer.net.endpoints import EndpointUpdate, Member
 from balancer.net.figures import End
 from balancer.net.node import Node, Watcher
 from balancer.recovery import events
@@ -43,7 +43,7 @@
     """The return of one process of a node; to the module it is what brings the list."""
 
     def __init__(
-        self, node: Node, watcher: Watcher, known: News, port: Port, life: int, disk: Durable | None
+        self, node: Node, watcher: Watcher, known: EndpointUpdate, port: Port, life: int, disk: Durable | None
     ) -> None:
         self.node, self.watcher, self.disk = node, watcher, disk
         self.kept = disk.kept if disk is not None else Kept()
@@ -148,9 +148,11 @@
                 replace(m, phase=api.EndpointPhase.DRAINING)
                 if m.backend in ids else _copy(m) for m in self._saved.members
             ]  # fmt: skip
-            self.node.list(News(self._saved.revision, True, tuple(drained)), api.ListUpdateKind.CACHED)
+            update = EndpointUpdate(self._saved.revision, True, tuple(drained))
+            self.node.list(update, api.ListUpdateKind.CACHED)
         elif again := [_copy(m) for name, m in self._list.items() if name in before - ids]:
-            self.node.list(News(self._saved.revision, False, tuple(again), True), api.ListUpdateKind.DELTA)
+            update = EndpointUpdate(self._saved.revision, False, tuple(again), True)
+            self.node.list(update, api.ListUpdateKind.DELTA)
 
     # --- what brings the list
 
@@ -173,7 +175,7 @@
             self.watcher.watch(False)
             self.shell.tell(events.ListFailed())
 
-    def listed(self, news: News, kind: api.ListUpdateKind) -> None:
+    def listed(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
         if kind is api.ListUpdateKind.SNAPSHOT:
             self._list, self._restricted = {}, frozenset()
@@ -189,7 +191,7 @@
 
     def unchanged(self) -> None:
         """Discovery has told by a word that the saved list holds."""
-        self.listed(News(self._saved.revision, False, ()), api.ListUpdateKind.DELTA)
+        self.listed(EndpointUpdate(self._saved.revision, False, ()), api.ListUpdateKind.DELTA)
 
     # --- for the operators
 
--- a/balancer/net/upstream.py
+++ b/balancer/net/upstream.py
@@ -19,7 +19,7 @@
 
 from balancer import interface as api
 from balancer.interface import AttemptStatus
-from balancer.net.config import Address, Member
+from balancer.net.endpoints import Address, Member
 from balancer.net.figures import Figures
 from balancer.net.limited import LimitedWarnings
 from balancer.net.shards import Shards
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from balancer import interface as api
-from balancer.net.config import Member
+from balancer.net.endpoints import Member
 from balancer.policy import Balancer
 
 SAFE = api.RequestClass(
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -20,7 +20,8 @@
 
 from balancer.interface import AttemptStatus, ListUpdateKind
 from balancer.net import front as front_file
-from balancer.net.config import load, over
+from balancer.net.config import load
+from balancer.net.connection_limits import overflow_limit
 from balancer.net.figures import Figures
 from balancer.net.front import ClientConnection, Front
 from balancer.net.node import Node
@@ -287,17 +288,17 @@
     limit = 3
     async with front_of(tmp, limit=limit) as front:
         peers, seen = [], []
-        for _ in range(limit + over(limit) + 5):
+        for _ in range(limit + overflow_limit(limit) + 5):
             peers.append(Peer())
             seen.append(await peers[-1].reach(front))
             peers[-1].sock.send(UP)
             assert await peers[-1].read(len(ANSWERED)) == ANSWERED  # not over the cap
             assert len(front.connections) <= limit
-            assert len(front.connections) + len(front.lingering) <= limit + over(limit)
+            assert len(front.connections) + len(front.lingering) <= limit + overflow_limit(limit)
         first = seen[0].transport
         assert first is not None
         assert first.is_closing()
-        assert [c.closing for c in seen] == [True] * (over(limit) + 5) + [False] * limit
+        assert [c.closing for c in seen] == [True] * (overflow_limit(limit) + 5) + [False] * limit
         for peer in peers:
             peer.sock.close()
 
@@ -398,7 +399,7 @@
     """Bad requests behind a good one, and floods."""
     with caplog.at_level(logging.INFO):
         on_uvloop(_behind)(tmp_path)
-    assert caplog.messages == ["list: revision 41: ready b0"]  # at its start, and nothing since
+    assert caplog.messages == ["list: revision 41: in service b0"]  # at its start, and nothing since
 
 
 async def _early(tmp: Path) -> None:
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -13,7 +13,9 @@
 
 import pytest
 
-from balancer.net.config import ENTRY_BYTES, Config, ConfigSizeError, load, reload
+from balancer.net.config import Config, load, reload
+from balancer.net.config_errors import ConfigSizeError
+from balancer.net.config_size import ENTRY_BYTES
 from balancer.policy import Balancer
 from tests.sockets import configuration
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,8 @@
 import pytest
 
 from balancer.__main__ import share
-from balancer.net.config import LEAVING, SPARE, Config, load, over
+from balancer.net.config import Config, load
+from balancer.net.connection_limits import CLOSING_FDS, RESERVED_FDS, overflow_limit
 from balancer.net.console import CALLERS
 from balancer.net.front import BACKLOG, ClientConnection, Front
 from balancer.net.node import Node
@@ -145,7 +146,7 @@
     old, new = Backend("b0", never), Backend("b1")
     await new.start()
     async with node(tmp_path, discovery, old, asking=asking, **PATIENT) as rig:
-        upstream = load({"PROXY_CONFIG": str(rig.config)}).shares(1)[1]
+        upstream = load({"PROXY_CONFIG": str(rig.config)}).limits_per_process(1)[1]
         for _ in range(upstream - 1):  # one is left for the backend that nobody knows yet
             (await rig.client()).send("/read")
             await old.got.get()
@@ -174,11 +175,11 @@
 @pytest.mark.parametrize("sockets", [64, 128, 256, 1024, 4096])
 def test_all_that_may_be_held_is_within_the_limit(tmp_path: Path, sockets: int) -> None:
     config = config_of(tmp_path, [], 1, sockets=sockets)
-    clients, upstream = config.shares(1)
-    assert clients + over(clients) + LEAVING + upstream + SPARE <= sockets
-    if sockets >= 4 * SPARE:  # there is room for two
-        clients, upstream = config.shares(2)  # the clients' connections are to the one or the other
-        assert clients + 2 * (over(clients) + LEAVING + upstream + SPARE) <= sockets
+    clients, upstream = config.limits_per_process(1)
+    assert clients + overflow_limit(clients) + CLOSING_FDS + upstream + RESERVED_FDS <= sockets
+    if sockets >= 4 * RESERVED_FDS:  # there is room for two
+        clients, upstream = config.limits_per_process(2)  # clients' connections are to the one or the other
+        assert clients + 2 * (overflow_limit(clients) + CLOSING_FDS + upstream + RESERVED_FDS) <= sockets
 
 
 async def test_accepting_without_descriptors_neither_spins_nor_logs_nor_stops(tmp_path: Path) -> None:
@@ -218,7 +219,10 @@
     old = Backend("b0", together)
     async with node(tmp_path, discovery, old, **PATIENT) as rig:
         await discovery.asked.get()
-        clients = [await rig.client() for _ in range(load({"PROXY_CONFIG": str(rig.config)}).shares(1)[1])]
+        clients = [
+            await rig.client()
+            for _ in range(load({"PROXY_CONFIG": str(rig.config)}).limits_per_process(1)[1])
+        ]
         for client in clients:
             client.send("/read")
             await old.got.get()
@@ -251,7 +255,10 @@
     discovery = FakeDiscovery()
     await discovery.start()
     async with node(tmp_path, discovery, Backend("b0")) as rig:
-        clients = [await rig.client() for _ in range(load({"PROXY_CONFIG": str(rig.config)}).shares(1)[0])]
+        clients = [
+            await rig.client()
+            for _ in range(load({"PROXY_CONFIG": str(rig.config)}).limits_per_process(1)[0])
+        ]
         for client in clients:
             assert (await client.ask("/read")).code == 200
         for number in range(8):
@@ -316,39 +323,46 @@
     """Guards the descriptors: one that is ended before its client has read all lingers, as few may."""
     front = front_of(tmp_path, 16)
     slow = [comes(front, unsent=1) for _ in range(16)]
-    late = [comes(front, unsent=1) for _ in range(over(16))]
-    assert [transport.closed for transport in slow] == [True] * over(16) + [False] * (16 - over(16))
+    late = [comes(front, unsent=1) for _ in range(overflow_limit(16))]
+    assert [transport.closed for transport in slow] == [True] * overflow_limit(16) + [False] * (
+        16 - overflow_limit(16)
+    )
     assert not front.crowded and not any(transport.closed for transport in late)
     assert not any(transport.aborted for transport in slow)  # for now
     for _ in range(64):
         last = comes(front, unsent=1)
         slow.append(last)
         held = [transport for transport in slow + late if not transport.aborted]
-        assert len(held) == 16 + over(16) and not last.closed and not front.crowded
+        assert len(held) == 16 + overflow_limit(16) and not last.closed and not front.crowded
 
 
 async def test_where_all_places_are_taken_the_longest_lingering_one_goes(tmp_path: Path) -> None:
     front = front_of(tmp_path, 16)
     slow = [comes(front, unsent=1) for _ in range(15)]
-    rest = [comes(front) for _ in range(over(16) + 1)]
+    rest = [comes(front) for _ in range(overflow_limit(16) + 1)]
     last = comes(front)
     assert not any(transport.closed for transport in (*rest, last))
-    assert [transport.closed for transport in slow] == [True] * (over(16) + 1) + [False] * (14 - over(16))
+    assert [transport.closed for transport in slow] == [True] * (overflow_limit(16) + 1) + [False] * (
+        14 - overflow_limit(16)
+    )
     assert [transport.aborted for transport in slow] == [True] + [False] * 14
 
 
 async def test_what_stays_open_beside_a_successor_does_not_lift_the_cap(tmp_path: Path) -> None:
     """Guards the descriptors of a full process: those over the cap are no part of what may stay."""
     config = config_of(tmp_path, [], 1, sockets=256)
-    clients, upstream = config.shares(1)
+    clients, upstream = config.limits_per_process(1)
     front = Front(Node(config), clients)
-    for _ in range(clients + over(clients)):
+    for _ in range(clients + overflow_limit(clients)):
         comes(front, unsent=1)
     front.node.pool.count = upstream
     for _ in range(2):
         share(front.node, front, True)
         comes(front, unsent=1)
-        assert front.limit + over(front.limit) + LEAVING + front.node.pool.limit + SPARE <= 256
+        assert (
+            front.limit + overflow_limit(front.limit) + CLOSING_FDS + front.node.pool.limit + RESERVED_FDS
+            <= 256
+        )
     share(front.node, front, False)
     assert (front.limit, front.node.pool.limit) == (clients, upstream)
 
@@ -356,7 +370,7 @@
 async def test_two_processes_of_a_node_keep_to_one_limit_together(tmp_path: Path) -> None:
     """An idle flood fills the first before the second comes, and then that one."""
     config = config_of(tmp_path, [], 1, sockets=256)
-    clients, upstream = config.shares(1)
+    clients, upstream = config.limits_per_process(1)
     old, new = Front(Node(config), clients), Front(Node(config), clients)
     for _ in range(clients):
         comes(old)
@@ -364,5 +378,5 @@
     held = 0
     for front in (old, new):
         share(front.node, front, True)
-        held += front.limit + over(front.limit) + LEAVING + front.node.pool.limit + SPARE
+        held += front.limit + overflow_limit(front.limit) + CLOSING_FDS + front.node.pool.limit + RESERVED_FDS
     assert held <= 256, held
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -18,11 +18,11 @@
 
 from balancer.interface import ListUpdateKind
 from balancer.net import config
-from balancer.net.config import Address
-from balancer.net.discovery import Discovery
-from balancer.net.discovery_call import Stage
+from balancer.net.discovery import DiscoveryClient
+from balancer.net.discovery_call import CallStage
+from balancer.net.endpoints import Address, EndpointUpdate
+from balancer.net.liveness import RETRY_PERIOD_S
 from balancer.net.node import Node, Rooms
-from balancer.net.watchdog import PERIOD
 from tests.sockets import configuration
 
 KNOWN = 6.0  # s after which what discovery has counts as told, whatever became of the calls before
@@ -246,10 +246,10 @@
         """A node with its watch, begun as the program does."""
         node = Node(held)
         node.now = lambda: self.now * 1000  # type: ignore[method-assign]
-        node.discovery = out = Discovery(node, held.discovery, 0)
+        node.discovery = out = DiscoveryClient(node, held.discovery, 0)
         take = node.list
 
-        def told(news: config.News, kind: ListUpdateKind) -> None:
+        def told(news: EndpointUpdate, kind: ListUpdateKind) -> None:
             self.heard.append((self.now, news.revision))
             take(news, kind)
 
@@ -259,12 +259,12 @@
             out.watch(True)
         return node
 
-    def play(self, seconds: float, meanwhile: Callable[[Discovery], None] = lambda _: None) -> Node:
+    def play(self, seconds: float, meanwhile: Callable[[DiscoveryClient], None] = lambda _: None) -> Node:
         """So many seconds of a node's life."""
 
         async def life() -> Node:
             node = self.node(self.config)
-            out = cast(Discovery, node.discovery)
+            out = cast(DiscoveryClient, node.discovery)
             meanwhile(out)
             await asyncio.sleep(seconds)
             out.watch(False)
@@ -331,7 +331,7 @@
     tried = World(tmp_path, must_subscribe, failure, list_max_age_ms=list_max_age_ms)
     tried.play(60)
     # A watch counts as silent from its last byte on; the hurried call that follows may wait for less.
-    sound, within, queue = 0.0, PERIOD, CROWDED
+    sound, within, queue = 0.0, RETRY_PERIOD_S, CROWDED
     if failure in ("falls", "halts"):
         sound, within, queue = 4.7 if failure == "falls" else 0.0, 3.3, QUEUE
     assert max(b - a for a, b in pairwise(tried.dialled)) <= sound + within + 0.001
@@ -359,7 +359,7 @@
         early, late = early + steps[:2], late + steps[10:]
         drawn |= {round(step, 2) for step in steps[10:]}
         assert len(world.dialled) < 90
-        assert max(steps) <= PERIOD + 0.001
+        assert max(steps) <= RETRY_PERIOD_S + 0.001
         assert max(sum(line.open_at(t) for line in world.lines) for t in world.dialled) <= 2
     assert min(late) >= (0.9 if failure in ("refuse", "busy", "garbage") else 2.0)
     assert sum(late) / len(late) > 1.8 and len(drawn) > 25
@@ -429,7 +429,7 @@
             await asyncio.sleep(self.BACK + KNOWN - self.now)
             assert len([at for at, revision in self.heard if revision == NEW]) == self.nodes
             for node in nodes:
-                cast(Discovery, node.discovery).watch(False)
+                cast(DiscoveryClient, node.discovery).watch(False)
 
         try:
             self.loop.run_until_complete(life())
@@ -462,7 +462,7 @@
     """Guards against a timer that judges before what has come is read."""
     world = World(tmp_path, False, "good")
 
-    def hold_up(discovery: Discovery) -> None:
+    def hold_up(discovery: DiscoveryClient) -> None:
         def stands_still() -> None:
             world.loop.skip.now += 5.0
             assert discovery.call is not None and discovery.call.transport is not None
@@ -497,7 +497,7 @@
     world = World(tmp_path, must_subscribe, play)
     failed = list[float]()
 
-    def steer(discovery: Discovery) -> None:
+    def steer(discovery: DiscoveryClient) -> None:
         def list_failed() -> None:
             failed.append(world.now)
             discovery.watch(False)
@@ -508,7 +508,7 @@
         discovery.node.fleet = cast(Rooms, rooms)
         # The module is heard until its turn is over.
         watcher = SimpleNamespace(watch=lambda on: None if failed else discovery.watch(on))
-        discovery.node.discovery = cast(Discovery, watcher)
+        discovery.node.discovery = cast(DiscoveryClient, watcher)
 
     node = world.play(30, steer)
     if play == "slow":
@@ -524,7 +524,7 @@
     """Two objects in one piece: the second one would open the call anew, and its end close the next watch."""
     world = World(tmp_path, False, "twice", "good")
 
-    def steer(discovery: Discovery) -> None:
+    def steer(discovery: DiscoveryClient) -> None:
         def listed(*_: object) -> None:
             if len(world.dialled) == 1:
                 discovery.watch(False)
@@ -561,25 +561,27 @@
 NEAR, FAR = ("127.0.0.1", 1), ("127.0.0.2", 2)
 """Discovery's address before and after SIGHUP."""
 MOMENTS = {  # what the first calls do, when SIGHUP comes, and which stage the call is in then
-    "dialling": (("stall",), 1.0, Stage.DIALLING),
-    "comes up late": (("comes up late",), 0.5, Stage.DIALLING),
-    "asked": (("mute",), 1.0, Stage.ASKED),
-    "a head": (("opens",), 2.9, Stage.ASKED),
-    "open": (("good",), 5.0, Stage.OPEN),
-    "silent": (("falls",), 7.0, Stage.OPEN),
-    "second look": (("halts",), 3.26, Stage.OPEN),
-    "hurried": (("halts", "mute"), 4.0, Stage.ASKED),
-    "slow": (("endless", "mute"), 4.1, Stage.ASKED),
+    "dialling": (("stall",), 1.0, CallStage.DIALLING),
+    "comes up late": (("comes up late",), 0.5, CallStage.DIALLING),
+    "asked": (("mute",), 1.0, CallStage.ASKED),
+    "a head": (("opens",), 2.9, CallStage.ASKED),
+    "open": (("good",), 5.0, CallStage.OPEN),
+    "silent": (("falls",), 7.0, CallStage.OPEN),
+    "second look": (("halts",), 3.26, CallStage.OPEN),
+    "hurried": (("halts", "mute"), 4.0, CallStage.ASKED),
+    "slow": (("endless", "mute"), 4.1, CallStage.ASKED),
     "slow alone": (("endless", "mute"), 3.051, None),
     "waiting": (("refuse",), 15.0, None),
 }
 
 
-def aged(world: World, moment: str, then: Callable[[Discovery], None]) -> Callable[[Discovery], None]:
+def aged(
+    world: World, moment: str, then: Callable[[DiscoveryClient], None]
+) -> Callable[[DiscoveryClient], None]:
     """Does `then` at that moment, and looks whether it is that."""
     _, when, stage = MOMENTS[moment]
 
-    def look(discovery: Discovery) -> None:
+    def look(discovery: DiscoveryClient) -> None:
         assert (discovery.call.stage if discovery.call is not None else None) is stage
         assert (discovery.slow is not None) == moment.startswith("slow")
         then(discovery)
@@ -600,7 +602,7 @@
     world = World(tmp_path, must_subscribe, *plays, back=when, queue=0.7)
     due = when
 
-    def move(discovery: Discovery) -> None:
+    def move(discovery: DiscoveryClient) -> None:
         nonlocal due
         if moment in ("hurried", "slow"):
             due = world.dialled[1] + 1.0
@@ -632,7 +634,7 @@
     assert {where for t, where in zip(world.dialled, world.addresses, strict=True) if t >= 15.0} == {FAR}
     if not must_subscribe:
         assert moved[:7] == pytest.approx([0.0, 0.15, 0.45, 1.05, 2.25, 4.65, 7.65])
-    last = PERIOD if must_subscribe else 3.0
+    last = RETRY_PERIOD_S if must_subscribe else 3.0
     assert [b - a for a, b in pairwise(moved[6:])] == pytest.approx([last] * len(moved[7:]))
 
 
@@ -649,7 +651,7 @@
     assert len([at for at in stopped.dialled if at >= when]) == asks
     again = World(tmp_path, must_subscribe, *plays, back=when, queue=0.0)
 
-    def turn(discovery: Discovery) -> None:
+    def turn(discovery: DiscoveryClient) -> None:
         discovery.watch(False)
         discovery.watch(True)
 
@@ -667,7 +669,7 @@
     """The waits are the first ones again, also where the old address had been away for long."""
     world = World(tmp_path, must_subscribe, *["refuse"] * 100, queue=QUEUE)
 
-    def move(discovery: Discovery) -> None:
+    def move(discovery: DiscoveryClient) -> None:
         world.plays = [*failures, "queued"]
         discovery.node.reconfigure(world.config)  # as SIGHUP does
         discovery.move(FAR)
@@ -686,7 +688,7 @@
     world = World(tmp_path, must_subscribe, failure, back=back, queue=QUEUE)
     assert world.play(40).ready
     told = next(at for at, revision in world.heard if revision == NEW)
-    assert told - back <= PERIOD + QUEUE + 0.01
+    assert told - back <= RETRY_PERIOD_S + QUEUE + 0.01
     assert world.dialled[0] == 0.0
 
 
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -29,9 +29,9 @@
 import pytest
 
 from balancer.interface import ListUpdateKind
-from balancer.net.config import Address, News
-from balancer.net.discovery import MOST_FORMER, Discovery
-from balancer.net.discovery_call import Call
+from balancer.net.discovery import MAX_FORMER_CALLS, DiscoveryClient
+from balancer.net.discovery_call import DiscoveryCall
+from balancer.net.endpoints import Address, EndpointUpdate
 from balancer.net.node import Node
 from tests.sockets import Backend, Client, FakeDiscovery, Rig, configuration, read_message, started
 from tests.test_discovery import FAR, HEAD, KNOWN, NEW, Line, World
@@ -129,7 +129,7 @@
 
     async def dial(self, protocol: asyncio.Protocol, address: Address) -> None:
         self.dialled.append(self.now)
-        node = cast(Call, protocol).owner.node.settings.me
+        node = cast(DiscoveryCall, protocol).owner.node.settings.me
         if self.current.setdefault(node, address) != address:
             raise ConnectionRefusedError("an address that was given up")
         if self.outage is Outage.REFUSED:
@@ -204,7 +204,7 @@
         self.current[number] = address
         self.loop.call_later(CLOSES, self.close_but, number, address)
         node.reconfigure(replace(self.config, settings=replace(self.config.settings, me=number)))
-        cast(Discovery, node.discovery).move(address)
+        cast(DiscoveryClient, node.discovery).move(address)
 
     def begin(self, number: int, seed: int) -> Node:
         """One node of the tier."""
@@ -212,7 +212,7 @@
         node = self.node(replace(self.config, seed=seed, settings=settings))
         take = node.list
 
-        def told(news: News, kind: ListUpdateKind) -> None:
+        def told(news: EndpointUpdate, kind: ListUpdateKind) -> None:
             self.taken.append(Told(self.now, number, news.revision))
             take(news, kind)
 
@@ -234,7 +234,7 @@
                 self.loop.call_at(first + at, self.configure, node, next(addresses))
         await asyncio.sleep(SETTLED)
         for node in nodes:
-            cast(Discovery, node.discovery).watch(False)
+            cast(DiscoveryClient, node.discovery).watch(False)
         return made
 
     async def after_outage(self, seed: int, outage: Outage) -> dict[int, float]:
@@ -251,7 +251,7 @@
             self.loop.call_at(at, self.change, revision)
         await asyncio.sleep(SETTLED)
         for node in nodes:
-            cast(Discovery, node.discovery).watch(False)
+            cast(DiscoveryClient, node.discovery).watch(False)
         return made
 
     def play_all(self, life: Coroutine[None, None, dict[int, float]]) -> dict[int, float]:
@@ -323,7 +323,7 @@
 ) -> None:
     world = World(tmp_path, must_subscribe, "good", "mute")
 
-    def move(discovery: Discovery) -> None:
+    def move(discovery: DiscoveryClient) -> None:
         discovery.move(FAR)
         world.loop.call_later(0.2, lambda: world.lines[0].put(world.whole(revision=NEW), first=False))
         world.loop.call_later(0.4, lambda: world.lines[1].put(world.whole(revision=NEW + 1)))
@@ -338,7 +338,7 @@
     """Each has a descriptor; the oldest goes first, and all of them once the newest address has told."""
     world, most = World(tmp_path, False, "mute"), list[int]()
 
-    def move(discovery: Discovery, moves: int) -> None:
+    def move(discovery: DiscoveryClient, moves: int) -> None:
         discovery.move(("127.0.0.2", moves))
         most.append(sum(line.open for line in world.lines))
         if moves < 40:
@@ -347,7 +347,7 @@
             world.loop.call_later(2.0, lambda: world.lines[-1].put(world.whole(revision=NEW)))
 
     world.play(22.0, lambda discovery: cast(None, world.loop.call_at(1.0, move, discovery, 1)))
-    assert 2 <= max(most) <= MOST_FORMER + 1
+    assert 2 <= max(most) <= MAX_FORMER_CALLS + 1
     assert max(line.ended for line in world.lines[:-1]) < 20.6 and world.lines[-1].ended == 22.0
 
 
@@ -365,7 +365,7 @@
         world.lines[1].put(world.whole(revision=NEW))
         lines.append([line.open for line in world.lines])
 
-    def wait(discovery: Discovery) -> None:
+    def wait(discovery: DiscoveryClient) -> None:
         if len(world.dialled) < 2:
             world.loop.call_later(0.1, wait, discovery)
         else:
@@ -380,7 +380,7 @@
     """It may be older than what is in force; one that discovery gives for a newer version has begun anew."""
     world = World(tmp_path, False, "good", "mute")
 
-    def move(discovery: Discovery) -> None:
+    def move(discovery: DiscoveryClient) -> None:
         discovery.move(FAR)
         world.lines[0].put(world.whole(revision=NEW), first=False)
         world.loop.call_later(0.1, lambda: world.lines[1].put(world.whole(revision=3)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,8 @@
 from balancer.membership.port import MOST, RECOVERY, Port
 from balancer.membership.shell import MembershipShell
 from balancer.net import config
-from balancer.net.config import Address, ConfigError
+from balancer.net.config_errors import ConfigError
+from balancer.net.endpoints import Address
 from balancer.net.fleet import Fleet, read
 from tests.sockets import happens
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -19,12 +19,13 @@
 from balancer import interface as api
 from balancer.__main__ import take_place
 from balancer.interface import EndpointPhase, ListUpdateKind
-from balancer.net import config, discovery_call, listing, objects, rows
-from balancer.net.config import Member, News
-from balancer.net.discovery import Discovery
-from balancer.net.discovery_call import MOST_OBJECT, most_object
+from balancer.net import config, discovery_call, endpoint_updater, list_layout, objects
+from balancer.net.discovery import DiscoveryClient
+from balancer.net.discovery_call import MIN_OBJECT_LIMIT_BYTES, max_object_bytes
+from balancer.net.endpoint_decoder import PHASES
+from balancer.net.endpoints import EndpointUpdate, Member
+from balancer.net.liveness import LivenessTimeout
 from balancer.net.node import Node, Rooms
-from balancer.net.watchdog import Watchdog
 from balancer.policy import Balancer
 from tests import test_discovery
 from tests.helpers import member as listed_at
@@ -40,7 +41,7 @@
 )
 all_at_most, worst = test_discovery.all_at_most, test_discovery.worst
 UP, DRAINING, GONE = EndpointPhase.IN_SERVICE, EndpointPhase.DRAINING, EndpointPhase.REMOVED
-PHASES = {phase: word for word, phase in config.PHASES.items()}
+PHASE_WORDS = {phase: word for word, phase in PHASES.items()}
 SHORT, PIECE = 4, 2
 
 
@@ -48,12 +49,12 @@
 def soon_long(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """A list of some entries is a long one."""
     monkeypatch.setattr(objects, "LONG", 100)
-    monkeypatch.setattr(rows, "RUN", 100)
-    monkeypatch.setattr(rows, "STEP", 2)
-    monkeypatch.setattr(rows, "LOOKS", 1)
-    monkeypatch.setattr(listing, "SHORT", SHORT)
-    monkeypatch.setattr(listing, "PIECE", PIECE)
-    monkeypatch.setattr(listing, "LOOKS", 5)
+    monkeypatch.setattr(list_layout, "MIN_RUN_BYTES", 100)
+    monkeypatch.setattr(list_layout, "ROWS_PER_MATCH", 2)
+    monkeypatch.setattr(list_layout, "RUNS_PER_SLICE", 1)
+    monkeypatch.setattr(endpoint_updater, "MAX_SHORT_UPDATE", SHORT)
+    monkeypatch.setattr(endpoint_updater, "BATCH_SIZE", PIECE)
+    monkeypatch.setattr(endpoint_updater, "COMPARED_PER_SLICE", 5)
     yield
 
 
@@ -88,20 +89,20 @@
     return listed_at(entry, f"127.0.0.1:{port}")
 
 
-def whole(revision: int, number: int, **phases: EndpointPhase) -> News:
+def whole(revision: int, number: int, **phases: EndpointPhase) -> EndpointUpdate:
     """A whole list of b0, b1, ..., some of them in another phase."""
     told = dict.fromkeys((f"b{i}" for i in range(number)), UP) | phases
-    return News(revision, True, tuple(member(*one) for one in told.items() if one[1] is not GONE))
+    return EndpointUpdate(revision, True, tuple(member(*one) for one in told.items() if one[1] is not GONE))
 
 
-def change(revision: int, **phases: EndpointPhase) -> News:
-    return News(revision, False, tuple(member(name, phase) for name, phase in phases.items()))
+def change(revision: int, **phases: EndpointPhase) -> EndpointUpdate:
+    return EndpointUpdate(revision, False, tuple(member(name, phase) for name, phase in phases.items()))
 
 
-def text(news: News) -> bytes:
+def text(news: EndpointUpdate) -> bytes:
     """As discovery says it."""
     members = [
-        {"id": m.backend, "host_port": f"{m.address[0]}:{m.address[1]}", "phase": PHASES[m.phase],
+        {"id": m.backend, "host_port": f"{m.address[0]}:{m.address[1]}", "phase": PHASE_WORDS[m.phase],
          "locality": m.zone} for m in news.members
     ]  # fmt: skip
     table = {"revision": news.revision, "complete": news.complete, "members": members}
@@ -128,16 +129,16 @@
         node.fleet = cast(Rooms, rooms)
         return node
 
-    def live(self, *steps: Callable[[Node, Discovery], None], seconds: float = 1.0) -> Node:
+    def live(self, *steps: Callable[[Node, DiscoveryClient], None], seconds: float = 1.0) -> Node:
         """Each step once the one before is through; a second more of life."""
 
-        def begin(discovery: Discovery) -> None:
+        def begin(discovery: DiscoveryClient) -> None:
             for i, step in enumerate(steps):
                 self.loop.call_at(0.1 + i, step, discovery.node, discovery)
 
         return self.play(0.1 + len(steps) + seconds, begin)
 
-    def says(self, *news: News, call: int = 0) -> Callable[[Node, Discovery], None]:
+    def says(self, *news: EndpointUpdate, call: int = 0) -> Callable[[Node, DiscoveryClient], None]:
         return lambda node, _: self.lines[call].put(b"".join(map(text, news)), first=False)
 
 
@@ -148,7 +149,7 @@
 def test_a_long_list_is_in_force_after_many_turns_and_counts_only_then(tmp_path: Path) -> None:
     world, seen = Long(tmp_path), list[tuple[bool, bool, int]]()
 
-    def say(node: Node, discovery: Discovery) -> None:
+    def say(node: Node, discovery: DiscoveryClient) -> None:
         world.module.then = lambda _: seen.append((node.ready, node.fresh.is_set(), len(world.taken)))
         world.says(whole(8, 30))(node, discovery)
 
@@ -181,7 +182,9 @@
 
 
 def test_an_id_that_comes_again_with_another_address_or_zone_is_told(tmp_path: Path) -> None:
-    moved = News(9, True, (member("b0", port=10), member("b1", zone="b"), *whole(9, 30).members[2:]))
+    moved = EndpointUpdate(
+        9, True, (member("b0", port=10), member("b1", zone="b"), *whole(9, 30).members[2:])
+    )
     world = Long(tmp_path)
     node = world.live(world.says(whole(8, 30)), lambda *_: world.module.told.clear(), world.says(moved))
     assert pieces(world) == [{"b0": UP, "b1": UP}]
@@ -190,14 +193,14 @@
 
 def test_a_saved_list_has_the_module_ask_by_its_first_piece_alone(tmp_path: Path) -> None:
     world = Long(tmp_path)
-    saved = News(7, True, (member("b0", DRAINING), *whole(7, 30).members[1:]))
+    saved = EndpointUpdate(7, True, (member("b0", DRAINING), *whole(7, 30).members[1:]))
     fresh = list[bool]()
 
     async def life() -> None:
         node = Node(world.config)
         node.balancer = cast(Balancer, world.module)
         node.list(saved, ListUpdateKind.CACHED)
-        await node.listing.settled()
+        await node.listing.wait_idle()
         fresh.extend((node.fresh.is_set(), node.ready))
 
     world.loop.run_until_complete(life())
@@ -244,7 +247,7 @@
     """Guards against a list given up as it looks for one that has gone meanwhile."""
     world = Long(tmp_path)
 
-    def say(node: Node, _: Discovery) -> None:
+    def say(node: Node, _: DiscoveryClient) -> None:
         node.list(whole(9, 4), ListUpdateKind.SNAPSHOT)
         later = change(10, b29=GONE, b28=GONE)
         work = node.loop.call_soon
@@ -271,7 +274,7 @@
         await take_place(node, cast(Any, SimpleNamespace(enough=True)), False)
         seen.append((round(world.now, 2), len(world.module.held)))
 
-    def begin(node: Node, _: Discovery) -> None:
+    def begin(node: Node, _: DiscoveryClient) -> None:
         world.task = node.loop.create_task(take_over(node))
         world.lines[0].put(data[:700], first=False)
         if rest_at is not None:
@@ -284,7 +287,7 @@
 def test_empty_lines_in_mid_list_do_not_make_the_node_fresh(tmp_path: Path) -> None:
     world, seen = Long(tmp_path), list[bool]()
 
-    def beat(node: Node, _: Discovery) -> None:
+    def beat(node: Node, _: DiscoveryClient) -> None:
         world.module.then = lambda _: seen.append(node.fresh.is_set())
         world.lines[0].put(text(whole(8, 30)) + b"\n\n", first=False)
 
@@ -303,7 +306,7 @@
     """While it is decoded (None: with the next one begun), or taken."""
     world = Long(tmp_path, "opens", "mute")
 
-    def say(node: Node, _: Discovery) -> None:
+    def say(node: Node, _: DiscoveryClient) -> None:
         if pieces_before is None:
             world.lines[0].put(text(whole(8, 30)) + text(whole(9, 2))[:60], first=False)
             world.lines[0].abort()
@@ -333,14 +336,15 @@
     lines = [line for line in caplog.messages if "bad list" in line]
     assert lines == ["discovery: bad list: LST01: members[28].id makes no sense: 'b28' is there twice"]
     assert world.asked[1][1] == "/discovery/hosts?watch=1&from=0"
-    assert not cast(Discovery, node.discovery).unread
+    assert not cast(DiscoveryClient, node.discovery).unread
 
 
 def test_a_call_that_is_silent_while_its_list_is_decoded_is_no_dead_one(tmp_path: Path) -> None:
     world = Long(tmp_path)
 
-    def slow(node: Node, _: Discovery) -> None:
-        node.turns.hurry, node.turns.clock = False, Clock(0.2)  # each turn takes so long, and a pause as well
+    def slow(node: Node, _: DiscoveryClient) -> None:
+        node.turns.skips_pauses = False
+        node.turns.clock = Clock(0.2)  # each slice takes so long, and a pause as well
         world.says(whole(8, 60))(node, _)
         world.lines[0].beat(world.now, 40)
 
@@ -363,8 +367,9 @@
     world, at = Long(tmp_path), list[float]()
     world.module.then = lambda _: at.append(world.now)
 
-    def say(node: Node, discovery: Discovery) -> None:
-        node.turns.hurry, node.turns.clock = False, Clock(0.003)
+    def say(node: Node, discovery: DiscoveryClient) -> None:
+        node.turns.skips_pauses = False
+        node.turns.clock = Clock(0.003)
         assert discovery.call is not None
         discovery.news(discovery.call, whole(8, 30))
 
@@ -380,7 +385,7 @@
     """Decoded or taken then: it came whole and counts as told, so the next call goes on from it."""
     world = Long(tmp_path, "opens", "opens", "mute")
 
-    def say(node: Node, discovery: Discovery) -> None:
+    def say(node: Node, discovery: DiscoveryClient) -> None:
         world.module.then = lambda n: discovery.move(("127.0.0.2", 1)) if n == piece else None
         world.says(whole(8, 30))(node, discovery)
         if piece is None:
@@ -395,7 +400,7 @@
 def test_a_watch_that_is_stopped_in_mid_list_tells_no_more_of_what_is_not_decoded(tmp_path: Path) -> None:
     world = Long(tmp_path)
 
-    def say(node: Node, discovery: Discovery) -> None:
+    def say(node: Node, discovery: DiscoveryClient) -> None:
         world.says(whole(8, 30))(node, discovery)
         discovery.watch(False)
 
@@ -407,7 +412,7 @@
     """The slow one and the next: whichever is whole first goes on, and the other one is closed."""
     world = Long(tmp_path, "endless", "opens", "mute")
 
-    def say(node: Node, discovery: Discovery) -> None:
+    def say(node: Node, discovery: DiscoveryClient) -> None:
         assert discovery.slow is not None
         rest = text(whole(8, 30))[len(b'{"revision": 9, "complete"') :]
         world.lines[0].put(rest, first=False)
@@ -423,16 +428,16 @@
     world = Long(tmp_path)
     repeated = whole(7, 30, b1=DRAINING, b2=DRAINING)
 
-    def say(node: Node, _: Discovery) -> None:
+    def say(node: Node, _: DiscoveryClient) -> None:
         node.list(whole(8, 30, b3=GONE), ListUpdateKind.SNAPSHOT)
         node.list(repeated, ListUpdateKind.CACHED)
-        node.list(News(7, False, (member("b3"),), again=True), ListUpdateKind.DELTA)
+        node.list(EndpointUpdate(7, False, (member("b3"),), is_repeated=True), ListUpdateKind.DELTA)
 
     world.live(say, seconds=2.0)
     assert world.module.held == dict.fromkeys((f"b{i}" for i in range(30) if i != 3), UP)
     world = Long(tmp_path)
 
-    def saved(node: Node, _: Discovery) -> None:
+    def saved(node: Node, _: DiscoveryClient) -> None:
         node.list(whole(7, 30), ListUpdateKind.CACHED)
         node.list(change(8, b1=UP, b4=GONE), ListUpdateKind.DELTA)
         node.list(repeated, ListUpdateKind.CACHED)
@@ -445,8 +450,8 @@
 def test_news_that_come_of_news_that_are_taken_wait_for_their_turn(tmp_path: Path) -> None:
     world = Long(tmp_path)
 
-    def say(node: Node, _: Discovery) -> None:
-        def listed(news: News, kind: ListUpdateKind) -> None:
+    def say(node: Node, _: DiscoveryClient) -> None:
+        def listed(news: EndpointUpdate, kind: ListUpdateKind) -> None:
             world.taken.append(news.revision)
             if news.revision == 8:
                 node.list(change(9, b0=GONE), ListUpdateKind.DELTA)
@@ -464,7 +469,7 @@
 def test_a_defect_while_a_list_is_taken_does_not_hold_up_the_next(tmp_path: Path) -> None:
     world = Long(tmp_path)
 
-    def broken(node: Node, _: Discovery) -> None:
+    def broken(node: Node, _: DiscoveryClient) -> None:
         def fails(*_: object) -> None:
             cast(Any, node.fleet).listed = lambda news, kind: world.taken.append(news.revision)
             raise RuntimeError
@@ -504,13 +509,13 @@
             members = tuple(member(name, phase, port=port) for name, phase in phases.items())
             last = phases if not complete else dict.fromkeys(NAMES, GONE) | phases
             kind = ListUpdateKind.SNAPSHOT if complete else ListUpdateKind.DELTA
-            node.list(News(number, complete, members), kind)
+            node.list(EndpointUpdate(number, complete, members), kind)
             if complete:
                 expected.clear()
             expected.update(phases)
             for _ in range(turns):
                 await asyncio.sleep(0)
-        while node.listing.waiting:
+        while node.listing.pending:
             await asyncio.sleep(0)
         held = {name: phase for name, phase in expected.items() if phase is not GONE}
         assert world.module.held == held
@@ -519,7 +524,7 @@
         }
         assert node.pool.listed == sum(phase is UP for phase in held.values())
         assert not said or world.taken[-1] == len(said)
-        cast(Discovery, node.discovery).watch(False)
+        cast(DiscoveryClient, node.discovery).watch(False)
 
     try:
         world.loop.run_until_complete(life())
@@ -531,11 +536,11 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     """A list of 70,000 has 10,434,719 bytes."""
-    assert most_object(192.0) >= 1.5 * 10_434_719 and most_object(16.0) == MOST_OBJECT
+    assert max_object_bytes(192.0) >= 1.5 * 10_434_719 and max_object_bytes(16.0) == MIN_OBJECT_LIMIT_BYTES
     caplog.set_level(logging.INFO)
     world = Long(tmp_path, "opens", "mute")
 
-    def say(node: Node, discovery: Discovery) -> None:
+    def say(node: Node, discovery: DiscoveryClient) -> None:
         assert discovery.call is not None
         discovery.call.objects.most = 1000
         world.says(whole(8, 30))(node, discovery)
@@ -550,11 +555,11 @@
 def test_seventy_thousand_in_odd_pieces_are_taken(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for where, name, value in (
         (objects, "LONG", 65_536),
-        (rows, "RUN", 16_384),
-        (rows, "LOOKS", 8),
-        (listing, "SHORT", 256),
-        (listing, "PIECE", 128),
-        (listing, "LOOKS", 1024),
+        (list_layout, "MIN_RUN_BYTES", 16_384),
+        (list_layout, "RUNS_PER_SLICE", 8),
+        (endpoint_updater, "MAX_SHORT_UPDATE", 256),
+        (endpoint_updater, "BATCH_SIZE", 128),
+        (endpoint_updater, "COMPARED_PER_SLICE", 1024),
     ):
         monkeypatch.setattr(where, name, value)
     world = Long(tmp_path)
@@ -564,7 +569,7 @@
     data = json.dumps({"revision": 41, "complete": True, "members": table}).encode()
     assert len(data) > 8 * 1024 * 1024
 
-    def say(node: Node, _: Discovery) -> None:
+    def say(node: Node, _: DiscoveryClient) -> None:
         at, size = 0, 1
         while at < len(data):
             world.lines[0].put(data[at : at + size], first=False)
@@ -583,15 +588,15 @@
     for behind in (b"0\r\n\r\n", b"no HTTP\r\n"):
         world, read = Long(tmp_path, "opens", "mute"), list[int]()
 
-        def say(node: Node, watch: Discovery, world: Long = world, behind: bytes = behind) -> None:
+        def say(node: Node, watch: DiscoveryClient, world: Long = world, behind: bytes = behind) -> None:
             said = text(whole(8, 30)) + text(change(9, b0=GONE))
             world.lines[0].raw(b"%x\r\n%b\r\n" % (len(said), said) + behind)
             world.lines[0].abort()
 
-        def fed(self: Watchdog, now: float, read: list[int] = read) -> None:
+        def fed(self: LivenessTimeout, now: float, read: list[int] = read) -> None:
             read.append(1)
 
-        monkeypatch.setattr(Watchdog, "fed", fed)
+        monkeypatch.setattr(LivenessTimeout, "bytes_received", fed)
         world.live(say, seconds=9.0)
         assert len(read) > 30 and world.taken == [8, 9]
         assert len(world.module.held) == 29 and world.asked[1][1].endswith("from=9")
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -8,7 +8,8 @@
 import pytest
 
 from balancer import interface as api
-from balancer.net.config import ListError, News, address, news, news_of
+from balancer.net.endpoint_decoder import decode_update, update_from_json
+from balancer.net.endpoints import EndpointListError, EndpointUpdate, parse_address
 from tests.helpers import member
 
 ROW = {"id": "a", "host_port": "10.0.0.1:80", "phase": "in_service"}
@@ -28,11 +29,11 @@
 ])  # fmt: skip
 def test_what_is_odd_but_clear_is_taken(text: bytes) -> None:
     entry = api.Endpoint("a", "z", 3, 2.0, api.EndpointPhase.IN_SERVICE, 9.0, "")
-    got = news_of(text)
+    got = decode_update(text)
     assert (got.revision, got.complete) == (7, False)
     assert got.members == (member(entry, "10.0.0.1:80"),)
     assert got.members[0].address == ("10.0.0.1", 80)
-    assert news(json.loads(text)) == got
+    assert update_from_json(json.loads(text)) == got
 
 
 @pytest.mark.parametrize(("over", "line"), [
@@ -46,8 +47,8 @@
     ({"host_port": "b.example:80"}, "members[0].host_port makes no sense: 'b.example:80'"),
 ])  # fmt: skip
 def test_one_senseless_entry_is_named_and_spoils_the_list(over: dict[str, Any], line: str) -> None:
-    with pytest.raises(ListError) as err:
-        news_of(told(**over))
+    with pytest.raises(EndpointListError) as err:
+        decode_update(told(**over))
     assert str(err.value) == line
 
 
@@ -57,26 +58,26 @@
     (b"[]", "the whole makes no sense: [], expected `object`, got `array`"),
 ])  # fmt: skip
 def test_what_is_no_list_is_said(text: bytes, line: str) -> None:
-    with pytest.raises(ListError) as err:
-        news_of(text)
+    with pytest.raises(EndpointListError) as err:
+        decode_update(text)
     assert str(err.value) == line
 
 
 def test_a_host_is_an_address_of_either_kind_and_never_a_name() -> None:
-    assert address("[::1]:9") == ("::1", 9) and address("10.0.0.1:0") == ("10.0.0.1", 0)
+    assert parse_address("[::1]:9") == ("::1", 9) and parse_address("10.0.0.1:0") == ("10.0.0.1", 0)
     for wrong in ("localhost:80", "010.0.0.1:80", "10.0.0.1", "10.0.0.1:65536", "10.0.0.1:+1", " 10.0.0.1:1"):
         with pytest.raises(ValueError):
-            address(wrong)
-    assert news_of(b'{"revision": 0, "complete": true, "members": []}') == News(0, True, ())
+            parse_address(wrong)
+    assert decode_update(b'{"revision": 0, "complete": true, "members": []}') == EndpointUpdate(0, True, ())
 
 
 @pytest.mark.parametrize("text", ["10.0.0.1:80", "[::1]:9", "::1:9", "255.249.99.0:65535", "1.2.3.4:0",
                                   "1.2.3.4:60000"])  # fmt: skip
 def test_an_address_stays_text_and_one_that_is_written_otherwise_is_the_same_one(text: str) -> None:
-    (member,) = news_of(told(host_port=text)).members
-    assert member.address == address(text)
+    (member,) = decode_update(told(host_port=text)).members
+    assert member.address == parse_address(text)
     host, _, port = text.rpartition(":")
-    assert news_of(told(host_port=f"{host}:00{port}")).members == (member,)
+    assert decode_update(told(host_port=f"{host}:00{port}")).members == (member,)
 
 
 ROWS: list[dict[str, Any]] = [
@@ -91,16 +92,16 @@
 ])  # fmt: skip
 def test_what_is_told_again_is_the_same_object_and_what_is_new_another(over: dict[str, Any]) -> None:
     """Guards against a second copy of a long list while nothing, or little, is new."""
-    first = news_of(json.dumps({"revision": 7, "complete": True, "members": ROWS}).encode()).members
+    first = decode_update(json.dumps({"revision": 7, "complete": True, "members": ROWS}).encode()).members
     held = {member.backend: member for member in first}
     again = [*ROWS[:9], ROWS[9] | over, *ROWS[10:]]
     data = json.dumps({"revision": 8, "complete": True, "members": again}).encode()
-    got = news_of(data, held.get)
+    got = decode_update(data, held.get)
     assert [a is b for a, b in zip(got.members, first, strict=True)] == [i != 9 for i in range(40)]
-    assert got == news_of(data) and got.members[9] != first[9]
+    assert got == decode_update(data) and got.members[9] != first[9]
 
 
 def test_what_was_told_in_other_words_is_as_it_was() -> None:
-    first = news_of(told(cell=3, locality="z"))
+    first = decode_update(told(cell=3, locality="z"))
     held = {"a": first.members[0]}
-    assert news_of(told(cell="3", locality="z", new=1), held.get).members == first.members
+    assert decode_update(told(cell="3", locality="z", new=1), held.get).members == first.members
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from balancer.interface import AttemptStatus, EndpointPhase
-from balancer.net.changes import NAMES, ListChanges
+from balancer.net.change_summary import MAX_NAMES, ChangeSummary
 from balancer.net.limited import EVERY, LimitedWarnings
 from balancer.net.request_log import RequestLog
 from tests.helpers import entry, member
@@ -19,27 +19,29 @@
 
 
 def test_the_changes_of_a_list_are_told_by_kind_and_the_rest_is_counted() -> None:
-    changes = ListChanges()
+    changes = ChangeSummary()
     up = member(entry("b0"), HERE)
-    changes.add(up, up)
+    changes.add_update(up, up)
     assert changes.text() == ""
-    for number in range(NAMES + 2):
+    for number in range(MAX_NAMES + 2):
         one = replace(up, backend=f"b{number}")
-        changes.add(replace(one, phase=EndpointPhase.DRAINING), one)
-    changes.add(replace(up, backend="new"), None)
-    changes.add(replace(up, backend="old", phase=EndpointPhase.REMOVED), None)  # it was never listed
-    changes.add(replace(up, started_at=up.started_at + 1.0), up)
-    changes.add_gone([replace(up, backend="left-out")])
-    named = " ".join(f"b{number}" for number in range(NAMES))
-    assert changes.text() == f"draining {named} and 2 more, gone left-out, ready new, restarted b0"
+        changes.add_update(replace(one, phase=EndpointPhase.DRAINING), one)
+    changes.add_update(replace(up, backend="new"), None)
+    changes.add_update(replace(up, backend="old", phase=EndpointPhase.REMOVED), None)  # it was never listed
+    changes.add_update(replace(up, started_at=up.started_at + 1.0), up)
+    changes.add_removed(["left-out"])
+    named = " ".join(f"b{number}" for number in range(MAX_NAMES))
+    assert changes.text() == f"draining {named} and 2 more, removed left-out, in service new, restarted b0"
 
 
 def test_pieces_of_a_long_list_add_up() -> None:
-    changes, up = ListChanges(), member(entry("b"), HERE)
-    changes.add_piece([replace(up, backend=f"b{number}") for number in range(NAMES)])
-    changes.add_piece([replace(up, backend="more"), replace(up, backend="old", phase=EndpointPhase.REMOVED)])
-    named = " ".join(f"b{number}" for number in range(NAMES))
-    assert changes.text() == f"gone old, ready {named} and 1 more"
+    changes, up = ChangeSummary(), member(entry("b"), HERE)
+    changes.add_changed([replace(up, backend=f"b{number}") for number in range(MAX_NAMES)])
+    changes.add_changed(
+        [replace(up, backend="more"), replace(up, backend="old", phase=EndpointPhase.REMOVED)]
+    )
+    named = " ".join(f"b{number}" for number in range(MAX_NAMES))
+    assert changes.text() == f"removed old, in service {named} and 1 more"
 
 
 def test_lines_of_a_kind_are_limited_and_what_is_left_out_is_counted(
@@ -79,11 +81,11 @@
     world.play(20)
     lines = [line for line in caplog.messages if line.startswith(("discovery: call", "list: revision"))]
     target = "127.0.0.1:1 for /discovery/hosts?watch=1&from="
-    names = " ".join(f"b{i}" for i in range(NAMES))
+    names = " ".join(f"b{i}" for i in range(MAX_NAMES))
     assert lines[:3] == [
         f"discovery: call 1 to {target}0: the list is wanted",
         "discovery: call 1 answered after 0.00 s",
-        f"list: revision 8: ready {names} and 4 more",
+        f"list: revision 8: in service {names} and 4 more",
     ]
     reasons = [line.rpartition(": ")[2] for line in lines[3:]]
     assert reasons[:5] == [
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,9 @@
 
 from balancer.interface import AttemptStatus, Idempotency, ListUpdateKind, Settings
 from balancer.interface import RequestClass as Class
-from balancer.net.config import ListError, load, news
+from balancer.net.config import load
+from balancer.net.endpoint_decoder import update_from_json
+from balancer.net.endpoints import EndpointListError
 from balancer.net.figures import Figures
 from balancer.net.front import Front
 from balancer.net.node import Node
@@ -134,7 +136,7 @@
 
 def _list(name: str, port: int, **over: Any) -> Any:
     row = {"id": name, "host_port": f"127.0.0.1:{port}", "phase": "in_service"} | over
-    return news({"revision": 1, "complete": True, "members": [row]}).members
+    return update_from_json({"revision": 1, "complete": True, "members": [row]}).members
 
 
 async def _attempt(pool: Pool, data: bytes, meanwhile: Callable[[], Any] = lambda: None) -> Answer:
@@ -483,8 +485,8 @@
 )
 def test_bad_entries_are_named(row: dict[str, Any]) -> None:
     good = {"id": "b0", "host_port": "127.0.0.1:1", "phase": "in_service"}
-    with pytest.raises(ListError):
-        news({"revision": 1, "complete": True, "members": [good | row if row else "b0"]})
+    with pytest.raises(EndpointListError):
+        update_from_json({"revision": 1, "complete": True, "members": [good | row if row else "b0"]})
 
 
 # --- bad input
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -14,7 +14,8 @@
 
 from balancer.__main__ import share
 from balancer.net import pair as pair_file
-from balancer.net.config import LEAST, LEAVING, SPARE, Config
+from balancer.net.config import Config
+from balancer.net.connection_limits import CLOSING_FDS, MIN_FDS, RESERVED_FDS
 from balancer.net.front import ClientConnection, Front
 from balancer.net.node import Node
 from balancer.net.pair import Pair
@@ -33,7 +34,7 @@
 
     def __init__(self, folder: Path, config: Config) -> None:
         self.node = Node(config)
-        self.front = Front(self.node, config.shares(1)[0])
+        self.front = Front(self.node, config.limits_per_process(1)[0])
         self.pair = Pair(folder / "x", lambda beside: None)
         self.parts = Parts(self.node, self.front, self.pair)
         self.transports: dict[ClientConnection, FakeTransport] = {}
@@ -58,7 +59,9 @@
     def holds(self) -> int:
         """Descriptors, as if it used all that it keeps for itself."""
         front = self.front
-        return SPARE + LEAVING + len(front.connections) + len(front.lingering) + self.node.pool.count
+        return (
+            RESERVED_FDS + CLOSING_FDS + len(front.connections) + len(front.lingering) + self.node.pool.count
+        )
 
     def flood(self, count: int = SOCKETS, half: bool = False) -> None:
         """So many clients come, with half a head or with nothing, and all backends' connections are used."""
@@ -128,7 +131,7 @@
 ) -> None:
     old = tier.start()
     old.flood(half=half)
-    assert old.holds == SOCKETS - LEAST  # what a newcomer needs at once is kept free
+    assert old.holds == SOCKETS - MIN_FDS  # what a newcomer needs at once is kept free
     new = tier.start()
     new.flood(half=half)
     tier.check()
@@ -173,7 +176,10 @@
         old.transports[connection].aborted = True
     old.settle()
     old.look()
-    assert old.front.limit == tier.config.elder(old.parts.part)[0] and len(old.front.connections) == 20
+    assert (
+        old.front.limit == tier.config.predecessor_limits(old.parts.part)[0]
+        and len(old.front.connections) == 20
+    )
 
 
 async def test_one_that_dies_leaves_all_to_the_other(tier: Tier) -> None:
@@ -185,7 +191,10 @@
     tier.all.remove(old)
     old.die()
     new.look()
-    assert new.parts.part == tier.config.alone > part and new.front.limit == tier.config.shares(1)[0]
+    assert (
+        new.parts.part == tier.config.sole_process_fds > part
+        and new.front.limit == tier.config.limits_per_process(1)[0]
+    )
     newest = tier.start()
     for _ in range(2):
         new.look()
@@ -194,7 +203,7 @@
     tier.all.remove(newest)
     newest.die()  # before it has taken over
     new.look()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.shares(1)
+    assert (new.front.limit, new.node.pool.limit) == tier.config.limits_per_process(1)
 
 
 @pytest.mark.parametrize("text", ["", "x" * 200, "\xff\n", "1 2 3\n", Claim(1, 2).text()[:-4]])
@@ -208,14 +217,14 @@
     good = slot.read_bytes()
     slot.write_bytes(text.encode("latin-1"))
     new = tier.start()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.shares(2) and new.parts.enough
+    assert (new.front.limit, new.node.pool.limit) == tier.config.limits_per_process(2) and new.parts.enough
     slot.write_bytes(good)
     new.look()
     tier.check()
-    assert new.parts.part == LEAST  # the old one has not looked yet
+    assert new.parts.part == MIN_FDS  # the old one has not looked yet
     slot.write_bytes(text.encode("latin-1"))
     new.look()
-    assert new.parts.part == LEAST
+    assert new.parts.part == MIN_FDS
     for _ in range(3):  # it is written anew at each look
         old.look()
         old.settle(lingering=True)
@@ -225,7 +234,7 @@
     assert new.parts.enough
     new.pair.slots[1].write_bytes(text.encode("latin-1"))
     old.look()  # it is known to have come later
-    assert old.parts.part == tier.config.elders
+    assert old.parts.part == tier.config.predecessor_fds
 
 
 async def test_who_holds_more_than_its_part_does_not_grow_until_that_is_gone(tier: Tier) -> None:
@@ -241,11 +250,11 @@
     old.look()
     new.look()
     tier.check()
-    assert (new.front.limit, new.node.pool.limit) == tier.config.within(LEAST)
+    assert (new.front.limit, new.node.pool.limit) == tier.config.connection_limits(MIN_FDS)
     new.node.pool.count = 0
     new.look()
     tier.check()
-    assert new.parts.part == SOCKETS - tier.config.elders
+    assert new.parts.part == SOCKETS - tier.config.predecessor_fds
 
 
 async def test_a_claim_is_read_as_it_was_written_and_no_other() -> None:
@@ -279,7 +288,7 @@
         assert second.said <= most  # also as the first gives up what it held
         most = second.said
     tier.check()
-    assert third.parts.part > LEAST
+    assert third.parts.part > MIN_FDS
     tier.all.remove(first)
     first.die()
     second.parts.leaving = True
@@ -289,7 +298,7 @@
     tier.all.remove(second)
     second.die()
     third.look()
-    assert third.parts.part == tier.config.alone
+    assert third.parts.part == tier.config.sole_process_fds
 
 
 async def test_one_that_comes_while_another_grows_is_seen_before_that_is_used(
@@ -301,14 +310,14 @@
     read = Pair.read
 
     def comes(pair: Pair) -> dict[int, str] | None:
-        if pair is new.pair and new.said > LEAST and not last:  # between what it says and its look
+        if pair is new.pair and new.said > MIN_FDS and not last:  # between what it says and its look
             last.append(tier.start())
         return read(pair)
 
     with monkeypatch.context() as patch:
         patch.setattr(Pair, "read", comes)
         new.look()
-    assert last and new.parts.part == LEAST and last[0].parts.part == LEAST
+    assert last and new.parts.part == MIN_FDS and last[0].parts.part == MIN_FDS
     for _ in range(2):
         for one in tier.all:
             one.look()
@@ -326,12 +335,12 @@
         patch.setattr(pair_file, "_held", fails)
         new = tier.start()
         tier.check()
-        assert new.parts.part == LEAST
+        assert new.parts.part == MIN_FDS
     old.look()
     with monkeypatch.context() as patch:
         patch.setattr(os, "pwrite", fails)
         new.look()
-        assert (new.front.limit, new.node.pool.limit) == tier.config.shares(2)
+        assert (new.front.limit, new.node.pool.limit) == tier.config.limits_per_process(2)
     new.look()
     tier.check()
 
@@ -339,22 +348,26 @@
 @pytest.mark.parametrize("sockets", [64, 128, 256, 1024, 4096])
 def test_every_part_is_within_itself(tmp_path: Path, sockets: int) -> None:
     config = Tier(tmp_path, sockets).config
-    for part in range(LEAST, sockets + 1):
-        for clients, upstream in (config.within(part), config.elder(part)):
+    for part in range(MIN_FDS, sockets + 1):
+        for clients, upstream in (config.connection_limits(part), config.predecessor_limits(part)):
             assert clients >= 1 and upstream >= 1
-            assert clients + max(1, min(16, clients // 8)) + LEAVING + upstream + SPARE <= part
-    if sockets >= 8 * SPARE:
-        assert config.alone + LEAST == sockets
-        assert config.elder(config.elders)[0] == sockets // 3  # all that clients have may stay
+            assert clients + max(1, min(16, clients // 8)) + CLOSING_FDS + upstream + RESERVED_FDS <= part
+    if sockets >= 8 * RESERVED_FDS:
+        assert config.sole_process_fds + MIN_FDS == sockets
+        assert (
+            config.predecessor_limits(config.predecessor_fds)[0] == sockets // 3
+        )  # all that clients have may stay
 
 
 async def test_without_a_console_nothing_is_kept_free_and_nothing_said(tmp_path: Path) -> None:
     config = config_of(tmp_path, [], 1, sockets=SOCKETS)
     node = Node(config)
-    front = Front(node, config.shares(1)[0])
+    front = Front(node, config.limits_per_process(1)[0])
     pair = Pair(tmp_path / "x", lambda beside: None)
     share(node, front, False, Parts(node, front, pair))
-    assert (front.limit, node.pool.limit) == config.shares(1) and config.alone == SOCKETS
+    assert (front.limit, node.pool.limit) == config.limits_per_process(
+        1
+    ) and config.sole_process_fds == SOCKETS
     assert not list(tmp_path.glob("x*"))
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from balancer import interface as api
-from balancer.net.config import Member
+from balancer.net.endpoints import Member
 from balancer.net.figures import Figures
 from balancer.net.shards import Shards
 from balancer.net.stream import Budget
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,8 @@
 import pytest
 
 from balancer import interface as api
-from balancer.net.config import ConfigError, load, reload
+from balancer.net.config import load, reload
+from balancer.net.config_errors import ConfigError
 from balancer.policy import Balancer
 from tests.helpers import BASE, KEYED, SAFE, UNSAFE, answers, node, sends
 from tests.sockets import CLASSES, Backend, Message, configuration, echo, running
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from balancer import interface as api
-from balancer.net.config import news
+from balancer.net.endpoint_decoder import update_from_json
 from balancer.net.figures import Figures
 from balancer.net.stream import Budget
 from balancer.net.upstream import REST, Answer, Attempt, Pool
@@ -297,7 +297,9 @@
     loop, backend = asyncio.get_running_loop(), Backend("b0")
     await backend.start()
     pool = Pool(BASE, 9, Figures(), Budget(64.0))
-    pool.update(news({"revision": 1, "complete": True, "members": [backend.member()]}).members, True)
+    pool.update(
+        update_from_json({"revision": 1, "complete": True, "members": [backend.member()]}).members, True
+    )
     ends: asyncio.Queue[Answer] = asyncio.Queue()
     back = -REST
     for count in range(1, 4):
@@ -381,7 +383,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.pool = Pool(BASE, 9, Figures(), Budget(64.0))
         row = {"id": "b0", "host_port": f"127.0.0.1:{self.listener.getsockname()[1]}", "phase": "in_service"}
-        self.pool.update(news({"revision": 1, "complete": True, "members": [row]}).members, True)
+        self.pool.update(update_from_json({"revision": 1, "complete": True, "members": [row]}).members, True)
         self.ends: asyncio.Queue[Answer] = asyncio.Queue()
 
     def start(self, data: bytes) -> Attempt:
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -11,7 +11,7 @@
 
 from balancer import interface as api
 from balancer.membership.port import Port
-from balancer.net.config import News
+from balancer.net.endpoints import EndpointUpdate
 from balancer.net.node import Node
 from balancer.net.returning import Returning
 from balancer.recovery.phases import Phase
@@ -39,9 +39,9 @@
 Told = list[tuple[api.ListUpdateKind, dict[str, api.EndpointPhase]]]
 
 
-def news(revision: int, *names: str) -> News:
+def news(revision: int, *names: str) -> EndpointUpdate:
     """A list of backends that are in service."""
-    return News(revision, True, tuple(member(entry(name), "127.0.0.1:1") for name in names))
+    return EndpointUpdate(revision, True, tuple(member(entry(name), "127.0.0.1:1") for name in names))
 
 
 @contextlib.asynccontextmanager
@@ -49,7 +49,7 @@
     """The return of a tier's only node, with a saved list; and what its node was told of lists."""
     told: Told = []
 
-    def take(update: News, kind: api.ListUpdateKind) -> None:
+    def take(update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         told.append((kind, {m.backend: m.phase for m in update.members}))
 
     one: Any = SimpleNamespace(
@@ -85,7 +85,7 @@
         one.restrict(frozenset({"a", "b", "x"}))
         assert told == [(api.ListUpdateKind.CACHED, {"a": leaving, "b": leaving, "c": up})]
         gone = member(entry("a", phase=api.EndpointPhase.REMOVED), "127.0.0.1:1")
-        one.listed(News(42, False, (gone,)), api.ListUpdateKind.DELTA)
+        one.listed(EndpointUpdate(42, False, (gone,)), api.ListUpdateKind.DELTA)
         one.restrict(frozenset())
         assert told[1:] == [(api.ListUpdateKind.DELTA, {"b": up})]
 
--- a/tests/test_rows.py
+++ b/tests/test_rows.py
@@ -14,16 +14,17 @@
 from hypothesis import strategies as st
 
 from balancer.errors import BalancerError
-from balancer.net import config, rows
-from balancer.net.config import ListError, News, news_in_turns, news_of
+from balancer.net import endpoint_decoder, list_layout
+from balancer.net.endpoint_decoder import decode_update, decode_update_in_slices
+from balancer.net.endpoints import EndpointListError, EndpointUpdate
 from balancer.net.objects import Pages
 
 ROW = {"id": "a", "host_port": "10.0.0.1:80", "phase": "in_service"}
 
 
-def in_turns(data: bytes) -> tuple[News, int]:
+def in_turns(data: bytes) -> tuple[EndpointUpdate, int]:
     """What comes of it, after how many turns."""
-    work = news_in_turns(Pages(data).whole())
+    work = decode_update_in_slices(Pages(data).whole())
     for turns in count(1):
         try:
             next(work)
@@ -32,10 +33,10 @@
     raise AssertionError
 
 
-def outcome(data: bytes, turned: bool) -> News | str:
+def outcome(data: bytes, turned: bool) -> EndpointUpdate | str:
     """What comes of it, or the line that says why nothing does; of what is no JSON, that it is none."""
     try:
-        return in_turns(data)[0] if turned else news_of(data)
+        return in_turns(data)[0] if turned else decode_update(data)
     except BalancerError as err:
         return err.line
     except (ValueError, RecursionError):
@@ -94,8 +95,8 @@
     text = json.dumps(shuffled(top | {"members": members}), indent=indent, ensure_ascii=ascii_only)
     data = text.encode("utf-8", "surrogatepass")
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(rows, "RUN", run)
-        patch.setattr(rows, "LOOKS", looks)
+        patch.setattr(list_layout, "MIN_RUN_BYTES", run)
+        patch.setattr(list_layout, "RUNS_PER_SLICE", looks)
         assert outcome(data, turned=True) == outcome(data, turned=False)
 
 
@@ -108,7 +109,7 @@
     at %= len(data)
     data = data[:at] + other + data[at + lost :]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(rows, "RUN", 200)
+        patch.setattr(list_layout, "MIN_RUN_BYTES", 200)
         if data.lstrip()[:1] == b"{":  # else no object is cut out of the stream
             assert outcome(data, turned=True) == outcome(data, turned=False)
 
@@ -125,19 +126,19 @@
 ])  # fmt: skip
 def test_a_long_list_takes_turns_and_an_odd_one_comes_right_too(data: bytes, least: int) -> None:
     got, turns = in_turns(data)
-    assert got == news_of(data) and len(got.members) == 5000
+    assert got == decode_update(data) and len(got.members) == 5000
     assert turns >= 20 if least > 1 else turns == 1
 
 
 def test_no_turn_decodes_more_than_some_hundred_rows_however_short_they_are() -> None:
     members = [{"id": f"{i:x}", "host_port": "1.1.1.1:1", "phase": "in_service"} for i in range(20_000)]
     data = json.dumps({"revision": 1, "members": members}, separators=(",", ":")).encode()
-    work = rows.layout(data)
+    work = list_layout.scan_layout(data)
     try:
         while True:
             next(work)
     except StopIteration as end:
-        begins = [end.value.rows, *end.value.runs]
+        begins = [end.value.first_row, *end.value.run_ends]
     most = max(data.count(b'"id"', a, b) for a, b in pairwise(begins))
     assert 100 < most < 400
 
@@ -147,12 +148,12 @@
     """Guards against the time of a look at each byte that the decoder looks at, too."""
     data = json.dumps(table(20_000), indent=indent).encode()
     with pytest.raises(StopIteration) as end:
-        next(rows.layout(data, leap=True))
-    assert len(end.value.value.runs) > len(data) / rows.RUN / 2
+        next(list_layout.scan_layout(data, skip_rows=True))
+    assert len(end.value.value.run_ends) > len(data) / list_layout.MIN_RUN_BYTES / 2
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(rows, "FLAT_ROWS", looked := Looked(rows.FLAT_ROWS))
+        patch.setattr(list_layout, "FLAT_ROWS", looked := Looked(list_layout.FLAT_ROWS))
         in_turns(data)
-    assert looked.bytes < 4 * rows.RUN
+    assert looked.bytes < 4 * list_layout.MIN_RUN_BYTES
 
 
 class Looked:
@@ -170,10 +171,10 @@
 def test_a_refused_list_is_let_go_in_turns(monkeypatch: pytest.MonkeyPatch) -> None:
     data, turns = json.dumps(table(4000, cell=None)).encode(), list[int]()
     for let_go in (10_000, 50):
-        monkeypatch.setattr(config, "LET_GO", let_go)
-        work = news_in_turns(Pages(data).whole())
+        monkeypatch.setattr(endpoint_decoder, "RELEASED_MEMBERS_PER_SLICE", let_go)
+        work = decode_update_in_slices(Pages(data).whole())
         turn = 0
-        with pytest.raises(ListError):
+        with pytest.raises(EndpointListError):
             while True:
                 next(work)
                 turn += 1
@@ -192,15 +193,15 @@
 ])  # fmt: skip
 def test_one_senseless_entry_of_thousands_is_named(over: dict[str, Any], line: str) -> None:
     data = json.dumps(table(4000, **over)).encode()
-    for decode in (in_turns, news_of):
-        with pytest.raises(ListError) as err:
+    for decode in (in_turns, decode_update):
+        with pytest.raises(EndpointListError) as err:
             decode(data)
         assert str(err.value) == line
 
 
 def test_a_change_may_name_a_backend_twice_and_the_later_word_counts() -> None:
     data = json.dumps(table(4000, id="b5") | {"complete": False}).encode()
-    assert in_turns(data)[0] == news_of(data)
+    assert in_turns(data)[0] == decode_update(data)
 
 
 def test_what_is_no_json_within_the_rows_says_behind_which() -> None:
@@ -211,7 +212,7 @@
 
 def test_the_bytes_are_given_back_before_the_list_is_taken_and_no_second_copy_is_held() -> None:
     data = Pages(json.dumps(table(20_000), indent=4).encode()).whole()
-    size, work = len(data), news_in_turns(data)
+    size, work = len(data), decode_update_in_slices(data)
     tracemalloc.start()
     for _ in work:
         pass
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -17,7 +17,7 @@
 from balancer.cli.app import app
 from balancer.lab.scale import crowd, discovery, fleet, listing, module, processes, rack, rig, size, tables
 from balancer.lab.scale.points import NotPlayed, Play, Point
-from balancer.net.config import news_of
+from balancer.net.endpoint_decoder import decode_update
 from tests.helpers import member
 
 
@@ -48,10 +48,10 @@
         fleet.entry(1, api.EndpointPhase.DRAINING),
         fleet.entry(2, api.EndpointPhase.REMOVED, 5.0),
     ]
-    news = news_of(fleet.line(told, 3, True))
+    news = decode_update(fleet.line(told, 3, True))
     assert list(news.members) == [member(one, f"10.0.0.{i}:8080") for i, one in enumerate(told)]
     assert (news.revision, news.complete) == (3, True)
-    assert {m.address for m in news_of(fleet.line(told, 3, True, "127.0.0.1:9")).members} == {
+    assert {m.address for m in decode_update(fleet.line(told, 3, True, "127.0.0.1:9")).members} == {
         ("127.0.0.1", 9)
     }
 
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -14,12 +14,12 @@
 
 from balancer import interface as api
 from balancer.lab.scale import fleet, size
-from balancer.net import listing
-from balancer.net.config import Member, News
+from balancer.net import endpoint_updater
+from balancer.net.cooperative import CooperativeScheduler
+from balancer.net.endpoint_updater import EndpointUpdater
+from balancer.net.endpoints import EndpointUpdate, Member
 from balancer.net.figures import Figures
-from balancer.net.listing import Listing
 from balancer.net.stream import Budget
-from balancer.net.turns import Turns
 from balancer.net.upstream import Pool
 from balancer.policy import Balancer
 from balancer.sim.agenda import Agenda
@@ -62,7 +62,7 @@
         self.budget = ColdBudget(SETTINGS, FULL_PER_S)
         self.seats: dict[str, int] = {}  # of backends sent to, by which they are taken together
         pool = Pool(SETTINGS, 1, Figures(), Budget(192.0))
-        self.listing = Listing(pool, self.told, self.taken, cast(Turns, self))
+        self.listing = EndpointUpdater(pool, self.told, self.taken, cast(CooperativeScheduler, self))
         self.number = self.refused = 0
         self.phases: dict[str, api.EndpointPhase] = {}  # the last word told of each
         self.pieces: list[Counter[api.EndpointPhase]] = []
@@ -74,7 +74,7 @@
     # --- the list
 
     def add(self, work: Iterator[None]) -> None:
-        """Stands in for the node's turns."""
+        """Stands in for the node's scheduler."""
         self.at(self.now + TURN_MS, partial(self.turn, work))
 
     def turn(self, work: Iterator[None]) -> None:
@@ -96,12 +96,12 @@
         self.phases.update((entry.backend, entry.phase) for entry in event.entries)
         self.tell(event)
 
-    def taken(self, news: News | None, kind: api.ListUpdateKind) -> None:
+    def taken(self, news: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
         assert news is not None
         self.in_force.append(news.revision)
 
     def put(self, revision: int, members: list[Member]) -> None:
-        self.listing.put(News(revision, True, tuple(members)), api.ListUpdateKind.SNAPSHOT)
+        self.listing.put(EndpointUpdate(revision, True, tuple(members)), api.ListUpdateKind.SNAPSHOT)
 
     # --- requests
 
@@ -191,7 +191,7 @@
     world.run(world.now + 2_000.0)
 
     # No turn did more than its part, no backend got more than its budget, each request has its one answer.
-    assert max(piece.total() for piece in lost_pieces + world.pieces) == listing.PIECE
+    assert max(piece.total() for piece in lost_pieces + world.pieces) == endpoint_updater.BATCH_SIZE
     assert max(world.calls) <= CALLS
     assert world.budget.worst() <= 1.0
     assert world.by_zone.total() == world.number and not world.refused
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,8 +19,8 @@
 from balancer.__main__ import until_killed
 from balancer.net import pair as pair_file
 from balancer.net.config import load
+from balancer.net.endpoint_updater import MAX_SHORT_UPDATE
 from balancer.net.handover import give, take
-from balancer.net.listing import SHORT
 from balancer.net.objects import LONG
 from balancer.net.pair import Pair, SlotError, steer, unsteer
 from balancer.policy import Balancer
@@ -115,9 +115,9 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration([], 1, sockets=384)))
     config = load({"PROXY_CONFIG": str(path)})
-    clients, upstream = config.shares(2)
+    clients, upstream = config.limits_per_process(2)
     own = 32 + 16 + 2  # the process's, and clients that are turned away or leave
-    assert sum(config.shares(1)) == 384 - own
+    assert sum(config.limits_per_process(1)) == 384 - own
     # Both may be full at once: nothing is counted once for the two.
     assert clients == 96 and 2 * (clients + upstream + 32 + 12 + 2) == 384
 
@@ -184,7 +184,7 @@
             discovery = old.discovery
             rows = [keeps.member(), *(comes.member(id=f"c{i}") for i in range(3000))]
             line = json.dumps({"revision": 42, "complete": True, "members": rows}).encode() + b"\n"
-            assert len(line) > 4 * LONG and len(rows) > 4 * SHORT
+            assert len(line) > 4 * LONG and len(rows) > 4 * MAX_SHORT_UPDATE
             await discovery.asked.get()
             kept, to_old = await old.client(), discovery.writer
             assert to_old is not None
