--- a/balancer/net/change_summary.py
+++ b/balancer/net/change_summary.py
@@ -50,6 +50,7 @@
     """Changes of the list, collected until they are logged."""
 
     def __init__(self) -> None:
+        """Begin without changes."""
         self._tallies = {change: _Tally() for change in Change}
         self._by_phase = {phase: self._tallies[change] for phase, change in CHANGE_BY_PHASE.items()}
 
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -1,308 +1,335 @@
-"""One call of discovery: a watch that goes on until its connection ends, or the whole list once."""
+"""One call of discovery over HTTP: a watch that goes on until its connection ends, or one complete list."""
 
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Iterator
+from dataclasses import dataclass
 from enum import Enum
 from mmap import mmap
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 import httptools
 
-from balancer.net import liveness
-from balancer.net.endpoint_decoder import decode_update, decode_update_in_slices
-from balancer.net.endpoints import EndpointListError, EndpointUpdate
-from balancer.net.liveness import LivenessTimeout
+from balancer.net.cooperative import CooperativeScheduler
+from balancer.net.discovery_log import DiscoveryLog
+from balancer.net.endpoints import Address
+from balancer.net.liveness import (
+    FIRST_MESSAGE_TIMEOUT_S,
+    QUEUED_AFTER_S,
+    URGENT_MESSAGE_TIMEOUT_S,
+    LivenessTimeout,
+    LivenessTimer,
+)
 from balancer.net.objects import BrokenObject, Objects
 
-if TYPE_CHECKING:
-    from balancer.net.discovery import DiscoveryClient
-
-MIN_OBJECT_LIMIT_BYTES = 8 * 1024 * 1024  # bytes that an object may have on any node
-MOST_PART = 1 / 12  # of the node's memory that it may have: entries take thrice their bytes, new ones twice
-SLICE = 64 * 1024  # bytes that are read in one turn
+MIN_OBJECT_LIMIT_BYTES = 8 * 1024 * 1024
+# Of the node's memory: entries take three times their bytes, new ones twice.
+OBJECT_MEMORY_FRACTION = 1 / 12
+MAX_SLICE_BYTES = 64 * 1024
+ESTABLISHED_AFTER_S = 2.0  # from the first message of a watch
+HTTP_OK = 200
 
 
 def max_object_bytes(memory_mb: float) -> int:
-    """Bytes of one object at most, for a node with so much memory."""
-    return max(MIN_OBJECT_LIMIT_BYTES, int(memory_mb * MOST_PART * 1024 * 1024))
+    """Return the size limit of one object for a node with so much memory."""
+    return max(MIN_OBJECT_LIMIT_BYTES, int(memory_mb * OBJECT_MEMORY_FRACTION * 1024 * 1024))
 
 
-class Reason(Enum):
+class CallReason(Enum):
     """Why a call is made."""
 
-    WANTED = "the list is wanted"
-    MOVED = "new address"
-    SILENT = "the watch was silent"
-    RETRY = "the call before failed"
-    BESIDE = "beside one that still comes"
+    REQUESTED = "list requested"
+    ADDRESS_CHANGED = "new address"
+    WATCH_SILENT = "the watch was silent"
+    RETRY = "retry after a failed call"
+    SLOW_CALL = "in parallel with a slow call"
 
 
-class End(Enum):
-    """How a call came to its end."""
+class CallEnd(Enum):
+    """How a call ended."""
 
     CLOSED = "closed by discovery"
     NO_CONNECTION = "no connection"
-    REFUSED = "refused by discovery"
+    REJECTED = "rejected by discovery"
     SILENT = "silent"
-    BROKEN = "broken answer"
-    COMPLETE = "whole list taken"
-    MOVED = "given up for a new address"
-    STOPPED = "not wanted any more"
-    OVERTAKEN = "another call has told the list"
+    MALFORMED = "malformed response"
+    COMPLETE = "complete list received"
+    ADDRESS_CHANGED = "cancelled for a new address"
+    CANCELLED = "cancelled"
+    SUPERSEDED = "superseded by another call"
 
 
 class CallStage(Enum):
     """How far a call is."""
 
-    DIALLING = "its connection comes up"
-    ASKED = "nothing whole has come of it yet"
-    OPEN = "it has told something"
-    SLOW = "something comes for too long: the next call is due, this one goes on beside it"
-    OVER = "it is closed, and what else comes of it is not read"
+    DIALLING = "its connection is being established"
+    SENT = "it has sent its request and received no message"
+    OPEN = "it has received a message"
+    SLOW = "an object takes too long to arrive: the call goes on in parallel with the next one"
+    ENDED = "it is closed, and what else it receives is ignored"
+
+
+Message = bytes | mmap | BrokenObject | CallEnd
+"""What a call receives: an object or an empty line, something that is no object, its end."""
+
+
+@dataclass(slots=True, frozen=True)
+class CallRequest:
+    """What a call asks for, and how it is timed."""
+
+    number: int  # in the log
+    address: Address
+    target: str
+    is_watch: bool
+    is_urgent: bool  # the first message is due soon: after a silence, or at a new address
+    silence_timeout: float  # s
+    known_revision: int  # of the node as the call is dialled
+
+    @property
+    def message_timeout(self) -> float:
+        """Seconds from dialling to the first message."""
+        return URGENT_MESSAGE_TIMEOUT_S if self.is_urgent else FIRST_MESSAGE_TIMEOUT_S
+
 
+class MessageSink(Protocol):
+    """Processes what calls receive."""
 
-Brought = bytes | mmap | BrokenObject | End
-"""What a call brings: an object or an empty line, what cannot become one, its end."""
+    def put(self, call: DiscoveryCall, message: Message) -> None:
+        """Process a message after all that came before it."""
+
+    def has_messages_of(self, call: DiscoveryCall) -> bool:
+        """Return whether a message of the call is not processed yet."""
+
+
+class CallOwner(Protocol):
+    """Decides which calls go on."""
+
+    def may_become_slow(self, call: DiscoveryCall) -> bool:
+        """Return whether the call may go on in parallel with the next one."""
+
+    def call_slowed(self, call: DiscoveryCall) -> None:
+        """Make the next call; this one goes on."""
+
+    def call_ended(self, call: DiscoveryCall, is_silent: bool) -> None:
+        """Handle the end of a call that the owner has not closed."""
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call: a watch that goes on until its connection ends, or the whole list once."""
+    """One call of discovery."""
 
     def __init__(
-        self, owner: DiscoveryClient, number: int, target: str, watch: bool, quick: bool = False
+        self,
+        request: CallRequest,
+        owner: CallOwner,
+        sink: MessageSink,
+        scheduler: CooperativeScheduler,
+        log: DiscoveryLog,
+        object_limit: int,
     ) -> None:
-        """`number` names it in the log; `quick` where what it is to tell is due soon: after a silence, or at
-        a new address.
-        """
-        self.owner, self.number, self.target, self.watch, self.quick = owner, number, target, watch, quick
-        self.address = owner.address
-        self.dialled = owner.loop.time()
-        self.objects_told = 0
-        self.known = owner.revision  # what the node held when it was dialled, or took from it last
+        """Begin as the call is dialled; `object_limit` is the most bytes of one object."""
+        self.request = request
         self.stage = CallStage.DIALLING
-        answer = liveness.URGENT_MESSAGE_TIMEOUT_S if quick else liveness.FIRST_MESSAGE_TIMEOUT_S
-        self.dog = LivenessTimeout(owner.loop.time(), answer, random.uniform(*liveness.SILENCE_TIMEOUT_S))
-        self.parser = httptools.HttpResponseParser(self)
+        self.known_revision = request.known_revision  # or the one that the node last got from this call
+        self.message_count = 0
+        self.first_message_at: float | None = None
+        self.has_delivered_list = False  # and has nothing else to deliver
         self.transport: asyncio.Transport | None = None
-        self.objects = Objects(max_object_bytes(owner.node.config.memory_mb))
-        self.timer: asyncio.TimerHandle | None = None
-        self.told_at: float | None = None  # when it first told something
-        self.done = self.doubt = False
-        self.how: End | None = None  # it has ended
-        self.lasted = 0.0  # s from dialling to its end
-        self.unfed = bytearray()  # came, and waits for its turn
-        self.feeding = self.paused = False
-        self.ended: End | None = None  # nothing more comes behind that
-        self.spoilt = False  # nothing that still comes of it makes sense
+        self.objects = Objects(object_limit)
+        self._loop = asyncio.get_running_loop()
+        self.owner = owner
+        self._sink = sink
+        self._scheduler = scheduler
+        self._log = log
+        self.dialled_at = self._loop.time()
+        self._timeout = LivenessTimeout(self.dialled_at, request.message_timeout, request.silence_timeout)
+        self._timer = LivenessTimer(self._loop, self._expires_at, self._is_backlogged, self._time_out)
+        self._parser = httptools.HttpResponseParser(self)
+        self._end: CallEnd | None = None
+        self._duration = 0.0  # s from dialling to the end
+        self._unparsed = bytearray()
+        self._is_parsing = False  # in slices
+        self._is_paused = False
+        self._pending_end: CallEnd | None = None  # behind what is being parsed
+        self._is_discarding = False  # nothing else that comes is of use
+
+    # --- state
+
+    @property
+    def is_ended(self) -> bool:
+        """Return whether the call is closed."""
+        return self.stage is CallStage.ENDED
+
+    @property
+    def was_ended_by_discovery(self) -> bool:
+        """Return whether discovery has ended the call: it may be up, and only overloaded."""
+        return self._end in (CallEnd.REJECTED, CallEnd.CLOSED)
+
+    @property
+    def was_queued(self) -> bool:
+        """Return whether the call was rejected after a wait, with no message received."""
+        return (
+            self.was_ended_by_discovery and self.first_message_at is None and self._duration >= QUEUED_AFTER_S
+        )
+
+    def is_established(self, now: float) -> bool:
+        """Return whether the call has received messages for long enough to count as working."""
+        return self.first_message_at is not None and now - self.first_message_at >= ESTABLISHED_AFTER_S
+
+    def message_received(self) -> None:
+        """Note a valid message."""
+        now = self._loop.time()
+        self._timeout.message_received(now)
+        self.stage = CallStage.OPEN
+        self.message_count += 1
+        if self.first_message_at is None:
+            self.first_message_at = now
+            self._log.call(f"call {self.request.number} answered after {now - self.dialled_at:.2f} s")
+
+    def close(self, end: CallEnd) -> None:
+        """Close the call; the owner is not told."""
+        if self.stage is not CallStage.ENDED:
+            self._end = end
+            self._duration = self._loop.time() - self.dialled_at
+            result = f"{self.message_count} objects: {end.value}"
+            self._log.call(f"call {self.request.number} ended after {self._duration:.2f} s, {result}")
+        self.stage = CallStage.ENDED
+        self._timer.stop()
+        if self.transport is not None:
+            self.transport.abort()
+
+    def end(self, end: CallEnd) -> None:
+        """Close the call and tell the owner, once."""
+        if self.stage is not CallStage.ENDED:
+            self.close(end)
+            self.owner.call_ended(self, end is CallEnd.SILENT)
+
+    # --- the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask, unless the call was closed while its connection came up."""
+        """Send the request, unless the call was closed meanwhile."""
         self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
-        if self.stage is CallStage.OVER:
+        if self.stage is CallStage.ENDED:
             self.transport.abort()
             return
-        self.stage = CallStage.ASKED
-        host, port = self.address
-        keep = "keep-alive" if self.watch else "close"
-        self.transport.write(
-            f"GET {self.target} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: {keep}\r\n\r\n".encode("ascii")
+        self.stage = CallStage.SENT
+        host, port = self.request.address
+        connection = "keep-alive" if self.request.is_watch else "close"
+        head = (
+            f"GET {self.request.target} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: {connection}\r\n\r\n"
         )
-        if self.stage is not CallStage.OVER:
-            self._arm()
-
-    def _due(self) -> float:
-        return self.dog.expires_at(is_patient=self.stage is CallStage.SLOW or not self.watch)
-
-    def _arm(self) -> None:
-        self.timer = self.owner.loop.call_at(self._due(), self._look)
-
-    def _look(self) -> None:
-        """Guards against a discovery that is cut off: nothing closes its connection, it just says no more."""
-        now = self.owner.loop.time()
-        if now < self._due():
-            self.doubt = False
-            self._arm()
-        elif not self.doubt or self.owner.reads(self):
-            self.doubt = True  # the node may have stood still itself, with news unread, or it decodes a list
-            self.timer = self.owner.loop.call_later(liveness.RECHECK_DELAY_S, self._look)
-        elif self.owner.call is self and self.owner.slow is None and self._may_still_tell(now):
-            self.doubt, self.stage = False, CallStage.SLOW
-            self._arm()
-            self.owner.slowed(self)
-        else:
-            self.end(End.SILENT)
+        self.transport.write(head.encode("ascii"))
+        if self.stage is not CallStage.ENDED:
+            self._timer.start()
 
-    def _may_still_tell(self, now: float) -> bool:
-        """Whether it is worth keeping beside the next call.
+    def data_received(self, data: bytes) -> None:
+        """Parse what came; long data in slices."""
+        if len(data) <= MAX_SLICE_BYTES and not self._is_parsing:
+            self._parse(data)
+            return
+        self._unparsed += data
+        if not self._is_parsing:
+            self._is_parsing = True
+            self._scheduler.add(self._parse_in_slices())
+        self.update_flow_control()
 
-        A hurried one may have come far in discovery's queue: given up, the next one would begin at its end.
-        """
-        if self.dog.is_receiving_bytes(now):
-            return True
-        if self.quick and self.stage is CallStage.ASKED:
-            self.dog.extend(liveness.FIRST_MESSAGE_TIMEOUT_S)
-            return True
-        return False
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End the call, if discovery has closed the connection."""
+        self._end_received(CallEnd.CLOSED)
 
-    def data_received(self, data: bytes) -> None:
-        """Read, what is long in turns."""
-        if len(data) <= SLICE and not self.feeding:
-            self._feed(data)
+    def update_flow_control(self) -> None:
+        """Pause reading while something is not processed: lists may come faster than that."""
+        if self.transport is None or self.is_ended or self.transport.is_closing():
             return
-        self.unfed += data
-        if not self.feeding:
-            self.feeding = True
-            self.owner.node.turns.add(self._feed_all())
-        self.flow()
-
-    def _feed_all(self) -> Iterator[None]:
-        while self.unfed and not self.over:
-            piece = bytes(self.unfed[:SLICE])
-            del self.unfed[:SLICE]
-            self._feed(piece)
-            yield
-        self.feeding = False
-        self.unfed.clear()
-        if self.ended is not None:
-            self._over(self.ended)
-        self.flow()
-
-    def _feed(self, data: bytes) -> None:
-        """What is not HTTP ends the call."""
-        try:
-            self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
-            self.owner.warn("discovery: broken answer", str(err))
-            self.unfed.clear()
-            self._over(End.BROKEN)
+        is_paused = self._is_backlogged()
+        if is_paused and not self._is_paused:
+            self.transport.pause_reading()
+        elif self._is_paused and not is_paused:
+            self.transport.resume_reading()
+        self._is_paused = is_paused
+
+    # --- callbacks of the HTTP parser
 
     def on_body(self, body: bytes) -> None:
-        """Objects may be cut anywhere."""
-        if self.stage is CallStage.OVER or self.spoilt or self.parser.get_status_code() != 200:
+        """Pass on the objects that end in a piece of the body."""
+        if self.is_ended or self._is_discarding or self._parser.get_status_code() != HTTP_OK:
             return
-        now = self.owner.loop.time()
-        self.dog.bytes_received(now)
+        now = self._loop.time()
+        self._timeout.bytes_received(now)
         try:
-            for item in self.objects.feed(body):
-                self.dog.message_received(now)
-                self.owner.read(self, item)
-                if self.over:  # by what it told first
+            for message in self.objects.feed(body):
+                self._timeout.message_received(now)
+                self._sink.put(self, message)
+                if self.is_ended:  # because of that message
                     return
         except BrokenObject as err:
-            self.spoilt = True
-            self.owner.read(self, err)
-
-    def heard(self, what: Brought) -> Iterator[None]:
-        """Take it, unless the call was closed since; a long list takes some turns."""
-        if self.stage is CallStage.OVER:
-            return
-        if isinstance(what, End):
-            self.end(what)
-            return
-        try:
-            if isinstance(what, BrokenObject):
-                raise what
-            update: EndpointUpdate | None
-            if isinstance(what, mmap):
-                update = yield from decode_update_in_slices(what, self.owner.node.held)
-            else:
-                update = decode_update(what, self.owner.node.held) if what else None
-        except (EndpointListError, BrokenObject) as err:
-            self._broken(err)
-            return
-        except (ValueError, RecursionError) as err:
-            self._broken(BrokenObject(str(err)))
-            return
-        self._told(update)
+            self._is_discarding = True
+            self._sink.put(self, err)
 
-    def _told(self, update: EndpointUpdate | None) -> None:
-        now = self.owner.loop.time()
-        self.dog.message_received(now)
-        self.stage = CallStage.OPEN
-        self.objects_told += 1
-        if self.told_at is None:
-            self.told_at = now
-            self.owner.note(f"call {self.number} answered after {now - self.dialled:.2f} s")
-        self.owner.told(self)
-        if update is None:
-            self.owner.node.unchanged()
+    def on_message_complete(self) -> None:
+        """Handle the end of the response."""
+        is_cut_off = not (
+            self.request.is_watch or self.is_ended or self._is_discarding or self.objects.between
+        )
+        if is_cut_off:
+            self._sink.put(self, BrokenObject("the answer ends before its JSON does"))
+        if self._parser.get_status_code() != HTTP_OK:
+            self._end_received(CallEnd.REJECTED)
         else:
-            self.done = not self.watch
-            self.owner.news(self, update)
-        self.owner.settled(self)
+            self._end_received(CallEnd.CLOSED if self.request.is_watch else CallEnd.COMPLETE)
 
-    def _broken(self, err: EndpointListError | BrokenObject) -> None:
-        """What it said is lost, and later changes do not repeat it: only the whole list will do."""
-        if self.stage is CallStage.OVER:  # nobody wants it any more
-            return
-        self.owner.warn("discovery: bad list", err.line)
-        self.owner.forget()
-        self.end(End.BROKEN)
+    # --- parts
 
-    def on_message_complete(self) -> None:
-        """The end of a whole list, or of a watch."""
-        if not (self.watch or self.stage is CallStage.OVER or self.spoilt or self.objects.between):
-            self.owner.read(self, BrokenObject("the answer ends before its JSON does"))
-        refused = self.parser.get_status_code() != 200
-        self._over(End.REFUSED if refused else End.CLOSED if self.watch else End.COMPLETE)
-
-    def _over(self, how: End) -> None:
-        """Nothing more comes; what came whole before is still taken."""
-        if self.feeding:
-            self.ended = how
-        elif self.owner.reads(self):
-            self.spoilt = True
-            self.owner.read(self, how)
+    def _parse(self, data: bytes) -> None:
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
+            self._log.warn("discovery: malformed response", str(err))
+            self._unparsed.clear()
+            self._end_received(CallEnd.MALFORMED)
+
+    def _parse_in_slices(self) -> Iterator[None]:
+        while self._unparsed and not self.is_ended:
+            piece = bytes(self._unparsed[:MAX_SLICE_BYTES])
+            del self._unparsed[:MAX_SLICE_BYTES]
+            self._parse(piece)
+            yield
+        self._is_parsing = False
+        self._unparsed.clear()
+        if self._pending_end is not None:
+            self._end_received(self._pending_end)
+        self.update_flow_control()
+
+    def _is_backlogged(self) -> bool:
+        return self._is_parsing or self._sink.has_messages_of(self)
+
+    def _end_received(self, end: CallEnd) -> None:
+        """End the call once the complete messages before its end are processed."""
+        if self._is_parsing:
+            self._pending_end = end
+        elif self._sink.has_messages_of(self):
+            self._is_discarding = True
+            self._sink.put(self, end)
         else:
-            self.end(how)
+            self.end(end)
 
-    @property
-    def reached(self) -> bool:
-        """Whether discovery itself has ended it: it may be there, and only crowded."""
-        return self.how in (End.REFUSED, End.CLOSED)
+    def _expires_at(self) -> float:
+        is_patient = self.stage is CallStage.SLOW or not self.request.is_watch
+        return self._timeout.expires_at(is_patient)
 
-    @property
-    def was_queued(self) -> bool:
-        """Whether it was turned away after a wait, with nothing told."""
-        return self.reached and self.told_at is None and self.lasted >= liveness.QUEUED_AFTER_S
-
-    @property
-    def over(self) -> bool:
-        """Whether it is closed."""
-        return self.stage is CallStage.OVER
+    def _time_out(self) -> None:
+        """Go on in parallel with the next call where that is of use, else end the call.
 
-    def flow(self) -> None:
-        """Read no more while something that came is still to be taken: lists may come faster than that."""
-        if self.transport is None or self.over or self.transport.is_closing():
+        An urgent call may be close to the head of discovery's queue; the next one would begin at its end.
+        """
+        goes_on = self.owner.may_become_slow(self)
+        if goes_on and not self._timeout.is_receiving_bytes(self._loop.time()):
+            goes_on = self.request.is_urgent and self.stage is CallStage.SENT
+            if goes_on:
+                self._timeout.extend(FIRST_MESSAGE_TIMEOUT_S)
+        if not goes_on:
+            self.end(CallEnd.SILENT)
             return
-        paused = self.owner.reads(self)
-        if paused and not self.paused:
-            self.transport.pause_reading()
-        elif self.paused and not paused:
-            self.transport.resume_reading()
-        self.paused = paused
-
-    def close(self, how: End) -> None:
-        """Nobody wants it any more."""
-        if self.stage is not CallStage.OVER:
-            self.how, self.lasted = how, self.owner.loop.time() - self.dialled
-            told = f"{self.objects_told} objects: {how.value}"
-            self.owner.note(f"call {self.number} ended after {self.lasted:.2f} s, {told}")
-        self.stage = CallStage.OVER
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.transport is not None:
-            self.transport.abort()
-
-    def end(self, how: End) -> None:
-        """It has come to its end by itself, or by the other side: the owner hears of it, once."""
-        if self.stage is not CallStage.OVER:
-            self.close(how)
-            self.owner.lost(self, how is End.SILENT)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """The other side may have ended it."""
-        self._over(End.CLOSED)
+        self.stage = CallStage.SLOW
+        self._timer.start()
+        self.owner.call_slowed(self)
--- a/balancer/net/endpoint_decoder.py
+++ b/balancer/net/endpoint_decoder.py
@@ -25,7 +25,7 @@
     parse_address,
 )
 from balancer.net.json_fields import FieldError, convert
-from balancer.net.list_layout import ListLayout, UnusualLayout, scan_layout
+from balancer.net.list_layout import ListLayout, UnusualLayoutError, scan_layout
 from balancer.net.shards import Shards
 
 PHASES = {
@@ -102,7 +102,7 @@
                     data.madvise(MADV_DONTNEED, at, min(RELEASED_BYTES_PER_SLICE, len(data) - at))
                     yield
                 return replace(update, members=tuple(members))
-            except UnusualLayout:
+            except UnusualLayoutError:
                 pass
             except (EndpointListError, ValueError, RecursionError) as err:
                 failure = err.with_traceback(None)  # the traceback references all that was decoded
--- a/balancer/net/list_layout.py
+++ b/balancer/net/list_layout.py
@@ -38,7 +38,7 @@
 COLON = re.compile(_GAP + rb":" + _GAP)
 
 
-class UnusualLayout(Exception):
+class UnusualLayoutError(Exception):
     """The bytes are not laid out as lists usually are; they may still be a list."""
 
 
@@ -52,7 +52,7 @@
 
 
 def scan_layout(data: bytes | mmap, skip_rows: bool = False) -> Generator[None, None, ListLayout]:
-    """Scan a complete object whose brackets match, in slices. Raises UnusualLayout.
+    """Scan a complete object whose brackets match, in slices. Raises UnusualLayoutError.
 
     All fields but `members` must be short enough for one slice; a longer one only makes that slice longer.
     With `skip_rows` most of the rows are not scanned, which takes no time: the boundaries of runs are then a
@@ -61,7 +61,7 @@
     try:
         return (yield from _scan(data, skip_rows))
     except IndexError:  # the data ends early: a bracket closes one of another kind
-        raise UnusualLayout from None
+        raise UnusualLayoutError from None
 
 
 def _scan(data: bytes | mmap, skip_rows: bool) -> Generator[None, None, ListLayout]:
@@ -72,13 +72,13 @@
         key_begin = at
         at = _string_end(data, at)
         if BACKSLASH in data[key_begin:at]:  # it may be "members" with escapes
-            raise UnusualLayout
+            raise UnusualLayoutError
         key = data[key_begin:at]
         if (value := end(COLON, data, at)) == at:
-            raise UnusualLayout
+            raise UnusualLayoutError
         if key == MEMBERS_KEY:
             if layout is not None or data[value] != BRACKET:
-                raise UnusualLayout
+                raise UnusualLayoutError
             layout = yield from _scan_rows(data, value + 1, skip_rows)
             at = layout.rows_end + 1
         else:
@@ -87,10 +87,10 @@
         if data[at] in ENDS:
             break
         if data[at] != COMMA:
-            raise UnusualLayout
+            raise UnusualLayoutError
         at += 1
     if layout is None:
-        raise UnusualLayout
+        raise UnusualLayoutError
     return layout
 
 
@@ -110,7 +110,7 @@
         if data[stop] == ARRAY_END:
             return ListLayout(first_row, (*run_ends, stop), stop)
         if data[stop] != COMMA:
-            raise UnusualLayout
+            raise UnusualLayoutError
         at = stop + 1
         if at - run_begin >= MIN_RUN_BYTES:
             run_begin = at
@@ -121,20 +121,20 @@
 
 def _string_end(data: bytes | mmap, at: int) -> int:
     if data[at] != QUOTE:
-        raise UnusualLayout
+        raise UnusualLayoutError
     at = end(TEXT, data, at + 1)
     if data[at] != QUOTE:
-        raise UnusualLayout
+        raise UnusualLayoutError
     return at + 1
 
 
 def _value_end(data: bytes | mmap, at: int) -> int:
-    """Return the offset behind the value that begins there. Raises UnusualLayout where none does."""
+    """Return the offset behind the value that begins there. Raises UnusualLayoutError where none does."""
     if data[at] == QUOTE:
         return _string_end(data, at)
     if data[at] not in (BRACE, BRACKET):
         if (stop := end(SCALAR, data, at)) == at:
-            raise UnusualLayout
+            raise UnusualLayoutError
         return stop
     if (stop := end(FLAT, data, at)) > at:
         return stop
@@ -146,7 +146,7 @@
         elif char in (BRACE, BRACKET):
             depth += 1
         else:
-            raise UnusualLayout
+            raise UnusualLayoutError
         at += 1
         if not depth:
             return at
--- a/balancer/net/liveness.py
+++ b/balancer/net/liveness.py
@@ -36,6 +36,9 @@
 
 from __future__ import annotations
 
+import asyncio
+from collections.abc import Callable
+
 from balancer import policy
 
 RETRY_PERIOD_S = policy.ASK_PERIOD / 1000
@@ -90,3 +93,49 @@
     def is_receiving_bytes(self, now: float) -> bool:
         """Return whether bytes come and only take too long to complete an object."""
         return now < self.expires_at(is_patient=True)
+
+
+class LivenessTimer:
+    """Checks a call when its timeout is due: nothing closes the connection of a discovery that is cut off."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        expires_at: Callable[[], float],
+        is_backlogged: Callable[[], bool],
+        expired: Callable[[], None],
+    ) -> None:
+        """Begin without a timer.
+
+        Args:
+            loop: runs the timer.
+            expires_at: returns the loop time at which the call counts as dead.
+            is_backlogged: returns whether something the call received is not processed yet.
+            expired: is called when the timeout is over; it may start the timer anew.
+        """
+        self._loop = loop
+        self._expires_at = expires_at
+        self._is_backlogged = is_backlogged
+        self._expired = expired
+        self._timer: asyncio.TimerHandle | None = None
+        self._is_recheck = False
+
+    def start(self) -> None:
+        """Check the call when its timeout is due."""
+        self._timer = self._loop.call_at(self._expires_at(), self._check)
+
+    def stop(self) -> None:
+        """Check no more."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _check(self) -> None:
+        if self._loop.time() < self._expires_at():
+            self._is_recheck = False
+            self.start()
+        elif not self._is_recheck or self._is_backlogged():
+            self._is_recheck = True  # the node itself may have stalled, or it decodes a list
+            self._timer = self._loop.call_later(RECHECK_DELAY_S, self._check)
+        else:
+            self._is_recheck = False
+            self._expired()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -268,7 +268,7 @@
             meanwhile(out)
             await asyncio.sleep(seconds)
             out.watch(False)
-            assert (out.call, out.timer, out.slow) == (None, None, None)
+            assert (out.watch_call, out.retry_timer, out.slow_call) == (None, None, None)
             await asyncio.sleep(0.1)
             assert not any(line.open for line in self.lines)
             return node
@@ -465,8 +465,8 @@
     def hold_up(discovery: DiscoveryClient) -> None:
         def stands_still() -> None:
             world.loop.skip.now += 5.0
-            assert discovery.call is not None and discovery.call.transport is not None
-            line = cast(Line, discovery.call.transport)
+            assert discovery.watch_call is not None and discovery.watch_call.transport is not None
+            line = cast(Line, discovery.watch_call.transport)
             world.loop.call_later(0.01, line.put, b"\n", False)
 
         world.loop.call_later(3.0, stands_still)
@@ -563,13 +563,13 @@
 MOMENTS = {  # what the first calls do, when SIGHUP comes, and which stage the call is in then
     "dialling": (("stall",), 1.0, CallStage.DIALLING),
     "comes up late": (("comes up late",), 0.5, CallStage.DIALLING),
-    "asked": (("mute",), 1.0, CallStage.ASKED),
-    "a head": (("opens",), 2.9, CallStage.ASKED),
+    "asked": (("mute",), 1.0, CallStage.SENT),
+    "a head": (("opens",), 2.9, CallStage.SENT),
     "open": (("good",), 5.0, CallStage.OPEN),
     "silent": (("falls",), 7.0, CallStage.OPEN),
     "second look": (("halts",), 3.26, CallStage.OPEN),
-    "hurried": (("halts", "mute"), 4.0, CallStage.ASKED),
-    "slow": (("endless", "mute"), 4.1, CallStage.ASKED),
+    "hurried": (("halts", "mute"), 4.0, CallStage.SENT),
+    "slow": (("endless", "mute"), 4.1, CallStage.SENT),
     "slow alone": (("endless", "mute"), 3.051, None),
     "waiting": (("refuse",), 15.0, None),
 }
@@ -582,8 +582,8 @@
     _, when, stage = MOMENTS[moment]
 
     def look(discovery: DiscoveryClient) -> None:
-        assert (discovery.call.stage if discovery.call is not None else None) is stage
-        assert (discovery.slow is not None) == moment.startswith("slow")
+        assert (discovery.watch_call.stage if discovery.watch_call is not None else None) is stage
+        assert (discovery.slow_call is not None) == moment.startswith("slow")
         then(discovery)
 
     return lambda discovery: cast(None, world.loop.call_at(when, look, discovery))
@@ -608,9 +608,9 @@
             due = world.dialled[1] + 1.0
             assert when < due < when + 1.0
         discovery.move(FAR)
-        assert (discovery.call is not None) is (due == when)
-        assert (discovery.timer is not None) is (due > when)
-        assert discovery.slow is None
+        assert (discovery.watch_call is not None) is (due == when)
+        assert (discovery.retry_timer is not None) is (due > when)
+        assert discovery.slow_call is None
 
     world.play(30, aged(world, moment, move))
     moved = [
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -129,7 +129,7 @@
 
     async def dial(self, protocol: asyncio.Protocol, address: Address) -> None:
         self.dialled.append(self.now)
-        node = cast(DiscoveryCall, protocol).owner.node.settings.me
+        node = cast(DiscoveryClient, cast(DiscoveryCall, protocol).owner).node.settings.me
         if self.current.setdefault(node, address) != address:
             raise ConnectionRefusedError("an address that was given up")
         if self.outage is Outage.REFUSED:
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -336,7 +336,7 @@
     lines = [line for line in caplog.messages if "bad list" in line]
     assert lines == ["discovery: bad list: LST01: members[28].id makes no sense: 'b28' is there twice"]
     assert world.asked[1][1] == "/discovery/hosts?watch=1&from=0"
-    assert not cast(DiscoveryClient, node.discovery).unread
+    assert not cast(DiscoveryClient, node.discovery).receiver.queue
 
 
 def test_a_call_that_is_silent_while_its_list_is_decoded_is_no_dead_one(tmp_path: Path) -> None:
@@ -370,8 +370,8 @@
     def say(node: Node, discovery: DiscoveryClient) -> None:
         node.turns.skips_pauses = False
         node.turns.clock = Clock(0.003)
-        assert discovery.call is not None
-        discovery.news(discovery.call, whole(8, 30))
+        assert discovery.watch_call is not None
+        discovery.receiver.apply(discovery.watch_call, whole(8, 30))
 
     world.live(say)
     assert len(at) == 15
@@ -413,7 +413,7 @@
     world = Long(tmp_path, "endless", "opens", "mute")
 
     def say(node: Node, discovery: DiscoveryClient) -> None:
-        assert discovery.slow is not None
+        assert discovery.slow_call is not None
         rest = text(whole(8, 30))[len(b'{"revision": 9, "complete"') :]
         world.lines[0].put(rest, first=False)
         world.lines[1].put(text(whole(8, 30)), first=False)
@@ -541,8 +541,8 @@
     world = Long(tmp_path, "opens", "mute")
 
     def say(node: Node, discovery: DiscoveryClient) -> None:
-        assert discovery.call is not None
-        discovery.call.objects.most = 1000
+        assert discovery.watch_call is not None
+        discovery.watch_call.objects.most = 1000
         world.says(whole(8, 30))(node, discovery)
 
     world.live(say, seconds=5.0)
@@ -584,7 +584,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where the connection has ended by then, and where no HTTP stands behind it."""
-    monkeypatch.setattr(discovery_call, "SLICE", 50)
+    monkeypatch.setattr(discovery_call, "MAX_SLICE_BYTES", 50)
     for behind in (b"0\r\n\r\n", b"no HTTP\r\n"):
         world, read = Long(tmp_path, "opens", "mute"), list[int]()
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -83,12 +83,13 @@
     target = "127.0.0.1:1 for /discovery/hosts?watch=1&from="
     names = " ".join(f"b{i}" for i in range(MAX_NAMES))
     assert lines[:3] == [
-        f"discovery: call 1 to {target}0: the list is wanted",
+        f"discovery: call 1 to {target}0: list requested",
         "discovery: call 1 answered after 0.00 s",
         f"list: revision 8: in service {names} and 4 more",
     ]
     reasons = [line.rpartition(": ")[2] for line in lines[3:]]
     assert reasons[:5] == [
-        "silent", "the watch was silent", "no connection", "the call before failed", "refused by discovery"
+        "silent", "the watch was silent", "no connection", "retry after a failed call",
+        "rejected by discovery",
     ]  # fmt: skip
-    assert lines[-1].endswith("not wanted any more")
+    assert lines[-1].endswith(": cancelled")
