--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -27,19 +27,18 @@
 from balancer.net.liveness import LivenessTimeout
 from balancer.net.node import Node, Rooms
 from balancer.policy import Balancer
-from tests import test_discovery
+from tests import test_discovery, test_discovery_moves, virtual_discovery
 from tests.helpers import member as listed_at
-from tests.test_discovery import World
+from tests.virtual_discovery import DiscoveryWorld
 
 # What holds for short lists holds for long ones, with the bounds below.
-test_silence = test_discovery.test_what_a_silent_watch_missed_is_asked_for_in_time
-test_move = test_discovery.test_a_move_opens_one_watch_at_the_new_address_whatever_was_under_way
-test_slow = test_discovery.test_a_long_list_that_really_arrives_is_taken_after_few_tries
-test_broken = test_discovery.test_lists_that_come_broken_make_no_storm_and_no_flood
-test_stopped = (
-    test_discovery.test_a_watch_that_is_stopped_stays_so_and_one_that_is_wanted_again_is_opened_at_once
-)
-all_at_most, worst = test_discovery.all_at_most, test_discovery.worst
+test_silence = test_discovery.test_events_that_a_silent_watch_missed_are_received_in_time
+test_slow = test_discovery.test_a_list_that_takes_long_to_arrive_is_received_after_few_calls
+test_malformed = test_discovery.test_malformed_lists_cause_no_storm_of_calls_and_no_flood_of_log_lines
+test_move = test_discovery_moves.test_a_new_address_gets_one_watch_whatever_was_under_way
+test_stopped = test_discovery_moves.test_a_stopped_watch_makes_no_other_call
+test_restarted = test_discovery_moves.test_a_restarted_watch_is_opened_at_once
+all_longest_draws, longest_draws = virtual_discovery.all_longest_draws, virtual_discovery.longest_draws
 UP, DRAINING, GONE = EndpointPhase.IN_SERVICE, EndpointPhase.DRAINING, EndpointPhase.REMOVED
 PHASE_WORDS = {phase: word for word, phase in PHASES.items()}
 SHORT, PIECE = 4, 2
@@ -109,11 +108,11 @@
     return json.dumps(table).encode() + b"\n"
 
 
-class Long(World):
+class Long(DiscoveryWorld):
     """A node without the module, before discovery that says what the test says."""
 
     def __init__(self, path: Path, *plays: str) -> None:
-        super().__init__(path, False, *(plays or ("opens",)))
+        super().__init__(path, False, *(plays or ("headers_only",)))
         self.module = Module()
         self.taken = list[int]()  # revisions, as they came into force
         self.task: asyncio.Task[None] | None = None
@@ -136,10 +135,10 @@
             for i, step in enumerate(steps):
                 self.loop.call_at(0.1 + i, step, discovery.node, discovery)
 
-        return self.play(0.1 + len(steps) + seconds, begin)
+        return self.run(0.1 + len(steps) + seconds, begin)
 
     def says(self, *news: EndpointUpdate, call: int = 0) -> Callable[[Node, DiscoveryClient], None]:
-        return lambda node, _: self.lines[call].put(b"".join(map(text, news)), first=False)
+        return lambda node, _: self.connections[call].send_chunk(b"".join(map(text, news)), first=False)
 
 
 def pieces(world: Long) -> list[dict[str, EndpointPhase]]:
@@ -214,7 +213,9 @@
     world = Long(tmp_path)
 
     newer = text(change(9, b0=GONE, b29=GONE, b28=DRAINING, b40=UP))
-    world.module.then = lambda piece: world.lines[0].put(newer, first=False) if piece == 5 else None
+    world.module.then = lambda piece: (
+        world.connections[0].send_chunk(newer, first=False) if piece == 5 else None
+    )
     world.live(world.says(whole(8, 30)))
     told = pieces(world)  # the change is long enough here to be decoded in turns, too
     assert 5 <= told.index({"b0": GONE}) <= 8 and any("b27" in piece for piece in told[9:])
@@ -234,7 +235,9 @@
 def test_a_newer_whole_list_in_mid_list_is_compared_with_what_is_in_force(tmp_path: Path) -> None:
     world = Long(tmp_path)
     newer = text(whole(9, 12, b1=GONE))
-    world.module.then = lambda piece: world.lines[0].put(newer, first=False) if piece == 4 else None
+    world.module.then = lambda piece: (
+        world.connections[0].send_chunk(newer, first=False) if piece == 4 else None
+    )
     node = world.live(world.says(whole(8, 30)))
     assert world.taken == [9] and world.module.held.keys() == {"b0", *(f"b{i}" for i in range(2, 12))}
     assert node.pool.members.keys() == world.module.held.keys()
@@ -276,9 +279,9 @@
 
     def begin(node: Node, _: DiscoveryClient) -> None:
         world.task = node.loop.create_task(take_over(node))
-        world.lines[0].put(data[:700], first=False)
+        world.connections[0].send_chunk(data[:700], first=False)
         if rest_at is not None:
-            node.loop.call_at(rest_at, lambda: world.lines[0].put(data[700:], first=False))
+            node.loop.call_at(rest_at, lambda: world.connections[0].send_chunk(data[700:], first=False))
 
     world.live(begin, seconds=4.0)
     assert seen == [(listens_at, 30 if rest_at else 0)]
@@ -289,7 +292,7 @@
 
     def beat(node: Node, _: DiscoveryClient) -> None:
         world.module.then = lambda _: seen.append(node.fresh.is_set())
-        world.lines[0].put(text(whole(8, 30)) + b"\n\n", first=False)
+        world.connections[0].send_chunk(text(whole(8, 30)) + b"\n\n", first=False)
 
     node = world.live(beat)
     assert seen and not any(seen) and node.fresh.is_set() and world.taken == [8]
@@ -297,45 +300,47 @@
 
 def test_an_empty_line_alone_is_news(tmp_path: Path) -> None:
     world = Long(tmp_path)
-    node = world.live(lambda *_: world.lines[0].put(b"\n", first=False))
+    node = world.live(lambda *_: world.connections[0].send_chunk(b"\n", first=False))
     assert node.fresh.is_set() and world.taken == [-1]
 
 
 @pytest.mark.parametrize("pieces_before", [None, 0, 5])
 def test_what_is_whole_when_its_watch_is_reset_goes_on(tmp_path: Path, pieces_before: int | None) -> None:
     """While it is decoded (None: with the next one begun), or taken."""
-    world = Long(tmp_path, "opens", "mute")
+    world = Long(tmp_path, "headers_only", "no_response")
 
     def say(node: Node, _: DiscoveryClient) -> None:
         if pieces_before is None:
-            world.lines[0].put(text(whole(8, 30)) + text(whole(9, 2))[:60], first=False)
-            world.lines[0].abort()
+            world.connections[0].send_chunk(text(whole(8, 30)) + text(whole(9, 2))[:60], first=False)
+            world.connections[0].abort()
         else:
-            world.lines[0].put(text(whole(8, 30)), first=False)
+            world.connections[0].send_chunk(text(whole(8, 30)), first=False)
             if pieces_before == 0:
-                world.lines[0].abort()
+                world.connections[0].abort()
 
-    world.module.then = lambda piece: world.lines[0].abort() if piece == pieces_before else None
+    world.module.then = lambda piece: world.connections[0].abort() if piece == pieces_before else None
     world.live(say, seconds=9.0)
     assert world.taken == [8] and len(world.module.held) == 30
-    assert [t for _, t, _ in world.asked[1:]] == ["/discovery/hosts?watch=1&from=8"] * (len(world.asked) - 1)
-    assert len(world.asked) > 1
+    assert [t for _, t, _ in world.requests[1:]] == ["/discovery/hosts?watch=1&from=8"] * (
+        len(world.requests) - 1
+    )
+    assert len(world.requests) > 1
 
 
 def test_a_broken_long_list_leaves_the_last_one_in_force_and_the_call_begins_anew(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    world = Long(tmp_path, "opens", "mute")
+    world = Long(tmp_path, "headers_only", "no_response")
     bad = text(whole(9, 30, b3=GONE)).replace(b'"b29"', b'"b28"')
     node = world.live(
         world.says(whole(8, 30)),
-        lambda *_: world.lines[0].put(bad + text(change(10, b5=GONE)), first=False),
+        lambda *_: world.connections[0].send_chunk(bad + text(change(10, b5=GONE)), first=False),
         seconds=5.0,
     )
     assert world.taken == [8] and len(world.module.held) == 30
     lines = [line for line in caplog.messages if "bad list" in line]
     assert lines == ["discovery: bad list: LST01: members[28].id makes no sense: 'b28' is there twice"]
-    assert world.asked[1][1] == "/discovery/hosts?watch=1&from=0"
+    assert world.requests[1][1] == "/discovery/hosts?watch=1&from=0"
     assert not cast(DiscoveryClient, node.discovery).receiver.queue
 
 
@@ -346,10 +351,10 @@
         node.turns.skips_pauses = False
         node.turns.clock = Clock(0.2)  # each slice takes so long, and a pause as well
         world.says(whole(8, 60))(node, _)
-        world.lines[0].beat(world.now, 40)
+        world.connections[0].send_empty_lines(world.now, 40)
 
     world.live(slow, seconds=60.0)
-    assert world.taken == [8] and len(world.dialled) == 1
+    assert world.taken == [8] and len(world.dialled_at) == 1
 
 
 class Clock:
@@ -383,7 +388,7 @@
     tmp_path: Path, piece: int | None
 ) -> None:
     """Decoded or taken then: it came whole and counts as told, so the next call goes on from it."""
-    world = Long(tmp_path, "opens", "opens", "mute")
+    world = Long(tmp_path, "headers_only", "headers_only", "no_response")
 
     def say(node: Node, discovery: DiscoveryClient) -> None:
         world.module.then = lambda n: discovery.move(("127.0.0.2", 1)) if n == piece else None
@@ -392,7 +397,7 @@
             discovery.move(("127.0.0.2", 1))
 
     world.live(say, world.says(change(9, b0=GONE), call=1))
-    assert world.asked[1][1] == "/discovery/hosts?watch=1&from=8"
+    assert world.requests[1][1] == "/discovery/hosts?watch=1&from=8"
     assert world.taken == [8, 9]
     assert len(world.module.held) == 29
 
@@ -410,17 +415,17 @@
 
 def test_the_same_long_list_of_two_calls_at_once_is_taken_once(tmp_path: Path) -> None:
     """The slow one and the next: whichever is whole first goes on, and the other one is closed."""
-    world = Long(tmp_path, "endless", "opens", "mute")
+    world = Long(tmp_path, "endless_object", "headers_only", "no_response")
 
     def say(node: Node, discovery: DiscoveryClient) -> None:
         assert discovery.slow_call is not None
         rest = text(whole(8, 30))[len(b'{"revision": 9, "complete"') :]
-        world.lines[0].put(rest, first=False)
-        world.lines[1].put(text(whole(8, 30)), first=False)
+        world.connections[0].send_chunk(rest, first=False)
+        world.connections[1].send_chunk(text(whole(8, 30)), first=False)
 
-    world.play(5, lambda discovery: cast(None, world.loop.call_at(4.0, say, discovery.node, discovery)))
+    world.run(5, lambda discovery: cast(None, world.loop.call_at(4.0, say, discovery.node, discovery)))
     assert world.taken == [9] and len(world.module.held) == 30  # the slow one has that revision
-    assert [line.open_at(4.5) for line in world.lines] == [True, False]
+    assert [line.was_open_at(4.5) for line in world.connections] == [True, False]
 
 
 def test_a_room_repeats_what_was_saved_without_undoing_what_discovery_tells(tmp_path: Path) -> None:
@@ -538,7 +543,7 @@
     """A list of 70,000 has 10,434,719 bytes."""
     assert max_object_bytes(192.0) >= 1.5 * 10_434_719 and max_object_bytes(16.0) == MIN_OBJECT_LIMIT_BYTES
     caplog.set_level(logging.INFO)
-    world = Long(tmp_path, "opens", "mute")
+    world = Long(tmp_path, "headers_only", "no_response")
 
     def say(node: Node, discovery: DiscoveryClient) -> None:
         assert discovery.watch_call is not None
@@ -549,7 +554,7 @@
     assert "list: at most 16.0 MiB in one object, of 192 MB" in caplog.messages
     lines = [line for line in caplog.messages if "bad list" in line]
     assert lines == ["discovery: bad list: LST02: an object of over 1000 bytes"]
-    assert world.taken == [] and world.asked[1][1].endswith("from=0")
+    assert world.taken == [] and world.requests[1][1].endswith("from=0")
 
 
 def test_seventy_thousand_in_odd_pieces_are_taken(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -572,7 +577,7 @@
     def say(node: Node, _: DiscoveryClient) -> None:
         at, size = 0, 1
         while at < len(data):
-            world.lines[0].put(data[at : at + size], first=False)
+            world.connections[0].send_chunk(data[at : at + size], first=False)
             at, size = at + size, size * 7 % 99_991 + 1
 
     node = world.live(say)
@@ -586,12 +591,12 @@
     """Also where the connection has ended by then, and where no HTTP stands behind it."""
     monkeypatch.setattr(discovery_call, "MAX_SLICE_BYTES", 50)
     for behind in (b"0\r\n\r\n", b"no HTTP\r\n"):
-        world, read = Long(tmp_path, "opens", "mute"), list[int]()
+        world, read = Long(tmp_path, "headers_only", "no_response"), list[int]()
 
         def say(node: Node, watch: DiscoveryClient, world: Long = world, behind: bytes = behind) -> None:
             said = text(whole(8, 30)) + text(change(9, b0=GONE))
-            world.lines[0].raw(b"%x\r\n%b\r\n" % (len(said), said) + behind)
-            world.lines[0].abort()
+            world.connections[0].send_raw(b"%x\r\n%b\r\n" % (len(said), said) + behind)
+            world.connections[0].abort()
 
         def fed(self: LivenessTimeout, now: float, read: list[int] = read) -> None:
             read.append(1)
@@ -599,4 +604,4 @@
         monkeypatch.setattr(LivenessTimeout, "bytes_received", fed)
         world.live(say, seconds=9.0)
         assert len(read) > 30 and world.taken == [8, 9]
-        assert len(world.module.held) == 29 and world.asked[1][1].endswith("from=9")
+        assert len(world.module.held) == 29 and world.requests[1][1].endswith("from=9")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -13,7 +13,7 @@
 from balancer.net.limited import EVERY, LimitedWarnings
 from balancer.net.request_log import RequestLog
 from tests.helpers import entry, member
-from tests.test_discovery import World
+from tests.virtual_discovery import DiscoveryWorld
 
 HERE = "127.0.0.1:9"
 
@@ -77,8 +77,8 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    world = World(tmp_path, False, "falls", "refuse", "busy", "good")
-    world.play(20)
+    world = DiscoveryWorld(tmp_path, False, "goes_silent", "connection_refused", "rejects", "healthy")
+    world.run(20)
     lines = [line for line in caplog.messages if line.startswith(("discovery: call", "list: revision"))]
     target = "127.0.0.1:1 for /discovery/hosts?watch=1&from="
     names = " ".join(f"b{i}" for i in range(MAX_NAMES))
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -12,7 +12,7 @@
 from balancer.net.stream import Budget
 from balancer.net.upstream import KEEP, Connection, Host, Pool
 from tests.helpers import BASE
-from tests.test_discovery import VirtualLoop
+from tests.virtual_discovery import VirtualLoop
 
 
 class Unwalked(Shards[Member]):
@@ -62,7 +62,7 @@
     """Connections to these that fall idle one after the other."""
     out = []
     for name in names:
-        loop.skip.now += 0.01
+        loop.skipping_selector.now += 0.01
         out.append(Connection(pool, pool.host(name)))
         pool.count += 1
         pool.release(out[-1], True)
@@ -87,12 +87,12 @@
 def test_a_sweep_closes_what_has_been_idle_for_long_and_looks_again_while_any_is() -> None:
     def play(pool: Pool, loop: VirtualLoop) -> None:
         old = idle(pool, loop, "b2", "b0")
-        loop.skip.now += KEEP * pool.idle_limit
+        loop.skipping_selector.now += KEEP * pool.idle_limit
         young = idle(pool, loop, "b2")
         pool._sweep()
         assert [one.closed for one in (*old, *young)] == [True, True, False]
         assert pool.sweeper is not None and pool.hosts["b2"].idle == young
-        loop.skip.now += KEEP * pool.idle_limit + 0.01
+        loop.skipping_selector.now += KEEP * pool.idle_limit + 0.01
         pool._sweep()
         assert young[0].closed and pool.sweeper is None
 
