--- /dev/null
+++ b/tests/long_lists.py
@@ -0,0 +1,148 @@
+"""A node in virtual time that gets long lists: limits are so small that a few entries are many."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Callable, Iterator
+from dataclasses import replace
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any, cast
+
+import pytest
+
+from balancer import interface as api
+from balancer.interface import EndpointPhase, ListUpdateKind
+from balancer.net import config, endpoint_updater, list_layout, objects
+from balancer.net.discovery import DiscoveryClient
+from balancer.net.endpoint_decoder import PHASES
+from balancer.net.endpoints import EndpointUpdate, Member
+from balancer.net.node import Node, Rooms
+from balancer.policy import Balancer
+from tests.helpers import member as listed_at
+from tests.virtual_discovery import DiscoveryWorld
+
+IN_SERVICE = EndpointPhase.IN_SERVICE
+DRAINING = EndpointPhase.DRAINING
+REMOVED = EndpointPhase.REMOVED
+PHASE_WORDS = {phase: word for word, phase in PHASES.items()}
+MAX_SHORT = 4  # entries of an update that is applied at once
+BATCH = 2  # entries
+
+
+@pytest.fixture
+def small_limits(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+    """Set limits so small that a list of a few entries is a long one."""
+    monkeypatch.setattr(objects, "LONG", 100)
+    monkeypatch.setattr(list_layout, "MIN_RUN_BYTES", 100)
+    monkeypatch.setattr(list_layout, "ROWS_PER_MATCH", 2)
+    monkeypatch.setattr(list_layout, "RUNS_PER_SLICE", 1)
+    monkeypatch.setattr(endpoint_updater, "MAX_SHORT_UPDATE", MAX_SHORT)
+    monkeypatch.setattr(endpoint_updater, "BATCH_SIZE", BATCH)
+    monkeypatch.setattr(endpoint_updater, "COMPARED_PER_SLICE", 5)
+    yield
+
+
+class FakeModule:
+    """Stands in for the decision module: records the updates that it gets."""
+
+    def __init__(self) -> None:
+        self.phases: dict[str, EndpointPhase] = {}
+        self.entries: dict[str, api.Endpoint] = {}
+        self.updates = list[tuple[ListUpdateKind, dict[str, EndpointPhase]]]()
+        self.on_update: Callable[[int], None] = lambda count: None  # with the number of updates
+
+    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        if isinstance(event, api.ListUpdate) and event.kind is not ListUpdateKind.FAILED:
+            phases_by_id = {entry.backend: entry.phase for entry in event.entries}
+            if event.kind is not ListUpdateKind.DELTA:
+                self.phases = dict.fromkeys(self.phases, REMOVED)
+            self.phases |= phases_by_id
+            self.entries |= {entry.backend: entry for entry in event.entries}
+            self.updates.append((event.kind, phases_by_id))
+            self.on_update(len(self.updates))
+        return []
+
+    @property
+    def in_force(self) -> dict[str, EndpointPhase]:
+        return {name: phase for name, phase in self.phases.items() if phase is not REMOVED}
+
+
+def member(name: str, phase: EndpointPhase = IN_SERVICE, **over: Any) -> Member:
+    port = over.pop("port", 9)
+    entry = replace(api.Endpoint(name, "a", 0, 1.0, phase, 0.0), **over)
+    return listed_at(entry, f"127.0.0.1:{port}")
+
+
+def complete_list(revision: int, number: int, **phases: EndpointPhase) -> EndpointUpdate:
+    """Return a complete list of b0, b1, ..., some of them in another phase."""
+    phases_by_id = dict.fromkeys((f"b{i}" for i in range(number)), IN_SERVICE) | phases
+    return EndpointUpdate(
+        revision, True, tuple(member(*one) for one in phases_by_id.items() if one[1] is not REMOVED)
+    )
+
+
+def delta(revision: int, **phases: EndpointPhase) -> EndpointUpdate:
+    """Return an event that changes the phases of some members."""
+    return EndpointUpdate(revision, False, tuple(member(name, phase) for name, phase in phases.items()))
+
+
+def encode(update: EndpointUpdate) -> bytes:
+    """Return an update as discovery sends it."""
+    members = [
+        {"id": m.backend, "host_port": f"{m.address[0]}:{m.address[1]}", "phase": PHASE_WORDS[m.phase],
+         "locality": m.zone} for m in update.members
+    ]  # fmt: skip
+    table = {"revision": update.revision, "complete": update.complete, "members": members}
+    return json.dumps(table).encode() + b"\n"
+
+
+class LongListWorld(DiscoveryWorld):
+    """A node with a fake decision module, and a discovery that sends what the test says."""
+
+    def __init__(self, path: Path, *behaviours: str) -> None:
+        super().__init__(path, False, *(behaviours or ("headers_only",)))
+        self.module = FakeModule()
+        self.applied = list[int]()  # revisions, as they came into force; -1: an empty line
+        self.task: asyncio.Task[None] | None = None
+
+    def node(self, held: config.Config) -> Node:
+        node = super().node(held)
+        node.balancer = cast(Balancer, self.module)
+        self.module.updates.clear()
+        fleet = SimpleNamespace(
+            list_failed=lambda: None, unchanged=lambda: self.applied.append(-1),
+            listed=lambda update, kind: self.applied.append(update.revision),
+        )  # fmt: skip
+        node.fleet = cast(Rooms, fleet)
+        return node
+
+    def run_steps(self, *steps: Callable[[Node, DiscoveryClient], None], seconds: float = 1.0) -> Node:
+        """Run each step a second after the one before, then for so many seconds."""
+
+        def begin(discovery: DiscoveryClient) -> None:
+            for i, step in enumerate(steps):
+                self.loop.call_at(0.1 + i, step, discovery.node, discovery)
+
+        return self.run(0.1 + len(steps) + seconds, begin)
+
+    def send(self, *updates: EndpointUpdate, call: int = 0) -> Callable[[Node, DiscoveryClient], None]:
+        return lambda node, _: self.connections[call].send_chunk(b"".join(map(encode, updates)), first=False)
+
+
+def batches(world: LongListWorld) -> list[dict[str, EndpointPhase]]:
+    """Return the batches that the module has got, as phases by id."""
+    return [phases_by_id for _, phases_by_id in world.module.updates]
+
+
+class Clock:
+    """A processor clock that advances by the same step at each reading."""
+
+    def __init__(self, step: float) -> None:
+        self.step = step
+        self.used = 0.0
+
+    def __call__(self) -> float:
+        self.used += self.step
+        return self.used
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -1,4 +1,4 @@
-"""Settings past what the node's memory can hold: refused whole, at the start and at SIGHUP."""
+"""A configuration that would not fit the node's memory is rejected, at the start and at SIGHUP."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from tests.sockets import configuration
 
 
-def written(path: Path, memory_mb: float = 64, **counts: int) -> dict[str, str]:
-    """A file with so many tenants, classes and known members; the environment that names it."""
+def write_config(path: Path, memory_mb: float = 64, **counts: int) -> dict[str, str]:
+    """Write a file with so many tenants, classes and known members; returns the environment that names it."""
     raw = configuration([], 1, rules={"drain-grace": 2000})
     table = raw["settings"]
     first = table["request-classes"][0]
@@ -49,36 +49,36 @@
     ({"members": 42_000}, "known.members: 42000 entries take 10 of 10 MB"),
     ({"tenants": 40_000, "members": 15_000}, "settings: projects: 40000 entries take 7 of 11 MB"),
 ])  # fmt: skip
-def test_tables_past_the_memory_are_refused_and_the_longest_is_named(
+def test_tables_that_do_not_fit_are_rejected_and_the_longest_is_named(
     tmp_path: Path, counts: dict[str, int], line: str
 ) -> None:
-    """With 64 MB there are 10 for them."""
+    """Of 64 MB, 10 are for tables."""
     with pytest.raises(ConfigSizeError) as err:
-        load(written(tmp_path, **counts))
+        load(write_config(tmp_path, **counts))
     assert str(err.value) == f"{line} of tables, and limits.memory_mb 64 leaves 10"
 
 
-def test_tables_that_fit_are_taken(tmp_path: Path) -> None:
-    held = load(written(tmp_path, tenants=20_000, classes=100, members=5000))
-    assert len(held.settings.tenants) == 20_000 and len(held.known.members) == 5000
+def test_tables_that_fit_are_loaded(tmp_path: Path) -> None:
+    config = load(write_config(tmp_path, tenants=20_000, classes=100, members=5000))
+    assert len(config.settings.tenants) == 20_000 and len(config.known.members) == 5000
 
 
-def test_what_the_plan_asks_for_fits_the_memory_a_node_has_by_default(tmp_path: Path) -> None:
-    """350,000 tenants and 14,000 classes; not counted out here, as it takes some seconds."""
+def test_the_planned_size_fits_the_default_memory(tmp_path: Path) -> None:
+    """350,000 tenants and 14,000 classes; not loaded here, as that takes some seconds."""
     sizes = list(ENTRY_BYTES.values())
     assert 350_000 * sizes[0] + 14_000 * sizes[1] < (192 / 2 - 22) * 2**20
-    assert load(written(tmp_path, memory_mb=16, tenants=1000)).memory_mb == 16
+    assert load(write_config(tmp_path, memory_mb=16, tenants=1000)).memory_mb == 16
 
 
-def test_sighup_with_too_much_changes_nothing(tmp_path: Path) -> None:
-    held: Config = load(written(tmp_path, tenants=10))
+def test_a_reload_that_does_not_fit_changes_nothing(tmp_path: Path) -> None:
+    config: Config = load(write_config(tmp_path, tenants=10))
     with pytest.raises(ConfigSizeError):
-        reload(written(tmp_path, tenants=60_000), held)
-    assert len(reload(written(tmp_path, tenants=20), held).settings.tenants) == 20
+        reload(write_config(tmp_path, tenants=60_000), config)
+    assert len(reload(write_config(tmp_path, tenants=20), config).settings.tenants) == 20
 
 
-def test_the_program_ends_with_one_line(tmp_path: Path) -> None:
-    env = os.environ | written(tmp_path, tenants=60_000)
+def test_the_program_ends_with_one_line_on_standard_error(tmp_path: Path) -> None:
+    env = os.environ | write_config(tmp_path, tenants=60_000)
     got = subprocess.run([sys.executable, "-m", "balancer"], env=env, capture_output=True, text=True)
     assert got.returncode == 2 and got.stderr.count("\n") == 1
     assert got.stderr.startswith("balancer: CFG05: settings: projects: 60000 entries take 10 of 10 MB")
@@ -89,15 +89,17 @@
     ("settings: request-classes", {"classes": 500}),
     ("known.members", {"members": 3000}),
 ])  # fmt: skip
-def test_an_entry_takes_what_is_counted_for_it(tmp_path: Path, field: str, counts: dict[str, int]) -> None:
-    """Counted by the allocator, the module's part included."""
+def test_an_entry_takes_the_memory_that_is_counted_for_it(
+    tmp_path: Path, field: str, counts: dict[str, int]
+) -> None:
+    """Measured by the allocator, the decision module's part included."""
 
     def taken(**some: int) -> int:
-        env = written(tmp_path, **some)
+        env = write_config(tmp_path, **some)
         gc.collect()
         tracemalloc.start()
-        held: list[Any] = [load(env)]
-        held.append(Balancer(held[0].settings, 1))
+        config: list[Any] = [load(env)]
+        config.append(Balancer(config[0].settings, 1))
         gc.collect()
         size = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
--- a/tests/test_rows.py
+++ b/tests/test_endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Long lists decoded in turns: what comes of them, what is said of broken ones, how long a turn is."""
+"""Long lists decoded in slices: result, errors, and the length of a slice."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 ROW = {"id": "a", "host_port": "10.0.0.1:80", "phase": "in_service"}
 
 
-def in_turns(data: bytes) -> tuple[EndpointUpdate, int]:
-    """What comes of it, after how many turns."""
+def in_slices(data: bytes) -> tuple[EndpointUpdate, int]:
+    """Return the update, and after how many slices."""
     work = decode_update_in_slices(Pages(data).whole())
-    for turns in count(1):
+    for slices in count(1):
         try:
             next(work)
         except StopIteration as end:
-            return end.value, turns
+            return end.value, slices
     raise AssertionError
 
 
-def outcome(data: bytes, turned: bool) -> EndpointUpdate | str:
-    """What comes of it, or the line that says why nothing does; of what is no JSON, that it is none."""
+def outcome(data: bytes, sliced: bool) -> EndpointUpdate | str:
+    """Return the update, or the line of the error."""
     try:
-        return in_turns(data)[0] if turned else decode_update(data)
+        return in_slices(data)[0] if sliced else decode_update(data)
     except BalancerError as err:
         return err.line
     except (ValueError, RecursionError):
@@ -44,7 +44,7 @@
 
 
 def table(number: int, **over: Any) -> dict[str, Any]:
-    """A list of so many rows; each member of `over` is a field that the last one has."""
+    """Return a list of so many rows; `over` has fields of the last one."""
     members = [ROW | {"id": f"b{i}", "locality": "abc"[i % 3]} for i in range(number)]
     return {"revision": 7, "complete": True, "members": [*members[:-1], members[-1] | over]}
 
@@ -77,11 +77,11 @@
     st.lists(SOUND, max_size=12) | ANY, st.none() | ROWS, TOPS, st.sampled_from([None, 0, 1, 4]),
     st.booleans(), st.integers(), st.integers(1, 400), st.integers(1, 5),
 )  # fmt: skip
-def test_any_object_in_any_layout_comes_to_the_same_as_at_once(
+def test_any_object_in_any_layout_is_decoded_in_slices_as_at_once(
     members: Any, odd: dict[str, Any] | None, top: dict[str, Any], indent: int | None, ascii_only: bool,
     seed: int, run: int, looks: int,
 ) -> None:  # fmt: skip
-    """Where several entries make no sense, another one of them may be named: here one does at most."""
+    """One entry is invalid at most, as of several another one may be named."""
     draw = random.Random(seed)
 
     def shuffled(entries: dict[str, Any]) -> dict[str, Any]:
@@ -97,12 +97,12 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(list_layout, "MIN_RUN_BYTES", run)
         patch.setattr(list_layout, "RUNS_PER_SLICE", looks)
-        assert outcome(data, turned=True) == outcome(data, turned=False)
+        assert outcome(data, sliced=True) == outcome(data, sliced=False)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.integers(0, 10**6), st.binary(max_size=3), st.integers(0, 3), st.sampled_from([None, 1]))
-def test_a_list_with_some_bytes_changed_is_taken_or_refused_as_at_once(
+def test_a_corrupted_list_is_accepted_or_rejected_in_slices_as_at_once(
     at: int, other: bytes, lost: int, indent: int | None
 ) -> None:
     data = json.dumps(table(9, new={"x": [1, "]"]}), indent=indent).encode()
@@ -111,7 +111,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(list_layout, "MIN_RUN_BYTES", 200)
         if data.lstrip()[:1] == b"{":  # else no object is cut out of the stream
-            assert outcome(data, turned=True) == outcome(data, turned=False)
+            assert outcome(data, sliced=True) == outcome(data, sliced=False)
 
 
 @pytest.mark.parametrize(("data", "least"), [
@@ -124,13 +124,13 @@
     (b'{"members": [7], ' + json.dumps(table(5000)).encode()[1:], 1),
     (json.dumps(table(5000)).replace('"members"', '"m\\u0065mbers"').encode(), 1),
 ])  # fmt: skip
-def test_a_long_list_takes_turns_and_an_odd_one_comes_right_too(data: bytes, least: int) -> None:
-    got, turns = in_turns(data)
+def test_a_long_list_takes_many_slices_and_an_unusual_one_is_decoded_too(data: bytes, least: int) -> None:
+    got, slices = in_slices(data)
     assert got == decode_update(data) and len(got.members) == 5000
-    assert turns >= 20 if least > 1 else turns == 1
+    assert slices >= 20 if least > 1 else slices == 1
 
 
-def test_no_turn_decodes_more_than_some_hundred_rows_however_short_they_are() -> None:
+def test_no_slice_decodes_more_than_some_hundred_rows_however_short() -> None:
     members = [{"id": f"{i:x}", "host_port": "1.1.1.1:1", "phase": "in_service"} for i in range(20_000)]
     data = json.dumps({"revision": 1, "members": members}, separators=(",", ":")).encode()
     work = list_layout.scan_layout(data)
@@ -144,20 +144,20 @@
 
 
 @pytest.mark.parametrize("indent", [None, 1])
-def test_most_rows_of_a_usual_list_are_not_looked_at_before_they_are_decoded(indent: int | None) -> None:
-    """Guards against the time of a look at each byte that the decoder looks at, too."""
+def test_most_rows_of_a_usual_list_are_not_scanned_before_they_are_decoded(indent: int | None) -> None:
+    """To scan each byte before it is decoded would take too long."""
     data = json.dumps(table(20_000), indent=indent).encode()
     with pytest.raises(StopIteration) as end:
         next(list_layout.scan_layout(data, skip_rows=True))
     assert len(end.value.value.run_ends) > len(data) / list_layout.MIN_RUN_BYTES / 2
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(list_layout, "FLAT_ROWS", looked := Looked(list_layout.FLAT_ROWS))
-        in_turns(data)
-    assert looked.bytes < 4 * list_layout.MIN_RUN_BYTES
+        patch.setattr(list_layout, "FLAT_ROWS", counting := CountingPattern(list_layout.FLAT_ROWS))
+        in_slices(data)
+    assert counting.bytes < 4 * list_layout.MIN_RUN_BYTES
 
 
-class Looked:
-    """Counts the bytes that a pattern matches."""
+class CountingPattern:
+    """A pattern that counts the bytes it matches."""
 
     def __init__(self, pattern: re.Pattern[bytes]) -> None:
         self.pattern, self.bytes = pattern, 0
@@ -168,18 +168,18 @@
         return found
 
 
-def test_a_refused_list_is_let_go_in_turns(monkeypatch: pytest.MonkeyPatch) -> None:
-    data, turns = json.dumps(table(4000, cell=None)).encode(), list[int]()
-    for let_go in (10_000, 50):
-        monkeypatch.setattr(endpoint_decoder, "RELEASED_MEMBERS_PER_SLICE", let_go)
+def test_a_rejected_list_is_released_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
+    data, slices = json.dumps(table(4000, cell=None)).encode(), list[int]()
+    for released in (10_000, 50):
+        monkeypatch.setattr(endpoint_decoder, "RELEASED_MEMBERS_PER_SLICE", released)
         work = decode_update_in_slices(Pages(data).whole())
-        turn = 0
+        slice_count = 0
         with pytest.raises(EndpointListError):
             while True:
                 next(work)
-                turn += 1
-        turns.append(turn)
-    assert turns[1] - turns[0] > 2 * 3700 / 50  # two looks: one by leaps, one to name what is wrong
+                slice_count += 1
+        slices.append(slice_count)
+    assert slices[1] - slices[0] > 2 * 3700 / 50  # two looks: one by leaps, one to name what is wrong
 
 
 @pytest.mark.parametrize(("over", "line"), [
@@ -191,26 +191,26 @@
     ({"phase": "up"}, "members[3999].phase makes no sense: 'up', invalid enum value 'up'"),
     ({"host_port": "b.example:80"}, "members[3999].host_port makes no sense: 'b.example:80'"),
 ])  # fmt: skip
-def test_one_senseless_entry_of_thousands_is_named(over: dict[str, Any], line: str) -> None:
+def test_one_invalid_entry_of_thousands_is_named(over: dict[str, Any], line: str) -> None:
     data = json.dumps(table(4000, **over)).encode()
-    for decode in (in_turns, decode_update):
+    for decode in (in_slices, decode_update):
         with pytest.raises(EndpointListError) as err:
             decode(data)
         assert str(err.value) == line
 
 
-def test_a_change_may_name_a_backend_twice_and_the_later_word_counts() -> None:
+def test_an_event_may_name_a_backend_twice() -> None:
     data = json.dumps(table(4000, id="b5") | {"complete": False}).encode()
-    assert in_turns(data)[0] == decode_update(data)
+    assert in_slices(data)[0] == decode_update(data)
 
 
-def test_what_is_no_json_within_the_rows_says_behind_which() -> None:
+def test_malformed_json_within_the_rows_is_located() -> None:
     data = json.dumps(table(4000, cell=12345)).replace("12345", "1 2").encode()
     with pytest.raises(ValueError, match=r"^from members\[\d+\] on: Expecting ',' delimiter"):
-        in_turns(data)
+        in_slices(data)
 
 
-def test_the_bytes_are_given_back_before_the_list_is_taken_and_no_second_copy_is_held() -> None:
+def test_the_bytes_are_released_before_the_list_is_applied() -> None:
     data = Pages(json.dumps(table(20_000), indent=4).encode()).whole()
     size, work = len(data), decode_update_in_slices(data)
     tracemalloc.start()
