--- a/balancer/net/change_summary.py
+++ b/balancer/net/change_summary.py
@@ -68,11 +68,6 @@
         for member in members:
             tallies[member.phase].add(member.backend)
 
-    def add_removed(self, names: Iterable[str]) -> None:
-        """Add backends that a complete list leaves out."""
-        for name in names:
-            self._tallies[Change.REMOVED].add(name)
-
     def text(self) -> str:
         """Return all changes; empty where there are none."""
         return ", ".join(
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -118,14 +118,23 @@
         )
 
     def _apply_at_once(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
-        is_complete = kind is not api.ListUpdateKind.DELTA
+        members = update.members
+        if kind is not api.ListUpdateKind.DELTA:
+            members += self._left_out_at_once(members)
         self._has_sent_list = True
-        self._collect_changes(update.members, is_complete)
-        self.pool.update(update.members, is_complete)
+        for member in members:
+            self._changes.add_update(member, self.pool.members.get(member.backend))
+        self.pool.update(members, False)
         self.send(api.ListUpdate(kind, list(update.members), update.revision))
         self._log_changes(update.revision)
         self.applied(update, kind)
 
+    def _left_out_at_once(self, members: Batch) -> Batch:
+        """Return members in force that a short complete list leaves out, as removed."""
+        current = self.pool.members
+        names = current.keys() - {member.backend for member in members}
+        return tuple(replace(current[name], phase=api.EndpointPhase.REMOVED) for name in sorted(names))
+
     def _stop_early(self, update: EndpointUpdate) -> None:
         """Send what a pending update stops at once; no earlier update may put it into service again."""
         last = {member.backend: member for member in update.members}
@@ -240,13 +249,6 @@
 
     # --- the log
 
-    def _collect_changes(self, members: Batch, is_complete: bool) -> None:
-        current = self.pool.members
-        for member in members:
-            self._changes.add_update(member, current.get(member.backend))
-        if is_complete:
-            self._changes.add_removed(sorted(current.keys() - {member.backend for member in members}))
-
     def _log_changes(self, revision: int) -> None:
         if text := self._changes.text():
             log.info("list: revision %d: %s", revision, text)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -29,7 +29,8 @@
     changes.add_update(replace(up, backend="new"), None)
     changes.add_update(replace(up, backend="old", phase=EndpointPhase.REMOVED), None)  # it was never listed
     changes.add_update(replace(up, started_at=up.started_at + 1.0), up)
-    changes.add_removed(["left-out"])
+    left_out = replace(up, backend="left-out")
+    changes.add_update(replace(left_out, phase=EndpointPhase.REMOVED), left_out)
     named = " ".join(f"b{number}" for number in range(MAX_NAMES))
     assert changes.text() == f"draining {named} and 2 more, removed left-out, in service new, restarted b0"
 
