--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -187,7 +187,7 @@
             self._log.call(f"call {self.request.number} answered after {now - self.dialled_at:.2f} s")
 
     def close(self, end: CallEnd) -> None:
-        """Close the call; the owner is not told."""
+        """Close the call without notice to the owner."""
         if self.stage is not CallStage.ENDED:
             self._end = end
             self._duration = self._loop.time() - self.dialled_at
--- a/balancer/net/discovery_receiver.py
+++ b/balancer/net/discovery_receiver.py
@@ -20,7 +20,7 @@
 
 
 class ReceiverListener(Protocol):
-    """Is told what comes of messages."""
+    """Hears what becomes of messages."""
 
     def message_accepted(self, call: DiscoveryCall) -> None:
         """Handle a valid message, before it is applied."""
@@ -49,7 +49,7 @@
         Args:
             node: gets the updates.
             revision: of the list that the node has.
-            listener: is told what comes of messages.
+            listener: hears what becomes of messages.
             log: gets lines on malformed lists.
         """
         self.revision = revision
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -189,7 +189,7 @@
                     by_id[member.backend] = member
                 yield
         removed = self._left_out(by_id) if kind is not api.ListUpdateKind.DELTA else ()
-        held_back: Batch = ()  # the module is told which batch is the last, also where nothing has changed
+        held_back: Batch = ()  # the last batch is marked as such, also where nothing has changed
         for batch in chain(removed, self._changed(update.members, by_id)):
             if batch:
                 if held_back:
