--- a/balancer/net/connection_pool.py
+++ b/balancer/net/connection_pool.py
@@ -20,7 +20,7 @@
     reject_stream,
 )
 from balancer.net.backend_connection import REUSE_DELAY_S, BackendConnection
-from balancer.net.config import Address, Member
+from balancer.net.endpoints import Address, Member
 from balancer.net.rate_limited_log import RateLimitedLog
 from balancer.net.sharded_dict import ShardedDict
 from balancer.net.statistics import CloseReason, RequestStatistics
--- a/balancer/net/descriptor_shares.py
+++ b/balancer/net/descriptor_shares.py
@@ -12,7 +12,7 @@
 import zlib
 from dataclasses import dataclass
 
-from balancer.net.config import LEAST, LEAVING, SPARE, over
+from balancer.net.connection_limits import CLOSING_FDS, MIN_FDS, RESERVED_FDS, overflow_limit
 from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.process_slots import ProcessSlots
@@ -61,7 +61,7 @@
         self.node = node
         self.listener = listener
         self.slots = slots
-        self.share = LEAST  # descriptors
+        self.share = MIN_FDS  # descriptors
         self.claimed = 0  # descriptors
         self.is_draining = False  # new connections go to the other process: what ends here is not replaced
         self._started_ns = time.monotonic_ns()
@@ -72,7 +72,7 @@
     @property
     def has_enough(self) -> bool:
         """Whether the others have freed what a new process may count on."""
-        return self.share >= self.node.config.sockets - self.node.config.elders
+        return self.share >= self.node.config.sockets - self.node.config.predecessor_fds
 
     def apply(self) -> None:
         """Put the limits of this process in force, and claim what it holds."""
@@ -93,15 +93,15 @@
         config = self.node.config
         claims = self._claims(self.slots.peer_texts)
         if not self.claimed:  # what was set without a slot never was in force
-            self.listener.limit, self.node.pool.limit = config.within(LEAST)
+            self.listener.limit, self.node.pool.limit = config.connection_limits(MIN_FDS)
         if self._is_followed(claims):
             return self._limits_beside_later(claims)
         claimed = self._claimed_by_earlier(claims)
         if claimed is None:
             self.share = config.sockets // 2
             return None
-        share = max(LEAST, config.sockets - claimed) if claims else config.alone
-        limits = ConnectionLimits(*config.within(share))
+        share = max(MIN_FDS, config.sockets - claimed) if claims else config.sole_process_fds
+        limits = ConnectionLimits(*config.connection_limits(share))
         max_held = self._max_held(limits)
         if max_held > self.claimed:
             if max_held > share:  # more is in use yet than these limits allow
@@ -125,9 +125,9 @@
     def _max_held(self, limits: ConnectionLimits) -> int:
         """Return how many descriptors this process may hold under limits, or holds yet from before them."""
         listener = self.listener
-        allowed = limits.clients + over(limits.clients)
+        allowed = limits.clients + overflow_limit(limits.clients)
         clients = max(allowed, len(listener.connections) + len(listener.lingering))
-        return SPARE + LEAVING + clients + max(limits.backends, self.node.pool.connection_count)
+        return RESERVED_FDS + CLOSING_FDS + clients + max(limits.backends, self.node.pool.connection_count)
 
     def _claim(self, max_held: int) -> bool:
         """Write a claim; returns whether it stands in the slot."""
@@ -168,19 +168,19 @@
         """Return the limits beside a later process: never higher, and once draining what is still in use."""
         config = self.node.config
         claimed = self._claimed_by_earlier(claims)
-        remaining = config.elders - (claimed if claimed is not None else config.sockets // 2)
-        self.share = max(LEAST, remaining)
-        clients, backends = config.elder(self.share)
+        remaining = config.predecessor_fds - (claimed if claimed is not None else config.sockets // 2)
+        self.share = max(MIN_FDS, remaining)
+        clients, backends = config.predecessor_limits(self.share)
         if self.is_draining:
             open_count = len(self.listener.connections)
-            clients = min(clients, open_count + over(clients))
+            clients = min(clients, open_count + overflow_limit(clients))
             backends = min(backends, max(1, self.node.pool.connection_count, 2 * open_count))
         return self._lowered(ConnectionLimits(clients, backends))
 
 
 def fallback_limits(node: Node, has_peer: bool) -> ConnectionLimits:
     """Return the limits of a process that cannot tell its share: half of the descriptors beside another."""
-    return ConnectionLimits(*node.config.shares(2 if has_peer else 1))
+    return ConnectionLimits(*node.config.limits_per_process(2 if has_peer else 1))
 
 
 def apply_limits(node: Node, listener: Listener, limits: ConnectionLimits) -> None:
--- a/balancer/net/durable_adapter.py
+++ b/balancer/net/durable_adapter.py
@@ -20,7 +20,7 @@
 )
 from balancer.durable.store import DurableStore
 from balancer.durable.timestamp import Timestamp
-from balancer.net.config import Member, News
+from balancer.net.endpoints import EndpointUpdate, Member
 
 
 class DurableAdapter:
@@ -36,13 +36,13 @@
         self.store.take_over()
         self.store.append_unsynced(IncarnationStarted(incarnation, Timestamp.now().unix_ms))
 
-    def newest_list(self, configured: News) -> News:
+    def newest_list(self, configured: EndpointUpdate) -> EndpointUpdate:
         """Return the endpoint list to start with: the recovered or the configured one, whichever is newer."""
         recovered = self.recovered
         if not recovered.endpoints or recovered.list_revision <= configured.revision:
             return configured
         members = tuple(map(_member_of, recovered.endpoints.values()))
-        return News(recovered.list_revision, True, members)
+        return EndpointUpdate(recovered.list_revision, True, members)
 
     def recovered_learned(self) -> api.LearnedStateRestored | None:
         """Return what an earlier process had learned, with its minimum age."""
@@ -54,7 +54,7 @@
             return None
         return api.LearnedStateRestored(sample.learned, age_ms)
 
-    def save_list(self, update: News, kind: api.ListUpdateKind) -> None:
+    def save_list(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Save the endpoint list that discovery has sent, or a change of it."""
         rows = list(map(_row_of, update.members))
         is_complete = kind is api.ListUpdateKind.SNAPSHOT
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -18,7 +18,9 @@
 from balancer import interface as api
 from balancer.errors import BalancerError
 from balancer.net import config
-from balancer.net.config import Address, ConfigError, address, address_at
+from balancer.net.config_errors import ConfigError
+from balancer.net.config_file import address_at, read_config_file
+from balancer.net.endpoints import Address, EndpointUpdate, parse_address
 
 if TYPE_CHECKING:
     from balancer.membership.peer_socket import PeerSocket
@@ -97,7 +99,7 @@
     found: list[Address] = []
     for index, row in enumerate(rows):
         try:
-            one = address(row)
+            one = parse_address(row)
         except ValueError:
             raise ConfigError(f"peers[{index}] makes no sense: {row!r:.120}") from None
         if one in found:
@@ -134,7 +136,7 @@
         self._returns = table.recovery is not None
         self._opening: asyncio.Task[None] | None = None
         if table.membership is not None:
-            listen, peers, everybody = _peers(config.read(env))
+            listen, peers, everybody = _peers(read_config_file(env))
             me = held.settings.node_index
             _numbered(me, peers)
             from balancer.membership.config import Config as MembershipConfig
@@ -146,7 +148,7 @@
             self.port = PeerSocket(listen, peers, everybody)
             self.membership = MembershipShell(times, me, self.port, held.seed, least)
 
-    def steer(self, node: Node, watcher: EndpointWatcher, known: config.News) -> EndpointWatcher:
+    def steer(self, node: Node, watcher: EndpointWatcher, known: EndpointUpdate) -> EndpointWatcher:
         """What brings the list to this node: the one given, or the room that asks it in turns.
 
         `known` is the list to begin with.
@@ -190,7 +192,7 @@
         if self.returning is not None and self.returning.shell.serving.is_set():
             self.returning.resume()
 
-    def known(self, told: config.News) -> config.News:
+    def known(self, told: EndpointUpdate) -> EndpointUpdate:
         """The list to begin with: the one told at the start, or a newer one that was kept."""
         return told if self.durable is None else self.durable.newest_list(told)
 
@@ -204,7 +206,7 @@
             return {}, {}
         return self.durable.recovered.banned, self.durable.recovered.lifted
 
-    def listed(self, news: config.News, kind: api.ListUpdateKind) -> None:
+    def listed(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Discovery has told the list, or a change of it."""
         if self.durable is not None:
             self.durable.save_list(news, kind)
@@ -239,7 +241,7 @@
         port, shell = self.port, self.membership
         if port is None or shell is None:
             return lambda: None
-        listen, peers, everybody = _peers(config.read(env))
+        listen, peers, everybody = _peers(read_config_file(env))
         if new.settings.node_index != shell.node_id:
             raise FixedError(
                 f"settings: me cannot change from {shell.node_id} to {new.settings.node_index} in one life"
--- a/balancer/net/listener.py
+++ b/balancer/net/listener.py
@@ -7,7 +7,8 @@
 import socket
 
 from balancer.net.client_connection import ClientConnection
-from balancer.net.config import Address, over
+from balancer.net.connection_limits import overflow_limit
+from balancer.net.endpoints import Address
 from balancer.net.node import Node
 
 BACKLOG = 1024  # connections that wait to be accepted
@@ -64,7 +65,7 @@
         self.idle[connection] = None
         if self.is_over_limit and (oldest := self._longest_idle(connection)) is not None:
             self._displace(oldest)
-        if len(self.connections) + len(self.lingering) > self.limit + over(self.limit):
+        if len(self.connections) + len(self.lingering) > self.limit + overflow_limit(self.limit):
             first = next(iter(self.lingering), connection)
             self.lingering.pop(first, None)
             first.close()
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -12,16 +12,17 @@
 
 from balancer import interface as api
 from balancer.errors import BalancerError
-from balancer.net.config import Config, Member, News
+from balancer.net.config import Config
 from balancer.net.connection_pool import ConnectionPool
-from balancer.net.listing import Listing
+from balancer.net.cooperative import CooperativeScheduler
+from balancer.net.endpoint_updater import EndpointUpdater
+from balancer.net.endpoints import EndpointUpdate, Member
 from balancer.net.maintenance_file import MaintenanceFile
 from balancer.net.node_ports import EndpointWatcher, FleetServices
 from balancer.net.request_lifecycle import RequestLifecycle
 from balancer.net.shared_files import shared_path
 from balancer.net.statistics import RequestOutcome, RequestStatistics
 from balancer.net.stream import StreamMemory
-from balancer.net.turns import Turns
 from balancer.policy import Balancer
 
 log = logging.getLogger(__name__)
@@ -45,10 +46,12 @@
         self.shared_path = shared_path(os.environ, "{}:{}".format(*config.listen))
         self.maintenance = MaintenanceFile(self.shared_path, self.apply_maintenance)
         self.memory = StreamMemory(config.memory_mb)
-        self.pool = ConnectionPool(config.settings, config.shares(1)[1], self.statistics, self.memory)
+        self.pool = ConnectionPool(
+            config.settings, config.limits_per_process(1)[1], self.statistics, self.memory
+        )
         self.requests = RequestLifecycle(self.pool, self.statistics, self.counts, self.now, self.event)
-        self.turns = Turns(self.loop)
-        self.listing = Listing(self.pool, self.event, self._endpoints_updated, self.turns)
+        self.turns = CooperativeScheduler(self.loop)
+        self.listing = EndpointUpdater(self.pool, self.event, self._endpoints_updated, self.turns)
         self.discovery: EndpointWatcher | None = None
         self.fleet: FleetServices | None = None
         self.has_endpoints = False  # an endpoint has been in service
@@ -189,7 +192,7 @@
         """Return what is in force of a backend."""
         return self.pool.members.get(name)
 
-    def update_endpoints(self, news: News, kind: api.ListUpdateKind) -> None:
+    def update_endpoints(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Apply the endpoint list, or a change of it; long ones come into force later."""
         if kind is not api.ListUpdateKind.CACHED:
             self.endpoint_revision = news.revision
@@ -201,7 +204,7 @@
         self.last_discovery_at = self.loop.time()
         self.listing.put(None, api.ListUpdateKind.DELTA)
 
-    def _endpoints_updated(self, news: News | None, kind: api.ListUpdateKind) -> None:
+    def _endpoints_updated(self, news: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
         """Tell of an update that is in force; None for one without a change."""
         if news is None:
             if self._is_failure_reported:  # the module is to know that discovery answers
--- a/balancer/net/node_ports.py
+++ b/balancer/net/node_ports.py
@@ -7,7 +7,7 @@
 
 from balancer import interface as api
 from balancer.net.backend_connection import BackendConnection
-from balancer.net.config import News
+from balancer.net.endpoints import EndpointUpdate
 
 
 class Client(Protocol):
@@ -42,7 +42,7 @@
     def stats(self) -> dict[str, object]:
         """Return their part of the statistics."""
 
-    def listed(self, news: News, kind: api.ListUpdateKind) -> None:
+    def listed(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Take an update of the endpoint list."""
 
     def unchanged(self) -> None:
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -17,7 +17,7 @@
 from balancer.net.console import Console
 from balancer.net.counts_log import CountsLog
 from balancer.net.descriptor_shares import DescriptorShares
-from balancer.net.discovery import Discovery
+from balancer.net.discovery import DiscoveryClient
 from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.process_slots import ProcessSlots
@@ -54,11 +54,11 @@
         if self.fleet is not None:
             self.known = self.fleet.known(config.known)
             self.recovered = self.fleet.recovered()
-        self.discovery = Discovery(self.node, config.discovery, self.known.revision)
+        self.discovery = DiscoveryClient(self.node, config.discovery, self.known.revision)
         self.node.discovery = self.discovery
         if self.fleet is not None:
             self.node.discovery = self.fleet.steer(self.node, self.discovery, self.known)
-        self.listener = Listener(self.node, config.shares(1)[0])
+        self.listener = Listener(self.node, config.limits_per_process(1)[0])
         self.console = Console(self.node)
         self.slots = ProcessSlots(self.node.shared_path, partial(handle_peer_change, self.node, self.fleet))
         self.shares = DescriptorShares(self.node, self.listener, self.slots)
@@ -104,8 +104,8 @@
         node.update_endpoints(self.known, ListUpdateKind.CACHED)
         if not self.config.settings.must_subscribe and node.discovery is not None:
             node.discovery.watch(True)
-        if node.listing.waiting:  # what was learned is of backends in a long list: it has to be in force
-            await self._unless_stopped(node.listing.settled())
+        if node.listing.pending:  # what was learned is of backends in a long list: it has to be in force
+            await self._unless_stopped(node.listing.wait_idle())
 
     async def _become_ready(self, has_peer: bool) -> bool:
         """Recover state and take over from another process; returns whether the process is to listen."""
@@ -127,7 +127,7 @@
         node = self.node
         await self.listener.listen(node.config.listen, shared=node.config.console is not None)
         node.is_listening = True
-        node.turns.hurry = False
+        node.turns.skips_pauses = False
         if self.listener.socket is not None and node.config.console is not None:
             stop_steering(self.listener.socket)
         CountsLog(node).start()
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -14,7 +14,7 @@
 from balancer.durable.store import DurableStore
 from balancer.errors import BalancerError
 from balancer.membership.peer_socket import PeerSocket
-from balancer.net.config import Member, News
+from balancer.net.endpoints import EndpointUpdate, Member
 from balancer.net.node import Node
 from balancer.net.node_ports import EndpointWatcher
 from balancer.net.rate_meter import RateMeter, RequestCounts
@@ -42,7 +42,7 @@
         self,
         node: Node,
         watcher: EndpointWatcher,
-        known: News,
+        known: EndpointUpdate,
         port: PeerSocket,
         incarnation: int,
         disk: DurableStore | None,
@@ -158,12 +158,14 @@
                 replace(m, phase=api.EndpointPhase.DRAINING) if m.backend in ids else _copy(m)
                 for m in self._saved.members
             )
-            self.node.update_endpoints(News(self._saved.revision, True, members), api.ListUpdateKind.CACHED)
+            self.node.update_endpoints(
+                EndpointUpdate(self._saved.revision, True, members), api.ListUpdateKind.CACHED
+            )
             return
         members = tuple(_copy(member) for name, member in self._list.items() if name in released)
         if members:
             self.node.update_endpoints(
-                News(self._saved.revision, False, members, True), api.ListUpdateKind.DELTA
+                EndpointUpdate(self._saved.revision, False, members, True), api.ListUpdateKind.DELTA
             )
 
     # --- for the balancer: `Watcher`
@@ -189,7 +191,7 @@
             self.watcher.watch(False)
             self.shell.handle(events.ListRequestFailed())
 
-    def list_received(self, news: News, kind: api.ListUpdateKind) -> None:
+    def list_received(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Record the list that discovery has sent, or a change of it."""
         if kind is api.ListUpdateKind.SNAPSHOT:
             self._list = {}
@@ -208,7 +210,7 @@
 
     def list_confirmed(self) -> None:
         """Record that discovery has confirmed the saved list."""
-        self.list_received(News(self._saved.revision, False, ()), api.ListUpdateKind.DELTA)
+        self.list_received(EndpointUpdate(self._saved.revision, False, ()), api.ListUpdateKind.DELTA)
 
     # --- for the operators
 
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from balancer.net import config as config_file
-from balancer.net.config import ConfigError
-from balancer.net.discovery import Discovery
+from balancer.net.config_errors import ConfigError
+from balancer.net.discovery import DiscoveryClient
 from balancer.net.node import Node
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 
-def reload(node: Node, discovery: Discovery, fleet: Fleet | None) -> None:
+def reload(node: Node, discovery: DiscoveryClient, fleet: Fleet | None) -> None:
     """Apply the configuration file; one that makes no sense changes nothing."""
     try:
         config = config_file.reload(os.environ, node.config)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -22,7 +22,8 @@
 from balancer.net import client_connection as client_file
 from balancer.net.attempt import AttemptResult
 from balancer.net.client_connection import ClientConnection
-from balancer.net.config import load, over
+from balancer.net.config import load
+from balancer.net.connection_limits import overflow_limit
 from balancer.net.connection_pool import ConnectionPool, EndpointConnections
 from balancer.net.listener import Listener
 from balancer.net.node import Node
@@ -295,17 +296,17 @@
     limit = 3
     async with listener_of(tmp, limit=limit) as listener:
         peers, seen = [], []
-        for _ in range(limit + over(limit) + 5):
+        for _ in range(limit + overflow_limit(limit) + 5):
             peers.append(Peer())
             seen.append(await peers[-1].reach(listener))
             peers[-1].sock.send(UP)
             assert await peers[-1].read(len(ANSWERED)) == ANSWERED  # not over the cap
             assert len(listener.connections) <= limit
-            assert len(listener.connections) + len(listener.lingering) <= limit + over(limit)
+            assert len(listener.connections) + len(listener.lingering) <= limit + overflow_limit(limit)
         first = seen[0].transport
         assert first is not None
         assert first.is_closing()
-        assert [c.is_closing for c in seen] == [True] * (over(limit) + 5) + [False] * limit
+        assert [c.is_closing for c in seen] == [True] * (overflow_limit(limit) + 5) + [False] * limit
         for peer in peers:
             peer.sock.close()
 
@@ -406,7 +407,7 @@
     """Bad requests behind a good one, and floods."""
     with caplog.at_level(logging.INFO):
         on_uvloop(_behind)(tmp_path)
-    assert caplog.messages == ["list: revision 41: ready b0"]  # at its start, and nothing since
+    assert caplog.messages == ["list: revision 41: in service b0"]  # at its start, and nothing since
 
 
 async def _early(tmp: Path) -> None:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -7,13 +7,13 @@
 
 from balancer import interface as api
 from balancer.net.backend_connection import BackendConnection
-from balancer.net.config import Member
 from balancer.net.connection_pool import IDLE_TIMEOUT_FRACTION, ConnectionPool, EndpointConnections
+from balancer.net.endpoints import Member
 from balancer.net.sharded_dict import ShardedDict
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import StreamMemory
 from tests.helpers import BASE
-from tests.test_discovery import VirtualLoop
+from tests.virtual_discovery import VirtualLoop
 
 
 class Unwalked(ShardedDict[Member]):
@@ -63,7 +63,7 @@
     """Connections to these that fall idle one after the other."""
     out = []
     for name in names:
-        loop.skip.now += 0.01
+        loop.skipping_selector.now += 0.01
         out.append(BackendConnection(pool, pool.endpoint(name)))
         pool.connection_count += 1
         pool.release(out[-1], True)
@@ -90,12 +90,12 @@
 def test_a_sweep_closes_what_has_been_idle_for_long_and_looks_again_while_any_is() -> None:
     def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
         old = idle(pool, loop, "b2", "b0")
-        loop.skip.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s
+        loop.skipping_selector.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s
         young = idle(pool, loop, "b2")
         pool.sweep()
         assert [one.is_closed for one in (*old, *young)] == [True, True, False]
         assert pool.sweep_timer is not None and pool.endpoints["b2"].idle == young
-        loop.skip.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s + 0.01
+        loop.skipping_selector.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s + 0.01
         pool.sweep()
         assert young[0].is_closed and pool.sweep_timer is None
 
--- a/tests/test_descriptor_shares.py
+++ b/tests/test_descriptor_shares.py
@@ -14,7 +14,8 @@
 
 from balancer.net import process_slots as slots_file
 from balancer.net.client_connection import ClientConnection
-from balancer.net.config import LEAST, LEAVING, SPARE, Config
+from balancer.net.config import Config
+from balancer.net.connection_limits import CLOSING_FDS, MIN_FDS, RESERVED_FDS
 from balancer.net.descriptor_shares import DescriptorClaim, DescriptorShares, parse_claim
 from balancer.net.listener import Listener
 from balancer.net.node import Node
@@ -33,7 +34,7 @@
 
     def __init__(self, folder: Path, config: Config) -> None:
         self.node = Node(config)
-        self.listener = Listener(self.node, config.shares(1)[0])
+        self.listener = Listener(self.node, config.limits_per_process(1)[0])
         self.slots = ProcessSlots(folder / "x", lambda beside: None)
         self.shares = DescriptorShares(self.node, self.listener, self.slots)
         self.transports: dict[ClientConnection, FakeTransport] = {}
@@ -59,8 +60,8 @@
         """Descriptors, as if it used all that it keeps for itself."""
         listener = self.listener
         return (
-            SPARE
-            + LEAVING
+            RESERVED_FDS
+            + CLOSING_FDS
             + len(listener.connections)
             + len(listener.lingering)
             + self.node.pool.connection_count
@@ -134,7 +135,7 @@
 ) -> None:
     old = tier.start()
     old.flood(half=half)
-    assert old.holds == SOCKETS - LEAST  # what a newcomer needs at once is kept free
+    assert old.holds == SOCKETS - MIN_FDS  # what a newcomer needs at once is kept free
     new = tier.start()
     new.flood(half=half)
     tier.check()
@@ -182,7 +183,8 @@
     old.settle()
     old.look()
     assert (
-        old.listener.limit == tier.config.elder(old.shares.share)[0] and len(old.listener.connections) == 20
+        old.listener.limit == tier.config.predecessor_limits(old.shares.share)[0]
+        and len(old.listener.connections) == 20
     )
 
 
@@ -195,7 +197,10 @@
     tier.all.remove(old)
     old.die()
     new.look()
-    assert new.shares.share == tier.config.alone > part and new.listener.limit == tier.config.shares(1)[0]
+    assert (
+        new.shares.share == tier.config.sole_process_fds > part
+        and new.listener.limit == tier.config.limits_per_process(1)[0]
+    )
     newest = tier.start()
     for _ in range(2):
         new.look()
@@ -204,7 +209,7 @@
     tier.all.remove(newest)
     newest.die()  # before it has taken over
     new.look()
-    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(1)
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.limits_per_process(1)
 
 
 @pytest.mark.parametrize("text", ["", "x" * 200, "\xff\n", "1 2 3\n", DescriptorClaim(1, 2).encode()[:-4]])
@@ -218,14 +223,16 @@
     good = slot.read_bytes()
     slot.write_bytes(text.encode("latin-1"))
     new = tier.start()
-    assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2) and new.shares.has_enough
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.limits_per_process(
+        2
+    ) and new.shares.has_enough
     slot.write_bytes(good)
     new.look()
     tier.check()
-    assert new.shares.share == LEAST  # the old one has not looked yet
+    assert new.shares.share == MIN_FDS  # the old one has not looked yet
     slot.write_bytes(text.encode("latin-1"))
     new.look()
-    assert new.shares.share == LEAST
+    assert new.shares.share == MIN_FDS
     for _ in range(3):  # it is written anew at each look
         old.look()
         old.settle(lingering=True)
@@ -235,7 +242,7 @@
     assert new.shares.has_enough
     new.slots.paths[1].write_bytes(text.encode("latin-1"))
     old.look()  # it is known to have come later
-    assert old.shares.share == tier.config.elders
+    assert old.shares.share == tier.config.predecessor_fds
 
 
 async def test_who_holds_more_than_its_part_does_not_grow_until_that_is_gone(tier: Tier) -> None:
@@ -251,11 +258,11 @@
     old.look()
     new.look()
     tier.check()
-    assert (new.listener.limit, new.node.pool.limit) == tier.config.within(LEAST)
+    assert (new.listener.limit, new.node.pool.limit) == tier.config.connection_limits(MIN_FDS)
     new.node.pool.connection_count = 0
     new.look()
     tier.check()
-    assert new.shares.share == SOCKETS - tier.config.elders
+    assert new.shares.share == SOCKETS - tier.config.predecessor_fds
 
 
 async def test_a_claim_is_read_as_it_was_written_and_no_other() -> None:
@@ -289,7 +296,7 @@
         assert second.said <= most  # also as the first gives up what it held
         most = second.said
     tier.check()
-    assert third.shares.share > LEAST
+    assert third.shares.share > MIN_FDS
     tier.all.remove(first)
     first.die()
     second.shares.is_draining = True
@@ -299,7 +306,7 @@
     tier.all.remove(second)
     second.die()
     third.look()
-    assert third.shares.share == tier.config.alone
+    assert third.shares.share == tier.config.sole_process_fds
 
 
 async def test_one_that_comes_while_another_grows_is_seen_before_that_is_used(
@@ -311,14 +318,14 @@
     read = ProcessSlots.read_peers
 
     def comes(slots: ProcessSlots) -> dict[int, str] | None:
-        if slots is new.slots and new.said > LEAST and not last:  # between what it says and its look
+        if slots is new.slots and new.said > MIN_FDS and not last:  # between what it says and its look
             last.append(tier.start())
         return read(slots)
 
     with monkeypatch.context() as patch:
         patch.setattr(ProcessSlots, "read_peers", comes)
         new.look()
-    assert last and new.shares.share == LEAST and last[0].shares.share == LEAST
+    assert last and new.shares.share == MIN_FDS and last[0].shares.share == MIN_FDS
     for _ in range(2):
         for one in tier.all:
             one.look()
@@ -336,12 +343,12 @@
         patch.setattr(slots_file, "read_slot", fails)
         new = tier.start()
         tier.check()
-        assert new.shares.share == LEAST
+        assert new.shares.share == MIN_FDS
     old.look()
     with monkeypatch.context() as patch:
         patch.setattr(os, "pwrite", fails)
         new.look()
-        assert (new.listener.limit, new.node.pool.limit) == tier.config.shares(2)
+        assert (new.listener.limit, new.node.pool.limit) == tier.config.limits_per_process(2)
     new.look()
     tier.check()
 
@@ -349,22 +356,26 @@
 @pytest.mark.parametrize("sockets", [64, 128, 256, 1024, 4096])
 def test_every_part_is_within_itself(tmp_path: Path, sockets: int) -> None:
     config = Tier(tmp_path, sockets).config
-    for part in range(LEAST, sockets + 1):
-        for clients, upstream in (config.within(part), config.elder(part)):
+    for part in range(MIN_FDS, sockets + 1):
+        for clients, upstream in (config.connection_limits(part), config.predecessor_limits(part)):
             assert clients >= 1 and upstream >= 1
-            assert clients + max(1, min(16, clients // 8)) + LEAVING + upstream + SPARE <= part
-    if sockets >= 8 * SPARE:
-        assert config.alone + LEAST == sockets
-        assert config.elder(config.elders)[0] == sockets // 3  # all that clients have may stay
+            assert clients + max(1, min(16, clients // 8)) + CLOSING_FDS + upstream + RESERVED_FDS <= part
+    if sockets >= 8 * RESERVED_FDS:
+        assert config.sole_process_fds + MIN_FDS == sockets
+        assert (
+            config.predecessor_limits(config.predecessor_fds)[0] == sockets // 3
+        )  # all that clients have may stay
 
 
 async def test_without_a_console_nothing_is_kept_free_and_nothing_said(tmp_path: Path) -> None:
     config = config_of(tmp_path, [], 1, sockets=SOCKETS)
     node = Node(config)
-    listener = Listener(node, config.shares(1)[0])
+    listener = Listener(node, config.limits_per_process(1)[0])
     slots = ProcessSlots(tmp_path / "x", lambda beside: None)
     DescriptorShares(node, listener, slots).apply()
-    assert (listener.limit, node.pool.limit) == config.shares(1) and config.alone == SOCKETS
+    assert (listener.limit, node.pool.limit) == config.limits_per_process(
+        1
+    ) and config.sole_process_fds == SOCKETS
     assert not list(tmp_path.glob("x*"))
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,8 @@
 from balancer.membership.peer_socket import MAX_DATAGRAMS_PER_S, RECOVERY_KINDS, PeerSocket
 from balancer.membership.shell import MembershipShell
 from balancer.net import config
-from balancer.net.config import Address, ConfigError
+from balancer.net.config_errors import ConfigError
+from balancer.net.endpoints import Address
 from balancer.net.fleet import Fleet, read
 from tests.sockets import happens
 
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -12,7 +12,7 @@
 
 from balancer import interface as api
 from balancer.membership.peer_socket import PeerSocket
-from balancer.net.config import News
+from balancer.net.endpoints import EndpointUpdate
 from balancer.net.node import Node
 from balancer.net.recovery_adapter import RecoveryAdapter
 from balancer.recovery.ban_requests import BanCallError
@@ -45,9 +45,9 @@
     phases: dict[str, api.EndpointPhase]  # by backend
 
 
-def news(revision: int, *names: str) -> News:
+def news(revision: int, *names: str) -> EndpointUpdate:
     """Return a list of backends that are in service."""
-    return News(revision, True, tuple(member(entry(name), "127.0.0.1:1") for name in names))
+    return EndpointUpdate(revision, True, tuple(member(entry(name), "127.0.0.1:1") for name in names))
 
 
 @dataclass
@@ -64,7 +64,7 @@
     """An adapter that has not started."""
     lists: list[ListSent] = []
 
-    def take(update: News, kind: api.ListUpdateKind) -> None:
+    def take(update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         lists.append(ListSent(kind, {m.backend: m.phase for m in update.members}))
 
     node: Any = SimpleNamespace(
@@ -124,7 +124,7 @@
     adapter.restrict_saved_list(frozenset({"a", "b", "x"}))
     assert setup.lists == [ListSent(api.ListUpdateKind.CACHED, {"a": draining, "b": draining, "c": up})]
     gone = member(entry("a", phase=api.EndpointPhase.REMOVED), "127.0.0.1:1")
-    adapter.list_received(News(42, False, (gone,)), api.ListUpdateKind.DELTA)
+    adapter.list_received(EndpointUpdate(42, False, (gone,)), api.ListUpdateKind.DELTA)
     adapter.restrict_saved_list(frozenset())
     assert setup.lists[1:] == [ListSent(api.ListUpdateKind.DELTA, {"b": up})]
 
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -19,8 +19,8 @@
 from balancer import interface as api
 from balancer.net.attempt import Attempt, AttemptResult
 from balancer.net.backend_connection import REUSE_DELAY_S
-from balancer.net.config import news
 from balancer.net.connection_pool import ConnectionPool
+from balancer.net.endpoint_decoder import update_from_json
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import StreamMemory
 from tests.helpers import BASE, KEYED, node, sends
@@ -301,7 +301,9 @@
     loop, backend = asyncio.get_running_loop(), Backend("b0")
     await backend.start()
     pool = ConnectionPool(BASE, 9, RequestStatistics(), StreamMemory(64.0))
-    pool.update(news({"revision": 1, "complete": True, "members": [backend.member()]}).members, True)
+    pool.update(
+        update_from_json({"revision": 1, "complete": True, "members": [backend.member()]}).members, True
+    )
     ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
     back = -REUSE_DELAY_S
     for count in range(1, 4):
@@ -385,7 +387,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.pool = ConnectionPool(BASE, 9, RequestStatistics(), StreamMemory(64.0))
         row = {"id": "b0", "host_port": f"127.0.0.1:{self.listener.getsockname()[1]}", "phase": "in_service"}
-        self.pool.update(news({"revision": 1, "complete": True, "members": [row]}).members, True)
+        self.pool.update(update_from_json({"revision": 1, "complete": True, "members": [row]}).members, True)
         self.ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
 
     def start(self, data: bytes) -> Attempt:
