--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -21,12 +21,12 @@
 from balancer.cli import fleet, returning, state
 from balancer.cli.output import Exit, stop
 from balancer.errors import BalancerError
+from balancer.experiments.spec import Experiment, SpecError, load
 from balancer.lab import records
 from balancer.lab.figures import FEWEST, JUDGED, summary
 from balancer.lab.judge import RULES, Judge
 from balancer.lab.programs import HERE, ROOT, Program, ProgramError, obtain
 from balancer.lab.run import Live, ResultsError, Run, play
-from balancer.lab.spec import Experiment, SpecError, load
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
 
--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -10,9 +10,9 @@
 from rich.table import Table
 from rich.text import Text
 
+from balancer.experiments.spec import Expect, Experiment, Kill, Load
 from balancer.lab.figures import percentiles
 from balancer.lab.run import Run
-from balancer.lab.spec import Expect, Experiment, Kill, Load
 from balancer.lab.timeline import Step, timeline
 
 BARS = " ▁▂▃▄▅▆▇█"
--- /dev/null
+++ b/balancer/experiments/__init__.py
@@ -0,0 +1,1 @@
+"""Experiments: the tables of an experiment file, their checks, and what is derived from them."""
--- a/balancer/lab/spec.py
+++ b/balancer/experiments/spec.py
@@ -17,7 +17,7 @@
 from balancer.errors import BalancerError
 
 ZONES = ("a", "b", "c")
-MOST_LATE = 0.45  # of the time: `model/late.py` has spells of 0.9 s and 1.1 s between them at least
+MOST_LATE = 0.45  # of the time: a spell of 0.9 s and a rest of 1.1 s at least, see `models/connect_delay.py`
 
 
 class SpecError(BalancerError):
--- a/balancer/lab/backends.py
+++ b/balancer/lab/backends.py
@@ -8,14 +8,14 @@
 
 import httptools
 
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import Experiment, LateConnect
 from balancer.lab import records
-from balancer.lab.model.backend import RAN, Backend, Cell, Job, Topple, Verdict
-from balancer.lab.model.late import spells
-from balancer.lab.model.weather import Weather
 from balancer.lab.places import Places
-from balancer.lab.spec import Experiment, LateConnect
-from balancer.lab.streams import stream
 from balancer.lab.wires import Clock, Listener, Wire
+from balancer.models.backend import RAN, Backend, Cell, Job, Topple, Verdict
+from balancer.models.connect_delay import spells
+from balancer.models.network import Weather
 
 CODES = {
     Verdict.SERVED: "200 OK", Verdict.REPEATED: "200 OK", Verdict.ERROR: "500 Internal Server Error",
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -11,16 +11,16 @@
 import httptools
 import numpy as np
 
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import Experiment, RequestClass, Terminate
 from balancer.lab import records
 from balancer.lab.backends import WORK
-from balancer.lab.model.client import End, Try, Wish
-from balancer.lab.model.load import Arrivals, draw
-from balancer.lab.model.weather import Weather
 from balancer.lab.places import Places
-from balancer.lab.spec import Experiment, RequestClass, Terminate
-from balancer.lab.streams import stream
 from balancer.lab.timeline import timeline
 from balancer.lab.wires import Clock, Wire
+from balancer.models.client import End, Try, Wish
+from balancer.models.load import Arrivals, draw
+from balancer.models.network import Weather
 
 OVERDUE = 500.0  # ms after its time that an answer is still looked for: by then a request counts as lost
 CHECK_OUT = 0.1  # s between two looks at a node that is out
--- a/balancer/lab/compare.py
+++ b/balancer/lab/compare.py
@@ -17,9 +17,9 @@
 from matplotlib.figure import Figure
 from numpy.typing import NDArray
 
+from balancer.experiments.random_streams import stream
 from balancer.lab.figures import JUDGED
 from balancer.lab.report import BAD, GOOD, INK, QUIET, page, png, table_html
-from balancer.lab.streams import stream
 
 LEVEL = 0.05  # of the whole family of figures
 RESAMPLES = 10_000
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -12,12 +12,12 @@
 from hdrh.histogram import HdrHistogram
 from numpy.typing import NDArray
 
+from balancer.experiments.spec import Expect, Experiment, Link, Power, Stall, choose
 from balancer.lab import records
 from balancer.lab.judge import RULES, Judgement
-from balancer.lab.model.client import End
 from balancer.lab.returning import forgotten, returning
-from balancer.lab.spec import Expect, Experiment, Link, Power, Stall, choose
 from balancer.lab.timeline import over
+from balancer.models.client import End
 
 LATE_RIG = 5.0  # ms: the p99 of the rig's own lateness from which a run is void
 STARVED = 1.0  # s within STRETCH that a node that runs could not run, from which on a run is void
--- a/balancer/lab/hub.py
+++ b/balancer/lab/hub.py
@@ -13,12 +13,12 @@
 
 import httptools
 
+from balancer.experiments.spec import Experiment, Reload
 from balancer.lab import records
-from balancer.lab.model.directory import Directory, Listed, Phase, Watch
-from balancer.lab.model.weather import Weather
 from balancer.lab.places import Places, text
-from balancer.lab.spec import Experiment, Reload
 from balancer.lab.wires import Clock, Listener, Wire
+from balancer.models.directory import Directory, Listed, Phase, Watch
+from balancer.models.network import Weather
 
 LEFT = 1.5  # s after which an address that was left closes its connections
 EMPTY_LINE = 2.0  # s between two empty lines of a watch
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -13,13 +13,8 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-from balancer.lab import records
-from balancer.lab.clients import OVERDUE, wording
-from balancer.lab.model.backend import Verdict
-from balancer.lab.model.client import End
-from balancer.lab.model.directory import Phase
-from balancer.lab.model.weather import Weather
-from balancer.lab.spec import (
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import (
     DiscoveryDown,
     DiscoveryLate,
     Experiment,
@@ -30,8 +25,13 @@
     choose,
     parties,
 )
-from balancer.lab.streams import stream
+from balancer.lab import records
+from balancer.lab.clients import OVERDUE, wording
 from balancer.lab.timeline import over
+from balancer.models.backend import Verdict
+from balancer.models.client import End
+from balancer.models.directory import Phase
+from balancer.models.network import Weather
 
 SLACK = 50.0  # ms that sockets add to each limit
 TOLD_ANYWAY = 6000.0  # ms after which what discovery has to tell counts as told
--- a/balancer/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -5,9 +5,9 @@
 import asyncio
 import contextlib
 
+from balancer.experiments.spec import Power
 from balancer.lab import power
 from balancer.lab.processes import Fleet, NodeHost
-from balancer.lab.spec import Power
 from balancer.sim.disk import DiskImage
 
 
--- a/balancer/lab/power.py
+++ b/balancer/lab/power.py
@@ -28,8 +28,8 @@
 
 from balancer.durable import frames
 from balancer.durable.layout import DRAFT_PREFIX, FENCE_NAME, FILE_NAME, MAGIC, FileKind, FileName, draft_name
-from balancer.lab.spec import Experiment, Power, choose, parties
-from balancer.lab.streams import stream
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import Experiment, Power, choose, parties
 from balancer.sim.disk import DiskImage, Inode, NameChange, SimulatedDisk
 
 NOTED = frozenset({"list", "learned", "start"})  # tags of records that are written, but not waited for
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -19,11 +19,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from balancer.experiments.platform_settings import platform_settings
+from balancer.experiments.spec import Experiment, Reload
 from balancer.lab import records
 from balancer.lab.logs import LabLog
 from balancer.lab.places import Places, text
 from balancer.lab.programs import Program
-from balancer.lab.spec import Experiment, Reload
 
 PR_SET_PDEATHSIG, PR_CAPBSET_DROP, CAP_DAC_OVERRIDE = 1, 24, 1
 READY_LOOK = 0.03  # s between two looks whether a process is ready
@@ -58,31 +59,6 @@
     return min(max(c.deadline_ms for c in spec.load.classes) / 1000, 3.0) + 0.7
 
 
-def settings(spec: Experiment, node: int, attempts: int) -> dict[str, Any]:
-    """A node's settings as the platform words them."""
-    rules = spec.rules
-    return {
-        "me": node, "group-size": spec.fleet.nodes, "zone": spec.zone_of(f"n{node}"),
-        "failure-domains": list(spec.fleet.zones), "kinds": ["std"], "granularity": 5.0,
-        "discovery": "subscribe" if spec.discovery.mode == "ask" else "automatic",
-        "client-habits": {"marks-retry": True}, "weight-source": "off", "worth-by": "request",
-        "load-info": {"how": "on_probe", "names": ["active", "waiting"]},
-        "request-classes": [
-            {"name": c.name, "effect": c.effect, "objective": c.aim_ms, "give-up": c.deadline_ms,
-             "value": c.value, "late-worth": c.late_worth, "streamed": False}
-            | ({"group": c.group, "memory-span": c.memory_span_ms} if c.effect == "dedup" else {})
-            for c in spec.load.classes
-        ],
-        "limits": {"cancel": True, "conn-idle": 60_000.0, "connect-timeout": 120.0, "most-tries": attempts,
-                   "max-open": 20_000, "max-retry-after": 600.0, "retry-after": True, "probing": False,
-                   "peers": spec.network.peers, "second-copies": False, "streams-per-conn": 1},
-        "rules": {"answer-slack": rules.answer_slack_ms, "ask-within": 10_000.0,
-                  "cold-share": rules.cold_share, "drain-grace": rules.drain_grace_ms,
-                  "fall": rules.fall_ms, "fall-multiple": rules.fall_multiple,
-                  "ramp-time": rules.ramp_time_ms},
-    }  # fmt: skip
-
-
 def configuration(
     spec: Experiment, places: Places, node: int, seed: int, attempts: int, moves: int = 0
 ) -> dict[str, Any]:
@@ -104,7 +80,7 @@
             "sockets": spec.fleet.sockets,
         },
         "known": {"revision": 1, "complete": True, "members": members},
-        "settings": settings(spec, node, attempts),
+        "settings": platform_settings(spec, node, attempts),
     }
     if spec.network.peers:
         out["peer_listen"] = text(places.peer(node))
--- a/balancer/lab/records.py
+++ b/balancer/lab/records.py
@@ -21,7 +21,7 @@
     sent: float  # when its last byte was written; 0: never
     deadline: float
     ended: float
-    end: str  # a `model.client.End`
+    end: str  # a `balancer.models.client.End`
     status: int = 0
     body: str = ""
     answered: float = 0.0  # when the last byte of an answer came, also past the deadline
@@ -44,7 +44,7 @@
     key: str
     first: float  # its first byte came off the node's socket
     whole: float  # its last byte
-    verdict: str  # a `model.backend.Verdict`; "lost" where the backend died with it
+    verdict: str  # a `balancer.models.backend.Verdict`; "lost" where the backend died with it
     ended: float  # the answer was written, or the connection broken; 0: never
     closed: float  # the node closed its connection or ended its sending; 0: it did not
     ran: bool
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -17,9 +17,9 @@
 from matplotlib.figure import Figure
 from matplotlib.ticker import LogLocator, NullFormatter, ScalarFormatter
 
+from balancer.experiments.spec import Experiment, Link, Power, tag
 from balancer.lab import records
 from balancer.lab.figures import WINDOW, backend_loads, presence, series, wishes
-from balancer.lab.spec import Experiment, Link, Power, tag
 from balancer.lab.timeline import over
 
 INK, GOOD, BAD, QUIET = "#1f2a37", "#1b7f5c", "#b3261e", "#8a94a3"
--- a/balancer/lab/returning.py
+++ b/balancer/lab/returning.py
@@ -17,11 +17,11 @@
 import numpy as np
 from numpy.typing import NDArray
 
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import Experiment, Link, Power
 from balancer.lab import records
-from balancer.lab.model.weather import Weather
 from balancer.lab.power import returns, state_of
-from balancer.lab.spec import Experiment, Link, Power
-from balancer.lab.streams import stream
+from balancer.models.network import Weather
 
 SLOT = 100.0  # ms
 RECOVERED = 0.95  # of the goodput before the first fault
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -20,13 +20,7 @@
 import msgspec
 
 from balancer.errors import BalancerError
-from balancer.lab import records
-from balancer.lab.logs import LabLog
-from balancer.lab.outage import Outage
-from balancer.lab.places import Block, Places
-from balancer.lab.processes import Fleet, limits
-from balancer.lab.programs import ROOT, Program
-from balancer.lab.spec import (
+from balancer.experiments.spec import (
     Disk,
     Experiment,
     Kill,
@@ -39,6 +33,12 @@
     choose,
     tag,
 )
+from balancer.lab import records
+from balancer.lab.logs import LabLog
+from balancer.lab.outage import Outage
+from balancer.lab.places import Block, Places
+from balancer.lab.processes import Fleet, limits
+from balancer.lab.programs import ROOT, Program
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role
 
--- a/balancer/lab/timeline.py
+++ b/balancer/lab/timeline.py
@@ -5,8 +5,18 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from balancer.experiments.spec import (
+    AnyFault,
+    Drain,
+    Experiment,
+    Kill,
+    Power,
+    Reload,
+    Terminate,
+    batches,
+    parties,
+)
 from balancer.lab.power import returns
-from balancer.lab.spec import AnyFault, Drain, Experiment, Kill, Power, Reload, Terminate, batches, parties
 
 
 class Step(Enum):
--- a/balancer/lab/wires.py
+++ b/balancer/lab/wires.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
-from balancer.lab.model.weather import Weather
+from balancer.models.network import Weather
 
 BACKLOG = 1024
 LINGER_RESET = struct.pack("ii", 1, 0)
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -19,14 +19,8 @@
 import msgspec
 import uvloop
 
-from balancer.lab import records
-from balancer.lab.backends import Farm, Host
-from balancer.lab.clients import Crowd
-from balancer.lab.hub import DirectoryService, Relay
-from balancer.lab.model.directory import Phase
-from balancer.lab.model.weather import Weather
-from balancer.lab.places import Places
-from balancer.lab.spec import (
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import (
     DiscoveryDown,
     DiscoveryLate,
     Drain,
@@ -42,9 +36,15 @@
     Stall,
     WatchSilent,
 )
-from balancer.lab.streams import stream
+from balancer.lab import records
+from balancer.lab.backends import Farm, Host
+from balancer.lab.clients import Crowd
+from balancer.lab.hub import DirectoryService, Relay
+from balancer.lab.places import Places
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.wires import Clock, Wire
+from balancer.models.directory import Phase
+from balancer.models.network import Weather
 
 LIVE = 0.25  # s between two lines of live figures
 PULSE = 0.02  # s between two looks at the event loop's lag
--- a/balancer/lab/model/backend.py
+++ b/balancer/models/backend.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from balancer.lab.spec import Backends, Rules
+from balancer.experiments.spec import Backends, Rules
 
 PATIENCE = 64  # random numbers drawn at a time
 
--- a/balancer/lab/model/client.py
+++ b/balancer/models/client.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from balancer.lab.spec import Clients, RequestClass
+from balancer.experiments.spec import Clients, RequestClass
 
 IMPATIENT_AFTER = 0.2  # share of a try's time that even an impatient client waits
 
--- a/balancer/lab/model/load.py
+++ b/balancer/models/load.py
@@ -8,8 +8,8 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from balancer.lab.spec import Experiment, Load, Surge
-from balancer.lab.streams import stream
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import Experiment, Load, Surge
 
 Floats = NDArray[np.float64]
 
--- a/balancer/lab/model/weather.py
+++ b/balancer/models/network.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from balancer.lab.spec import Experiment, Link, choose
+from balancer.experiments.spec import Experiment, Link, choose
 
 RETRANSMIT = 200.0  # ms that a lost segment costs a TCP connection, as the kernel's least time-out
 
--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -17,12 +17,12 @@
 
 from balancer import interface as api
 from balancer import wire
-from balancer.lab.model.backend import Backend, Job, Verdict
-from balancer.lab.model.client import End, Wish
-from balancer.lab.model.load import draw
-from balancer.lab.processes import settings
-from balancer.lab.spec import Experiment
-from balancer.lab.streams import stream
+from balancer.experiments.platform_settings import platform_settings
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import Experiment
+from balancer.models.backend import Backend, Job, Verdict
+from balancer.models.client import End, Wish
+from balancer.models.load import draw
 from balancer.policy import Balancer
 from balancer.sim.scheduler import EventScheduler
 
@@ -210,7 +210,7 @@
 
     def _start(self, number: int, again: bool) -> None:
         self.lives += 1
-        cfg = wire.parse_settings(settings(self.spec, number, self.spec.rules.max_attempts))
+        cfg = wire.parse_settings(platform_settings(self.spec, number, self.spec.rules.max_attempts))
         node = Node(number, Balancer(cfg, self.random.getrandbits(64)), self.lives)
         self.nodes[number] = node
         saved = [self._entry(i, 0.0) for i in range(len(self.hosts))]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,7 @@
 
 from balancer import interface as api
 from balancer.admission import COLD_ALL, Admission
-from balancer.lab.spec import Backends, Clients, Experiment, Fleet, Load, Rules, Surge
+from balancer.experiments.spec import Backends, Clients, Experiment, Fleet, Load, Rules, Surge
 from balancer.policy import Balancer
 from balancer.sim.service import Cut, World
 from tests.helpers import BASE, answers, entry
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,12 +18,12 @@
 
 from balancer.cli import fleet as command
 from balancer.cli.app import app
+from balancer.experiments.spec import load
 from balancer.lab import records
 from balancer.lab.places import Block, Places, text
 from balancer.lab.processes import configuration
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import Run, play
-from balancer.lab.spec import load
 from balancer.membership.config import Config
 from balancer.membership.messages import Message, MessageKind, encode
 from balancer.membership.peer_socket import MAX_DATAGRAMS_PER_S, RECOVERY_KINDS, PeerSocket
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -14,11 +14,11 @@
 import pytest
 from msgspec import structs
 
+from balancer.experiments.spec import Experiment, load
 from balancer.lab.figures import figures
 from balancer.lab.judge import RULES, Judge
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import play
-from balancer.lab.spec import Experiment, load
 from tests import virtual
 
 # A drain, a ban and a cold backend: room to break every rule.
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -11,16 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.lab import records
-from balancer.lab.figures import STARVED, held, waited
-from balancer.lab.model.backend import Backend, Job, Verdict
-from balancer.lab.model.client import End, Wish
-from balancer.lab.model.directory import Directory, Listed, Phase, Watch
-from balancer.lab.model.late import REST, SPELL, spells
-from balancer.lab.model.load import draw
-from balancer.lab.model.weather import Weather
-from balancer.lab.processes import Usage, Waiting
-from balancer.lab.spec import (
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import (
     CLASSES,
     Backends,
     Clients,
@@ -36,8 +28,16 @@
     choose,
     load,
 )
-from balancer.lab.streams import stream
+from balancer.lab import records
+from balancer.lab.figures import STARVED, held, waited
+from balancer.lab.processes import Usage, Waiting
 from balancer.lab.timeline import Step, timeline
+from balancer.models.backend import Backend, Job, Verdict
+from balancer.models.client import End, Wish
+from balancer.models.connect_delay import REST, SPELL, spells
+from balancer.models.directory import Directory, Listed, Phase, Watch
+from balancer.models.load import draw
+from balancer.models.network import Weather
 
 BACKENDS = Backends(cores=1, queue_per_core=2, thrash=0.0, cold_from=0.5, cold_s=10.0)
 
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -12,12 +12,12 @@
 from balancer.durable.records import BanSet, EndpointListReceived, encode_record
 from balancer.durable.state import replay
 from balancer.durable.writer import LogWriter
+from balancer.experiments.spec import Backends, DiskLeft, Experiment, Fleet, Link, Load, Power
+from balancer.experiments.spec import load as load_spec
 from balancer.lab import power, records
 from balancer.lab.programs import Program
 from balancer.lab.returning import forgotten, returning
 from balancer.lab.run import phases
-from balancer.lab.spec import Backends, DiskLeft, Experiment, Fleet, Link, Load, Power
-from balancer.lab.spec import load as load_spec
 from balancer.lab.timeline import Step, over, timeline
 from balancer.sim.disk import DiskCall, PowerCutError, SimulatedDirectory, SimulatedDisk, no_fault
 from tests.test_lab_run import file, lab
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -16,15 +16,15 @@
 import pytest
 import uvloop
 
+from balancer.experiments.random_streams import stream
+from balancer.experiments.spec import Experiment, Fleet, Link, Network, load
 from balancer.lab import records
 from balancer.lab.hub import Relay
-from balancer.lab.model.weather import Weather
 from balancer.lab.places import Block
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import LabError, play
-from balancer.lab.spec import Experiment, Fleet, Link, Network, load
-from balancer.lab.streams import stream
 from balancer.lab.wires import Clock, Listener, Wire
+from balancer.models.network import Weather
 from tests.sockets import WAIT, until
 
 FAULTS = """
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -12,11 +12,11 @@
 from typing import Any
 from unittest import mock
 
+from balancer.experiments.spec import Experiment, Maint
 from balancer.lab import records
 from balancer.lab.places import Places
 from balancer.lab.processes import call, configuration
 from balancer.lab.run import LEAD, TAIL
-from balancer.lab.spec import Experiment, Maint
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role, Worker
 from tests.broken_node import StandIn
