--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -21,7 +21,9 @@
 from balancer.cli import fleet, returning, state
 from balancer.cli.output import Exit, stop
 from balancer.errors import BalancerError
-from balancer.experiments.spec import Experiment, SpecError, load
+from balancer.experiments.errors import ExperimentError
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.loading import decode_experiment, load_experiment
 from balancer.lab import records
 from balancer.lab.figures import FEWEST, JUDGED, summary
 from balancer.lab.judge import RULES, Judge
@@ -94,8 +96,8 @@
     """An experiment by its path, or by its name among those of the repository, with fields overridden."""
     path = Path(name)
     try:
-        return load(path if path.suffix == ".toml" else EXPERIMENTS / f"{name}.toml", sets or ())
-    except SpecError as err:
+        return load_experiment(path if path.suffix == ".toml" else EXPERIMENTS / f"{name}.toml", sets or ())
+    except ExperimentError as err:
         raise stop(err) from None
 
 
@@ -237,7 +239,7 @@
 ) -> None:
     """Judge a run's records anew and write its summary and report once more."""
     try:
-        spec = msgspec.json.decode((folder / "experiment.json").read_bytes(), type=Experiment)
+        spec = decode_experiment((folder / "experiment.json").read_bytes())
         seen = records.read(folder / "records.msgpack")
         old = json.loads((folder / "summary.json").read_text("utf-8"))
         table = judged(spec, old["seed"], old["program"], seen, folder)
@@ -253,9 +255,9 @@
     rows = []
     for path in sorted(EXPERIMENTS.glob("*.toml")):
         try:
-            spec = load(path)
-        except SpecError as err:
-            raise stop(SpecError(f"{path.name}: {err}")) from None
+            spec = load_experiment(path)
+        except ExperimentError as err:
+            raise stop(ExperimentError(f"{path.name}: {err}")) from None
         rows.append(
             {
                 "name": spec.name,
--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -10,7 +10,9 @@
 from rich.table import Table
 from rich.text import Text
 
-from balancer.experiments.spec import Expect, Experiment, Kill, Load
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Kill
+from balancer.experiments.tables import Expect, Load
 from balancer.lab.figures import percentiles
 from balancer.lab.run import Run
 from balancer.lab.timeline import Step, timeline
@@ -27,8 +29,8 @@
         seconds=seconds,
         load=Load(utilisation=0.45),
         faults=(
-            Kill(at=round(0.25 * seconds, 2), what="backends:4", restart_after=back),
-            Kill(at=round(0.5 * seconds, 2), what="nodes:1", restart_after=back),
+            Kill(at=round(0.25 * seconds, 2), targets="backends:4", restart_after=back),
+            Kill(at=round(0.5 * seconds, 2), targets="nodes:1", restart_after=back),
         ),
         expect=(Expect(figure="broken_rules", max=0.0),),
     )
--- a/balancer/experiments/random_streams.py
+++ b/balancer/experiments/random_streams.py
@@ -1,4 +1,4 @@
-"""Seeded randomness: one independent stream for each part, so that a new part shifts no other."""
+"""Seeded random streams: an independent one for each part, so that a new part changes no other."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def stream(seed: int, *parts: str | int) -> np.random.Generator:
-    """The generator of the part that `parts` names; the same for the same seed in every process."""
+    """Return the generator of the part that `parts` names; the same for a seed in every process."""
     key = tuple(zlib.crc32(str(part).encode()) for part in parts)
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence(seed, spawn_key=key)))
--- a/balancer/lab/backends.py
+++ b/balancer/lab/backends.py
@@ -8,8 +8,9 @@
 
 import httptools
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import SlowConnects
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import Experiment, LateConnect
 from balancer.lab import records
 from balancer.lab.places import Places
 from balancer.lab.wires import Clock, Listener, Wire
@@ -54,12 +55,12 @@
         for node, listener in enumerate(self.listeners):
             listener.darken(node in self.dark or self.farm.weather.severed(f"n{node}", self.name))
 
-    def late(self, fault: LateConnect) -> None:
+    def late(self, fault: SlowConnects) -> None:
         """Each node's new connections come up late in a share of the time from now on."""
         loop, now = asyncio.get_running_loop(), self.farm.clock.now() / 1000
         for node in range(self.farm.spec.fleet.nodes):
             random = stream(self.farm.seed, "late", str(fault.at), self.number, node)
-            for begin, end in spells(random, fault.share, fault.at, fault.until):
+            for begin, end in spells(random, fault.share, fault.at, fault.ends_at):
                 loop.call_later(begin - now, self._darken, node, True)
                 loop.call_later(end - now, self._darken, node, False)
 
@@ -287,7 +288,7 @@
             speed = float(stream(seed, "speed", number).uniform(*spec.backends.speed))
             core = Backend(
                 spec.backends, spec.rules, speed, cells.setdefault(spec.cell_of(number), {}),
-                stream(seed, "backend", number), 0.0 if spec.backends.cold else -1e12,
+                stream(seed, "backend", number), 0.0 if spec.backends.start_cold else -1e12,
             )  # fmt: skip
             self.hosts[f"s{number}"] = Host(self, number, core)
         weather.watchers.append(self._weather_changed)
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -11,8 +11,10 @@
 import httptools
 import numpy as np
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Terminate
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import Experiment, RequestClass, Terminate
+from balancer.experiments.tables import RequestClass
 from balancer.lab import records
 from balancer.lab.backends import WORK
 from balancer.lab.places import Places
@@ -62,7 +64,7 @@
                 self.up[node] = False
                 self.leaving.discard(node)
             # Two looks in a row have to miss, so that a dead node is noticed after `notice-s` at the latest.
-            await asyncio.sleep(self.spec.clients.notice_s / 2 if self.up[node] else CHECK_OUT)
+            await asyncio.sleep(self.spec.clients.failure_detection_s / 2 if self.up[node] else CHECK_OUT)
 
     async def _check(self, node: int) -> bool:
         if self.weather.severed(f"c-{self.zone}", f"n{node}"):
@@ -254,7 +256,7 @@
     async def _connect(self, flight: Flight, node: int) -> None:
         loop = asyncio.get_running_loop()
         flight.record.node = node
-        uses = int(self.random.geometric(1 / self.spec.clients.per_connection))
+        uses = int(self.random.geometric(1 / self.spec.clients.requests_per_connection))
         while self.weather.severed(f"c-{self.zone}", f"n{node}"):
             if flight.over:
                 return
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -12,11 +12,14 @@
 from hdrh.histogram import HdrHistogram
 from numpy.typing import NDArray
 
-from balancer.experiments.spec import Expect, Experiment, Link, Power, Stall, choose
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import LinkFault, PowerLoss, Stall
+from balancer.experiments.selectors import select_parties
+from balancer.experiments.tables import Expect
 from balancer.lab import records
 from balancer.lab.judge import RULES, Judgement
 from balancer.lab.returning import forgotten, returning
-from balancer.lab.timeline import over
+from balancer.lab.timeline import last_step_at
 from balancer.models.client import End
 
 LATE_RIG = 5.0  # ms: the p99 of the rig's own lateness from which a run is void
@@ -61,7 +64,7 @@
         latency = served.answered - served.intended if served else None
         got = 0.0
         if latency is not None:
-            got = cls.value * (1.0 if latency <= cls.aim_ms else cls.late_worth)
+            got = cls.value * (1.0 if latency <= cls.objective_ms else cls.late_value)
         out.append(
             Wished(first.intended, first.kind, first.zone, cls.value, got, latency, last.end, len(tries))
         )
@@ -121,7 +124,7 @@
     before = [
         g for t, g in zip(line["t_s"], line["goodput"], strict=True) if spec.warmup <= t < begin - WINDOW
     ]
-    end, wanted = over(spec), RECOVERED * (float(np.mean(before)) if before else 1.0)
+    end, wanted = last_step_at(spec), RECOVERED * (float(np.mean(before)) if before else 1.0)
     good = 0
     for t, goodput in zip(line["t_s"], line["goodput"], strict=True):
         if t + WINDOW <= end:
@@ -182,7 +185,7 @@
         out |= membership(spec, seen)
         if (agreed_s := agreed(spec, seen)) is not None:
             out["member_agreed_s"] = agreed_s
-    if any(isinstance(f, Power) for f in spec.faults):
+    if any(isinstance(f, PowerLoss) for f in spec.faults):
         out |= returning(spec, seed, seen, [(w.intended, w.worth, w.got) for w in done])
     if seen.bans:
         out["forgotten_bans"] = float(forgotten(spec, seen))
@@ -265,9 +268,13 @@
     for fault in spec.faults:
         names: list[str] = []
         if isinstance(fault, Stall):
-            names = choose(spec, fault.what)
-        elif isinstance(fault, Link) and (fault.cut or fault.loss >= 0.5):
-            names = choose(spec, fault.from_) if choose(spec, fault.to) == spec.node_names else []
+            names = select_parties(spec, fault.targets)
+        elif isinstance(fault, LinkFault) and (fault.cut or fault.loss >= 0.5):
+            names = (
+                select_parties(spec, fault.source)
+                if select_parties(spec, fault.destination) == spec.node_names
+                else []
+            )
         out |= {int(name[1:]) for name in names if name.startswith("n")}
     return out
 
@@ -338,7 +345,7 @@
     pairs = {pair: state for pair, state in last.items() if pair[0] in alive}
     if any(present != (member in alive) for (_, member), (_, present) in pairs.items()):
         return None
-    return max(0.0, max((at for at, _ in pairs.values()), default=0.0) / 1000 - over(spec))
+    return max(0.0, max((at for at, _ in pairs.values()), default=0.0) / 1000 - last_step_at(spec))
 
 
 def held(expect: Expect, values: dict[str, float]) -> bool:
--- a/balancer/lab/hub.py
+++ b/balancer/lab/hub.py
@@ -13,7 +13,8 @@
 
 import httptools
 
-from balancer.experiments.spec import Experiment, Reload
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Reload
 from balancer.lab import records
 from balancer.lab.places import Places, text
 from balancer.lab.wires import Clock, Listener, Wire
@@ -33,7 +34,7 @@
         self.spec, self.places, self.weather, self.clock, self.seen = spec, places, weather, clock, seen
         self.core = Directory({
             name: Listed(name, spec.zone_of(name), spec.cell_of(number),
-                         up_since=time.time() * 1000 if spec.backends.cold else 0.0)
+                         up_since=time.time() * 1000 if spec.backends.start_cold else 0.0)
             for number, name in enumerate(spec.backend_names)
         })  # fmt: skip
         self.down, self.late_ms = False, 0.0
@@ -41,7 +42,7 @@
         self.calls: deque[tuple[float, DiscoveryWire, int | None]] = deque()
         self.busy = False
         self.counts: Counter[str] = Counter()
-        moves = sum(isinstance(fault, Reload) and fault.moves for fault in spec.faults)
+        moves = sum(isinstance(fault, Reload) and fault.moves_discovery for fault in spec.faults)
         self.moved = Counter[int]()  # how often discovery has moved, by node
         self.listeners = {
             (node, move): Listener(places.discovery(node, move), partial(DiscoveryWire, self, node, move))
@@ -93,7 +94,7 @@
         )
         wires = sorted((w for w in self.wires if w.watch is not None), key=lambda w: w.node)
         for place, wire in enumerate(wires):
-            wait = self.spec.discovery.spread_ms * place / max(1, len(wires)) + self.late_ms
+            wait = self.spec.discovery.watch_spread_ms * place / max(1, len(wires)) + self.late_ms
             asyncio.get_running_loop().call_later(wait / 1000, wire.tell)
 
     def call(self, wire: DiscoveryWire, since: int | None) -> None:
@@ -107,7 +108,7 @@
     def _next(self) -> None:
         self.busy = bool(self.calls)
         if self.busy:
-            asyncio.get_running_loop().call_later(self.spec.discovery.call_ms / 1000, self._handled)
+            asyncio.get_running_loop().call_later(self.spec.discovery.call_service_ms / 1000, self._handled)
 
     def _handled(self) -> None:
         came, wire, since = self.calls.popleft()
@@ -122,7 +123,7 @@
             wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
         else:
             wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            wire.watch = Watch(since, brief=self.spec.discovery.ends)
+            wire.watch = Watch(since, brief=self.spec.discovery.watch_ends_on_change)
             wire.tell()
             wire.beat()
         self._next()
@@ -145,7 +146,7 @@
                 if name not in here:
                     self.seen.told.append(records.ToldRecord(node, now, number, Phase.GONE.value, 0.0))
         table = {"revision": self.core.revision, "complete": complete, "members": rows}
-        return json.dumps(table, indent=1 if self.spec.discovery.indented else None).encode() + b"\n"
+        return json.dumps(table, indent=1 if self.spec.discovery.multi_line else None).encode() + b"\n"
 
 
 class DiscoveryWire(Wire):
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -13,21 +13,14 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import DiscoveryDelay, DiscoveryOutage, LinkFault, PowerLoss, Stall
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import (
-    DiscoveryDown,
-    DiscoveryLate,
-    Experiment,
-    Link,
-    Power,
-    RequestClass,
-    Stall,
-    choose,
-    parties,
-)
+from balancer.experiments.selectors import fault_targets, select_parties
+from balancer.experiments.tables import RequestClass
 from balancer.lab import records
 from balancer.lab.clients import OVERDUE, wording
-from balancer.lab.timeline import over
+from balancer.lab.timeline import last_step_at
 from balancer.models.backend import Verdict
 from balancer.models.client import End
 from balancer.models.directory import Phase
@@ -95,10 +88,10 @@
             self.lives[life.node].append(life)
         self.weather = Weather(spec, stream(0, "judge"))
         self.stalls = [
-            (name, f.at * 1000, f.until * 1000)
-            for f in spec.faults if isinstance(f, Stall) for name in choose(spec, f.what)
+            (name, f.at * 1000, f.ends_at * 1000)
+            for f in spec.faults if isinstance(f, Stall) for name in select_parties(spec, f.targets)
         ]  # fmt: skip
-        self.links = [f for f in spec.faults if isinstance(f, Link)]
+        self.links = [f for f in spec.faults if isinstance(f, LinkFault)]
 
     def judge(self) -> Judgement:
         """All rules."""
@@ -164,7 +157,7 @@
         if any(n == name and a <= until and one.sent <= b + SLACK for n, a, b in self.stalls):
             return True
         return any(
-            f.at * 1000 <= until and one.sent <= f.until * 1000
+            f.at * 1000 <= until and one.sent <= f.ends_at * 1000
             and self.weather.touches(f, zone, name)
             for f in self.links
         )  # fmt: skip
@@ -279,14 +272,14 @@
 
     def _kept_from_list(self, node: int, begin: float, end: float) -> bool:
         for fault in self.spec.faults:
-            until = over(self.spec, fault) if isinstance(fault, Power) else fault.until
+            until = last_step_at(self.spec, fault) if isinstance(fault, PowerLoss) else fault.ends_at
             if fault.at * 1000 > end or until * 1000 < begin:
                 continue
-            if isinstance(fault, (DiscoveryDown, DiscoveryLate)):
+            if isinstance(fault, (DiscoveryOutage, DiscoveryDelay)):
                 return True
-            if isinstance(fault, Power) and "d" in parties(self.spec, fault):
+            if isinstance(fault, PowerLoss) and "d" in fault_targets(self.spec, fault):
                 return True
-            if isinstance(fault, Link) and self.weather.touches(fault, f"n{node}", "d"):
+            if isinstance(fault, LinkFault) and self.weather.touches(fault, f"n{node}", "d"):
                 return True
         return any(n == f"n{node}" and a <= end and begin <= b for n, a, b in self.stalls)
 
--- a/balancer/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from balancer.experiments.spec import Power
+from balancer.experiments.faults import PowerLoss
 from balancer.lab import power
 from balancer.lab.processes import Fleet, NodeHost
 from balancer.sim.disk import DiskImage
@@ -14,7 +14,7 @@
 class Outage:
     """One `power` fault. What becomes of the directories is `power.leave`'s."""
 
-    def __init__(self, fleet: Fleet, fault: Power) -> None:
+    def __init__(self, fleet: Fleet, fault: PowerLoss) -> None:
         self.fleet, self.fault = fleet, fault
         self.copies: dict[str, DiskImage] = {}
         self.laid = asyncio.Event()
--- a/balancer/lab/power.py
+++ b/balancer/lab/power.py
@@ -28,8 +28,10 @@
 
 from balancer.durable import frames
 from balancer.durable.layout import DRAFT_PREFIX, FENCE_NAME, FILE_NAME, MAGIC, FileKind, FileName, draft_name
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import PowerLoss
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import Experiment, Power, choose, parties
+from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.sim.disk import DiskImage, Inode, NameChange, SimulatedDisk
 
 NOTED = frozenset({"list", "learned", "start"})  # tags of records that are written, but not waited for
@@ -37,10 +39,10 @@
 HIT = 24  # bytes that damage overwrites
 
 
-def returns(spec: Experiment, seed: int, fault: Power) -> dict[str, float]:
+def return_times(spec: Experiment, seed: int, fault: PowerLoss) -> dict[str, float]:
     """When each comes back, in s of the run: evenly over `return-over`, in an order that the seed draws."""
-    away = {name for one in fault.never for name in choose(spec, one)}
-    names = [name for name in parties(spec, fault) if name not in away]
+    away = {name for one in fault.never for name in select_parties(spec, one)}
+    names = [name for name in fault_targets(spec, fault) if name not in away]
     first = fault.at + fault.restart_after
     many = [name for name in names if name != "d"]
     order = stream(seed, "power", round(fault.at * 1000)).permutation(len(many))
@@ -51,14 +53,14 @@
     return out
 
 
-def clock_of(spec: Experiment, fault: Power, node: str) -> float:
+def clock_of(spec: Experiment, fault: PowerLoss, node: str) -> float:
     """Seconds by which a node's wall clock is off after the cut."""
-    return sum(step.by for step in fault.clocks if node in choose(spec, step.nodes))
+    return sum(step.offset_s for step in fault.clocks if node in select_parties(spec, step.nodes))
 
 
-def state_of(spec: Experiment, fault: Power, node: str) -> str:
+def state_of(spec: Experiment, fault: PowerLoss, node: str) -> str:
     """What becomes of a node's disk; the last table that names it counts."""
-    return next((d.state for d in reversed(fault.disks) if node in choose(spec, d.nodes)), "sound")
+    return next((d.state for d in reversed(fault.disks) if node in select_parties(spec, d.nodes)), "sound")
 
 
 def _sure(data: bytes) -> int:
@@ -164,13 +166,15 @@
         (folder / name).write_bytes(data)
 
 
-def leave(spec: Experiment, seed: int, fault: Power, images: dict[str, DiskImage],
+def leave(spec: Experiment, seed: int, fault: PowerLoss, images: dict[str, DiskImage],
           copies: dict[str, DiskImage]) -> dict[str, DiskImage]:  # fmt: skip
     """What each node finds, from what its killed process had written and from an earlier copy of it."""
     dice = {n: random.Random(f"{seed} {fault.at} {n}") for n in images}
     out = {n: cut(image, dice[n]) for n, image in images.items()}
     for left in fault.disks:
-        some = [n for n in choose(spec, left.nodes) if n in out and state_of(spec, fault, n) == left.state]
+        some = [
+            n for n in select_parties(spec, left.nodes) if n in out and state_of(spec, fault, n) == left.state
+        ]
         out |= _altered(left.state, some, out, copies, dice)
     return out
 
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -19,8 +19,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Reload
 from balancer.experiments.platform_settings import platform_settings
-from balancer.experiments.spec import Experiment, Reload
 from balancer.lab import records
 from balancer.lab.logs import LabLog
 from balancer.lab.places import Places, text
@@ -82,7 +83,7 @@
         "known": {"revision": 1, "complete": True, "members": members},
         "settings": platform_settings(spec, node, attempts),
     }
-    if spec.network.peers:
+    if spec.network.peer_datagrams:
         out["peer_listen"] = text(places.peer(node))
         out["peers"] = [text(places.relay(node, far)) for far in range(spec.fleet.nodes)]
         out["peers_all"] = text(places.relay(node, node))
@@ -320,8 +321,8 @@
         if fault.broken:
             self.config.write_text(self.config.read_text("utf-8")[:-40], "utf-8")
         else:
-            self.attempts = fault.attempts
-            self.moves += fault.moves
+            self.attempts = fault.max_attempts
+            self.moves += fault.moves_discovery
             self.write_config()
         for running in self.alive():
             running.signal(signal.SIGHUP)
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -17,10 +17,11 @@
 from matplotlib.figure import Figure
 from matplotlib.ticker import LogLocator, NullFormatter, ScalarFormatter
 
-from balancer.experiments.spec import Experiment, Link, Power, tag
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import LinkFault, PowerLoss, fault_kind
 from balancer.lab import records
 from balancer.lab.figures import WINDOW, backend_loads, presence, series, wishes
-from balancer.lab.timeline import over
+from balancer.lab.timeline import last_step_at
 
 INK, GOOD, BAD, QUIET = "#1f2a37", "#1b7f5c", "#b3261e", "#8a94a3"
 SHADE = "#f2c14e"
@@ -45,11 +46,13 @@
     out = []
     for fault in spec.faults:
         what = getattr(fault, "what", "")
-        if isinstance(fault, Power):
-            what = ", ".join(fault.what)
-        if isinstance(fault, Link):
-            what = f"{fault.from_} {'to and from' if fault.both else 'to'} {fault.to}"
-        out.append((fault.at, max(over(spec, fault), fault.at + 0.05), f"{tag(fault)} {what}".strip()))
+        if isinstance(fault, PowerLoss):
+            what = ", ".join(fault.targets)
+        if isinstance(fault, LinkFault):
+            what = f"{fault.source} {'to and from' if fault.both else 'to'} {fault.destination}"
+        out.append(
+            (fault.at, max(last_step_at(spec, fault), fault.at + 0.05), f"{fault_kind(fault)} {what}".strip())
+        )
     return out
 
 
--- a/balancer/lab/returning.py
+++ b/balancer/lab/returning.py
@@ -1,11 +1,11 @@
-"""How a tier returns from a power cut: figures of the last `power` fault of a run.
-
-Power is back `restart-after` the cut. The return is over once the last node that came back is ready and each
-backend has had its `cold-s`, whatever nodes do with them. What returned capacity can bear in 100 ms: as much
-of the worth asked for as there is work that the backends with power can do, by how warm they truly are (a
-toppled one counts: it could have borne it); none while no node is ready. `return_goodput` is what was got of
-that from a second after the median node is ready. It can pass 1: a node that serves the valuable classes
-first gets more worth out of the same work.
+"""Figures of a tier's recovery from the last power loss of a run.
+
+Power is back `restart-after` the loss. The recovery is over once the last node that came back is ready and
+each backend has had its `warm-up-s`, whatever nodes do with them. Capacity in 100 ms: as much of the value
+asked for as there is work that the backends with power can do, by how warm they are (a collapsed one counts:
+it could have done it); none while no node is ready. `return_goodput` is what was served of that from a second
+after the median node is ready. It can exceed 1: a node that serves the valuable classes first gets more value
+out of the same work.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 import numpy as np
 from numpy.typing import NDArray
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import LinkFault, PowerLoss
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import Experiment, Link, Power
 from balancer.lab import records
-from balancer.lab.power import returns, state_of
+from balancer.lab.power import return_times, state_of
 from balancer.models.network import Weather
 
 SLOT = 100.0  # ms
@@ -41,11 +42,11 @@
     spec: Experiment
     seed: int
     seen: records.Seen
-    fault: Power = field(init=False)
+    fault: PowerLoss = field(init=False)
     first: list[records.LifeRecord] = field(init=False)  # of each node that came back: its first process
 
     def __post_init__(self) -> None:
-        self.fault = max((f for f in self.spec.faults if isinstance(f, Power)), key=lambda f: f.at)
+        self.fault = max((f for f in self.spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
         back: dict[int, records.LifeRecord] = {}
         for life in sorted(self.seen.lives, key=lambda x: x.started):
             if life.started >= self.cut:
@@ -65,15 +66,15 @@
     @property
     def end(self) -> float:
         """When the return is over."""
-        planned = returns(self.spec, self.seed, self.fault)
-        warm = [at + self.spec.backends.cold_s for name, at in planned.items() if name[0] == "s"]
+        planned = return_times(self.spec, self.seed, self.fault)
+        warm = [at + self.spec.backends.warm_up_s for name, at in planned.items() if name[0] == "s"]
         ready = [life.ready for life in self.first if life.ready]
         return min(self.spec.seconds * 1000, max([*(at * 1000 for at in warm), *ready, self.power]))
 
     @property
     def median(self) -> float:
         """When the median of the nodes that were to come back was ready; infinity: half never were."""
-        planned = returns(self.spec, self.seed, self.fault)
+        planned = return_times(self.spec, self.seed, self.fault)
         ready = sorted(life.ready or float("inf") for life in self.first)
         ready += [float("inf")] * (sum(name[0] == "n" for name in planned) - len(ready))
         return ready[(len(ready) - 1) // 2] if ready else float("inf")
@@ -128,7 +129,7 @@
 
 
 def _first_cut(spec: Experiment) -> float:
-    return min(f.at for f in spec.faults if isinstance(f, Power)) * 1000
+    return min(f.at for f in spec.faults if isinstance(f, PowerLoss)) * 1000
 
 
 def _part(some: Floats, of: Floats, begin: int, end: int) -> float:
@@ -155,7 +156,7 @@
 
 def _datagrams(back: Return) -> dict[str, float]:
     """Datagrams a second and living node: in usual times, and in the worst second since power is back."""
-    if not back.spec.network.peers:
+    if not back.spec.network.peer_datagrams:
         return {}
     sent: dict[int, list[int]] = defaultdict(list)
     for one in back.seen.datagrams:
@@ -209,8 +210,8 @@
     def __init__(self, spec: Experiment, seen: records.Seen) -> None:
         self.spec = spec
         self.weather = Weather(spec, stream(0, "bans"))
-        self.cuts = sorted((f for f in spec.faults if isinstance(f, Power)), key=lambda f: f.at)
-        self.links = [f for f in spec.faults if isinstance(f, Link) and f.cut]
+        self.cuts = sorted((f for f in spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
+        self.links = [f for f in spec.faults if isinstance(f, LinkFault) and f.cut]
         self.lives: dict[int, list[records.LifeRecord]] = defaultdict(list)
         for life in sorted(seen.lives, key=lambda x: x.started):
             self.lives[life.node].append(life)
@@ -232,6 +233,6 @@
 
     def _apart(self, one: str, other: str, at: float) -> bool:
         return any(
-            f.at * 1000 <= at <= f.until * 1000 + REJOINED and self.weather.touches(f, one, other)
+            f.at * 1000 <= at <= f.ends_at * 1000 + REJOINED and self.weather.touches(f, one, other)
             for f in self.links
         )
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -20,19 +20,19 @@
 import msgspec
 
 from balancer.errors import BalancerError
-from balancer.experiments.spec import (
-    Disk,
-    Experiment,
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import (
+    DiskFault,
     Kill,
-    Maint,
-    Power,
+    Maintenance,
+    PowerLoss,
     Reload,
     Stall,
     Terminate,
     Upgrade,
-    choose,
-    tag,
+    fault_kind,
 )
+from balancer.experiments.selectors import select_parties
 from balancer.lab import records
 from balancer.lab.logs import LabLog
 from balancer.lab.outage import Outage
@@ -108,7 +108,7 @@
         self.fleet = Fleet(spec, seed, program, places, out, cpus[:half], log)
         self.rigs: list[Rig] = []
         self.bans: list[records.BanRecord] = []
-        self.outages = [Outage(self.fleet, fault) for fault in spec.faults if isinstance(fault, Power)]
+        self.outages = [Outage(self.fleet, fault) for fault in spec.faults if isinstance(fault, PowerLoss)]
         self.seen = records.Seen()
         self.recent: list[float] = []  # ms: times of the answers since the last look at the live figures
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -215,13 +215,13 @@
 
     def _apply(self, moment: Moment) -> None:
         fault, begin = moment.fault, moment.step is Step.BEGIN
-        self.log.say("lab", f"fault {moment.step.value}", kind=tag(fault), what=list(moment.names))
-        if isinstance(fault, Maint):
-            consoles = choose(self.spec, fault.nodes) if begin else self.spec.node_names
+        self.log.say("lab", f"fault {moment.step.value}", kind=fault_kind(fault), what=list(moment.names))
+        if isinstance(fault, Maintenance):
+            consoles = select_parties(self.spec, fault.nodes) if begin else self.spec.node_names
             for name in moment.names:
                 for console in consoles:
                     self.fleet.task(self._operate(int(console[1:]), int(name[1:]), begin))
-        if isinstance(fault, Power):
+        if isinstance(fault, PowerLoss):
             self._power(fault, moment)
             return
         for name in moment.names:
@@ -241,10 +241,10 @@
                     self.fleet.task(node.upgrade())
                 case Reload():
                     node.reload(fault)
-                case Disk():
+                case DiskFault():
                     node.disk(fault.mode, begin)
 
-    def _power(self, fault: Power, moment: Moment) -> None:
+    def _power(self, fault: PowerLoss, moment: Moment) -> None:
         mine = next(outage for outage in self.outages if outage.fault is fault)
         if moment.step is Step.BEGIN:
             for earlier in self.outages:
--- a/balancer/lab/timeline.py
+++ b/balancer/lab/timeline.py
@@ -1,70 +1,89 @@
-"""When each fault of an experiment begins, ends and is made good: one schedule for all processes of a run."""
+"""The schedule of an experiment's faults, the same in all processes of a run."""
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import Enum
 
-from balancer.experiments.spec import (
-    AnyFault,
-    Drain,
-    Experiment,
-    Kill,
-    Power,
-    Reload,
-    Terminate,
-    batches,
-    parties,
-)
-from balancer.lab.power import returns
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import AnyFault, BatchedFault, Drain, Fault, Kill, PowerLoss, TimedFault
+from balancer.experiments.selectors import fault_targets, split_into_batches
+from balancer.lab.power import return_times
 
 
 class Step(Enum):
-    """What happens to the fault's parties."""
+    """The steps of a fault."""
 
     BEGIN = "begin"
     END = "end"
-    BACK = "back"  # what died starts again
+    BACK = "back"  # targets that ended start again
 
 
 @dataclass(slots=True, frozen=True)
 class Moment:
-    """One step of a fault; `at` in seconds."""
+    """One step of a fault."""
 
-    at: float
+    at: float  # s of the run
     step: Step
     fault: AnyFault
+    names: tuple[str, ...]  # of the targets that it affects
+
+
+@dataclass(slots=True, frozen=True)
+class Batch:
+    """The targets of a fault that are affected at the same time."""
+
+    at: float  # s of the run
     names: tuple[str, ...]
 
 
-def over(spec: Experiment, fault: AnyFault | None = None) -> float:
-    """When the last that is planned of a fault, or of all, has happened, in s; 0 where there is none.
+def last_step_at(spec: Experiment, fault: AnyFault | None = None) -> float:
+    """Return the second of the last step of a fault, or of all faults; 0 where there is none.
 
-    It is the same for every seed: a seed draws who comes back when, not when the last one does.
+    It is the same for every seed: a seed draws the order in which targets come back, not when the last does.
     """
-    return max((m.at for m in timeline(spec, 0) if fault is None or m.fault is fault), default=0.0)
+    moments = timeline(spec, 0)
+    return max((moment.at for moment in moments if fault is None or moment.fault is fault), default=0.0)
 
 
 def timeline(spec: Experiment, seed: int) -> list[Moment]:
-    """All moments in order of time; none for a node's start after SIGTERM, as nobody knows when it ends."""
-    cuts = [f.at for f in spec.faults if isinstance(f, Power)]
-    out: list[Moment] = []
-    for fault in spec.faults:
-        names = parties(spec, fault)
-        groups = batches(names, fault.batches) if isinstance(fault, (Kill, Terminate, Reload)) else [names]
-        for index, group in enumerate(groups):
-            at = fault.at + (index * fault.every if isinstance(fault, (Kill, Terminate, Reload)) else 0.0)
-            some = tuple(group)
-            out.append(Moment(at, Step.BEGIN, fault, some))
-            if isinstance(fault, Kill) and fault.restart_after is not None:
-                out.append(Moment(at + fault.restart_after, Step.BACK, fault, some))
-            if isinstance(fault, Power):
-                until = min((at for at in cuts if at > fault.at), default=float("inf"))
-                for name, back in returns(spec, seed, fault).items():
-                    if back < until:  # who was to come later is caught by the next cut
-                        out.append(Moment(back, Step.BACK, fault, (name,)))
-            if getattr(fault, "for_", 0.0):
-                out.append(Moment(fault.until, Step.END, fault, some))
-            if isinstance(fault, Drain):
-                out.append(Moment(fault.until + fault.restart_after, Step.BACK, fault, some))
-    return sorted(out, key=lambda moment: moment.at)
+    """Return all steps in order of time, without starts after SIGTERM, whose time is not known beforehand."""
+    moments = [
+        moment
+        for fault in spec.faults
+        for batch in _batches(spec, fault)
+        for moment in _moments_of(spec, seed, fault, batch)
+    ]
+    return sorted(moments, key=lambda moment: moment.at)
+
+
+def _batches(spec: Experiment, fault: Fault) -> list[Batch]:
+    targets = fault_targets(spec, fault)
+    if not isinstance(fault, BatchedFault):
+        return [Batch(fault.at, tuple(targets))]
+    return [
+        Batch(fault.at + index * fault.every, tuple(names))
+        for index, names in enumerate(split_into_batches(targets, fault.batches))
+    ]
+
+
+def _moments_of(spec: Experiment, seed: int, fault: AnyFault, batch: Batch) -> Iterator[Moment]:
+    yield Moment(batch.at, Step.BEGIN, fault, batch.names)
+    if isinstance(fault, Kill) and fault.restart_after is not None:
+        yield Moment(batch.at + fault.restart_after, Step.BACK, fault, batch.names)
+    if isinstance(fault, PowerLoss):
+        yield from _power_returns(spec, seed, fault)
+    if isinstance(fault, TimedFault) and fault.duration_s:
+        yield Moment(fault.ends_at, Step.END, fault, batch.names)
+    if isinstance(fault, Drain):
+        yield Moment(fault.ends_at + fault.restart_after, Step.BACK, fault, batch.names)
+
+
+def _power_returns(spec: Experiment, seed: int, fault: PowerLoss) -> Iterator[Moment]:
+    """Yield the returns of a power loss up to the next one, which also affects who is not back by then."""
+    losses = [each.at for each in spec.faults if isinstance(each, PowerLoss)]
+    next_loss = min((at for at in losses if at > fault.at), default=float("inf"))
+    for name, back_at in return_times(spec, seed, fault).items():
+        if back_at < next_loss:
+            yield Moment(back_at, Step.BACK, fault, (name,))
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -19,23 +19,23 @@
 import msgspec
 import uvloop
 
-from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import (
-    DiscoveryDown,
-    DiscoveryLate,
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import (
+    ConnectionResets,
+    DiscoveryDelay,
+    DiscoveryOutage,
     Drain,
-    Experiment,
-    Gray,
+    GrayFailure,
     Kill,
-    LateConnect,
-    Link,
-    Power,
+    LinkFault,
+    PowerLoss,
     Reload,
-    Resets,
-    Slow,
+    SilentWatches,
+    SlowConnects,
+    Slowdown,
     Stall,
-    WatchSilent,
 )
+from balancer.experiments.random_streams import stream
 from balancer.lab import records
 from balancer.lab.backends import Farm, Host
 from balancer.lab.clients import Crowd
@@ -89,7 +89,7 @@
                 self.crowds.append(Crowd(self.spec, plan.seed, zone, plan.part, plan.of, *world))
         else:
             self.directory = DirectoryService(self.spec, *world)
-            if self.spec.network.peers:
+            if self.spec.network.peer_datagrams:
                 self.relay = Relay(self.spec, places, self.weather)
 
     async def open(self) -> None:
@@ -112,7 +112,7 @@
         for crowd in self.crowds:
             loop.call_later(max(0.0, wait), crowd.start)
         loop.call_later(PULSE, self._pulse, loop.time() + PULSE)
-        if self.farm is not None and any(isinstance(f, Power) for f in self.spec.faults):
+        if self.farm is not None and any(isinstance(f, PowerLoss) for f in self.spec.faults):
             loop.call_later(max(0.0, wait), self._bears, self.farm, 0)
 
     def _bears(self, farm: Farm, slot: int) -> None:
@@ -127,7 +127,7 @@
 
     def _apply(self, moment: Moment) -> None:
         fault, on = moment.fault, moment.step is Step.BEGIN
-        if isinstance(fault, Link):
+        if isinstance(fault, LinkFault):
             if on and fault.reset:
                 self._reset(fault)
             self.weather.change(fault, on)
@@ -138,7 +138,7 @@
                 if (host := self.farm.hosts.get(name)) is not None:
                     _strike(host, moment)
 
-    def _reset(self, fault: Link) -> None:
+    def _reset(self, fault: LinkFault) -> None:
         wires: list[Wire] = [
             w for h in (self.farm.hosts.values() if self.farm else ()) for w in h.connections
         ]
@@ -149,27 +149,27 @@
 
     def _list(self, directory: DirectoryService, moment: Moment) -> None:
         fault, spec = moment.fault, self.spec.discovery
-        if isinstance(fault, DiscoveryDown):
+        if isinstance(fault, DiscoveryOutage):
             directory.fail(moment.step is Step.BEGIN)
-        elif isinstance(fault, DiscoveryLate):
-            directory.late_ms = fault.by_ms if moment.step is Step.BEGIN else 0.0
-        elif isinstance(fault, WatchSilent):
+        elif isinstance(fault, DiscoveryDelay):
+            directory.late_ms = fault.delay_ms if moment.step is Step.BEGIN else 0.0
+        elif isinstance(fault, SilentWatches):
             directory.silence(moment.names)
         elif isinstance(fault, Reload):
-            if fault.moves:
+            if fault.moves_discovery:
                 directory.move(moment.names)
-        elif isinstance(fault, Power):
+        elif isinstance(fault, PowerLoss):
             self._outage(directory, moment)
         elif isinstance(fault, (Kill, Drain)):
             for name in moment.names:
                 if name[0] != "s":
                     continue
                 if moment.step is Step.BACK:
-                    directory.plan(spec.add_s, name, Phase.UP, time.time() * 1000)
+                    directory.plan(spec.addition_delay_s, name, Phase.UP, time.time() * 1000)
                 elif isinstance(fault, Drain) and moment.step is Step.BEGIN:
-                    directory.plan(spec.add_s, name, Phase.DRAINING)
+                    directory.plan(spec.addition_delay_s, name, Phase.DRAINING)
                 else:
-                    directory.plan(spec.notice_s, name, Phase.GONE)
+                    directory.plan(spec.removal_delay_s, name, Phase.GONE)
 
     def _outage(self, directory: DirectoryService, moment: Moment) -> None:
         """Who comes back before it is missed is listed on, with its new start once that is known."""
@@ -182,9 +182,9 @@
             if name[0] != "s":
                 continue
             if not on:
-                directory.plan(spec.add_s, name, Phase.UP, time.time() * 1000)
-            elif back.get(name, math.inf) + spec.add_s >= moment.at + spec.notice_s:
-                directory.plan(spec.notice_s, name, Phase.GONE)
+                directory.plan(spec.addition_delay_s, name, Phase.UP, time.time() * 1000)
+            elif back.get(name, math.inf) + spec.addition_delay_s >= moment.at + spec.removal_delay_s:
+                directory.plan(spec.removal_delay_s, name, Phase.GONE)
 
     def live(self) -> dict[str, Any]:
         """Figures for the screen."""
@@ -211,9 +211,9 @@
     fault, on, now = moment.fault, moment.step is Step.BEGIN, host.farm.clock.now()
     trouble = host.core.trouble
     match fault:
-        case Kill() | Drain() | Power() if moment.step is Step.BACK:
+        case Kill() | Drain() | PowerLoss() if moment.step is Step.BACK:
             host.restart()
-        case Kill() | Power():
+        case Kill() | PowerLoss():
             host.close()
         case Drain() if moment.step is Step.END:
             host.close()
@@ -222,13 +222,13 @@
         case Stall():
             host.conclude(host.core.wake(now))
             host.arm()
-        case Gray():
+        case GrayFailure():
             trouble.gray, trouble.gray_ms = (fault.share if on else 0.0), fault.answer_ms
-        case Slow():
-            trouble.slow = fault.times if on else 1.0
-        case Resets():
+        case Slowdown():
+            trouble.slow = fault.factor if on else 1.0
+        case ConnectionResets():
             trouble.resets = fault.share if on else 0.0
-        case LateConnect() if on:
+        case SlowConnects() if on:
             host.late(fault)
 
 
--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from balancer.experiments.spec import Backends, Rules
+from balancer.experiments.tables import Backends, Rules
 
 PATIENCE = 64  # random numbers drawn at a time
 
@@ -108,12 +108,14 @@
         self.trouble = Trouble()
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that it has: from `cold-from` up to 1, by time or by work done."""
-        by_time = (now - self.started) / (self.spec.cold_s * 1000)
+        """Return the share of its capacity that it has now, which rises to 1 by time or by work done."""
+        by_time = (now - self.started) / (self.spec.warm_up_s * 1000)
         if by_time >= 1:
             return 1.0
-        by_work = self.done_work / (self.spec.cold_s * 1000 * self.spec.cores)
-        return self.spec.cold_from + (1 - self.spec.cold_from) * min(1.0, max(by_time, by_work))
+        by_work = self.done_work / (self.spec.warm_up_s * 1000 * self.spec.cores)
+        return self.spec.cold_capacity_share + (1 - self.spec.cold_capacity_share) * min(
+            1.0, max(by_time, by_work)
+        )
 
     def capacity(self, now: float) -> float:
         """Work a millisecond that it can do now."""
@@ -206,7 +208,7 @@
 
     def _press(self, now: float, job: Job) -> None:
         """Count the work that reaches it while cold; over the budget of a window it topples."""
-        if self.toppled is not None or now - self.started >= self.spec.cold_s * 1000:
+        if self.toppled is not None or now - self.started >= self.spec.warm_up_s * 1000:
             self.fresh.clear()
             self.pressure = 0.0
             return
--- a/balancer/models/client.py
+++ b/balancer/models/client.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from balancer.experiments.spec import Clients, RequestClass
+from balancer.experiments.tables import Clients, RequestClass
 
 IMPATIENT_AFTER = 0.2  # share of a try's time that even an impatient client waits
 
@@ -40,8 +40,8 @@
     def __init__(self, cls: RequestClass, clients: Clients, intended: float, whim: tuple[float, ...]) -> None:
         self.cls, self.clients, self.intended = cls, clients, intended
         self.give_up = intended + cls.deadline_ms
-        self.impatient, self.leave_share = whim[0] < clients.impatient, whim[1]
-        self.honours, self.backoff = whim[2] < clients.honour, clients.backoff_ms * (0.5 + whim[3])
+        self.impatient, self.leave_share = whim[0] < clients.impatient_share, whim[1]
+        self.honours, self.backoff = whim[2] < clients.retry_after_share, clients.backoff_ms * (0.5 + whim[3])
         self.number = -1
         self.first_risk: float | None = None  # when a try first may have run
 
@@ -51,7 +51,7 @@
         last = self.number >= self.clients.retries
         deadline = self.give_up
         if not last:
-            deadline = min(deadline, now + self.clients.try_share * self.cls.deadline_ms)
+            deadline = min(deadline, now + self.clients.attempt_time_share * self.cls.deadline_ms)
         leaves = None
         if self.impatient:
             share = IMPATIENT_AFTER + (1 - IMPATIENT_AFTER) * self.leave_share
--- a/balancer/models/load.py
+++ b/balancer/models/load.py
@@ -8,8 +8,10 @@
 import numpy as np
 from numpy.typing import NDArray
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Surge
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import Experiment, Load, Surge
+from balancer.experiments.tables import Load
 
 Floats = NDArray[np.float64]
 
@@ -37,16 +39,16 @@
     """The rate at each time, as a multiple of the mean."""
     out = np.ones_like(at_ms)
     if load.shape == "wave":
-        out += load.swing * np.sin(2 * math.pi * at_ms / 1000 / max(4.0, seconds / 3))
+        out += load.amplitude * np.sin(2 * math.pi * at_ms / 1000 / max(4.0, seconds / 3))
     elif load.shape == "bursty":
         # Bursts of half a second, a quarter of the time, the mean kept.
         high = random.random(int(seconds * 2) + 2) < 0.25
-        factor = np.where(high, 1 + load.swing * 2, 1 - load.swing * 2 / 3)
+        factor = np.where(high, 1 + load.amplitude * 2, 1 - load.amplitude * 2 / 3)
         out *= factor[np.minimum((at_ms / 500).astype(int), len(factor) - 1)]
     for fault in faults:
         if isinstance(fault, Surge) and fault.zone in ("", zone):
-            inside = (at_ms >= fault.at * 1000) & (at_ms < fault.until * 1000)
-            out = np.where(inside, out * fault.times, out)
+            inside = (at_ms >= fault.at * 1000) & (at_ms < fault.ends_at * 1000)
+            out = np.where(inside, out * fault.factor, out)
     return out
 
 
@@ -55,10 +57,10 @@
     times, sizes = stream(seed, "arrivals", zone), stream(seed, "sizes", zone)
     mean = spec.rate * skew(spec, zone) / len(spec.fleet.zones) / 1000  # a ms
     length = spec.seconds * 1000
-    most = 1 + 2 * spec.load.swing
+    most = 1 + 2 * spec.load.amplitude
     for fault in spec.faults:
         if isinstance(fault, Surge):
-            most *= max(1.0, fault.times)
+            most *= max(1.0, fault.factor)
     count = times.poisson(mean * most * length)
     at = np.sort(times.uniform(0, length, count))
     kept = times.random(count) * most < intensity(
--- a/balancer/models/network.py
+++ b/balancer/models/network.py
@@ -7,7 +7,9 @@
 
 import numpy as np
 
-from balancer.experiments.spec import Experiment, Link, choose
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import LinkFault
+from balancer.experiments.selectors import select_parties
 
 RETRANSMIT = 200.0  # ms that a lost segment costs a TCP connection, as the kernel's least time-out
 
@@ -36,7 +38,7 @@
 
     spec: Experiment
     random: np.random.Generator
-    active: list[Link] = field(default_factory=list)
+    active: list[LinkFault] = field(default_factory=list)
     watchers: list[Callable[[], None]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -50,7 +52,7 @@
             self._dice = self.random.random(256).tolist()
         return self._dice.pop()
 
-    def change(self, fault: Link, on: bool) -> None:
+    def change(self, fault: LinkFault, on: bool) -> None:
         """A fault begins or ends."""
         (self.active.append if on else self.active.remove)(fault)
         self._known.clear()
@@ -59,15 +61,15 @@
 
     def _chosen(self, selector: str) -> frozenset[str]:
         if selector not in self._sets:
-            self._sets[selector] = frozenset(choose(self.spec, selector))
+            self._sets[selector] = frozenset(select_parties(self.spec, selector))
         return self._sets[selector]
 
-    def hits(self, fault: Link, source: str, target: str) -> bool:
+    def hits(self, fault: LinkFault, source: str, target: str) -> bool:
         """Whether a fault lies on the way from `source` to `target`."""
-        here, there = self._chosen(fault.from_), self._chosen(fault.to)
+        here, there = self._chosen(fault.source), self._chosen(fault.destination)
         return (source in here and target in there) or (fault.both and source in there and target in here)
 
-    def touches(self, fault: Link, one: str, other: str) -> bool:
+    def touches(self, fault: LinkFault, one: str, other: str) -> bool:
         """Whether a fault lies on either way between two parties."""
         return self.hits(fault, one, other) or self.hits(fault, other, one)
 
@@ -89,7 +91,7 @@
             return net.client_ms
         if source[0] == target[0] == "n":
             return net.peer_ms
-        return net.same_ms if zones[0] == zones[1] or "" in zones else net.cross_ms
+        return net.same_zone_ms if zones[0] == zones[1] or "" in zones else net.cross_zone_ms
 
     def _work_out(self, source: str, target: str) -> Conditions:
         delay = self._base(source, target)
--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -17,9 +17,9 @@
 
 from balancer import interface as api
 from balancer import wire
+from balancer.experiments.experiment import Experiment
 from balancer.experiments.platform_settings import platform_settings
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import Experiment
 from balancer.models.backend import Backend, Job, Verdict
 from balancer.models.client import End, Wish
 from balancer.models.load import draw
@@ -305,7 +305,7 @@
         if not near:
             return None, 1
         self.turn[zone] += 1
-        uses = 1 + int(self.random.expovariate(1 / self.spec.clients.per_connection))
+        uses = 1 + int(self.random.expovariate(1 / self.spec.clients.requests_per_connection))
         return near[self.turn[zone] % len(near)], uses
 
     def _over(self, request: Open, end: End, away: float) -> None:
@@ -313,7 +313,7 @@
         self.figures.ends[end.value] += 1
         if end is End.SERVED:
             took, cls = self.now - wish.intended, wish.cls
-            part = 1.0 if took <= cls.aim_ms else cls.late_worth
+            part = 1.0 if took <= cls.objective_ms else cls.late_value
             self.figures.worth[int(wish.intended // 100)] += cls.value * part
             self.served += 1
         when = wish.ended(self.now, request.sent, end, away)
@@ -375,7 +375,7 @@
 
     def _way(self, node: Node, host: Host) -> float:
         same = self.spec.zone_of(f"n{node.number}") == self.spec.zone_of(host.name)
-        return self.spec.network.same_ms if same else self.spec.network.cross_ms
+        return self.spec.network.same_zone_ms if same else self.spec.network.cross_zone_ms
 
     def _send(self, node: Node, action: api.StartAttempt) -> None:
         host, request = self.hosts[action.backend], node.open[action.request]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,9 @@
 
 from balancer import interface as api
 from balancer.admission import COLD_ALL, Admission
-from balancer.experiments.spec import Backends, Clients, Experiment, Fleet, Load, Rules, Surge
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Surge
+from balancer.experiments.tables import Backends, Clients, Fleet, Load, Rules
 from balancer.policy import Balancer
 from balancer.sim.service import Cut, World
 from tests.helpers import BASE, answers, entry
@@ -137,8 +139,9 @@
 
 STRESS = Experiment(
     name="many nodes on few backends", seconds=9.0, fleet=Fleet(nodes=40), clients=Clients(retries=2),
-    backends=Backends(count=4, cold_from=0.2), load=Load(utilisation=0.7), rules=Rules(cold_share=0.2),
-    faults=(Surge(at=2.5, for_=4.0, times=4.0),),
+    backends=Backends(count=4, cold_capacity_share=0.2), load=Load(utilisation=0.7),
+    rules=Rules(cold_share=0.2),
+    faults=(Surge(at=2.5, duration_s=4.0, factor=4.0),),
 )  # fmt: skip
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
 
 from balancer.cli import fleet as command
 from balancer.cli.app import app
-from balancer.experiments.spec import load
+from balancer.experiments.loading import load_experiment
 from balancer.lab import records
 from balancer.lab.places import Block, Places, text
 from balancer.lab.processes import configuration
@@ -45,7 +45,7 @@
 [load]
 rate = 30.0
 [network]
-peers = true
+peer-datagrams = true
 [[faults]]
 kind = "kill"
 at = 3.0
@@ -86,7 +86,9 @@
     (folder / "spec.toml").write_text(SPEC)
     for number in range(PLAYS):
         watcher = Watcher()
-        seen = uvloop.run(play(load(folder / "spec.toml"), 1, NODE, folder / f"{number}", False, watcher))
+        seen = uvloop.run(
+            play(load_experiment(folder / "spec.toml"), 1, NODE, folder / f"{number}", False, watcher)
+        )
         if not void(seen):
             break
     assert watcher.thread is not None
@@ -148,7 +150,7 @@
 
 def load_text(tmp_path: Path) -> Any:
     (tmp_path / "spec.toml").write_text(SPEC)
-    return load(tmp_path / "spec.toml")
+    return load_experiment(tmp_path / "spec.toml")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -14,7 +14,8 @@
 import pytest
 from msgspec import structs
 
-from balancer.experiments.spec import Experiment, load
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.loading import load_experiment
 from balancer.lab.figures import figures
 from balancer.lab.judge import RULES, Judge
 from balancer.lab.programs import ROOT, Program
@@ -31,8 +32,8 @@
 [backends]
 count = 4
 cores = 1
-cold-from = 0.1
-cold-s = 20.0
+cold-capacity-share = 0.1
+warm-up-s = 20.0
 [discovery]
 add-s = 0.1
 notice-s = 0.1
@@ -68,7 +69,7 @@
 def spec(tmp_path: Path) -> Experiment:
     """The play."""
     (tmp_path / "spec.toml").write_text(SPEC)
-    return load(tmp_path / "spec.toml")
+    return load_experiment(tmp_path / "spec.toml")
 
 
 def broken(spec: Experiment, seed: int, defect: str) -> dict[str, int]:
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -11,23 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from balancer.experiments.errors import ExperimentError
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import LinkFault, Surge
+from balancer.experiments.loading import load_experiment
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import (
-    CLASSES,
-    Backends,
-    Clients,
-    Expect,
-    Experiment,
-    Fleet,
-    Link,
-    Load,
-    Rules,
-    SpecError,
-    Surge,
-    batches,
-    choose,
-    load,
-)
+from balancer.experiments.selectors import select_parties, split_into_batches
+from balancer.experiments.tables import DEFAULT_CLASSES, Backends, Clients, Expect, Fleet, Load, Rules
 from balancer.lab import records
 from balancer.lab.figures import STARVED, held, waited
 from balancer.lab.processes import Usage, Waiting
@@ -39,7 +29,7 @@
 from balancer.models.load import draw
 from balancer.models.network import Weather
 
-BACKENDS = Backends(cores=1, queue_per_core=2, thrash=0.0, cold_from=0.5, cold_s=10.0)
+BACKENDS = Backends(cores=1, queue_per_core=2, thrash=0.0, cold_capacity_share=0.5, warm_up_s=10.0)
 
 
 def replace_spec(**over: object) -> Backends:
@@ -126,7 +116,7 @@
 
 # --- clients
 
-BROWSE, KEYED, ORDER = CLASSES
+BROWSE, KEYED, ORDER = DEFAULT_CLASSES
 
 
 @pytest.mark.parametrize(
@@ -145,7 +135,7 @@
 
 
 def test_tries_end_and_a_client_that_honours_advice_waits_for_it() -> None:
-    wish = Wish(BROWSE, Clients(retries=1, backoff_ms=10.0, honour=1.0), 0.0, (1.0, 0.0, 0.0, 0.5))
+    wish = Wish(BROWSE, Clients(retries=1, backoff_ms=10.0, retry_after_share=1.0), 0.0, (1.0, 0.0, 0.0, 0.5))
     assert wish.begin(0.0).deadline == 400.0
     assert wish.ended(100.0, 0.0, End.REFUSED, 300.0) == 400.0
     assert wish.begin(400.0).deadline == 800.0
@@ -222,7 +212,7 @@
     assert np.array_equal(a.at, draw(plain, 1, "a").at) and not np.array_equal(a.at[:50], b.at[:50])
     assert not np.array_equal(a.at, draw(plain, 2, "a").at)
     surge = Experiment(
-        name="x", load=Load(rate=600.0), faults=(Surge(at=5.0, for_=2.0, times=3.0, zone="a"),)
+        name="x", load=Load(rate=600.0), faults=(Surge(at=5.0, duration_s=2.0, factor=3.0, zone="a"),)
     )
     inside = draw(surge, 1, "a").at
     assert 1000 < np.sum((inside >= 5000) & (inside < 7000)) < 1400
@@ -231,7 +221,15 @@
 
 
 def test_the_weather_is_by_direction_and_ends() -> None:
-    fault = Link(at=1.0, for_=1.0, from_="nodes:0", to="backends:zone=b", both=False, cut=True, loss=0.5)
+    fault = LinkFault(
+        at=1.0,
+        duration_s=1.0,
+        source="nodes:0",
+        destination="backends:zone=b",
+        both=False,
+        cut=True,
+        loss=0.5,
+    )
     weather = Weather(Experiment(name="x", faults=(fault,)), stream(1, "w"))
     weather.change(fault, True)
     assert weather.between("n0", "s1").cut and not weather.between("s1", "n0").cut
@@ -241,7 +239,9 @@
 
 
 def test_datagrams_are_lost_doubled_and_reordered_in_the_stated_shares() -> None:
-    fault = Link(at=0.0, for_=1.0, from_="nodes", to="nodes", loss=0.3, duplicate=0.2, reorder=0.1)
+    fault = LinkFault(
+        at=0.0, duration_s=1.0, source="nodes", destination="nodes", loss=0.3, duplicate=0.2, reorder=0.1
+    )
     weather = Weather(Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), stream(1, "w"))
     weather.change(fault, True)
     held_ = weather.between("n0", "n1")
@@ -254,10 +254,12 @@
 
 def test_selectors_and_batches() -> None:
     spec = Experiment(name="x", fleet=Fleet(nodes=10))
-    assert choose(spec, "nodes:70%") == ["n0", "n1", "n2", "n4", "n5", "n7", "n8"]
-    assert choose(spec, "backends:2-4") == ["s2", "s3", "s4"]
-    assert choose(spec, "nodes:zone=b") == ["n1", "n4", "n7"]
-    assert batches(["a", "b", "c"], 2) == [["a"], ["b", "c"]] and batches(["a"], 10) == [["a"]]
+    assert select_parties(spec, "nodes:70%") == ["n0", "n1", "n2", "n4", "n5", "n7", "n8"]
+    assert select_parties(spec, "backends:2-4") == ["s2", "s3", "s4"]
+    assert select_parties(spec, "nodes:zone=b") == ["n1", "n4", "n7"]
+    assert split_into_batches(["a", "b", "c"], 2) == [["a"], ["b", "c"]] and split_into_batches(
+        ["a"], 10
+    ) == [["a"]]
 
 
 @pytest.mark.parametrize(
@@ -276,15 +278,18 @@
     path.write_text(
         'name = "x"\n[[faults]]\nkind = "kill"\nat = 1.0\nwhat = "nodes:0"\nrestart-after = 1.0\n'
     )
-    assert [(m.at, m.step) for m in timeline(load(path), 1)] == [(1.0, Step.BEGIN), (2.0, Step.BACK)]
-    with pytest.raises(SpecError) as caught:
-        load(path, [assignment])
+    assert [(m.at, m.step) for m in timeline(load_experiment(path), 1)] == [
+        (1.0, Step.BEGIN),
+        (2.0, Step.BACK),
+    ]
+    with pytest.raises(ExperimentError) as caught:
+        load_experiment(path, [assignment])
     assert str(caught.value).startswith(field) and "\n" not in str(caught.value)
 
 
 def test_every_experiment_of_the_repository_is_sound() -> None:
     paths = list((Path(__file__).parents[1] / "lab" / "experiments").glob("*.toml"))
-    assert len(paths) >= 8 and all(load(path).name == path.stem for path in paths)
+    assert len(paths) >= 8 and all(load_experiment(path).name == path.stem for path in paths)
 
 
 def test_an_expectation_on_a_figure_that_is_not_there_falls_short() -> None:
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -12,24 +12,26 @@
 from balancer.durable.records import BanSet, EndpointListReceived, encode_record
 from balancer.durable.state import replay
 from balancer.durable.writer import LogWriter
-from balancer.experiments.spec import Backends, DiskLeft, Experiment, Fleet, Link, Load, Power
-from balancer.experiments.spec import load as load_spec
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import DiskState, LinkFault, PowerLoss
+from balancer.experiments.loading import load_experiment
+from balancer.experiments.tables import Backends, Fleet, Load
 from balancer.lab import power, records
 from balancer.lab.programs import Program
 from balancer.lab.returning import forgotten, returning
 from balancer.lab.run import phases
-from balancer.lab.timeline import Step, over, timeline
+from balancer.lab.timeline import Step, last_step_at, timeline
 from balancer.sim.disk import DiskCall, PowerCutError, SimulatedDirectory, SimulatedDisk, no_fault
 from tests.test_lab_run import file, lab
 
 SMALL = Experiment(
-    name="x", seconds=20.0, fleet=Fleet(nodes=4, membership=True), backends=Backends(count=2, cold_s=5.0),
-    load=Load(work_ms=10.0), faults=(Power(at=5.0, never=("nodes:3",)),),
+    name="x", seconds=20.0, fleet=Fleet(nodes=4, membership=True), backends=Backends(count=2, warm_up_s=5.0),
+    load=Load(work_ms=10.0), faults=(PowerLoss(at=5.0, never=("nodes:3",)),),
 )  # fmt: skip
 
 
-def fault(spec: Experiment) -> Power:
-    assert isinstance(spec.faults[0], Power)
+def fault(spec: Experiment) -> PowerLoss:
+    assert isinstance(spec.faults[0], PowerLoss)
     return spec.faults[0]
 
 
@@ -87,11 +89,11 @@
 
 
 def test_disks_are_empty_damaged_old_or_swapped_as_told_and_the_same_for_a_seed() -> None:
-    disks = (DiskLeft(nodes="nodes:0", state="empty"), DiskLeft(nodes="nodes:1", state="old"),
-             DiskLeft(nodes="nodes:2-3", state="swapped"))  # fmt: skip
+    disks = (DiskState(nodes="nodes:0", state="empty"), DiskState(nodes="nodes:1", state="old"),
+             DiskState(nodes="nodes:2-3", state="swapped"))  # fmt: skip
     spec, images = SMALL, {f"n{n}": killed(60 + n, n)[0].image() for n in range(4)}
-    cut = Power(at=5.0, disks=disks)
-    plain = power.leave(spec, 1, Power(at=5.0), images, {})
+    cut = PowerLoss(at=5.0, disks=disks)
+    plain = power.leave(spec, 1, PowerLoss(at=5.0), images, {})
     left = power.leave(spec, 1, cut, images, {"n1": {"fence": b"of old"}})
     assert left == power.leave(spec, 1, cut, images, {"n1": {"fence": b"of old"}})
     assert (left["n0"], left["n1"]) == ({}, {"fence": b"of old"})
@@ -103,12 +105,12 @@
 
 
 def test_all_come_back_but_those_that_never_do_and_a_second_cut_keeps_who_had_not_yet() -> None:
-    orders = [power.returns(SMALL, seed, fault(SMALL)) for seed in range(5)]
-    assert orders[1] == power.returns(SMALL, 1, fault(SMALL)) and len({tuple(o) for o in orders}) > 1
+    orders = [power.return_times(SMALL, seed, fault(SMALL)) for seed in range(5)]
+    assert orders[1] == power.return_times(SMALL, 1, fault(SMALL)) and len({tuple(o) for o in orders}) > 1
     for order in orders:
         assert set(order) == {"n0", "n1", "n2", "s0", "s1", "d"} and order["d"] == 6.0
-        assert sorted(order.values())[-1] == 9.0 == over(SMALL, fault(SMALL))
-    again = Power(at=7.0)
+        assert sorted(order.values())[-1] == 9.0 == last_step_at(SMALL, fault(SMALL))
+    again = PowerLoss(at=7.0)
     twice = Experiment(name="x", seconds=20.0, fleet=SMALL.fleet, backends=SMALL.backends,
                        faults=(*SMALL.faults, again))  # fmt: skip
     steps = timeline(twice, 1)
@@ -144,17 +146,17 @@
 
 
 def test_a_ban_counts_from_when_a_node_could_know_it() -> None:
-    def count(ban: records.BanRecord, node: int, at: float, *more: Link,
-              disks: tuple[DiskLeft, ...] = ()) -> int:  # fmt: skip
+    def count(ban: records.BanRecord, node: int, at: float, *more: LinkFault,
+              disks: tuple[DiskState, ...] = ()) -> int:  # fmt: skip
         spec = Experiment(name="x", seconds=20.0, fleet=SMALL.fleet, backends=SMALL.backends,
-                          faults=(Power(at=5.0, disks=disks), *more))  # fmt: skip
+                          faults=(PowerLoss(at=5.0, disks=disks), *more))  # fmt: skip
         return forgotten(spec, seen([ban], [(node, at)]))
 
     ban = records.BanRecord(1, 0, 2000.0, 15_000.0)  # n1 said yes; it is back at 8 s
     assert count(ban, 1, 9000.0) == count(ban, 0, 9000.0) == 1
     assert count(ban, 0, 7900.0) == count(ban, 0, 16_000.0) == 0  # n1 is not back; it was called off
-    assert count(ban, 0, 9000.0, disks=(DiskLeft(nodes="nodes:1", state="empty"),)) == 0
-    apart = Link(at=5.0, for_=5.0, from_="nodes:0", to="nodes:1", cut=True)
+    assert count(ban, 0, 9000.0, disks=(DiskState(nodes="nodes:1", state="empty"),)) == 0
+    apart = LinkFault(at=5.0, duration_s=5.0, source="nodes:0", destination="nodes:1", cut=True)
     assert count(ban, 0, 9000.0, apart) == 0 and count(ban, 0, 12_500.0, apart) == 1
     assert count(records.BanRecord(2, 0, 10_000.0, 0.0), 0, 12_000.0) == 1  # a live peer's
 
@@ -209,7 +211,7 @@
         out = tmp_path / f"out{number}"
         done = lab("run", path, "--out", str(out), "--json")
         assert done.returncode in (0, 1, 2) and not done.stderr, done.stderr
-        spec, found = load_spec(tmp_path / "spec.toml"), records.read(out / "records.msgpack")
+        spec, found = load_experiment(tmp_path / "spec.toml"), records.read(out / "records.msgpack")
         lives = {(x.node, x.process): x for x in found.lives}
         if not json.loads(done.stdout)["void"] or all(life.ready or life.killed for life in found.lives):
             break
@@ -223,4 +225,4 @@
     stamps = [logs[n][11:16] for n in (0, 2)]  # HH:MM
     minutes = [int(s[:2]) * 60 + int(s[3:]) for s in stamps]
     assert (minutes[0] - minutes[1]) % 1440 in (9, 10, 11)
-    assert found.bears and over(spec) == pytest.approx(3.4)
+    assert found.bears and last_step_at(spec) == pytest.approx(3.4)
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -16,8 +16,11 @@
 import pytest
 import uvloop
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import LinkFault
+from balancer.experiments.loading import load_experiment
 from balancer.experiments.random_streams import stream
-from balancer.experiments.spec import Experiment, Fleet, Link, Network, load
+from balancer.experiments.tables import Fleet, Network
 from balancer.lab import records
 from balancer.lab.hub import Relay
 from balancer.lab.places import Block
@@ -38,9 +41,9 @@
 [load]
 rate = 120.0
 [network]
-peers = true
+peer-datagrams = true
 [discovery]
-indented = true
+multi-line = true
 [[faults]]
 kind = "watch-silent"
 at = 0.8
@@ -143,19 +146,19 @@
 [load]
 rate = 60.0
 [discovery]
-ends = true
+watch-ends-on-change = true
 [[faults]]
 kind = "reload"
 at = 1.0
 what = "nodes"
-moves = true
+moves-discovery = true
 batches = 2
 every = 0.2
 [[faults]]
 kind = "reload"
 at = 1.5
 what = "nodes:1"
-moves = true
+moves-discovery = true
 """
 
 
@@ -229,7 +232,7 @@
 
 
 def test_a_node_that_dies_during_its_start_is_said(tmp_path: Path) -> None:
-    spec = load(Path(file(tmp_path, CALM)), ["seconds=2.0"])
+    spec = load_experiment(Path(file(tmp_path, CALM)), ["seconds=2.0"])
     with pytest.raises(LabError, match="no node started"):
         uvloop.run(play(spec, 1, Program("dead", ROOT, "exit 3"), tmp_path / "out"))
 
@@ -266,8 +269,8 @@
     out.close()
 
 
-def cut(spec_from: str, spec_to: str) -> Link:
-    return Link(at=0.0, for_=1.0, from_=spec_from, to=spec_to, cut=True)
+def cut(spec_from: str, spec_to: str) -> LinkFault:
+    return LinkFault(at=0.0, duration_s=1.0, source=spec_from, destination=spec_to, cut=True)
 
 
 def test_a_cut_link_is_silent_and_lets_no_connection_come_up(block: Block) -> None:
@@ -304,7 +307,7 @@
 
 def test_bytes_keep_their_order_under_delay_and_jitter(block: Block) -> None:
     async def whole() -> None:
-        spec = Experiment(name="x", network=Network(same_ms=2.0, jitter=3.0))
+        spec = Experiment(name="x", network=Network(same_zone_ms=2.0, jitter=3.0))
         weather = Weather(spec, stream(1, "w"))
         listener = Listener(block.places.backend(0, 0), lambda: Echo(weather, Clock(), "s0", "n0"))
         listener.open()
@@ -324,7 +327,7 @@
 
 def test_datagrams_come_from_the_senders_address_in_peers(block: Block) -> None:
     async def whole() -> None:
-        spec = Experiment(name="x", fleet=Fleet(nodes=3), network=Network(peers=True, peer_ms=1.0))
+        spec = Experiment(name="x", fleet=Fleet(nodes=3), network=Network(peer_datagrams=True, peer_ms=1.0))
         weather = Weather(spec, stream(1, "w"))
         relay = Relay(spec, block.places, weather)
         await relay.open()
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -12,7 +12,8 @@
 from typing import Any
 from unittest import mock
 
-from balancer.experiments.spec import Experiment, Maint
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Maintenance
 from balancer.lab import records
 from balancer.lab.places import Places
 from balancer.lab.processes import call, configuration
@@ -202,7 +203,7 @@
         for worker in self.workers:
             worker.start(zero)
         for moment in timeline(self.spec, self.seed):
-            if isinstance(moment.fault, Maint):
+            if isinstance(moment.fault, Maintenance):
                 self.loop.call_at(zero + moment.at, self.maintain, moment)
 
     async def whole(self) -> records.Seen:
