--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -1,4 +1,4 @@
-"""The `balancer` command: parsing, exit codes, output. What it does is done in the rooms it calls."""
+"""The `balancer` command: parsing, exit codes, output."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.loading import decode_experiment, load_experiment
 from balancer.lab import records
-from balancer.lab.figures import FEWEST, JUDGED, summary
+from balancer.lab.figures import JUDGED, MIN_SEEDS, summary
 from balancer.lab.judge import RULES, Judge
-from balancer.lab.programs import HERE, ROOT, Program, ProgramError, obtain
+from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, obtain
 from balancer.lab.run import Live, ResultsError, Run, play
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
@@ -44,6 +44,7 @@
 console = Console(stderr=True)
 
 
+Values = dict[str, float]  # figures of a run by name
 Out = Annotated[Path, typer.Option("--out", help="Folder for the results; made if it is missing.")]
 Sets = Annotated[
     list[str] | None, typer.Option("--set", help="KEY=VALUE overrides a field, dotted. Repeatable.")
@@ -81,7 +82,7 @@
 
 @contextlib.contextmanager
 def stopping() -> Iterator[None]:
-    """What can go wrong while something is played ends the command with two lines."""
+    """End the command with two lines where a run cannot be played to its end."""
     try:
         yield
     except BalancerError as err:
@@ -93,7 +94,7 @@
 
 
 def experiment_of(name: str, sets: list[str] | None) -> Experiment:
-    """An experiment by its path, or by its name among those of the repository, with fields overridden."""
+    """Read an experiment by its path, or by its name in the repository, with fields overridden."""
     path = Path(name)
     try:
         return load_experiment(path if path.suffix == ".toml" else EXPERIMENTS / f"{name}.toml", sets or ())
@@ -102,9 +103,9 @@
 
 
 def program(what: str) -> Program:
-    """The program that is played, built if need be."""
+    """Return the program of a run, built if need be."""
     try:
-        with console.status(f"building {what}" if what != HERE else "building the node"):
+        with console.status(f"building {what}" if what != WORKING_TREE else "building the node"):
             return obtain(what)
     except ProgramError as err:
         raise stop(err) from None
@@ -113,14 +114,14 @@
 
 
 def run_once(spec: Experiment, seed: int, what: Program, out: Path, human: bool = False,
-             live: Live | None = None) -> tuple[records.Seen, dict[str, Any]]:  # fmt: skip
+             live: Live | None = None) -> tuple[records.RunRecords, dict[str, Any]]:  # fmt: skip
     """Play, judge and write `summary.json` and `experiment.json`; raises what `play` does, and OSError."""
     seen = uvloop.run(play(spec, seed, what, out, human, live))
     (out / "experiment.json").write_bytes(msgspec.json.encode(spec))
     return seen, judged(spec, seed, what.label, seen, out)
 
 
-def judged(spec: Experiment, seed: int, label: str, seen: records.Seen, out: Path) -> dict[str, Any]:
+def judged(spec: Experiment, seed: int, label: str, seen: records.RunRecords, out: Path) -> dict[str, Any]:
     """Judge the records and write `summary.json`; raises OSError."""
     table = summary(spec, seed, label, seen, Judge(spec, seen).judge())
     (out / "summary.json").write_text(json.dumps(table, indent=1) + "\n", "utf-8")
@@ -128,7 +129,7 @@
 
 
 def verdict(table: dict[str, Any]) -> Exit:
-    """The exit code of a run."""
+    """Return the exit code of a run."""
     if table["void"]:
         return Exit.NOT_RUN
     good = all(e["held"] for e in table["expectations"]) and not table["figures"]["broken_rules"]
@@ -147,7 +148,7 @@
 
 
 def show(table: dict[str, Any]) -> None:
-    """A run's outcome for people."""
+    """Show the outcome of a run to people."""
     screen = Console()
     values = table["figures"]
     rows = Table(
@@ -187,7 +188,7 @@
     from balancer.cli.demo import Screen, experiment
 
     spec = experiment(seconds)
-    what = program(HERE)
+    what = program(WORKING_TREE)
     with tempfile.TemporaryDirectory(prefix="balancer-demo-") as temporary:
         folder = out or Path(temporary)
         with stopping():
@@ -207,7 +208,9 @@
     out: Out,
     seed: Annotated[int, typer.Option(min=0, help="Draws arrivals, sizes, speeds and faults.")] = 1,
     sets: Sets = None,
-    revision: Annotated[str, typer.Option(help="Plays REVISION[+VARIANT] of this repository.")] = HERE,
+    revision: Annotated[
+        str, typer.Option(help="Plays REVISION[+VARIANT] of this repository.")
+    ] = WORKING_TREE,
     as_json: AsJson = False,
     verbose: Annotated[bool, typer.Option("--verbose", "-v", help="Show the lab's log as it goes.")] = False,
 ) -> None:
@@ -226,8 +229,8 @@
     raise finish(table, as_json, str(out / "report.html"))
 
 
-def write_report(spec: Experiment, seen: records.Seen, table: dict[str, Any], out: Path) -> None:
-    """`report.html` beside the records."""
+def write_report(spec: Experiment, seen: records.RunRecords, table: dict[str, Any], out: Path) -> None:
+    """Write `report.html` beside the records."""
     from balancer.lab.report import run_page  # draws with matplotlib, which is slow to import
 
     (out / "report.html").write_text(run_page(spec, seen, table), "utf-8")
@@ -251,7 +254,7 @@
 
 @lab.command("list")
 def lab_list(as_json: AsJson = False) -> None:
-    """The experiments of the repository."""
+    """List the experiments of the repository."""
     rows = []
     for path in sorted(EXPERIMENTS.glob("*.toml")):
         try:
@@ -287,7 +290,7 @@
     b: Annotated[str, typer.Argument(help="The other one. Variants: alone, random, delay-MS, burn-US.")],
     out: Out,
     experiment: Annotated[str, typer.Option("--experiment", "-e", help="File or name.")] = "calm",
-    seeds: Annotated[int, typer.Option(min=2, max=100, help="Each is played by both.")] = FEWEST,
+    seeds: Annotated[int, typer.Option(min=2, max=100, help="Each is played by both.")] = MIN_SEEDS,
     first_seed: Annotated[int, typer.Option(min=0)] = 1,
     sets: Sets = None,
     sets_b: Annotated[
@@ -303,22 +306,9 @@
     specs = (experiment_of(experiment, sets), experiment_of(experiment, [*(sets or ()), *(sets_b or ())]))
     spec = specs[0]
     programs = (program(a), program(b))
-    values: tuple[list[dict[str, float]], list[dict[str, float]]] = ([], [])
+    judged = tuple(dict.fromkeys([*JUDGED, *(more or ())]))
     with stopping():
-        with Progress(console=console, transient=True) as progress:
-            bar = progress.add_task(spec.name, total=2 * seeds)
-            for seed in range(first_seed, first_seed + seeds):
-                # Who plays first changes from seed to seed: a machine that drifts favours neither.
-                for side in ((0, 1), (1, 0))[seed % 2]:
-                    folder = out / f"{'ab'[side]}-{seed}"
-                    _, done = run_once(specs[side], seed, programs[side], folder)
-                    if done["void"]:
-                        raise LateError(
-                            f"seed {seed}, {programs[side].label}: the rig was late; see {folder}"
-                        )
-                    values[side].append(done["figures"])
-                    progress.advance(bar)
-        judged = tuple(dict.fromkeys([*JUDGED, *(more or ())]))
+        values = _paired_figures(specs, programs, range(first_seed, first_seed + seeds), out)
         for name in judged:
             if not all(name in figures for side in values for figures in side):
                 raise FigureError(f"--figure {name}: not all runs have that figure; see {out}")
@@ -331,13 +321,29 @@
     if as_json:
         print(json.dumps(result))
     else:
-        _show_differences(result)
-        if seeds < FEWEST:
-            print(f"fewer than {FEWEST} seeds: {len(judged)} figures cannot differ at this level")
-        print(out / "compare.html")
+        _show_differences(result, len(judged), out)
     raise typer.Exit(Exit.SHORT if any(d.differs for d in found) else Exit.HELD)
 
 
+def _paired_figures(
+    specs: tuple[Experiment, Experiment], programs: tuple[Program, Program], seeds: range, out: Path
+) -> tuple[list[Values], list[Values]]:
+    """Play both programs on each seed and return the figures of each; raises LateError."""
+    values: tuple[list[Values], list[Values]] = ([], [])
+    with Progress(console=console, transient=True) as progress:
+        bar = progress.add_task(specs[0].name, total=2 * len(seeds))
+        for seed in seeds:
+            # Who plays first changes from seed to seed: a machine that drifts favours neither.
+            for side in ((0, 1), (1, 0))[seed % 2]:
+                folder = out / f"{'ab'[side]}-{seed}"
+                _, done = run_once(specs[side], seed, programs[side], folder)
+                if done["void"]:
+                    raise LateError(f"seed {seed}, {programs[side].label}: the rig was late; see {folder}")
+                values[side].append(done["figures"])
+                progress.advance(bar)
+    return values
+
+
 @lab.command("scale")
 def lab_scale(
     out: Out,
@@ -345,9 +351,9 @@
     seed: Annotated[int, typer.Option(min=0, help="Draws what is drawn; counted figures go by it.")] = 1,
     as_json: AsJson = False,
 ) -> None:
-    """What each role costs at growing sizes, and its slope to the size of two years. Within 15 minutes."""
+    """Measure the cost of each role at growing sizes, and its slope up to two years. Within 15 minutes."""
     from balancer.cli.scale import play_all, show_slopes
-    from balancer.lab.scale.rig import encode, write
+    from balancer.lab.scale.runner import encode, write
 
     with stopping():
         result = play_all(quick, seed, console)
@@ -359,7 +365,7 @@
         print(out / "scale.html")
 
 
-def _show_differences(result: dict[str, Any]) -> None:
+def _show_differences(result: dict[str, Any], judged: int, out: Path) -> None:
     rows = Table(title=f"{result['experiment']}: A {result['a']}, B {result['b']}, {result['seeds']} seeds",
                  title_justify="left")  # fmt: skip
     for name in ("figure", "A", "B", "B less A", "95%", "p", "differs"):
@@ -371,6 +377,9 @@
             "[red]yes[/red]" if d["differs"] else "no",
         )  # fmt: skip
     Console().print(rows)
+    if result["seeds"] < MIN_SEEDS:
+        print(f"fewer than {MIN_SEEDS} seeds: {judged} figures cannot differ at this level")
+    print(out / "compare.html")
 
 
 def main() -> None:
--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -21,7 +21,7 @@
 
 
 def experiment(seconds: float) -> Experiment:
-    """What the demo plays; its faults come at the same parts of any length."""
+    """Return the experiment of the demo; its faults come at the same shares of any length."""
     back = 0.2 * seconds
     return Experiment(
         name="demo",
@@ -52,7 +52,7 @@
         ends: dict[str, int] = {}
         up: set[int] = set()
         backends: dict[str, dict[str, Any]] = {}
-        for rig in run.rigs:
+        for rig in run.harness:
             backends |= rig.live.get("backends", {})
             for zone in rig.live.get("clients", {}).values():
                 up.update(zone["up"])
--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -10,6 +10,7 @@
 import time
 from collections import Counter
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Annotated, Any, TypeVar
 
 import msgspec
@@ -45,8 +46,10 @@
     remedy = "give it a PROXY_FLEET file with [membership]; where it has one, its log says MEM01 and why"
 
 
-PATIENCE = 2.0  # s for a console to answer
-EVERY = 1.0  # s between two looks of --watch
+CONSOLE_TIMEOUT_S = 2.0
+WATCH_INTERVAL_S = 1.0
+MAX_LISTED_NODES = 20
+DAY_MS = 86_400_000
 COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim", "unknown": "dim"}
 
 Shown = TypeVar("Shown")
@@ -81,7 +84,7 @@
     counts: dict[str, int] = {}
 
     def rows(self) -> list[dict[str, Any]]:
-        """The members, each with its number and named fields."""
+        """Return the members, each with its number and named fields."""
         return [{"node": n} | dict(zip(self.columns, m, strict=False)) for n, m in enumerate(self.members)]
 
 
@@ -99,7 +102,7 @@
 
 
 def rooms(console: str) -> Rooms:
-    """What the console says now; raises typer.Exit, said why, where it says nothing of use."""
+    """Read the `fleet` object of a console; raises typer.Exit where there is none."""
     import httpx  # some 50 ms that the other commands need not wait
 
     try:
@@ -108,10 +111,10 @@
         raise stop(ArgumentError(f"--console makes no sense: {err}")) from None
     url = httpx.URL(scheme="http", host=host, port=port, path="/stats")
     try:
-        answer = httpx.get(url, timeout=PATIENCE, trust_env=False)  # no proxy of the shell
+        answer = httpx.get(url, timeout=CONSOLE_TIMEOUT_S, trust_env=False)  # no proxy of the shell
     except httpx.HTTPError as err:
         raise stop(SilentError(f"{console} does not answer: {err}")) from None
-    if answer.status_code != 200:
+    if answer.status_code != HTTPStatus.OK:
         raise stop(SilentError(f"{console} answers {answer.status_code} to GET /stats"))
     try:
         stats = msgspec.json.decode(answer.content, type=Stats)
@@ -121,7 +124,7 @@
 
 
 def look(console: str) -> Membership:
-    """The membership; raises typer.Exit, said why, where there is none."""
+    """Read the membership of a console; raises typer.Exit where there is none."""
     found = rooms(console).membership
     if found is None:
         raise stop(AbsentError(
@@ -135,15 +138,15 @@
 
 
 def ago(ms: float) -> str:
-    """A time span for people."""
-    for unit, size in (("d", 86_400_000), ("h", 3_600_000), ("min", 60_000), ("s", 1000)):
+    """Return a time span for people."""
+    for unit, size in (("d", DAY_MS), ("h", 3_600_000), ("min", 60_000), ("s", 1000)):
         if ms >= size:
             return f"{ms / size:.0f} {unit}"
     return f"{ms:.0f} ms"
 
 
 def table_of(seen: Membership) -> RenderableType:
-    """The members for people."""
+    """Return the members for people."""
     table = Table(title=f"{seen.present_nodes} of {seen.nodes} present, as node {seen.me} sees it",
                   title_justify="left")  # fmt: skip
     for name in ("node", "state", "for", "life", "incarnation", "its view"):
@@ -159,12 +162,12 @@
 
 
 def members_held(seen: Membership) -> bool:
-    """Whether every member is present and none is suspected."""
+    """Return whether every member is present and none is suspected."""
     return all(row["state"] == "alive" for row in seen.rows())
 
 
 def summary(seen: Membership) -> dict[str, Any]:
-    """The view in few fields."""
+    """Return the view in few fields."""
     states = Counter(row["state"] for row in seen.rows())
     others = [r["node"] for r in seen.rows()
               if r["state"] in ("alive", "suspect") and r["view"] not in (None, seen.view)
@@ -178,14 +181,14 @@
 
 
 def view_of(seen: Membership) -> RenderableType:
-    """The view for people."""
+    """Return the view for people."""
     row = summary(seen)
     quorum = "more than half" if seen.quorum else "[red]a minority[/red]"
     agree = f"{seen.agreement:.0%}" if seen.agreement == 1 else f"[yellow]{seen.agreement:.0%}[/yellow]"
     states = ", ".join(f"{count} {state}" for state, count in sorted(row["states"].items()))
     named = row["last_said_otherwise"]
-    more = f" and {len(named) - 20} more" if len(named) > 20 else ""
-    others = ", ".join(map(str, named[:20])) + more if named else "none"
+    more = f" and {len(named) - MAX_LISTED_NODES} more" if len(named) > MAX_LISTED_NODES else ""
+    others = ", ".join(map(str, named[:MAX_LISTED_NODES])) + more if named else "none"
     counts = ", ".join(f"{name} {count}" for name, count in sorted(seen.counts.items()))
     lines = [
         f"node {seen.me}, life {seen.life}, incarnation {seen.incarnation}, late by {seen.health} of 8",
@@ -212,12 +215,12 @@
         if watch and not as_json:
             with rich.live.Live(draw(seen), console=Console(), refresh_per_second=2) as picture:
                 while True:
-                    time.sleep(EVERY)
+                    time.sleep(WATCH_INTERVAL_S)
                     seen = look(at)
                     picture.update(draw(seen))
         while watch:
             print(json.dumps(data(seen)), flush=True)
-            time.sleep(EVERY)
+            time.sleep(WATCH_INTERVAL_S)
             seen = look(at)
     except KeyboardInterrupt:
         return typer.Exit(Exit.HELD if held(seen) else Exit.SHORT)
--- a/balancer/cli/output.py
+++ b/balancer/cli/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, and the two lines that say why not and what to do."""
+"""What all commands share: exit codes, and the two lines of an error."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Exit(IntEnum):
-    """What the exit code says."""
+    """The exit codes."""
 
     HELD = 0
     SHORT = 1
@@ -19,7 +19,7 @@
 
 
 def stop(err: BalancerError) -> typer.Exit:
-    """The code and what happened, then what to do, on standard error; exit code 2."""
+    """Print the code and the error, then the remedy, on standard error; return exit code 2."""
     happened, remedy = err.report
     print(f"balancer: {happened}\n{remedy}", file=sys.stderr)
     return typer.Exit(Exit.NOT_RUN)
--- a/balancer/cli/scale.py
+++ b/balancer/cli/scale.py
@@ -7,11 +7,11 @@
 from rich.table import Table
 
 from balancer.lab.scale.points import Point
-from balancer.lab.scale.rig import Result, all_plays, run
+from balancer.lab.scale.runner import Result, all_plays, run
 
 
 def play_all(quick: bool, seed: int, console: Console) -> Result:
-    """All plays, one after the other."""
+    """Run all plays, one after the other."""
     plays = all_plays(quick)
     columns = (SpinnerColumn(), TextColumn("{task.description}"), TimeElapsedColumn())
     with Progress(*columns, console=console, transient=True) as progress:
@@ -25,7 +25,7 @@
 
 
 def show_slopes(result: Result) -> None:
-    """A row a slope, then what was not played."""
+    """Show a row for each slope, then what was not played."""
     screen = Console()
     table = Table(title=f"scale, seed {result.seed}, {result.program}, {result.seconds:g} s",
                   title_justify="left")  # fmt: skip
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -1,4 +1,4 @@
-"""Clients on sockets behind fronts: arrivals drawn ahead, sent on time whatever the answers do."""
+"""Clients on sockets behind front-end proxies: an open loop that sends arrivals on time."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import contextlib
 from collections import Counter
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Any
 
 import httptools
@@ -16,31 +17,36 @@
 from balancer.experiments.random_streams import stream
 from balancer.experiments.tables import RequestClass
 from balancer.lab import records
-from balancer.lab.backends import WORK
-from balancer.lab.places import Places
+from balancer.lab.addresses import AddressPlan
+from balancer.lab.backend_stubs import WORK_PARAMETER
+from balancer.lab.impaired_sockets import ImpairedConnection, RunClock
 from balancer.lab.timeline import timeline
-from balancer.lab.wires import Clock, Wire
-from balancer.models.client import End, Try, Wish
-from balancer.models.load import Arrivals, draw
-from balancer.models.network import Weather
+from balancer.models.client import Operation, Outcome, PlannedAttempt
+from balancer.models.load import Arrivals, draw_arrivals
+from balancer.models.network import NetworkConditions
 
-OVERDUE = 500.0  # ms after its time that an answer is still looked for: by then a request counts as lost
-CHECK_OUT = 0.1  # s between two looks at a node that is out
-CHECK_WAIT = 1.0  # s for a check's answer
-LEAVES = 0.3  # s after a planned SIGTERM that the front stops dealing connections to the node
-MIX = 0x9E3779B97F4A7C15
+OVERDUE_MS = 500.0  # after its deadline, a request without an answer counts as lost
+DOWN_CHECK_INTERVAL_S = 0.1
+CHECK_TIMEOUT_S = 1.0
+TERMINATION_NOTICE_S = 0.3  # after SIGTERM, until the front-end proxies use the node no more
+FAILED_CHECKS_UNTIL_DOWN = 2
+LINK_POLL_S = 0.02
+TIMER_TOLERANCE_MS = 0.5
+IDENT_STEP = 0x9E3779B97F4A7C15  # odd, so that all identifiers of an operation differ
+REJECTED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 def next_ident(ident: str, number: int) -> str:
-    """A new id for a try: the same for the same request in every run."""
-    return f"{(int(ident, 16) + number * MIX) % 2**64:016x}"
+    """Return the request identifier of an attempt, the same in every run of a seed."""
+    return f"{(int(ident, 16) + number * IDENT_STEP) % 2**64:016x}"
 
 
-class Front:
-    """Deals the connections of a zone's clients over its nodes; sees late that a node is dead."""
+class FrontEndProxy:
+    """Distributes the connections of a zone's clients over nodes; detects a dead node with a delay."""
 
-    def __init__(self, spec: Experiment, zone: str, places: Places, weather: Weather) -> None:
-        self.spec, self.zone, self.places, self.weather = spec, zone, places, weather
+    def __init__(self, spec: Experiment, zone: str, places: AddressPlan, network: NetworkConditions) -> None:
+        """Prepare the proxy of a zone; `start` begins its checks."""
+        self.spec, self.zone, self.places, self.network = spec, zone, places, network
         names = spec.node_names
         self.own = [i for i, n in enumerate(names) if spec.zone_of(n) == zone]
         self.up: dict[int, bool] = dict.fromkeys(range(len(names)), False)
@@ -49,7 +55,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to look at the nodes."""
+        """Start the health checks of the nodes."""
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self._watch(node)) for node in self.up]
 
@@ -60,18 +66,20 @@
             missed = 0 if good else missed + 1
             if good:
                 self.up[node] = node not in self.leaving
-            elif missed >= 2:
+            elif missed >= FAILED_CHECKS_UNTIL_DOWN:
                 self.up[node] = False
                 self.leaving.discard(node)
-            # Two looks in a row have to miss, so that a dead node is noticed after `notice-s` at the latest.
-            await asyncio.sleep(self.spec.clients.failure_detection_s / 2 if self.up[node] else CHECK_OUT)
+            # Two checks in a row have to fail within `failure-detection-s`.
+            await asyncio.sleep(
+                self.spec.clients.failure_detection_s / 2 if self.up[node] else DOWN_CHECK_INTERVAL_S
+            )
 
     async def _check(self, node: int) -> bool:
-        if self.weather.severed(f"c-{self.zone}", f"n{node}"):
+        if self.network.is_cut(f"c-{self.zone}", f"n{node}"):
             return False
         writer: asyncio.StreamWriter | None = None
         try:
-            async with asyncio.timeout(CHECK_WAIT):
+            async with asyncio.timeout(CHECK_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.places.node(node))
                 writer.write(b"GET /up HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n")
                 line = await reader.readline()
@@ -83,12 +91,12 @@
         return line.startswith(b"HTTP/1.1 200")
 
     def leave(self, node: int) -> None:
-        """A planned restart: no new connections, until it has been down and answers again."""
+        """Open no new connections to a node until it has been down and answers again."""
         self.leaving.add(node)
         self.up[node] = False
 
-    def deal(self) -> int | None:
-        """The node of a new connection: the zone's in turn, another zone's where it has none."""
+    def choose_node(self) -> int | None:
+        """Return the node of a new connection: of the zone in turn, else of another zone."""
         for nodes in (self.own, list(self.up)):
             alive = [n for n in nodes if self.up[n]]
             if alive:
@@ -98,91 +106,99 @@
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
-    """One try under way."""
+class InFlightAttempt:
+    """An attempt in flight."""
 
-    wish: Wish
+    operation: Operation
     row: int
-    step: Try
-    record: records.TryRecord
+    step: PlannedAttempt
+    record: records.ClientAttemptRecord
     data: bytes
-    wire: ClientWire | None = None  # what it was written to last
+    connection: ClientConnection | None = None  # what it was written to last
     over: bool = False  # the client has moved on
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
 
-class ClientWire(Wire):
-    """A client's connection to a node."""
+class ClientConnection(ImpairedConnection):
+    """A connection of a client to a node."""
 
-    def __init__(self, crowd: Crowd, node: int, flight: Flight, uses: int) -> None:
-        super().__init__(crowd.weather, crowd.clock, f"c-{crowd.zone}", f"n{node}")
-        self.crowd, self.node, self.uses = crowd, node, uses
-        self.flight: Flight | None = flight
+    def __init__(self, group: ClientGroup, node: int, in_flight: InFlightAttempt, uses: int) -> None:
+        """Prepare a connection for an attempt; `uses` bounds its requests."""
+        super().__init__(group.network, group.clock, f"c-{group.zone}", f"n{node}")
+        self.group, self.node, self.uses = group, node, uses
+        self.in_flight: InFlightAttempt | None = in_flight
         self.parser = httptools.HttpResponseParser(self)
         self.fresh = self.keep = True
 
     def up(self) -> None:
-        self.crowd.wires.add(self)
-        if self.flight is not None:
-            self.write(self.flight)
+        """Send the attempt that waits for the connection."""
+        self.group.connections.add(self)
+        if self.in_flight is not None:
+            self.write(self.in_flight)
 
-    def write(self, flight: Flight) -> None:
+    def write(self, in_flight: InFlightAttempt) -> None:
         """Send a request on this connection."""
-        self.flight, flight.wire = flight, self
-        flight.record.node, flight.record.fresh = self.node, self.fresh
-        if flight.over:  # its time ran out while the connection came up
-            self.crowd.free(self)
+        self.in_flight, in_flight.connection = in_flight, self
+        in_flight.record.node, in_flight.record.fresh = self.node, self.fresh
+        if in_flight.over:  # its time ran out while the connection came up
+            self.group.free(self)
             return
         self.body, self.retry_after, self.keep = b"", 0.0, True
-        flight.record.sent = self.clock.now()
+        in_flight.record.sent = self.clock.now()
         self.uses -= 1
-        self.send(flight.data)
+        self.send(in_flight.data)
 
     def received(self, data: bytes) -> None:
-        if self.flight is not None:
-            self.flight.record.began = True
+        """Parse a piece of a response."""
+        if self.in_flight is not None:
+            self.in_flight.record.began = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.reset()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep the advice of `Retry-After`."""
         if name.lower() == b"retry-after":
             with contextlib.suppress(ValueError):
                 self.retry_after = float(value) * 1000
 
     def on_body(self, body: bytes) -> None:
+        """Collect the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        flight, code = self.flight, self.parser.get_status_code()
-        if flight is None or code < 200:
+        """End the attempt with its response."""
+        in_flight, code = self.in_flight, self.parser.get_status_code()
+        if in_flight is None or code < HTTPStatus.OK:
             return
-        self.fresh, record = False, flight.record
+        self.fresh, record = False, in_flight.record
         record.answered, record.status = self.clock.now(), code
         record.body, record.retry_after = self.body.decode("latin-1"), self.retry_after
-        end = End.SERVED if code == 200 else End.REFUSED if code in (429, 503) else End.FAILED
+        end = _outcome(code)
         self.keep = self.parser.should_keep_alive()
-        self.flight = None
-        self.crowd.ended(flight, end)
-        self.crowd.free(self)
+        self.in_flight = None
+        self.group.ended(in_flight, end)
+        self.group.free(self)
 
     def ended(self) -> None:
-        self.crowd.lost(self)
+        """Report the end of the connection."""
+        self.group.lost(self)
 
 
-class Crowd:
-    """The clients of one zone that one process of the lab plays: every `of`-th arrival from `part` on."""
+class ClientGroup:
+    """The clients of one zone in one process of the lab: every `of`-th arrival from `part` on."""
 
-    def __init__(self, spec: Experiment, seed: int, zone: str, part: int, of: int, places: Places,
-                 weather: Weather, clock: Clock, seen: records.Seen) -> None:  # fmt: skip
-        self.spec, self.zone, self.places, self.weather = spec, zone, places, weather
+    def __init__(self, spec: Experiment, seed: int, zone: str, part: int, of: int, places: AddressPlan,
+                 network: NetworkConditions, clock: RunClock, seen: records.RunRecords) -> None:  # fmt: skip
+        """Draw the arrivals of this part of a zone."""
+        self.spec, self.zone, self.places, self.network = spec, zone, places, network
         self.clock, self.seen = clock, seen
-        self.front = Front(spec, zone, places, weather)
-        self.arrivals = _part(draw(spec, seed, zone), part, of)
+        self.front_end = FrontEndProxy(spec, zone, places, network)
+        self.arrivals = _part(draw_arrivals(spec, seed, zone), part, of)
         self.random = stream(seed, "connections", zone, part)
-        self.idle: list[ClientWire] = []
-        self.wires: set[ClientWire] = set()
+        self.idle: list[ClientConnection] = []
+        self.connections: set[ClientConnection] = set()
         self.next = 0
         self.open = 0
         self.done = asyncio.Event()
@@ -191,126 +207,131 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """The clock's zero is set: send from now on."""
+        """Start to send, once the zero of the clock is set."""
         loop = asyncio.get_running_loop()
         for moment in timeline(self.spec, 0):  # no seed draws a planned restart
             if isinstance(moment.fault, Terminate):
-                at = moment.at + LEAVES - self.clock.now() / 1000
+                at = moment.at + TERMINATION_NOTICE_S - self.clock.now() / 1000
                 for name in moment.names:
-                    loop.call_later(max(0.0, at), self.front.leave, int(name[1:]))
-        self._due()
+                    loop.call_later(max(0.0, at), self.front_end.leave, int(name[1:]))
+        self._send_due()
 
-    def _due(self) -> None:
+    def _send_due(self) -> None:
         now, total = self.clock.now(), len(self.arrivals.at)
-        while self.next < total and self.arrivals.at[self.next] <= now + 0.5:
+        while self.next < total and self.arrivals.at[self.next] <= now + TIMER_TOLERANCE_MS:
             row, self.next = self.next, self.next + 1
             cls = self.spec.load.classes[self.arrivals.kind[row]]
-            wish = Wish(cls, self.spec.clients, float(self.arrivals.at[row]),
-                        tuple(self.arrivals.whim[row].tolist()))  # fmt: skip
+            operation = Operation(cls, self.spec.clients, float(self.arrivals.at[row]),
+                        tuple(self.arrivals.client_draws[row].tolist()))  # fmt: skip
             self.open += 1
-            self._try(wish, row, float(self.arrivals.at[row]), f"{int(self.arrivals.ident[row]):016x}")
+            self._try(operation, row, float(self.arrivals.at[row]), f"{int(self.arrivals.ident[row]):016x}")
         if self.next < total:
             wait = (self.arrivals.at[self.next] - self.clock.now()) / 1000
-            asyncio.get_running_loop().call_later(max(0.0, float(wait)), self._due)
+            asyncio.get_running_loop().call_later(max(0.0, float(wait)), self._send_due)
         elif not self.open:
             self.done.set()
 
-    def _try(self, wish: Wish, row: int, due: float, first: str) -> None:
+    def _try(self, operation: Operation, row: int, scheduled_at: float, first: str) -> None:
         now = self.clock.now()
-        self.seen.lateness.append(max(0.0, now - due))
-        step = wish.begin(max(now, due))
+        self.seen.lateness.append(max(0.0, now - scheduled_at))
+        step = operation.begin(max(now, scheduled_at))
         ident = next_ident(first, step.number)
-        cls = wish.cls
-        record = records.TryRecord(
-            ident, first, self.zone, int(self.arrivals.kind[row]), step.number, -1, wish.intended, due, 0.0,
-            step.deadline, 0.0, "", key=f"k{first}" if cls.effect == "dedup" else "",
+        cls = operation.cls
+        record = records.ClientAttemptRecord(
+            ident, first, self.zone, int(self.arrivals.kind[row]), step.number, -1, operation.intended,
+            scheduled_at, 0.0, step.deadline, 0.0, "", key=f"k{first}" if cls.effect == "dedup" else "",
         )  # fmt: skip
-        self.seen.tries.append(record)
-        data = _request(record, cls, float(self.arrivals.work[row]), step.deadline - max(now, due))
-        flight = Flight(wish, row, step, record, data)
-        self._at(flight, step.deadline, End.SILENT)
+        self.seen.client_attempts.append(record)
+        data = _request(record, cls, float(self.arrivals.work[row]), step.deadline - max(now, scheduled_at))
+        in_flight = InFlightAttempt(operation, row, step, record, data)
+        self._at(in_flight, step.deadline, Outcome.SILENT)
         if step.leaves is not None:
-            self._at(flight, step.leaves, End.LEFT)
-        self._place(flight)
+            self._at(in_flight, step.leaves, Outcome.LEFT)
+        self._place(in_flight)
 
-    def _at(self, flight: Flight, when: float, end: End) -> None:
+    def _at(self, in_flight: InFlightAttempt, when: float, end: Outcome) -> None:
         wait = max(0.0, when - self.clock.now()) / 1000
-        flight.timers.append(asyncio.get_running_loop().call_later(wait, self.ended, flight, end))
+        in_flight.timers.append(asyncio.get_running_loop().call_later(wait, self.ended, in_flight, end))
 
-    def _place(self, flight: Flight, fresh: bool = False) -> None:
+    def _place(self, in_flight: InFlightAttempt, fresh: bool = False) -> None:
         while self.idle and not fresh:
             index = int(self.random.random() * len(self.idle))
             self.idle[index], self.idle[-1] = self.idle[-1], self.idle[index]
-            wire = self.idle.pop()
-            if wire.open and wire.transport is not None and not wire.transport.is_closing():
-                wire.write(flight)
+            connection = self.idle.pop()
+            if connection.open and connection.transport is not None and not connection.transport.is_closing():
+                connection.write(in_flight)
                 return
-        node = self.front.deal()
+        node = self.front_end.choose_node()
         if node is None:
-            self.ended(flight, End.UNREACHABLE)
+            self.ended(in_flight, Outcome.UNREACHABLE)
             return
-        task = asyncio.get_running_loop().create_task(self._connect(flight, node))
+        task = asyncio.get_running_loop().create_task(self._connect(in_flight, node))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _connect(self, flight: Flight, node: int) -> None:
+    async def _connect(self, in_flight: InFlightAttempt, node: int) -> None:
         loop = asyncio.get_running_loop()
-        flight.record.node = node
+        in_flight.record.node = node
         uses = int(self.random.geometric(1 / self.spec.clients.requests_per_connection))
-        while self.weather.severed(f"c-{self.zone}", f"n{node}"):
-            if flight.over:
+        while self.network.is_cut(f"c-{self.zone}", f"n{node}"):
+            if in_flight.over:
                 return
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(LINK_POLL_S)
         try:
-            left = max(0.01, (flight.step.deadline - self.clock.now()) / 1000)
+            left = max(0.01, (in_flight.step.deadline - self.clock.now()) / 1000)
             async with asyncio.timeout(left):
                 await loop.create_connection(
-                    lambda: ClientWire(self, node, flight, uses), *self.places.node(node)
+                    lambda: ClientConnection(self, node, in_flight, uses), *self.places.node(node)
                 )
         except OSError:
-            self.ended(flight, End.UNREACHABLE)
+            self.ended(in_flight, Outcome.UNREACHABLE)
         except TimeoutError:
             pass  # its deadline's timer says so
 
-    def free(self, wire: ClientWire) -> None:
-        """A connection is idle again."""
-        wire.flight = None
-        if wire.uses <= 0 or not wire.keep:
-            wire.finish()
+    def free(self, connection: ClientConnection) -> None:
+        """Take a connection back that is idle again."""
+        connection.in_flight = None
+        if connection.uses <= 0 or not connection.keep:
+            connection.finish()
         else:
-            self.idle.append(wire)
+            self.idle.append(connection)
 
-    def lost(self, wire: ClientWire) -> None:
-        """A connection has ended."""
-        self.wires.discard(wire)
+    def lost(self, connection: ClientConnection) -> None:
+        """Handle the end of a connection."""
+        self.connections.discard(connection)
         with contextlib.suppress(ValueError):
-            self.idle.remove(wire)
-        flight, wire.flight = wire.flight, None
-        if flight is None:
+            self.idle.remove(connection)
+        in_flight, connection.in_flight = connection.in_flight, None
+        if in_flight is None:
             return
-        crossed = not wire.fresh and not flight.record.began and not flight.over and not flight.record.crossed
+        crossed = (
+            not connection.fresh
+            and not in_flight.record.began
+            and not in_flight.over
+            and not in_flight.record.crossed
+        )
         if crossed:
-            flight.record.crossed = self.clock.now()
-            self._place(flight, fresh=True)
+            in_flight.record.crossed = self.clock.now()
+            self._place(in_flight, fresh=True)
         else:
-            self.ended(flight, End.CUT)
+            self.ended(in_flight, Outcome.CUT)
 
-    def ended(self, flight: Flight, end: End) -> None:
-        """A try has ended for its client; a late answer is still looked for."""
-        now, record = self.clock.now(), flight.record
-        if flight.over:
+    def ended(self, in_flight: InFlightAttempt, end: Outcome) -> None:
+        """End an attempt for its client; a late answer is still recorded."""
+        now, record = self.clock.now(), in_flight.record
+        if in_flight.over:
             return
-        flight.over, record.ended, record.end = True, now, end.value
-        for timer in flight.timers:
+        in_flight.over, record.ended, record.end = True, now, end.value
+        for timer in in_flight.timers:
             timer.cancel()
-        if end is End.LEFT:
-            self._hang_up(flight)
-        elif end is End.SILENT:
-            asyncio.get_running_loop().call_later(OVERDUE / 1000, self._hang_up, flight)
+        if end is Outcome.LEFT:
+            self._hang_up(in_flight)
+        elif end is Outcome.SILENT:
+            asyncio.get_running_loop().call_later(OVERDUE_MS / 1000, self._hang_up, in_flight)
         self.counts[end.value] += 1
-        if end is End.SERVED:
-            self.recent.append(now - flight.wish.intended)
-        when = flight.wish.ended(now, record.sent or record.due, end, record.retry_after)
+        if end is Outcome.SERVED:
+            self.recent.append(now - in_flight.operation.intended)
+        when = in_flight.operation.ended(now, record.sent or record.scheduled_at, end, record.retry_after)
         if when is None:
             record.last = True
             self.open -= 1
@@ -318,31 +339,39 @@
                 self.done.set()
         else:
             wait = max(0.0, when - now) / 1000
-            asyncio.get_running_loop().call_later(wait, self._try, flight.wish, flight.row, when, record.wish)
+            asyncio.get_running_loop().call_later(
+                wait, self._try, in_flight.operation, in_flight.row, when, record.operation
+            )
 
-    def _hang_up(self, flight: Flight) -> None:
-        if flight.wire is not None and flight.wire.flight is flight:
-            flight.wire.reset()
+    def _hang_up(self, in_flight: InFlightAttempt) -> None:
+        if in_flight.connection is not None and in_flight.connection.in_flight is in_flight:
+            in_flight.connection.reset()
 
     def live(self) -> dict[str, Any]:
-        """Figures for the screen: ends of tries so far, and times of the answers since the last look."""
+        """Return live figures for the screen: outcomes so far, and latencies since the last call."""
         recent, self.recent = self.recent, []
         return {
             "ends": dict(self.counts),
             "recent": recent,
-            "up": [n for n, up in self.front.up.items() if up],
+            "up": [n for n, up in self.front_end.up.items() if up],
         }
 
 
-def wording(cls: RequestClass, wish: str) -> tuple[str, str]:
-    """The method and the body of an operation's requests."""
-    return ("GET", "") if cls.effect == "retryable" else ("POST", f'{{"wish":"{wish}"}}')
+def _outcome(status: int) -> Outcome:
+    if status == HTTPStatus.OK:
+        return Outcome.SERVED
+    return Outcome.REFUSED if status in REJECTED else Outcome.FAILED
 
 
-def _request(record: records.TryRecord, cls: RequestClass, work: float, wait: float) -> bytes:
-    method, body = wording(cls, record.wish)
+def method_and_body(cls: RequestClass, operation: str) -> tuple[str, str]:
+    """Return the method and the body of an operation's requests."""
+    return ("GET", "") if cls.effect == "retryable" else ("POST", f'{{"wish":"{operation}"}}')
+
+
+def _request(record: records.ClientAttemptRecord, cls: RequestClass, work: float, wait: float) -> bytes:
+    method, body = method_and_body(cls, record.operation)
     lines = [
-        f"{method} /{cls.name}/{record.wish}?{WORK}={work:.3f} HTTP/1.1", "Host: api.internal",
+        f"{method} /{cls.name}/{record.operation}?{WORK_PARAMETER}={work:.3f} HTTP/1.1", "Host: api.internal",
         f"Request-Id: {record.ident}", f"Request-Timeout: {wait:.3f}m",
     ]  # fmt: skip
     if record.key:
@@ -354,7 +383,13 @@
     return "\r\n".join([*lines, "", body]).encode()
 
 
-def _part(whole: Arrivals, part: int, of: int) -> Arrivals:
-    rows = np.arange(part, len(whole.at), of)
-    return Arrivals(whole.zone, whole.at[rows], whole.kind[rows], whole.work[rows], whole.whim[rows],
-                    whole.ident[rows])  # fmt: skip
+def _part(arrivals: Arrivals, part: int, of: int) -> Arrivals:
+    rows = np.arange(part, len(arrivals.at), of)
+    return Arrivals(
+        arrivals.zone,
+        arrivals.at[rows],
+        arrivals.kind[rows],
+        arrivals.work[rows],
+        arrivals.client_draws[rows],
+        arrivals.ident[rows],
+    )
--- a/balancer/lab/compare.py
+++ b/balancer/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two programs on the same seeds: paired differences, a bootstrap interval, and whether they differ at all.
+"""Compare two programs on the same seeds: paired differences, a bootstrap interval, a significance test.
 
 The interval is that of the median difference (percentile bootstrap, 95%). The verdict is by an exact
 sign-flip permutation test on the mean difference, with Holm's correction over the judged figures: a program
@@ -23,7 +23,7 @@
 
 LEVEL = 0.05  # of the whole family of figures
 RESAMPLES = 10_000
-EXACT = 12  # differences up to which all sign flips are gone through
+MAX_EXACT_SEEDS = 12  # up to which all sign flips are enumerated
 
 Floats = NDArray[np.float64]
 
@@ -43,15 +43,15 @@
 
 
 def interval(values: Floats) -> tuple[float, float]:
-    """The 95% interval of the median."""
+    """Return the 95% bootstrap interval of the median."""
     picks = stream(0, "bootstrap").integers(0, len(values), (RESAMPLES, len(values)))
     medians = np.median(values[picks], axis=1)
     return float(np.quantile(medians, 0.025)), float(np.quantile(medians, 0.975))
 
 
 def sign_flip(values: Floats) -> float:
-    """The chance of a mean at least this far from 0 if each difference could as well have the other sign."""
-    if len(values) <= EXACT:
+    """Return the p value of the sign-flip permutation test on the mean."""
+    if len(values) <= MAX_EXACT_SEEDS:
         signs = np.array(list(product((-1.0, 1.0), repeat=len(values))))
     else:
         signs = stream(0, "signs").choice((-1.0, 1.0), (RESAMPLES, len(values)))
@@ -61,7 +61,7 @@
 
 def compare(a: list[dict[str, float]], b: list[dict[str, float]],
             names: Sequence[str] = JUDGED) -> list[Difference]:  # fmt: skip
-    """The judged figures of runs paired by seed; raises KeyError for one that a run does not have."""
+    """Compare figures of runs paired by seed; raises KeyError for one that a run does not have."""
     pairs = {name: (np.array([f[name] for f in a]), np.array([f[name] for f in b])) for name in names}
     raw = {name: sign_flip(y - x) if np.any(y != x) else 1.0 for name, (x, y) in pairs.items()}
     corrected, least = {}, 0.0
@@ -79,7 +79,7 @@
 
 
 def table(found: list[Difference]) -> list[dict[str, Any]]:
-    """The differences as plain data."""
+    """Return the differences as plain data."""
     return [asdict(d) for d in found]
 
 
@@ -112,7 +112,7 @@
     b: list[dict[str, float]],
     found: list[Difference],
 ) -> str:
-    """The report of a comparison."""
+    """Return the report of a comparison."""
     rows = [(d.figure, d.median_a, d.median_b, d.median, d.low, d.high, round(d.p, 4),
              "differs" if d.differs else "no difference found") for d in found]  # fmt: skip
     head = ("figure", "A, median", "B, median", "B less A", "95% from", "to", "p, corrected", "")
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -1,4 +1,4 @@
-"""From records to figures: goodput, latency without coordinated omission, costs, recovery, the rig itself."""
+"""Figures of a run: goodput, latency without coordinated omission, costs, recovery, the harness itself."""
 
 from __future__ import annotations
 
@@ -18,101 +18,114 @@
 from balancer.experiments.tables import Expect
 from balancer.lab import records
 from balancer.lab.judge import RULES, Judgement
-from balancer.lab.returning import forgotten, returning
+from balancer.lab.power_recovery import count_forgotten_bans, power_recovery_figures
 from balancer.lab.timeline import last_step_at
-from balancer.models.client import End
-
-LATE_RIG = 5.0  # ms: the p99 of the rig's own lateness from which a run is void
-STARVED = 1.0  # s within STRETCH that a node that runs could not run, from which on a run is void
-STRETCH, SETTLED = 2.0, 3.0  # s; from a process's start until it is looked at: many start at once
-HIGHEST = 60_000_000  # us that a latency can have in the histogram
+from balancer.models.client import Outcome
+
+MAX_HARNESS_LATENESS_MS = 5.0  # at p99; a run beyond that is void
+MAX_CPU_WAIT_S = 1.0  # of a runnable node within CPU_WAIT_WINDOW_S; a run beyond that is void
+CPU_WAIT_WINDOW_S = 2.0
+START_UP_S = 3.0  # from a process's start until its waits count: many start at once
+MAX_LATENCY_US = 60_000_000  # of the histogram
+MIN_BROADCAST_LOSS = 0.5  # from which on a node is not a healthy one
 RECOVERED = 0.95  # of the goodput before the first fault
-KNOWN_BY = 10_000.0  # ms within which a death has to be known
-WINDOW = 0.5  # s of the series
+DETECTION_LIMIT_MS = 10_000.0  # within which a death has to be known
+WINDOW_S = 0.5  # of the series
 JUDGED = ("goodput", "refused", "latency_p50_ms", "latency_p99_ms", "node_cpu_us_per_try")  # of a comparison
-HEIR, HEIR_STEP = 5.0, 0.1  # s for which an heir is watched; between two looks
-FEWEST = 8  # seeds from which on so many figures can be told apart
+SUCCESSOR_WINDOW_S = 5.0
+SUCCESSOR_STEP_S = 0.1
+PREDECESSOR_WINDOW_MS = 3000  # before its end
+MIN_SEEDS = 8  # for a significant difference after the correction for several figures
 
 Series = dict[str, list[float]]
 
 
 @dataclass(slots=True)
-class Wished:
-    """One operation over all its tries."""
+class OperationResult:
+    """One operation over all its attempts."""
 
     intended: float
     kind: int
     zone: str
-    worth: float  # asked for
-    got: float  # of it
+    value: float  # asked for
+    served_value: float  # of it
     latency: float | None  # ms from when it was meant to be sent; None: not served
     last_end: str
-    tries: int
+    attempts: int
 
 
-def wishes(spec: Experiment, seen: records.Seen) -> list[Wished]:
-    """The operations, in order of time."""
-    by_wish: dict[str, list[records.TryRecord]] = defaultdict(list)
-    for one in seen.tries:
-        by_wish[one.wish].append(one)
+def operations(spec: Experiment, seen: records.RunRecords) -> list[OperationResult]:
+    """Return the operations, in order of time."""
+    by_wish: dict[str, list[records.ClientAttemptRecord]] = defaultdict(list)
+    for one in seen.client_attempts:
+        by_wish[one.operation].append(one)
     out = []
-    for tries in by_wish.values():
-        tries.sort(key=lambda t: t.number)
-        first, last = tries[0], tries[-1]
+    for attempts in by_wish.values():
+        attempts.sort(key=lambda t: t.number)
+        first, last = attempts[0], attempts[-1]
         cls = spec.load.classes[first.kind]
-        served = next((t for t in tries if t.end == End.SERVED.value), None)
+        served = next((t for t in attempts if t.end == Outcome.SERVED.value), None)
         latency = served.answered - served.intended if served else None
-        got = 0.0
+        served_value = 0.0
         if latency is not None:
-            got = cls.value * (1.0 if latency <= cls.objective_ms else cls.late_value)
+            served_value = cls.value * (1.0 if latency <= cls.objective_ms else cls.late_value)
         out.append(
-            Wished(first.intended, first.kind, first.zone, cls.value, got, latency, last.end, len(tries))
+            OperationResult(
+                first.intended,
+                first.kind,
+                first.zone,
+                cls.value,
+                served_value,
+                latency,
+                last.end,
+                len(attempts),
+            )
         )
     return sorted(out, key=lambda w: w.intended)
 
 
 def percentiles(values: Iterable[float], points: tuple[float, ...]) -> list[float]:
-    """Percentiles in ms by an HDR histogram of three figures; empty input gives zeros."""
-    histogram = HdrHistogram(1, HIGHEST, 3)
+    """Return percentiles in ms by an HDR histogram of three digits; zeros for empty input."""
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for value in values:
-        histogram.record_value(max(1, min(HIGHEST, round(value * 1000))))
+        histogram.record_value(max(1, min(MAX_LATENCY_US, round(value * 1000))))
     if not histogram.get_total_count():
         return [0.0] * len(points)
     return [histogram.get_value_at_percentile(p) / 1000 for p in points]
 
 
-def series(spec: Experiment, seen: records.Seen, done: list[Wished]) -> Series:
+def series(spec: Experiment, seen: records.RunRecords, done: list[OperationResult]) -> Series:
     """Figures of each half second, by the time a request was meant to be sent."""
-    count = int(np.ceil(spec.seconds / WINDOW))
-    slot = [min(count - 1, int(w.intended / 1000 / WINDOW)) for w in done]
-    worth, got, offered, refused = (np.zeros(count) for _ in range(4))
+    count = int(np.ceil(spec.seconds / WINDOW_S))
+    slot = [min(count - 1, int(w.intended / 1000 / WINDOW_S)) for w in done]
+    value, served_value, offered, refused = (np.zeros(count) for _ in range(4))
     latencies: list[list[float]] = [[] for _ in range(count)]
-    for index, wish in zip(slot, done, strict=True):
-        worth[index] += wish.worth
-        got[index] += wish.got
+    for index, operation in zip(slot, done, strict=True):
+        value[index] += operation.value
+        served_value[index] += operation.served_value
         offered[index] += 1
-        refused[index] += wish.last_end == End.REFUSED.value
-        if wish.latency is not None:
-            latencies[index].append(wish.latency)
+        refused[index] += operation.last_end == Outcome.REFUSED.value
+        if operation.latency is not None:
+            latencies[index].append(operation.latency)
     points = [percentiles(some, (50.0, 99.0)) for some in latencies]
     return {
-        "t_s": [i * WINDOW for i in range(count)],
-        "offered_per_s": (offered / WINDOW).tolist(),
-        "goodput": (got / np.maximum(worth, 1e-9)).tolist(),
-        "refused_per_s": (refused / WINDOW).tolist(),
+        "t_s": [i * WINDOW_S for i in range(count)],
+        "offered_per_s": (offered / WINDOW_S).tolist(),
+        "goodput": (served_value / np.maximum(value, 1e-9)).tolist(),
+        "refused_per_s": (refused / WINDOW_S).tolist(),
         "p50_ms": [p[0] for p in points],
         "p99_ms": [p[1] for p in points],
     }
 
 
-def backend_loads(spec: Experiment, seen: records.Seen) -> NDArray[np.float64]:
-    """Attempts a second that each backend got in each window; shape (backends, windows)."""
-    count = int(np.ceil(spec.seconds / WINDOW))
+def backend_loads(spec: Experiment, seen: records.RunRecords) -> NDArray[np.float64]:
+    """Return the attempts a second at each backend in each window; shape (backends, windows)."""
+    count = int(np.ceil(spec.seconds / WINDOW_S))
     out = np.zeros((spec.backends.count, count))
-    for attempt in seen.attempts:
-        index = int(attempt.first / 1000 / WINDOW)
+    for attempt in seen.backend_attempts:
+        index = int(attempt.first / 1000 / WINDOW_S)
         if 0 <= index < count:
-            out[attempt.backend, index] += 1 / WINDOW
+            out[attempt.backend, index] += 1 / WINDOW_S
     return out
 
 
@@ -122,116 +135,152 @@
         return None
     begin = min(f.at for f in spec.faults)
     before = [
-        g for t, g in zip(line["t_s"], line["goodput"], strict=True) if spec.warmup <= t < begin - WINDOW
+        g for t, g in zip(line["t_s"], line["goodput"], strict=True) if spec.warmup <= t < begin - WINDOW_S
     ]
     end, wanted = last_step_at(spec), RECOVERED * (float(np.mean(before)) if before else 1.0)
     good = 0
     for t, goodput in zip(line["t_s"], line["goodput"], strict=True):
-        if t + WINDOW <= end:
+        if t + WINDOW_S <= end:
             continue
         good = good + 1 if goodput >= wanted else 0
-        if good * WINDOW >= 1.0:
-            return max(0.0, t + WINDOW - end - 1.0)
+        if good * WINDOW_S >= 1.0:
+            return max(0.0, t + WINDOW_S - end - 1.0)
     return -1.0
 
 
-def figures(spec: Experiment, seed: int, seen: records.Seen, judged: Judgement) -> dict[str, float]:
-    """All figures of a run by name; shares are of 1, times in ms unless the name says otherwise."""
-    done = wishes(spec, seen)
-    counted = [w for w in done if w.intended >= spec.warmup * 1000]
-    worth = sum(w.worth for w in counted) or 1.0
-    total = len(counted) or 1
-    latency = [w.latency for w in counted if w.latency is not None]
-    p50, p90, p99, p999 = percentiles(latency, (50.0, 90.0, 99.0, 99.9))
-    ends = Counter(w.last_end for w in counted)
+def figures(spec: Experiment, seed: int, seen: records.RunRecords, judged: Judgement) -> dict[str, float]:
+    """Return all figures of a run by name; shares are of 1, times in ms unless the name says otherwise."""
+    done = operations(spec, seen)
     line = series(spec, seen, done)
-    first = int(np.ceil(spec.warmup / WINDOW))
-    seconds = [np.mean(line["goodput"][i : i + 2]) for i in range(first, len(line["goodput"]) - 1)]
-    by_class = [
-        sum(w.got for w in counted if w.kind == k) / (sum(w.worth for w in counted if w.kind == k) or 1.0)
-        for k in range(len(spec.load.classes)) if any(w.kind == k for w in counted)
-    ]  # fmt: skip
-    cross = sum(spec.zone_of(f"n{a.node}") != spec.zone_of(f"s{a.backend}") for a in seen.attempts)
-    lateness = percentiles(seen.lateness, (50.0, 99.0))
     out = (
-        {
-            "goodput": sum(w.got for w in counted) / worth,
-            "worst_second": float(min(seconds, default=0.0)),
-            "worst_class": min(by_class, default=0.0),
-            "served": len(latency) / total,
-            "refused": ends[End.REFUSED.value] / total,
-            "failed": (total - len(latency) - ends[End.REFUSED.value] - ends[End.LEFT.value]) / total,
-            "latency_p50_ms": p50,
-            "latency_p90_ms": p90,
-            "latency_p99_ms": p99,
-            "latency_p999_ms": p999,
-            "offered_per_s": total / (spec.seconds - spec.warmup),
-            "tries_per_wish": sum(w.tries for w in counted) / total,
-            "attempts_per_try": len(seen.attempts) / (len(seen.tries) or 1),
-            "cross_zone": cross / (len(seen.attempts) or 1),
-            "broken_rules": float(sum(judged.broken.values())),
-            "excused": float(judged.excused),
-            "overdue": float(judged.overdue),
-            "toppled": float(len(seen.topples)),
-            "rig_late_p50_ms": lateness[0],
-            "rig_late_p99_ms": lateness[1],
-            "rig_loop_lag_p99_ms": percentiles(seen.loop_lag, (99.0,))[0],
-        }
+        _operation_figures(spec, done, line)
+        | _attempt_figures(spec, seen)
+        | _violation_figures(seen, judged)
+        | _harness_figures(seen)
         | _costs(seen)
-        | heirs(seen)
+        | successor_figures(seen)
     )
     out |= {f"broken_{rule}": float(judged.broken[rule]) for rule in RULES}
     if spec.fleet.membership:
-        out |= membership(spec, seen)
-        if (agreed_s := agreed(spec, seen)) is not None:
+        out |= membership_figures(spec, seen)
+        if (agreed_s := agreement_time_s(spec, seen)) is not None:
             out["member_agreed_s"] = agreed_s
     if any(isinstance(f, PowerLoss) for f in spec.faults):
-        out |= returning(spec, seed, seen, [(w.intended, w.worth, w.got) for w in done])
-    if seen.bans:
-        out["forgotten_bans"] = float(forgotten(spec, seen))
+        out |= power_recovery_figures(spec, seed, seen, [(w.intended, w.value, w.served_value) for w in done])
+    if seen.maintenance:
+        out["forgotten_bans"] = float(count_forgotten_bans(spec, seen))
     recovery = _recovery(spec, line)
     if recovery is not None:
         out["recovery_s"] = recovery
     return {name: round(value, 6) for name, value in out.items()}
 
 
-def heirs(seen: records.Seen) -> dict[str, float]:
-    """How processes fared that took the place of another one of their node: killed, ended or upgraded.
+def _operation_figures(spec: Experiment, done: list[OperationResult], line: Series) -> dict[str, float]:
+    counted = [w for w in done if w.intended >= spec.warmup * 1000]
+    value = sum(w.value for w in counted) or 1.0
+    total = len(counted) or 1
+    latency = [w.latency for w in counted if w.latency is not None]
+    p50, p90, p99, p999 = percentiles(latency, (50.0, 90.0, 99.0, 99.9))
+    ends = Counter(w.last_end for w in counted)
+    first = int(np.ceil(spec.warmup / WINDOW_S))
+    seconds = [np.mean(line["goodput"][i : i + 2]) for i in range(first, len(line["goodput"]) - 1)]
+    return {
+        "goodput": sum(w.served_value for w in counted) / value,
+        "worst_second": float(min(seconds, default=0.0)),
+        "worst_class": min(_class_goodputs(spec, counted), default=0.0),
+        "served": len(latency) / total,
+        "refused": ends[Outcome.REFUSED.value] / total,
+        "failed": (total - len(latency) - ends[Outcome.REFUSED.value] - ends[Outcome.LEFT.value]) / total,
+        "latency_p50_ms": p50,
+        "latency_p90_ms": p90,
+        "latency_p99_ms": p99,
+        "latency_p999_ms": p999,
+        "offered_per_s": total / (spec.seconds - spec.warmup),
+        "tries_per_wish": sum(w.attempts for w in counted) / total,
+    }
+
+
+def _class_goodputs(spec: Experiment, counted: list[OperationResult]) -> list[float]:
+    out = []
+    for kind in range(len(spec.load.classes)):
+        of_class = [w for w in counted if w.kind == kind]
+        if of_class:
+            out.append(sum(w.served_value for w in of_class) / (sum(w.value for w in of_class) or 1.0))
+    return out
+
+
+def _attempt_figures(spec: Experiment, seen: records.RunRecords) -> dict[str, float]:
+    cross = sum(spec.zone_of(f"n{a.node}") != spec.zone_of(f"s{a.backend}") for a in seen.backend_attempts)
+    return {
+        "attempts_per_try": len(seen.backend_attempts) / (len(seen.client_attempts) or 1),
+        "cross_zone": cross / (len(seen.backend_attempts) or 1),
+    }
+
+
+def _violation_figures(seen: records.RunRecords, judged: Judgement) -> dict[str, float]:
+    return {
+        "broken_rules": float(sum(judged.broken.values())),
+        "excused": float(judged.excused),
+        "overdue": float(judged.overdue),
+        "toppled": float(len(seen.collapses)),
+    }
+
 
-    `heir_refused`: share of the tries at the node refused in the `HEIR` s from when it was ready, the mean
-    over the heirs. `heir_recovery_s`: from then until, for a second, its tries are served as often as
-    RECOVERED of what its predecessor served in the 3 s before; the slowest heir.
+def _harness_figures(seen: records.RunRecords) -> dict[str, float]:
+    lateness = percentiles(seen.lateness, (50.0, 99.0))
+    return {
+        "rig_late_p50_ms": lateness[0],
+        "rig_late_p99_ms": lateness[1],
+        "rig_loop_lag_p99_ms": percentiles(seen.loop_lag, (99.0,))[0],
+    }
+
+
+def successor_figures(seen: records.RunRecords) -> dict[str, float]:
+    """Return figures of processes that succeeded another one of their node: killed, ended or upgraded.
+
+    `heir_refused`: share of the attempts at the node that it rejected in the `SUCCESSOR_WINDOW_S` from when
+    it was ready, the mean over the successors. `heir_recovery_s`: from then until, for a second, its attempts
+    are served as often as RECOVERED of what its predecessor served in the 3 s before; the slowest successor.
     """
     refused, recovery = [], []
-    by_node: dict[int, list[records.TryRecord]] = defaultdict(list)
-    for one in sorted(seen.tries, key=lambda t: t.sent):
+    by_node: dict[int, list[records.ClientAttemptRecord]] = defaultdict(list)
+    for one in sorted(seen.client_attempts, key=lambda t: t.sent):
         by_node[one.node].append(one)
-    for life in seen.lives:
-        older = [x for x in seen.lives if x.node == life.node and x.process == life.process - 1]
+    for successor in seen.processes:
+        older = [x for x in seen.processes if x.node == successor.node and x.process == successor.process - 1]
         end = max((x.killed or x.term or x.ended for x in older), default=0.0)
-        if not end or not life.ready:
+        if not end or not successor.ready:
             continue
-        tries = by_node[life.node]
-        before = [t.end == End.SERVED.value for t in tries if end - 3000 <= t.sent < min(end, life.ready)]
-        after = [t for t in tries if life.ready <= t.sent < life.ready + HEIR * 1000]
+        attempts = by_node[successor.node]
+        begin = end - PREDECESSOR_WINDOW_MS
+        before = [_is_served(t) for t in attempts if begin <= t.sent < min(end, successor.ready)]
+        until = successor.ready + SUCCESSOR_WINDOW_S * 1000
+        after = [t for t in attempts if successor.ready <= t.sent < until]
         if not before or not after:
             continue
-        refused.append(sum(t.end == End.REFUSED.value for t in after) / len(after))
-        wanted, back = RECOVERED * sum(before) / len(before), HEIR
-        for step in range(int((HEIR - 1) / HEIR_STEP)):
-            begin = life.ready + step * HEIR_STEP * 1000
-            some = [t.end == End.SERVED.value for t in after if begin <= t.sent < begin + 1000]
-            if some and sum(some) / len(some) >= wanted:
-                back = step * HEIR_STEP
-                break
-        recovery.append(back)
+        refused.append(sum(t.end == Outcome.REFUSED.value for t in after) / len(after))
+        recovery.append(_recovered_after_s(after, successor.ready, RECOVERED * sum(before) / len(before)))
     if not refused:
         return {}
     return {"heir_refused": float(np.mean(refused)), "heir_recovery_s": float(max(recovery))}
 
 
-def _costs(seen: records.Seen) -> dict[str, float]:
-    """What the nodes' processes used, from the system's own accounts."""
+def _is_served(attempt: records.ClientAttemptRecord) -> bool:
+    return attempt.end == Outcome.SERVED.value
+
+
+def _recovered_after_s(attempts: list[records.ClientAttemptRecord], ready: float, wanted: float) -> float:
+    """Return the seconds from `ready` (ms) until a second in which the served share is as wanted."""
+    for step in range(int((SUCCESSOR_WINDOW_S - 1) / SUCCESSOR_STEP_S)):
+        begin = ready + step * SUCCESSOR_STEP_S * 1000
+        served = [_is_served(t) for t in attempts if begin <= t.sent < begin + 1000]
+        if served and sum(served) / len(served) >= wanted:
+            return step * SUCCESSOR_STEP_S
+    return SUCCESSOR_WINDOW_S
+
+
+def _costs(seen: records.RunRecords) -> dict[str, float]:
+    """Return what the nodes' processes used, by the accounts of the system."""
     cpu: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for sample in seen.samples:
         cpu[sample.node].append((sample.at, sample.cpu_s))
@@ -240,36 +289,40 @@
         values = [c for _, c in sorted(points)]
         spent += sum(max(0.0, b - a) for a, b in pairwise(values))
     return {
-        "node_cpu_us_per_try": 1e6 * spent / (len(seen.tries) or 1),
+        "node_cpu_us_per_try": 1e6 * spent / (len(seen.client_attempts) or 1),
         "node_rss_mb_max": max((s.rss_mb for s in seen.samples), default=0.0),
         "node_descriptors_max": float(max((s.descriptors for s in seen.samples), default=0)),
-        "node_waited_s_max": waited(seen),
-        "node_ready_ms_max": max((x.ready - x.started for x in seen.lives if x.ready), default=0.0),
+        "node_waited_s_max": max_cpu_wait_s(seen),
+        "node_ready_ms_max": max((x.ready - x.started for x in seen.processes if x.ready), default=0.0),
     }
 
 
-def waited(seen: records.Seen) -> float:
-    """The most seconds within `STRETCH` that a process of a node could have run and had no core."""
-    by_process: dict[tuple[int, int], list[records.Sample]] = defaultdict(list)
+def max_cpu_wait_s(seen: records.RunRecords) -> float:
+    """Return the most seconds within a window that a runnable process of a node had no core."""
+    by_process: dict[tuple[int, int], list[records.ProcessSample]] = defaultdict(list)
     for sample in sorted(seen.samples, key=lambda s: s.at):
         by_process[sample.node, sample.process].append(sample)
     most = 0.0
-    for life in seen.lives:
-        held = [s for s in by_process[life.node, life.process] if s.at >= life.started + SETTLED * 1000]
-        for first in held:
-            last = [s for s in held if first.at <= s.at <= first.at + STRETCH * 1000][-1]
+    for process_record in seen.processes:
+        samples = [
+            s
+            for s in by_process[process_record.node, process_record.process]
+            if s.at >= process_record.started + START_UP_S * 1000
+        ]
+        for first in samples:
+            last = [s for s in samples if first.at <= s.at <= first.at + CPU_WAIT_WINDOW_S * 1000][-1]
             most = max(most, last.waited_s - first.waited_s)
     return most
 
 
-def flaky(spec: Experiment) -> set[int]:
-    """Nodes that stall, or that lose half or more of what they say to all: no healthy ones."""
+def flaky_nodes(spec: Experiment) -> set[int]:
+    """Return the nodes that stall, or that lose half or more of their broadcasts."""
     out: set[int] = set()
     for fault in spec.faults:
         names: list[str] = []
         if isinstance(fault, Stall):
             names = select_parties(spec, fault.targets)
-        elif isinstance(fault, LinkFault) and (fault.cut or fault.loss >= 0.5):
+        elif isinstance(fault, LinkFault) and (fault.cut or fault.loss >= MIN_BROADCAST_LOSS):
             names = (
                 select_parties(spec, fault.source)
                 if select_parties(spec, fault.destination) == spec.node_names
@@ -279,12 +332,12 @@
     return out
 
 
-def presence(spec: Experiment, seen: records.Seen) -> dict[int, list[tuple[float, int]]]:
-    """How many members each node's log holds for present over time: node to (s, count)."""
+def member_counts(spec: Experiment, seen: records.RunRecords) -> dict[int, list[tuple[float, int]]]:
+    """Return how many members each node's log has as present over time: node to (s, count)."""
     out: dict[int, list[tuple[float, int]]] = defaultdict(list)
-    held: dict[int, set[int]] = defaultdict(set)
-    for view in sorted(seen.views, key=lambda v: v.at):
-        mine = held[view.node]
+    members: dict[int, set[int]] = defaultdict(set)
+    for view in sorted(seen.member_views, key=lambda v: v.at):
+        mine = members[view.node]
         if view.member == view.node and view.state == "present":
             mine.clear()  # a new process
         if view.state in ("present", "suspected"):
@@ -292,35 +345,35 @@
         else:
             mine.discard(view.member)
         out[view.node].append((view.at / 1000, len(mine)))
-    for life in seen.lives:
-        if life.ended and life.ended < spec.seconds * 1000:
-            out[life.node].append((life.ended / 1000, 0))
+    for process_record in seen.processes:
+        if process_record.ended and process_record.ended < spec.seconds * 1000:
+            out[process_record.node].append((process_record.ended / 1000, 0))
     return {node: sorted(points) for node, points in sorted(out.items())}
 
 
-def membership(spec: Experiment, seen: records.Seen) -> dict[str, float]:
-    """How soon all that lived on knew of each node that was killed, and who was held for dead but lived."""
-    dead = [v for v in seen.views if v.state == "dead"]
-    kills = [(x.node, x.killed) for x in seen.lives if x.killed and not x.term]
+def membership_figures(spec: Experiment, seen: records.RunRecords) -> dict[str, float]:
+    """Return how soon all survivors knew of each killed node, and how many live nodes were declared dead."""
+    dead = [v for v in seen.member_views if v.state == "dead"]
+    kills = [(x.node, x.killed) for x in seen.processes if x.killed and not x.term]
     slowest, missed = [], 0
     for node, at in kills:
         others = {
             x.node
-            for x in seen.lives
-            if x.node != node and x.ready and x.ready <= at and not 0 < x.ended < at + KNOWN_BY
+            for x in seen.processes
+            if x.node != node and x.ready and x.ready <= at and not 0 < x.ended < at + DETECTION_LIMIT_MS
         }
         known: dict[int, float] = {}
         for view in dead:
-            if view.member == node and at <= view.at <= at + KNOWN_BY:
+            if view.member == node and at <= view.at <= at + DETECTION_LIMIT_MS:
                 known.setdefault(view.node, view.at - at)
         missed += len(others - known.keys())
         if others and others <= known.keys():
             slowest.append(max(known[n] for n in others) / 1000)
     false = [
         v for v in dead
-        if not any(x.node == v.member and (0 < x.ended <= v.at or x.started > v.at) for x in seen.lives)
+        if not any(x.node == v.member and (0 < x.ended <= v.at or x.started > v.at) for x in seen.processes)
     ]  # fmt: skip
-    weak = flaky(spec)
+    weak = flaky_nodes(spec)
     sound = [v for v in false if v.member not in weak and v.node not in weak]
     out = {"member_false_deaths": float(len(false)), "member_false_deaths_healthy": float(len(sound)),
            "member_missed": float(missed)}  # fmt: skip
@@ -329,15 +382,15 @@
     return out
 
 
-def agreed(spec: Experiment, seen: records.Seen) -> float | None:
+def agreement_time_s(spec: Experiment, seen: records.RunRecords) -> float | None:
     """Seconds from the last fault's end until each node's log holds just those for present that live.
 
     None where some view is wrong when the last clients have come.
     """
     until = spec.seconds * 1000
-    alive = {x.node for x in seen.lives if x.started < until and (not x.ended or x.ended > until)}
+    alive = {x.node for x in seen.processes if x.started < until and (not x.ended or x.ended > until)}
     last: dict[tuple[int, int], tuple[float, bool]] = {}
-    for view in sorted(seen.views, key=lambda v: v.at):
+    for view in sorted(seen.member_views, key=lambda v: v.at):
         present = view.state in ("present", "suspected")
         before = last.get((view.node, view.member))
         if view.at < until and (before is None or before[1] != present):
@@ -348,7 +401,7 @@
     return max(0.0, max((at for at, _ in pairs.values()), default=0.0) / 1000 - last_step_at(spec))
 
 
-def held(expect: Expect, values: dict[str, float]) -> bool:
+def expectation_holds(expect: Expect, values: dict[str, float]) -> bool:
     """Whether an expectation holds; a figure that the run does not have does not."""
     value = values.get(expect.figure)
     if value is None:
@@ -357,9 +410,9 @@
 
 
 def summary(
-    spec: Experiment, seed: int, program: str, seen: records.Seen, judged: Judgement
+    spec: Experiment, seed: int, program: str, seen: records.RunRecords, judged: Judgement
 ) -> dict[str, Any]:
-    """What `summary.json` holds."""
+    """Return the content of `summary.json`."""
     values = figures(spec, seed, seen, judged)
     return {
         "version": 1,
@@ -367,7 +420,8 @@
         "seed": seed,
         "program": program,
         "seconds": spec.seconds,
-        "void": values["rig_late_p99_ms"] > LATE_RIG or values["node_waited_s_max"] > STARVED,
+        "void": values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_MS
+        or values["node_waited_s_max"] > MAX_CPU_WAIT_S,
         "figures": values,
         "expectations": [
             {
@@ -375,7 +429,7 @@
                 "min": e.min,
                 "max": e.max,
                 "measured": values.get(e.figure),
-                "held": held(e, values),
+                "held": expectation_holds(e, values),
             }
             for e in spec.expect
         ],
--- a/balancer/lab/wires.py
+++ b/balancer/lab/impaired_sockets.py
@@ -1,6 +1,6 @@
-"""Sockets of the stand-ins with the network's faults on them.
+"""Sockets of the stubs with the network's faults on them.
 
-Each pair of parties has an address of its own, so a stand-in knows from which node a connection comes, and
+Each pair of parties has an address of its own, so a stub knows from which node a connection comes, and
 holds back at its own end what the network would hold back. Not taken: a relay process between each pair,
 which costs every byte two more trips through an event loop and with that two thirds of the load the rig can
 offer.
@@ -17,41 +17,44 @@
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
-from balancer.models.network import Weather
+from balancer.models.network import NetworkConditions
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
+TIMER_TOLERANCE_MS = 0.5
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Clock:
+class RunClock:
     """Milliseconds since the run's first possible arrival; all processes of a run share its zero."""
 
     def __init__(self, read: Callable[[], float] = time.monotonic) -> None:
+        """Start at zero now; `read` gives seconds."""
         self.read = read  # s
         self.zero = read()
 
     def now(self) -> float:
-        """The time now."""
+        """Return the milliseconds since the run's zero."""
         return (self.read() - self.zero) * 1000
 
 
-class Piece(NamedTuple):
-    """Bytes on their way, ms: when they arrive, and when they were written or came off the socket."""
+class Segment(NamedTuple):
+    """Bytes in transit, ms: when they arrive, and when they were written or read from the socket."""
 
-    due: float
+    arrives_at: float
     at: float
-    data: bytes | None  # None: the end
+    data: bytes | None  # None: the end of the stream
 
 
-class Wire(asyncio.Protocol):
+class ImpairedConnection(asyncio.Protocol):
     """One end of a TCP connection between `me` and `peer`, each a party's name."""
 
-    def __init__(self, weather: Weather, clock: Clock, me: str, peer: str) -> None:
-        self.weather, self.clock, self.me, self.peer = weather, clock, me, peer
+    def __init__(self, network: NetworkConditions, clock: RunClock, me: str, peer: str) -> None:
+        """Prepare a connection of party `me` with party `peer`."""
+        self.network, self.clock, self.me, self.peer = network, clock, me, peer
         self.transport: asyncio.Transport | None = None
         self.open = False
-        self.inward: deque[Piece] = deque()
-        self.outward: deque[Piece] = deque()
+        self.inward: deque[Segment] = deque()
+        self.outward: deque[Segment] = deque()
         self.timers: dict[bool, asyncio.TimerHandle] = {}
         self.came_at = 0.0  # when what is being received came off the socket
         self.closed_at = 0.0  # when the peer's end came off the socket; 0: it did not
@@ -59,19 +62,19 @@
     # --- for the party
 
     def up(self) -> None:
-        """The connection stands."""
+        """Handle that the connection is established."""
 
     def received(self, data: bytes) -> None:
-        """Bytes came."""
+        """Handle received bytes."""
 
     def ended(self) -> None:
-        """The peer has closed, or the connection broke."""
+        """Handle that the peer has closed, or that the connection broke."""
 
-    def raw_end(self) -> None:
-        """The peer's end came off the socket, though the network may hold it back."""
+    def peer_closed(self) -> None:
+        """Handle the end of the peer's stream as the socket has it, before the network's delay."""
 
     def send(self, data: bytes) -> None:
-        """Write, by way of the network."""
+        """Write, subject to the conditions of the network."""
         self._pass(self.outward, data, False)
 
     def finish(self) -> None:
@@ -79,7 +82,7 @@
         self._pass(self.outward, None, False)
 
     def reset(self) -> None:
-        """Break the connection now."""
+        """Reset the connection now."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             if sock is None:  # the loop has closed it, and is yet to say so
@@ -91,29 +94,33 @@
     # --- asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport (asyncio)."""
         self.transport, self.open = cast(asyncio.Transport, transport), True  # no subclass under uvloop
-        self.weather.watchers.append(self._changed)
+        self.network.watchers.append(self._changed)
         self.up()
 
     def data_received(self, data: bytes) -> None:
+        """Pass bytes on after the delay of the network (asyncio)."""
         self._pass(self.inward, data, True)
 
     def eof_received(self) -> bool:
+        """Pass the end on after the delay of the network (asyncio)."""
         self._closed()
         self._pass(self.inward, None, True)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Deliver what has arrived, and end (asyncio)."""
         if not self.open:
             return
         self.open = False
         with contextlib.suppress(ValueError):
-            self.weather.watchers.remove(self._changed)
+            self.network.watchers.remove(self._changed)
         for timer in self.timers.values():
             timer.cancel()
         self._closed()
         self.outward.clear()
-        if not self.weather.between(self.peer, self.me).cut:
+        if not self.network.conditions(self.peer, self.me).cut:
             for piece in list(self.inward):
                 if piece.data is not None:
                     self.came_at = piece.at
@@ -123,35 +130,35 @@
 
     def _closed(self) -> None:
         self.closed_at = self.closed_at or self.clock.now()
-        self.raw_end()
+        self.peer_closed()
 
     # --- the network
 
-    def _pass(self, queue: deque[Piece], data: bytes | None, inward: bool) -> None:
+    def _pass(self, queue: deque[Segment], data: bytes | None, inward: bool) -> None:
         if not self.open:
             return
         here, there = (self.peer, self.me) if inward else (self.me, self.peer)
-        held, now = self.weather.between(here, there), self.clock.now()
-        if held.plain and not queue:
-            self._deliver(Piece(now, now, data), inward)
+        link, now = self.network.conditions(here, there), self.clock.now()
+        if link.is_unimpaired and not queue:
+            self._deliver(Segment(now, now, data), inward)
             return
-        due = now + self.weather.lag(held, len(data or b""))
-        queue.append(Piece(max(due, queue[-1].due) if queue else due, now, data))
+        arrives_at = now + self.network.tcp_delay_ms(link, len(data or b""))
+        queue.append(Segment(max(arrives_at, queue[-1].arrives_at) if queue else arrives_at, now, data))
         if len(queue) == 1:
             self._arm(inward)
 
     def _arm(self, inward: bool) -> None:
         queue = self.inward if inward else self.outward
-        wait = (queue[0].due - self.clock.now()) / 1000
-        self.timers[inward] = asyncio.get_running_loop().call_later(max(0.0, wait), self._due, inward)
+        wait = (queue[0].arrives_at - self.clock.now()) / 1000
+        self.timers[inward] = asyncio.get_running_loop().call_later(max(0.0, wait), self._deliver_due, inward)
 
-    def _due(self, inward: bool) -> None:
+    def _deliver_due(self, inward: bool) -> None:
         queue = self.inward if inward else self.outward
         here, there = (self.peer, self.me) if inward else (self.me, self.peer)
-        if self.weather.between(here, there).cut:
-            return  # goes on when the weather changes
+        if self.network.conditions(here, there).cut:
+            return  # goes on when the conditions change
         # The loop counts whole milliseconds: what is due within the half of one goes now.
-        while queue and queue[0].due <= self.clock.now() + 0.5:
+        while queue and queue[0].arrives_at <= self.clock.now() + TIMER_TOLERANCE_MS:
             self._deliver(queue.popleft(), inward)
         if queue and self.open:
             self._arm(inward)
@@ -163,7 +170,7 @@
                     self.timers[inward].cancel()
                 self._arm(inward)
 
-    def _deliver(self, piece: Piece, inward: bool) -> None:
+    def _deliver(self, piece: Segment, inward: bool) -> None:
         data = piece.data
         if inward:
             self.came_at = piece.at
@@ -181,10 +188,11 @@
                     self.transport.write(data)
 
 
-class Listener:
-    """A listening socket that can be gone (refused) or dark (connections never come up)."""
+class ImpairedListener:
+    """A listening socket that can refuse connections, or let them never come up."""
 
     def __init__(self, address: tuple[str, int], make: Callable[[], asyncio.Protocol]) -> None:
+        """Prepare a listener; `make` gives the protocol of a connection."""
         self.address, self.make = address, make
         self.sock: socket.socket | None = None
         self.fillers: list[socket.socket] = []
@@ -199,7 +207,7 @@
         sock.setblocking(False)
         try:
             sock.bind(self.address)
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
         except OSError:
             sock.close()
             raise
@@ -214,12 +222,12 @@
             self.sock = None
         self._drop_fillers()
 
-    def darken(self, dark: bool) -> None:
-        """Let new connections never come up, by a queue of the kernel's that is full; or let them again."""
-        if self.sock is None or dark == bool(self.fillers):
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        """Let new connections never come up, by a full accept queue of the kernel; or let them again."""
+        if self.sock is None or unresponsive == bool(self.fillers):
             return
         loop = asyncio.get_running_loop()
-        if dark:
+        if unresponsive:
             loop.remove_reader(self.sock.fileno())
             self._accept()  # these came before
             self.sock.listen(0)
@@ -235,7 +243,7 @@
             except BlockingIOError:
                 break
         self._drop_fillers()
-        self.sock.listen(BACKLOG)
+        self.sock.listen(LISTEN_BACKLOG)
         loop.add_reader(self.sock.fileno(), self._accept)
 
     def _drop_fillers(self) -> None:
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -1,4 +1,4 @@
-"""The rules, judged from what stand-ins and clients saw. Nothing that a node says of itself counts.
+"""Checks of the rules, by the records of stubs and clients alone: nothing that a node reports counts.
 
 The rules are those of the platform's pages (WIRE "Four things never to do", PROTOCOL "The rules on sockets"):
 time limits grow by 50 ms on sockets. What a fault of the lab itself took (a killed node's requests, a network
@@ -11,6 +11,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from itertools import pairwise
 
 from balancer.experiments.experiment import Experiment
@@ -19,19 +20,19 @@
 from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.experiments.tables import RequestClass
 from balancer.lab import records
-from balancer.lab.clients import OVERDUE, wording
+from balancer.lab.clients import OVERDUE_MS, method_and_body
 from balancer.lab.timeline import last_step_at
 from balancer.models.backend import Verdict
-from balancer.models.client import End
+from balancer.models.client import Outcome
 from balancer.models.directory import Phase
-from balancer.models.network import Weather
+from balancer.models.network import NetworkConditions
 
-SLACK = 50.0  # ms that sockets add to each limit
-TOLD_ANYWAY = 6000.0  # ms after which what discovery has to tell counts as told
-AFTER_TERM = 700.0  # ms after SIGTERM in which a request may still be lost to SIGKILL
-AT_THE_DOOR = 1 / 200  # share of requests whose connection may end with no answer and no attempt
-SHARE_OF_TOLD = 2 / 3  # of a toppled backend's work, from nodes that knew it was cold
-WORDY = 20  # breaks that are kept in words
+SOCKET_SLACK_MS = 50.0  # that sockets add to each limit
+ASSUMED_DELIVERY_MS = 6000.0  # after which an event of discovery counts as delivered
+TERMINATION_SLACK_MS = 700.0  # after SIGTERM, in which a request may still be lost to SIGKILL
+MAX_UNANSWERED_SHARE = 1 / 200  # of requests whose connection ends with no answer and no attempt
+MIN_INFORMED_SHARE = 2 / 3  # of a collapsed backend's work, from nodes that knew it was cold
+MAX_REPORTED_VIOLATIONS = 20
 
 RULES = {
     "answer": "each request taken gets one final answer in time",
@@ -50,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Break:
-    """One broken rule."""
+    """A violation of a rule."""
 
     rule: str
     at: float  # ms
@@ -60,7 +61,7 @@
 
 @dataclass
 class Judgement:
-    """All that the judge found."""
+    """All violations of a run, and what was excused."""
 
     broken: Counter[str] = field(default_factory=Counter)
     first: list[Break] = field(default_factory=list)
@@ -69,24 +70,25 @@
     door: int = 0  # connections that ended with no answer and no attempt
 
     def add(self, rule: str, at: float, node: int, text: str) -> None:
-        """A rule is broken."""
+        """Count a violation of a rule."""
         self.broken[rule] += 1
-        if len(self.first) < WORDY:
+        if len(self.first) < MAX_REPORTED_VIOLATIONS:
             self.first.append(Break(rule, at, node, text))
 
 
 class Judge:
-    """Looks at one run's records."""
+    """Checks the records of one run."""
 
-    def __init__(self, spec: Experiment, seen: records.Seen) -> None:
+    def __init__(self, spec: Experiment, seen: records.RunRecords) -> None:
+        """Index the records by request and by node."""
         self.spec, self.seen, self.out = spec, seen, Judgement()
-        self.attempts: dict[str, list[records.AttemptRecord]] = defaultdict(list)
-        for attempt in sorted(seen.attempts, key=lambda a: a.whole):
+        self.attempts: dict[str, list[records.BackendAttemptRecord]] = defaultdict(list)
+        for attempt in sorted(seen.backend_attempts, key=lambda a: a.complete_at):
             self.attempts[attempt.ident].append(attempt)
-        self.lives: dict[int, list[records.LifeRecord]] = defaultdict(list)
-        for life in sorted(seen.lives, key=lambda x: x.started):
-            self.lives[life.node].append(life)
-        self.weather = Weather(spec, stream(0, "judge"))
+        self.process_records: dict[int, list[records.ProcessRecord]] = defaultdict(list)
+        for process_record in sorted(seen.processes, key=lambda x: x.started):
+            self.process_records[process_record.node].append(process_record)
+        self.network = NetworkConditions(spec, stream(0, "judge"))
         self.stalls = [
             (name, f.at * 1000, f.ends_at * 1000)
             for f in spec.faults if isinstance(f, Stall) for name in select_parties(spec, f.targets)
@@ -94,18 +96,18 @@
         self.links = [f for f in spec.faults if isinstance(f, LinkFault)]
 
     def judge(self) -> Judgement:
-        """All rules."""
-        tries = {t.ident: t for t in self.seen.tries}
-        for one in self.seen.tries:
+        """Check all rules."""
+        client_attempts = {t.ident: t for t in self.seen.client_attempts}
+        for one in self.seen.client_attempts:
             self._answered(one)
             self._refused(one)
         doors = self.out.door
-        if doors > AT_THE_DOOR * max(1, len(self.seen.tries)):
+        if doors > MAX_UNANSWERED_SHARE * max(1, len(self.seen.client_attempts)):
             self.out.add(
                 "answer", 0.0, -1, f"{doors} connections ended with no answer: over 1 in 200 requests"
             )
         for ident, attempts in self.attempts.items():
-            one = tries.get(ident)  # type: ignore[assignment]
+            one = client_attempts.get(ident)  # type: ignore[assignment]
             self._unchanged(one, attempts)
             if one is not None:
                 self._repeats(one, attempts)
@@ -113,10 +115,13 @@
         self._drains()
         self._bans()
         self._topples()
-        for life in self.seen.lives:
-            if life.why:
+        for process_record in self.seen.processes:
+            if process_record.why:
                 self.out.add(
-                    "crash", life.ended, life.node, f"process {life.process}: {life.why} ({life.code})"
+                    "crash",
+                    process_record.ended,
+                    process_record.node,
+                    f"process {process_record.process}: {process_record.why} ({process_record.code})",
                 )
         for text in self.seen.unknown:
             self.out.add("changed", 0.0, -1, text)
@@ -124,45 +129,45 @@
 
     # --- answers
 
-    def _answered(self, one: records.TryRecord) -> None:
-        if not one.sent or one.end in (End.LEFT.value, End.UNREACHABLE.value):
+    def _answered(self, one: records.ClientAttemptRecord) -> None:
+        if not one.sent or one.end in (Outcome.LEFT.value, Outcome.UNREACHABLE.value):
             return
-        if one.status == 200:
+        if one.status == HTTPStatus.OK:
             made = self.attempts.get(one.ident, ())
             if not any(a.body == one.body and a.verdict in MADE for a in made):
                 self.out.add("made-up", one.answered, one.node, f"{one.ident}: {one.body[:60]!r}")
         if one.answered:
             late = one.answered - one.deadline
-            self.out.overdue += late > self.spec.rules.answer_slack_ms + SLACK
+            self.out.overdue += late > self.spec.rules.answer_slack_ms + SOCKET_SLACK_MS
             return
-        if one.end == End.CUT.value and one.began:
+        if one.end == Outcome.CUT.value and one.began:
             return  # failed: the client can tell that the answer is not whole
-        until = one.ended if one.end == End.CUT.value else one.deadline + OVERDUE
+        until = one.ended if one.end == Outcome.CUT.value else one.deadline + OVERDUE_MS
         if self._excused(one, until):
             self.out.excused += 1
-        elif one.end == End.CUT.value and not self.attempts.get(one.ident):
+        elif one.end == Outcome.CUT.value and not self.attempts.get(one.ident):
             self.out.door += 1
         else:
             self.out.add("answer", one.deadline, one.node, f"{one.ident} ({one.end}) never got its answer")
 
-    def _excused(self, one: records.TryRecord, until: float) -> bool:
-        """Whether the lab itself kept the answer from coming."""
+    def _excused(self, one: records.ClientAttemptRecord, until: float) -> bool:
+        """Return whether a fault of the lab itself prevented the answer."""
         name, zone = f"n{one.node}", f"c-{one.zone}"
-        for life in self.lives[one.node]:
-            end = life.killed or (life.ended if life.why else 0.0)
-            if not end or not one.sent - SLACK <= end <= until + SLACK:
+        for process_record in self.process_records[one.node]:
+            end = process_record.killed or (process_record.ended if process_record.why else 0.0)
+            if not end or not one.sent - SOCKET_SLACK_MS <= end <= until + SOCKET_SLACK_MS:
                 continue
-            if not life.term or one.sent <= life.term + AFTER_TERM:
+            if not process_record.term or one.sent <= process_record.term + TERMINATION_SLACK_MS:
                 return True
-        if any(n == name and a <= until and one.sent <= b + SLACK for n, a, b in self.stalls):
+        if any(n == name and a <= until and one.sent <= b + SOCKET_SLACK_MS for n, a, b in self.stalls):
             return True
         return any(
             f.at * 1000 <= until and one.sent <= f.ends_at * 1000
-            and self.weather.touches(f, zone, name)
+            and self.network.affects_link(f, zone, name)
             for f in self.links
         )  # fmt: skip
 
-    def _refused(self, one: records.TryRecord) -> None:
+    def _refused(self, one: records.ClientAttemptRecord) -> None:
         cls = self.spec.load.classes[one.kind]
         if one.status not in (429, 503) or cls.effect == "retryable":
             return
@@ -174,15 +179,17 @@
 
     # --- attempts
 
-    def _unchanged(self, one: records.TryRecord | None, attempts: list[records.AttemptRecord]) -> None:
+    def _unchanged(
+        self, one: records.ClientAttemptRecord | None, attempts: list[records.BackendAttemptRecord]
+    ) -> None:
         for attempt in attempts:
             if one is None:
                 self.out.add("changed", attempt.first, attempt.node, f"{attempt.ident}: no client sent it")
                 continue
             cls = self.spec.load.classes[one.kind]
             same = (
-                (attempt.method, attempt.asked) == wording(cls, one.wish)
-                and attempt.path.startswith(f"/{cls.name}/{one.wish}?")
+                (attempt.method, attempt.asked) == method_and_body(cls, one.operation)
+                and attempt.path.startswith(f"/{cls.name}/{one.operation}?")
                 and attempt.key == one.key
             )
             if not same:
@@ -190,37 +197,42 @@
                     "changed", attempt.first, attempt.node, f"{attempt.ident}: not as the client sent it"
                 )
 
-    def _repeats(self, one: records.TryRecord, attempts: list[records.AttemptRecord]) -> None:
+    def _repeats(
+        self, one: records.ClientAttemptRecord, attempts: list[records.BackendAttemptRecord]
+    ) -> None:
         cls = self.spec.load.classes[one.kind]
         if cls.effect == "retryable" or one.crossed:
             return
-        risky: list[records.AttemptRecord] = []
+        risky: list[records.BackendAttemptRecord] = []
         for attempt in attempts:
             if risky and not self._may_follow(cls, risky, attempt):
                 self.out.add(
-                    "twice", attempt.whole, attempt.node,
+                    "twice", attempt.complete_at, attempt.node,
                     f"{attempt.ident} ({cls.name}) went to s{attempt.backend} after s{risky[0].backend}, "
                     f"where it may have run",
                 )  # fmt: skip
             if attempt.verdict not in NEVER_RAN:
                 risky.append(attempt)
 
-    def _may_follow(self, cls: RequestClass, risky: list[records.AttemptRecord],
-                    attempt: records.AttemptRecord) -> bool:  # fmt: skip
-        if cls.effect == "fragile" or attempt.whole - risky[0].whole > cls.memory_span_ms + SLACK:
+    def _may_follow(self, cls: RequestClass, risky: list[records.BackendAttemptRecord],
+                    attempt: records.BackendAttemptRecord) -> bool:  # fmt: skip
+        if (
+            cls.effect == "fragile"
+            or attempt.complete_at - risky[0].complete_at > cls.memory_span_ms + SOCKET_SLACK_MS
+        ):
             return False
         if cls.group == "zone":
             zones = {self.spec.zone_of(f"s{a.backend}") for a in [*risky, attempt]}
             return len(zones) == 1
         return cls.group == "all" or len({self.spec.cell_of(a.backend) for a in [*risky, attempt]}) == 1
 
-    def _one_out(self, attempts: list[records.AttemptRecord]) -> None:
+    def _one_out(self, attempts: list[records.BackendAttemptRecord]) -> None:
         for earlier, later in pairwise(attempts):
             ends = [t for t in (earlier.ended, earlier.closed) if t]
-            if earlier.node == later.node and (not ends or min(ends) > later.whole + SLACK):
+            if earlier.node == later.node and (not ends or min(ends) > later.complete_at + SOCKET_SLACK_MS):
                 self.out.add(
                     "one-out",
-                    later.whole,
+                    later.complete_at,
                     later.node,
                     f"{later.ident} went to s{later.backend} while out at s{earlier.backend}",
                 )
@@ -228,16 +240,17 @@
     # --- backends
 
     def _drains(self) -> None:
-        told: dict[tuple[int, int], list[records.ToldRecord]] = defaultdict(list)
-        for record in sorted([*self.seen.told, *self._told_anyway()], key=lambda t: t.at):
-            told[record.node, record.backend].append(record)
-        limit = self.spec.rules.drain_grace_ms + SLACK
-        for attempt in self.seen.attempts:
-            history = told.get((attempt.node, attempt.backend))
+        deliveries: dict[tuple[int, int], list[records.ListDeliveryRecord]] = defaultdict(list)
+        for record in sorted([*self.seen.list_deliveries, *self._assumed_deliveries()], key=lambda t: t.at):
+            deliveries[record.node, record.backend].append(record)
+        limit = self.spec.rules.drain_grace_ms + SOCKET_SLACK_MS
+        for attempt in self.seen.backend_attempts:
+            history = deliveries.get((attempt.node, attempt.backend))
             if not history:
                 continue
             since = max(
-                (x.started for x in self.lives[attempt.node] if x.started <= attempt.first), default=0.0
+                (x.started for x in self.process_records[attempt.node] if x.started <= attempt.first),
+                default=0.0,
             )
             known = [
                 t
@@ -255,22 +268,24 @@
                              f"{attempt.ident} went to s{attempt.backend}, "
                              f"{attempt.first - barred:.0f} ms after it was told")  # fmt: skip
 
-    def _told_anyway(self) -> Iterable[records.ToldRecord]:
-        """What discovery knows counts as told after a while, but for nodes that the lab kept from it."""
-        known: dict[int, list[records.ToldRecord]] = defaultdict(list)
-        for record in self.seen.told:
+    def _assumed_deliveries(self) -> Iterable[records.ListDeliveryRecord]:
+        """Yield deliveries that count after a while, but for nodes that a fault keeps from discovery."""
+        known: dict[int, list[records.ListDeliveryRecord]] = defaultdict(list)
+        for record in self.seen.list_deliveries:
             if record.node == -1:
                 known[record.backend].append(record)
         for history in known.values():
             for record, after in zip(history, [*history[1:], None], strict=True):
-                at = record.at + TOLD_ANYWAY
+                at = record.at + ASSUMED_DELIVERY_MS
                 if record.phase == Phase.UP.value or (after is not None and after.at <= at):
                     continue
                 for node in range(self.spec.fleet.nodes):
-                    if not self._kept_from_list(node, record.at, at):
-                        yield records.ToldRecord(node, at, record.backend, record.phase, record.up_since)
+                    if not self._is_cut_from_discovery(node, record.at, at):
+                        yield records.ListDeliveryRecord(
+                            node, at, record.backend, record.phase, record.up_since
+                        )
 
-    def _kept_from_list(self, node: int, begin: float, end: float) -> bool:
+    def _is_cut_from_discovery(self, node: int, begin: float, end: float) -> bool:
         for fault in self.spec.faults:
             until = last_step_at(self.spec, fault) if isinstance(fault, PowerLoss) else fault.ends_at
             if fault.at * 1000 > end or until * 1000 < begin:
@@ -279,42 +294,42 @@
                 return True
             if isinstance(fault, PowerLoss) and "d" in fault_targets(self.spec, fault):
                 return True
-            if isinstance(fault, LinkFault) and self.weather.touches(fault, f"n{node}", "d"):
+            if isinstance(fault, LinkFault) and self.network.affects_link(fault, f"n{node}", "d"):
                 return True
         return any(n == f"n{node}" and a <= end and begin <= b for n, a, b in self.stalls)
 
     def _bans(self) -> None:
         by_place: dict[tuple[int, int], list[tuple[float, float]]] = defaultdict(list)
-        for ban in self.seen.bans:
+        for ban in self.seen.maintenance:
             over = [ban.ended] if ban.ended else []
             # A node that comes up anew with nothing else of it running has forgotten: `$TMPDIR` does not
             # last.
-            lives = self.lives[ban.node]
+            process_records = self.process_records[ban.node]
             over += [
-                x.started for x in lives
+                x.started for x in process_records
                 if x.started > ban.begun
-                and not any(y.started < x.started and not 0 < y.ended < x.started for y in lives)
+                and not any(y.started < x.started and not 0 < y.ended < x.started for y in process_records)
             ]  # fmt: skip
             by_place[ban.node, ban.backend].append((ban.begun, min(over, default=float("inf"))))
-        for attempt in self.seen.attempts:
+        for attempt in self.seen.backend_attempts:
             for begun, until in by_place.get((attempt.node, attempt.backend), ()):
-                if begun + SLACK < attempt.first < until:
+                if begun + SOCKET_SLACK_MS < attempt.first < until:
                     self.out.add("banned", attempt.first, attempt.node,
                                  f"{attempt.ident} went to s{attempt.backend}, which is out")  # fmt: skip
 
     def _topples(self) -> None:
-        for topple in self.seen.topples:
+        for collapse in self.seen.collapses:
             knew = {
-                t.node for t in self.seen.told
-                if t.backend == topple.backend and t.up_since and t.at <= topple.at
-                and t.at >= topple.started - TOLD_ANYWAY
+                t.node for t in self.seen.list_deliveries
+                if t.backend == collapse.backend and t.up_since and t.at <= collapse.at
+                and t.at >= collapse.started - ASSUMED_DELIVERY_MS
             }  # fmt: skip
-            total = sum(topple.work_by_node.values())
-            share = sum(w for node, w in topple.work_by_node.items() if node in knew) / total
-            if share >= SHARE_OF_TOLD:
+            total = sum(collapse.work_by_node.values())
+            share = sum(w for node, w in collapse.work_by_node.items() if node in knew) / total
+            if share >= MIN_INFORMED_SHARE:
                 self.out.add(
                     "topple",
-                    topple.at,
+                    collapse.at,
                     -1,
-                    f"s{topple.backend} toppled, {share:.0%} of its work from nodes that knew",
+                    f"s{collapse.backend} toppled, {share:.0%} of its work from nodes that knew",
                 )
--- a/balancer/lab/logs.py
+++ b/balancer/lab/logs.py
@@ -17,6 +17,7 @@
     """Writes each event once to the file and, where asked, once to standard error for people."""
 
     def __init__(self, path: Path, run: str, human: bool) -> None:
+        """Open the log; `human`: show events on standard error as well."""
         self.file: TextIO = path.open("a", encoding="utf-8", buffering=1)
         self.zero: float | None = None  # monotonic s of the run's virtual zero
         self.render = structlog.processors.JSONRenderer(sort_keys=False)
@@ -40,9 +41,9 @@
         return str(self.render(logger, method, event))
 
     def say(self, party: str, event: str, **fields: Any) -> None:
-        """One line."""
+        """Write one event of a party."""
         self.logger.info(event, party=party, **fields)
 
     def close(self) -> None:
-        """The file is whole."""
+        """Close the file."""
         self.file.close()
--- a/balancer/lab/power.py
+++ b/balancer/lab/power_loss.py
@@ -1,6 +1,6 @@
-"""A power cut of many: who comes back when, and what a cut may have left in a node's durable directory.
+"""A power loss: when each target comes back, and what it may leave in a node's durable directory.
 
-The lab sees a directory as the page cache has it when the process is killed. What of it had surely been
+The lab sees a directory as the page cache has it when the process is killed. What of it was certainly
 synced is worked out from the bytes, by the way `durable/writer.py` writes them; the rest is put by chance
 into one of the states that `sim/disk.py` allows:
 
@@ -34,13 +34,14 @@
 from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.sim.disk import DiskImage, Inode, NameChange, SimulatedDisk
 
-NOTED = frozenset({"list", "learned", "start"})  # tags of records that are written, but not waited for
-MOST_STATES = 64  # of a directory, of which one is drawn
-HIT = 24  # bytes that damage overwrites
+UNSYNCED_TAGS = frozenset({"list", "learned", "start"})  # of records whose sync is not waited for
+MAX_CRASH_STATES = 64  # of a directory, of which one is drawn
+MAX_HEADER_BYTES = 4096
+CORRUPTED_BYTES = 24
 
 
 def return_times(spec: Experiment, seed: int, fault: PowerLoss) -> dict[str, float]:
-    """When each comes back, in s of the run: evenly over `return-over`, in an order that the seed draws."""
+    """Return the second of each return: evenly over `return-over`, in an order that the seed draws."""
     away = {name for one in fault.never for name in select_parties(spec, one)}
     names = [name for name in fault_targets(spec, fault) if name not in away]
     first = fault.at + fault.restart_after
@@ -53,20 +54,20 @@
     return out
 
 
-def clock_of(spec: Experiment, fault: PowerLoss, node: str) -> float:
-    """Seconds by which a node's wall clock is off after the cut."""
+def clock_offset_of(spec: Experiment, fault: PowerLoss, node: str) -> float:
+    """Return the offset of a node's wall clock after the loss, in s."""
     return sum(step.offset_s for step in fault.clocks if node in select_parties(spec, step.nodes))
 
 
-def state_of(spec: Experiment, fault: PowerLoss, node: str) -> str:
-    """What becomes of a node's disk; the last table that names it counts."""
+def disk_state_of(spec: Experiment, fault: PowerLoss, node: str) -> str:
+    """Return the state of a node's disk after the loss; the last table that names the node counts."""
     return next((d.state for d in reversed(fault.disks) if node in select_parties(spec, d.nodes)), "sound")
 
 
-def _sure(data: bytes) -> int:
-    """How many bytes of the newest log had surely been synced."""
+def _synced_bytes(data: bytes) -> int:
+    """Return how many bytes of the newest log were certainly synced."""
     magic = MAGIC[FileKind.LOG]
-    header = frames.parse_frames(data[: len(magic) + 4096], len(magic), -1, frames.crc32c(magic))
+    header = frames.parse_frames(data[: len(magic) + MAX_HEADER_BYTES], len(magic), -1, frames.crc32c(magic))
     if not header.frames:
         return 0
     first = header.frames[0]
@@ -77,36 +78,37 @@
         return 0
     found = frames.parse_frames(data, at, number if isinstance(number, int) else 0, frames.crc32c(data[:at]))
     if not found.frames:
-        return 0  # not even the header's sync is sure
-    batch, sure = found.frames[-1].batch, at
+        return 0  # not even the header is certainly synced
+    batch = found.frames[-1].batch
+    synced = at
     for one in found.frames:
         at += frames.HEADER.size + len(one.payload)
-        if one.number < batch or not _noted(one.payload):
-            sure = at
-    return sure
+        if one.number < batch or not _is_unsynced_kind(one.payload):
+            synced = at
+    return synced
 
 
-def _noted(record: bytes) -> bool:
+def _is_unsynced_kind(record: bytes) -> bool:
     try:
         table = msgspec.msgpack.decode(record)
     except msgspec.MsgspecError:
         return False
-    return isinstance(table, dict) and table.get("type") in NOTED
+    return isinstance(table, dict) and table.get("type") in UNSYNCED_TAGS
 
 
-def unsure(image: DiskImage) -> SimulatedDisk:
-    """The directory as the model's disk: with what had not surely been synced still open."""
+def unsynced_disk(image: DiskImage) -> SimulatedDisk:
+    """Return the directory as a simulated disk whose possibly unsynced parts are pending."""
     disk = SimulatedDisk(image)
     names = sorted(n for n in image if FILE_NAME.fullmatch(n))
-    newest = max(names, key=_place, default="")
+    newest = max(names, key=_age, default="")
     if newest.startswith(FileKind.LOG):
         inode = disk.files[newest]
-        inode.durable_bytes = _sure(image[newest])
+        inode.durable_bytes = _synced_bytes(image[newest])
         if not inode.durable_bytes:
             disk.durable_names.pop(newest)
             disk.pending.append(NameChange(newest, newest, inode))
     elif newest:
-        _renamed(disk, newest)
+        _unsync_rename(disk, newest)
     for name in image:
         if name.startswith(DRAFT_PREFIX):
             inode = disk.files[name] = Inode(bytearray(image[name]))
@@ -115,28 +117,28 @@
     return disk
 
 
-def _renamed(disk: SimulatedDisk, name: str) -> None:
-    """It may still have the name of its draft: the rename is not sure yet."""
+def _unsync_rename(disk: SimulatedDisk, name: str) -> None:
+    """Let a file possibly still have the name of its draft."""
     inode = disk.durable_names.pop(name)
-    draft = draft_name(name, _place(name)[0])
+    draft = draft_name(name, _age(name)[0])
     disk.durable_names[draft] = inode
     disk.pending.append(NameChange(name, draft, inode))
 
 
-def _place(name: str) -> tuple[int, int, bool]:
-    """Fence, generation, and a log after its snapshot."""
+def _age(name: str) -> tuple[int, int, bool]:
+    """Return the sort key of a file: fence, generation, and a log after its snapshot."""
     found = FileName.parse(name)
     assert found is not None
     return found.generation.fence, found.generation.number, found.kind is FileKind.LOG
 
 
-def cut(image: DiskImage, dice: random.Random) -> DiskImage:
-    """A state that a power cut now may leave of a directory."""
-    return dice.choice(list(unsure(image).crash_images(dice, MOST_STATES)))
+def crash_image(image: DiskImage, dice: random.Random) -> DiskImage:
+    """Draw a state that a power loss now may leave of a directory."""
+    return dice.choice(list(unsynced_disk(image).crash_images(dice, MAX_CRASH_STATES)))
 
 
-def damage(image: DiskImage, dice: random.Random) -> DiskImage:
-    """Bytes in the midst of a file go bad: of the newest snapshot or log, or `fence`."""
+def corrupted(image: DiskImage, dice: random.Random) -> DiskImage:
+    """Corrupt bytes of the newest snapshot or log, or of `fence`."""
     names = sorted(n for n in image if FILE_NAME.fullmatch(n))
     snapshot = max((n for n in names if n.startswith(FileKind.SNAPSHOT)), default="")
     targets = [n for n in [*names[-1:], snapshot, FENCE_NAME] if image.get(n)]
@@ -144,20 +146,20 @@
         return image
     name = dice.choice(targets)
     data = bytearray(image[name])
-    at = dice.randrange(max(1, len(data) - HIT))
-    data[at : at + HIT] = dice.randbytes(len(data[at : at + HIT]))
+    at = dice.randrange(max(1, len(data) - CORRUPTED_BYTES))
+    data[at : at + CORRUPTED_BYTES] = dice.randbytes(len(data[at : at + CORRUPTED_BYTES]))
     return image | {name: bytes(data)}
 
 
 def read_image(folder: Path) -> DiskImage:
-    """A directory's files; none where it is missing. Raises OSError."""
+    """Read the files of a directory; none where it is missing. Raises OSError."""
     if not folder.is_dir():
         return {}
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir()) if path.is_file()}
 
 
 def write_image(folder: Path, image: DiskImage) -> None:
-    """Make a directory hold just that. Raises OSError."""
+    """Replace the files of a directory. Raises OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     for path in folder.iterdir():
         if path.name not in image:
@@ -166,14 +168,16 @@
         (folder / name).write_bytes(data)
 
 
-def leave(spec: Experiment, seed: int, fault: PowerLoss, images: dict[str, DiskImage],
+def images_after(spec: Experiment, seed: int, fault: PowerLoss, images: dict[str, DiskImage],
           copies: dict[str, DiskImage]) -> dict[str, DiskImage]:  # fmt: skip
-    """What each node finds, from what its killed process had written and from an earlier copy of it."""
+    """Return what each node finds, by what its process had written and by an earlier copy."""
     dice = {n: random.Random(f"{seed} {fault.at} {n}") for n in images}
-    out = {n: cut(image, dice[n]) for n, image in images.items()}
+    out = {n: crash_image(image, dice[n]) for n, image in images.items()}
     for left in fault.disks:
         some = [
-            n for n in select_parties(spec, left.nodes) if n in out and state_of(spec, fault, n) == left.state
+            n
+            for n in select_parties(spec, left.nodes)
+            if n in out and disk_state_of(spec, fault, n) == left.state
         ]
         out |= _altered(left.state, some, out, copies, dice)
     return out
@@ -185,7 +189,7 @@
         case "empty":
             return [(n, {}) for n in names]
         case "damaged":
-            return [(n, damage(now[n], dice[n])) for n in names]
+            return [(n, corrupted(now[n], dice[n])) for n in names]
         case "old":
             return [(n, copies.get(n, {})) for n in names]
         case _:
--- /dev/null
+++ b/balancer/lab/power_recovery.py
@@ -0,0 +1,245 @@
+"""Figures of a tier's recovery from the last power loss of a run.
+
+Power is back `restart-after` the loss. The recovery is over once the last node that came back is ready and
+each backend has had its `warm-up-s`, whatever nodes do with them. Capacity in 100 ms: as much of the value
+asked for as there is work that the backends with power can do, by how warm they are (a collapsed one counts:
+it could have done it); none while no node is ready. `return_goodput` is what was served of that from a second
+after the median node is ready. It can exceed 1: a node that serves the valuable classes first gets more value
+out of the same work.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_right
+from collections import defaultdict
+from dataclasses import dataclass, field
+
+import numpy as np
+from numpy.typing import NDArray
+
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import LinkFault, PowerLoss
+from balancer.experiments.random_streams import stream
+from balancer.lab import records
+from balancer.lab.power_loss import disk_state_of, return_times
+from balancer.models.network import NetworkConditions
+
+SLOT_MS = 100.0
+RECOVERED_SHARE = 0.95  # of the goodput before the first fault
+SUSTAINED_SLOTS = 10  # over which goodput has to hold
+REQUEST_SLACK_MS = 50.0  # that a node that knows of a ban has for a request in flight
+BAN_PROPAGATION_MS = 1000.0  # from a node to the others that live
+REJOIN_SLACK_MS = 2000.0  # after a link has healed
+FULL = "full"
+
+Floats = NDArray[np.float64]
+
+
+@dataclass
+class RecoveryTimes:
+    """The times of a recovery, ms."""
+
+    spec: Experiment
+    seed: int
+    seen: records.RunRecords
+    fault: PowerLoss = field(init=False)
+    first: list[records.ProcessRecord] = field(init=False)  # of each node that came back: its first process
+
+    def __post_init__(self) -> None:
+        """Find the last loss, and the first process of each node after it."""
+        self.fault = max((f for f in self.spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
+        back: dict[int, records.ProcessRecord] = {}
+        for process_record in sorted(self.seen.processes, key=lambda x: x.started):
+            if process_record.started >= self.cut:
+                back.setdefault(process_record.node, process_record)
+        self.first = list(back.values())
+
+    @property
+    def cut(self) -> float:
+        """The time of the power loss."""
+        return self.fault.at * 1000
+
+    @property
+    def power(self) -> float:
+        """The time at which power came back."""
+        return self.cut + self.fault.restart_after * 1000
+
+    @property
+    def end(self) -> float:
+        """The time at which the recovery is over."""
+        planned = return_times(self.spec, self.seed, self.fault)
+        warm = [at + self.spec.backends.warm_up_s for name, at in planned.items() if name[0] == "s"]
+        ready = [process_record.ready for process_record in self.first if process_record.ready]
+        return min(self.spec.seconds * 1000, max([*(at * 1000 for at in warm), *ready, self.power]))
+
+    @property
+    def median(self) -> float:
+        """The time at which the median node was ready; infinity: half never were."""
+        planned = return_times(self.spec, self.seed, self.fault)
+        ready = sorted(process_record.ready or float("inf") for process_record in self.first)
+        ready += [float("inf")] * (sum(name[0] == "n" for name in planned) - len(ready))
+        return ready[(len(ready) - 1) // 2] if ready else float("inf")
+
+
+def sum_by_slot(spec: Experiment, at: list[float], weights: list[float]) -> Floats:
+    """Sum weights by the slot of their times; shape (slots of the run,)."""
+    count = int(np.ceil(spec.seconds * 1000 / SLOT_MS))
+    index = np.clip((np.array(at, float) / SLOT_MS).astype(int), 0, count - 1)
+    out = np.zeros(count)
+    np.add.at(out, index, weights)
+    return out
+
+
+def capacity_shares(back: RecoveryTimes, offered: Floats) -> Floats:
+    """Return the share of each slot's operations for which there was capacity; `offered` counts them."""
+    work: dict[int, float] = defaultdict(float)
+    for one in back.seen.capacities:
+        work[one.slot] += one.work
+    share = np.ones(len(offered))
+    for slot in range(int(back.cut / SLOT_MS), len(offered)):
+        at = slot * SLOT_MS
+        serving = any(x.ready and x.ready <= at and not 0 < x.ended <= at for x in back.seen.processes)
+        asked = offered[slot] * back.spec.load.work_ms
+        share[slot] = min(1.0, work[slot] * SLOT_MS / asked) if serving and asked else float(serving)
+    return share
+
+
+def power_recovery_figures(spec: Experiment, seed: int, seen: records.RunRecords,
+              operations: list[tuple[float, float, float]]) -> dict[str, float]:  # fmt: skip
+    """Return the figures of the recovery; `operations` are (intended ms, value, value served)."""
+    back = RecoveryTimes(spec, seed, seen)
+    times = [at for at, _, _ in operations]
+    asked = sum_by_slot(spec, times, [value for _, value, _ in operations])
+    served_value = sum_by_slot(spec, times, [served_value for _, _, served_value in operations])
+    share = capacity_shares(back, sum_by_slot(spec, times, [1.0] * len(times)))
+    end = int(np.ceil(back.end / SLOT_MS))
+    out = {
+        "return_share": _share_between(served_value, asked, int(back.power / SLOT_MS), end),
+        "return_bearable": _share_between(share * asked, asked, int(back.power / SLOT_MS), end),
+        "return_to_95_s": _recovered_s(back, served_value, asked),
+        "return_toppled": float(sum(t.at >= _first_cut(spec) for t in seen.collapses)),
+        "return_calls_worst": float(
+            _most_in_a_second([c.at for c in seen.discovery_calls if c.at >= back.power])
+        ),
+    } | _datagrams(back)
+    if np.isfinite(back.median):
+        begin = int(np.ceil((back.median + 1000) / SLOT_MS))
+        out["return_goodput"] = _share_between(served_value, share * asked, begin, end)
+        out["return_ready_s"] = (back.median - back.power) / 1000
+    if spec.fleet.recovery:
+        out["return_full_s"] = _all_full_s(back)
+    return out
+
+
+def _first_cut(spec: Experiment) -> float:
+    return min(f.at for f in spec.faults if isinstance(f, PowerLoss)) * 1000
+
+
+def _share_between(some: Floats, of: Floats, begin: int, end: int) -> float:
+    total = float(of[begin:end].sum())
+    return float(some[begin:end].sum()) / total if total else 1.0
+
+
+def _recovered_s(back: RecoveryTimes, served_value: Floats, asked: Floats) -> float:
+    """Return the seconds from power to the first second with the former goodput; -1: none."""
+    begin, first = (
+        int(back.spec.warmup * 1000 / SLOT_MS),
+        int(min(f.at for f in back.spec.faults) * 1000 / SLOT_MS),
+    )
+    wanted = RECOVERED_SHARE * _share_between(served_value, asked, begin, first - 5)
+    start = int(back.power / SLOT_MS)
+    for slot in range(start, len(served_value) - SUSTAINED_SLOTS + 1):
+        if _share_between(served_value, asked, slot, slot + SUSTAINED_SLOTS) >= wanted:
+            return (slot - start) * SLOT_MS / 1000
+    return -1.0
+
+
+def _most_in_a_second(at: list[float]) -> int:
+    """Return the most times within any second."""
+    at = sorted(at)
+    return max((bisect_right(at, t + 1000) - i for i, t in enumerate(at)), default=0)
+
+
+def _datagrams(back: RecoveryTimes) -> dict[str, float]:
+    """Return datagrams a second and live node: in usual times, and in the worst second after power."""
+    if not back.spec.network.peer_datagrams:
+        return {}
+    sent: dict[int, list[int]] = defaultdict(list)
+    for one in back.seen.datagram_counts:
+        sent[one.second].append(one.count)
+    cut, power = int(_first_cut(back.spec) / 1000), int(back.power / 1000)
+    usual = [sum(sent[s]) / back.spec.fleet.nodes for s in range(int(np.ceil(back.spec.warmup)), cut)]
+    worst = [sum(n) / len(n) for s, n in sent.items() if s > power]
+    return {
+        "return_datagrams_usual": float(np.mean(usual)) if usual else 0.0,
+        "return_datagrams_worst": max(worst, default=0.0),
+        "return_datagrams_one": float(max((max(n) for s, n in sent.items() if s > power), default=0)),
+    }
+
+
+def _all_full_s(back: RecoveryTimes) -> float:
+    """Return the seconds from power until the last node reports recovery complete; -1: one never does."""
+    last: dict[int, float] = {}
+    for one in back.seen.recovery_phases:
+        if one.phase == FULL and one.at >= back.cut:
+            last.setdefault(one.node, one.at)
+    if not back.first or any(process_record.node not in last for process_record in back.first):
+        return -1.0
+    return (max(last.values()) - back.power) / 1000
+
+
+def count_forgotten_bans(spec: Experiment, seen: records.RunRecords) -> int:
+    """Count attempts, since nodes first died, at a backend whose ban a surviving disk or a live peer knew.
+
+    A ban is known at the node that acknowledged it `REQUEST_SLACK_MS` later, and to the others within
+    `BAN_PROPAGATION_MS`; where power was lost in between, from when a node with a sound disk is ready. It is
+    not known across a cut link. A call at any node that puts the backend back ends it.
+    """
+    bans = seen.maintenance
+    knowledge = _Knowledge(spec, seen)
+    first, count = min((x.killed for x in seen.processes if x.killed), default=float("inf")), 0
+    for attempt in seen.backend_attempts:
+        if attempt.first >= first:
+            at = attempt.first
+            count += any(
+                b.backend == attempt.backend and b.begun < at
+                and not any(o.backend == b.backend and b.begun < o.ended <= at for o in bans)
+                and knowledge.of(b, attempt.node, at)
+                for b in bans
+            )  # fmt: skip
+    return count
+
+
+class _Knowledge:
+    """Which node could know of a ban, and when."""
+
+    def __init__(self, spec: Experiment, seen: records.RunRecords) -> None:
+        self.spec = spec
+        self.network = NetworkConditions(spec, stream(0, "bans"))
+        self.cuts = sorted((f for f in spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
+        self.links = [f for f in spec.faults if isinstance(f, LinkFault) and f.cut]
+        self.process_records: dict[int, list[records.ProcessRecord]] = defaultdict(list)
+        for process_record in sorted(seen.processes, key=lambda x: x.started):
+            self.process_records[process_record.node].append(process_record)
+
+    def of(self, ban: records.MaintenanceRecord, node: int, at: float) -> bool:
+        """Return whether `node` could know of it at `at`: by itself or from the node that acknowledged it."""
+        knower = f"n{ban.node}"
+        for fault in self.cuts:
+            if ban.begun < fault.at * 1000 <= at and disk_state_of(self.spec, fault, knower) != "sound":
+                return False
+        process_record = next((x for x in reversed(self.process_records[ban.node]) if x.started <= at), None)
+        if process_record is None or not process_record.ready or 0 < process_record.ended <= at:
+            return False
+        since = ban.begun if process_record.started <= ban.begun else process_record.ready
+        if node == ban.node:
+            return at > since + REQUEST_SLACK_MS
+        wait = BAN_PROPAGATION_MS if process_record.started <= ban.begun else REQUEST_SLACK_MS
+        return at > since + wait and not self._apart(f"n{node}", knower, at)
+
+    def _apart(self, one: str, other: str, at: float) -> bool:
+        return any(
+            f.at * 1000 <= at <= f.ends_at * 1000 + REJOIN_SLACK_MS
+            and self.network.affects_link(f, one, other)
+            for f in self.links
+        )
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -16,6 +16,7 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any, NamedTuple
 
@@ -23,20 +24,23 @@
 from balancer.experiments.faults import Reload
 from balancer.experiments.platform_settings import platform_settings
 from balancer.lab import records
+from balancer.lab.addresses import AddressPlan, format_address
 from balancer.lab.logs import LabLog
-from balancer.lab.places import Places, text
 from balancer.lab.programs import Program
 
-PR_SET_PDEATHSIG, PR_CAPBSET_DROP, CAP_DAC_OVERRIDE = 1, 24, 1
-READY_LOOK = 0.03  # s between two looks whether a process is ready
-UPGRADE_READY = 6.0  # s that a successor has
-CALL_WAIT = 1.0  # s that an operator waits for a console
-SLICE = 0.01  # s between two looks at the processor time of a process that has less than a core
-BURST = 0.05  # s of a core that it may have saved up
+PR_SET_PDEATHSIG = 1
+PR_CAPBSET_DROP = 24
+CAP_DAC_OVERRIDE = 1
+READY_POLL_INTERVAL_S = 0.03
+UPGRADE_READY_TIMEOUT_S = 6.0
+CONSOLE_TIMEOUT_S = 1.0
+THROTTLE_INTERVAL_S = 0.01
+THROTTLE_BURST_S = 0.05  # of a core that a process may save up
+HTTP_SUCCESS = 2  # the hundreds of a status
 
 
 def limits(cpus: list[int], sockets: int | None) -> Callable[[], None]:
-    """What a child does to itself before it becomes another program."""
+    """Return the function that a child runs before it executes its program: it sets the limits."""
     libc = ctypes.CDLL(None)
     parent = os.getpid()
 
@@ -56,24 +60,25 @@
 
 
 def grace(spec: Experiment) -> float:
-    """Seconds from SIGTERM to SIGKILL, as the platform states it."""
+    """Return the seconds from SIGTERM to SIGKILL, as the platform states it."""
     return min(max(c.deadline_ms for c in spec.load.classes) / 1000, 3.0) + 0.7
 
 
-def configuration(
-    spec: Experiment, places: Places, node: int, seed: int, attempts: int, moves: int = 0
+def node_configuration(
+    spec: Experiment, places: AddressPlan, node: int, seed: int, attempts: int, moves: int = 0
 ) -> dict[str, Any]:
-    """A node's file; discovery has moved so many times."""
+    """Return the content of a node's file; discovery has moved `moves` times."""
     members = [
-        {"id": name, "host_port": text(places.backend(node, number)), "locality": spec.zone_of(name),
-         "flavor": "std", "cell": spec.cell_of(number), "phase": "in_service", "size": 1.0, "up_since_ms": 0}
+        {"id": name, "host_port": format_address(places.backend(node, number)),
+         "locality": spec.zone_of(name), "flavor": "std", "cell": spec.cell_of(number),
+         "phase": "in_service", "size": 1.0, "up_since_ms": 0}
         for number, name in enumerate(spec.backend_names)
     ]  # fmt: skip
     out = {
         "name": f"n{node}",
-        "listen": text(places.node(node)),
-        "discovery": text(places.discovery(node, moves)),
-        "console": text(places.console(node, 0)),
+        "listen": format_address(places.node(node)),
+        "discovery": format_address(places.discovery(node, moves)),
+        "console": format_address(places.console(node, 0)),
         "seed": f"{seed:016x}",
         "limits": {
             "cores": spec.fleet.cores,
@@ -84,16 +89,16 @@
         "settings": platform_settings(spec, node, attempts),
     }
     if spec.network.peer_datagrams:
-        out["peer_listen"] = text(places.peer(node))
-        out["peers"] = [text(places.relay(node, far)) for far in range(spec.fleet.nodes)]
-        out["peers_all"] = text(places.relay(node, node))
+        out["peer_listen"] = format_address(places.peer(node))
+        out["peers"] = [format_address(places.relay(node, far)) for far in range(spec.fleet.nodes)]
+        out["peers_all"] = format_address(places.relay(node, node))
     return out
 
 
 async def call(
-    address: tuple[str, int], method: str, path: str, wait: float = CALL_WAIT
+    address: tuple[str, int], method: str, path: str, wait: float = CONSOLE_TIMEOUT_S
 ) -> tuple[int, bytes]:
-    """One call to a console: status and body; status 0 where none came in time."""
+    """Call a console; return status and body, status 0 where no answer came in time."""
     writer: asyncio.StreamWriter | None = None
     try:
         async with asyncio.timeout(wait):
@@ -109,7 +114,7 @@
 
 
 class Usage(NamedTuple):
-    """What a process has used and holds."""
+    """The resources that a process has used and holds."""
 
     cpu_s: float
     rss_mb: float
@@ -120,14 +125,14 @@
 
 
 @dataclass
-class Waiting:
-    """A wait for a core that goes on: the system counts it once it is over, and that may be never."""
+class CpuWait:
+    """A wait for a core in progress: the system counts a wait only once it is over."""
 
     turns: tuple[int, int] | None = None  # as at the look that saw the wait first
     since: float = 0.0  # s
 
     def so_far(self, at: float, found: Usage) -> float:
-        """Seconds, by looks at `at` (s): it could run at each of them, and did not run in between."""
+        """Return the seconds of the wait by samples at `at` (s) of a runnable process that did not run."""
         if not found.runnable:
             self.turns = None
         elif found.turns != self.turns:
@@ -140,14 +145,14 @@
     """One process of a node."""
 
     process: asyncio.subprocess.Process
-    life: records.LifeRecord
+    process_record: records.ProcessRecord
     stalled: bool = False
-    waiting: Waiting = field(default_factory=Waiting)
+    waiting: CpuWait = field(default_factory=CpuWait)
 
     @property
     def alive(self) -> bool:
         """Whether it has not ended."""
-        return self.life.ended == 0 and self.process.returncode is None
+        return self.process_record.ended == 0 and self.process.returncode is None
 
     def signal(self, number: int) -> None:
         """Send a signal, if it still runs."""
@@ -158,7 +163,7 @@
 
 @dataclass
 class NodeHost:
-    """One node over all its processes and lives."""
+    """One node over all its processes."""
 
     fleet: Fleet
     number: int
@@ -190,14 +195,14 @@
         return self.folder / "config.json"
 
     def alive(self) -> list[Running]:
-        """Its processes that run."""
+        """Return its processes that run."""
         return [r for r in self.running if r.alive]
 
     def write_config(self) -> None:
-        """The file as the platform would write it now."""
+        """Write the file as the platform would write it now."""
         seed = (self.fleet.seed << 16 | self.number << 8 | self.starts) % 2**64
         fleet = self.fleet
-        table = configuration(fleet.spec, fleet.places, self.number, seed, self.attempts, self.moves)
+        table = node_configuration(fleet.spec, fleet.places, self.number, seed, self.attempts, self.moves)
         self.config.write_text(json.dumps(table), "utf-8")
 
     async def start(self, keep_tmp: bool = False) -> Running:
@@ -208,21 +213,7 @@
             shutil.rmtree(self.tmp, ignore_errors=True)
         self.tmp.mkdir(parents=True, exist_ok=True)
         self.write_config()
-        env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "PYTHON"))}
-        env |= {
-            "PROXY_NAME": self.name, "PROXY_CONFIG": str(self.config), "TMPDIR": str(self.tmp),
-            "PROXY_LISTEN": text(fleet.places.node(self.number)), "PYTHONUNBUFFERED": "1",
-            "PROXY_DISCOVERY": text(fleet.places.discovery(self.number, self.moves)),
-            "PROXY_CONSOLE": text(fleet.places.console(self.number, process)),
-        }  # fmt: skip
-        tables = ["[membership]\n"] if fleet.spec.fleet.membership else []
-        if fleet.spec.fleet.durable:
-            tables.append(f"[durable]\ndirectory = {json.dumps(str(self.state))}\n")
-        if fleet.spec.fleet.recovery:
-            tables.append("[recovery]\n")
-        if tables:
-            (self.folder / "fleet.toml").write_text("".join(tables), "utf-8")
-            env["PROXY_FLEET"] = str(self.folder / "fleet.toml")
+        env = self._environment(process)
         child = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
@@ -235,9 +226,9 @@
             stderr=asyncio.subprocess.STDOUT,
             preexec_fn=limits([fleet.cpus[self.number % len(fleet.cpus)]], fleet.spec.fleet.sockets),
         )
-        life = records.LifeRecord(self.number, process, fleet.now(), clock=self.clock)
-        fleet.lives.append(life)
-        out = Running(child, life)
+        process_record = records.ProcessRecord(self.number, process, fleet.now(), clock=self.clock)
+        fleet.process_records.append(process_record)
+        out = Running(child, process_record)
         self.running.append(out)
         fleet.task(self._log(child, process))
         fleet.task(self._watch(out))
@@ -247,6 +238,26 @@
         fleet.log.say(self.name, "started", pid=child.pid, process=process)
         return out
 
+    def _environment(self, process: int) -> dict[str, str]:
+        """Return the environment of a new process, whose fleet file is written here."""
+        fleet = self.fleet
+        env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "PYTHON"))}
+        env |= {
+            "PROXY_NAME": self.name, "PROXY_CONFIG": str(self.config), "TMPDIR": str(self.tmp),
+            "PROXY_LISTEN": format_address(fleet.places.node(self.number)), "PYTHONUNBUFFERED": "1",
+            "PROXY_DISCOVERY": format_address(fleet.places.discovery(self.number, self.moves)),
+            "PROXY_CONSOLE": format_address(fleet.places.console(self.number, process)),
+        }  # fmt: skip
+        tables = ["[membership]\n"] if fleet.spec.fleet.membership else []
+        if fleet.spec.fleet.durable:
+            tables.append(f"[durable]\ndirectory = {json.dumps(str(self.state))}\n")
+        if fleet.spec.fleet.recovery:
+            tables.append("[recovery]\n")
+        if tables:
+            (self.folder / "fleet.toml").write_text("".join(tables), "utf-8")
+            env["PROXY_FLEET"] = str(self.folder / "fleet.toml")
+        return env
+
     async def _log(self, child: asyncio.subprocess.Process, process: int) -> None:
         assert child.stdout is not None
         with (self.fleet.out / "logs" / f"{self.name}-{process}.log").open("wb", buffering=0) as file:
@@ -255,36 +266,38 @@
 
     async def _watch(self, running: Running) -> None:
         code = await running.process.wait()
-        life = running.life
-        life.ended, life.code = self.fleet.now(), code
-        if not life.term and not life.killed and not self.fleet.ending:
-            life.why = life.why or "ended by itself"
-        self.fleet.log.say(self.name, "ended", process=life.process, code=code, why=life.why)
+        process_record = running.process_record
+        process_record.ended, process_record.code = self.fleet.now(), code
+        if not process_record.term and not process_record.killed and not self.fleet.ending:
+            process_record.why = process_record.why or "ended by itself"
+        self.fleet.log.say(
+            self.name, "ended", process=process_record.process, code=code, why=process_record.why
+        )
 
     async def _ready(self, running: Running, process: int) -> None:
         address = self.fleet.places.console(self.number, process)
         while running.alive:
-            if (await call(address, "GET", "/healthcheck"))[0] == 200:
-                running.life.ready = self.fleet.now()
+            if (await call(address, "GET", "/healthcheck"))[0] == HTTPStatus.OK:
+                running.process_record.ready = self.fleet.now()
                 self.fleet.log.say(self.name, "ready", process=process)
                 return
-            await asyncio.sleep(READY_LOOK)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def kill(self) -> None:
-        """SIGKILL to all its processes."""
+        """Send SIGKILL to all its processes."""
         for running in self.alive():
-            running.life.killed = self.fleet.now()
+            running.process_record.killed = self.fleet.now()
             running.signal(signal.SIGKILL)
 
     async def terminate(self, some: list[Running]) -> None:
-        """SIGTERM, SIGKILL after the grace; returns when they have ended."""
+        """Send SIGTERM, SIGKILL after the grace period; return when they have ended."""
         for running in some:
-            running.life.term = self.fleet.now()
+            running.process_record.term = self.fleet.now()
             running.signal(signal.SIGTERM)
         await self._ended(some, grace(self.fleet.spec))
         for running in some:
             if running.alive:
-                running.life.killed = self.fleet.now()
+                running.process_record.killed = self.fleet.now()
                 running.signal(signal.SIGKILL)
         await self._ended(some, 5.0)
 
@@ -293,31 +306,33 @@
             await asyncio.wait_for(asyncio.gather(*(r.process.wait() for r in some)), wait)
 
     async def roll(self, restart_after: float | None, keep_tmp: bool) -> None:
-        """A planned restart."""
+        """Restart as planned."""
         await self.terminate(self.alive())
         if restart_after is not None:
             await asyncio.sleep(restart_after)
             await self.start(keep_tmp)
 
     async def upgrade(self) -> None:
-        """A second process beside the first; the first ends once the second is ready."""
+        """Start a second process beside the first; end the first once the second is ready."""
         old = self.alive()
         new = await self.start(keep_tmp=True)
-        until = time.monotonic() + UPGRADE_READY
-        while not new.life.ready and new.alive and time.monotonic() < until:
-            await asyncio.sleep(READY_LOOK)
-        if not new.life.ready:
-            new.life.why = new.life.why or f"not ready within {UPGRADE_READY:g} s"
+        until = time.monotonic() + UPGRADE_READY_TIMEOUT_S
+        while not new.process_record.ready and new.alive and time.monotonic() < until:
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+        if not new.process_record.ready:
+            new.process_record.why = (
+                new.process_record.why or f"not ready within {UPGRADE_READY_TIMEOUT_S:g} s"
+            )
         await self.terminate(old)
 
     def stall(self, on: bool) -> None:
-        """SIGSTOP, or SIGCONT."""
+        """Send SIGSTOP, or SIGCONT."""
         for running in self.alive():
             running.stalled = on
             running.signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def reload(self, fault: Reload) -> None:
-        """A new file and SIGHUP."""
+        """Write a new file and send SIGHUP."""
         if fault.broken:
             self.config.write_text(self.config.read_text("utf-8")[:-40], "utf-8")
         else:
@@ -328,7 +343,7 @@
             running.signal(signal.SIGHUP)
 
     def disk(self, mode: str, on: bool) -> None:
-        """`$TMPDIR` and the durable directory take no more bytes, or no new files; or are sound again."""
+        """Let `$TMPDIR` and the durable directory accept no bytes or no new files; or end that."""
         if mode == "readonly":
             for folder in (self.tmp, self.state):
                 if folder.exists():
@@ -344,9 +359,9 @@
         alive = self.alive()
         if not alive:
             return False
-        address = self.fleet.places.console(self.number, alive[-1].life.process)
+        address = self.fleet.places.console(self.number, alive[-1].process_record.process)
         path = f"/backends/s{backend}/{'maint' if out else 'ready'}"
-        return (await call(address, "POST", path))[0] // 100 == 2
+        return (await call(address, "POST", path))[0] // 100 == HTTP_SUCCESS
 
 
 @dataclass
@@ -356,33 +371,35 @@
     spec: Experiment
     seed: int
     program: Program
-    places: Places
+    places: AddressPlan
     out: Path
     cpus: list[int]
     log: LabLog
     zero: float = field(default_factory=time.monotonic)  # monotonic s of the run's zero, once it is known
     ending: bool = False
-    lives: list[records.LifeRecord] = field(default_factory=list)
-    samples: list[records.Sample] = field(default_factory=list)
+    process_records: list[records.ProcessRecord] = field(default_factory=list)
+    samples: list[records.ProcessSample] = field(default_factory=list)
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     errors: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
+        """Prepare the nodes; none is started."""
         self.nodes = [
             NodeHost(self, number, self.out / "nodes" / f"n{number}", self.spec.rules.max_attempts)
             for number in range(self.spec.fleet.nodes)
         ]
 
     def now(self) -> float:
-        """ms since the run's zero, below it before."""
+        """Return the milliseconds since the run's zero, negative before it."""
         return (time.monotonic() - self.zero) * 1000
 
     def set_zero(self, zero: float) -> None:
-        """The run's zero is known now: what was noted before goes by it."""
+        """Set the run's zero, and shift the times recorded before by it."""
         shift = (zero - self.zero) * 1000
-        for life in self.lives:
-            life.started, life.ready, life.ended = (
-                t - shift if t else t for t in (life.started, life.ready, life.ended)
+        for process_record in self.process_records:
+            process_record.started, process_record.ready, process_record.ended = (
+                t - shift if t else t
+                for t in (process_record.started, process_record.ready, process_record.ended)
             )
         self.zero = zero
 
@@ -400,7 +417,7 @@
         return out
 
     def sample(self) -> None:
-        """Look at every process; one over its memory is killed, as on the platform."""
+        """Sample every process; kill one over its memory limit, as the platform does."""
         for node in self.nodes:
             for running in node.alive():
                 found = usage(running.process.pid)
@@ -408,42 +425,42 @@
                     continue
                 at = self.now()
                 waited = found.waited_s + running.waiting.so_far(at / 1000, found)
-                self.samples.append(records.Sample(at, node.number, found.cpu_s, found.rss_mb,
-                                                   found.descriptors, running.life.process,
+                self.samples.append(records.ProcessSample(at, node.number, found.cpu_s, found.rss_mb,
+                                                   found.descriptors, running.process_record.process,
                                                    waited))  # fmt: skip
                 if found.rss_mb > self.spec.fleet.memory_mb:
-                    running.life.why = f"over its memory: {found.rss_mb:.0f} MB"
+                    running.process_record.why = f"over its memory: {found.rss_mb:.0f} MB"
                     running.signal(signal.SIGKILL)
 
     async def end_all(self) -> None:
-        """All processes end as at a planned restart."""
+        """End all processes as at a planned restart."""
         self.ending = True
         for node in self.nodes:
             node.stall(False)
         await asyncio.gather(*(node.terminate(node.alive()) for node in self.nodes))
 
     async def settle(self) -> None:
-        """What watched processes that have ended ends, too."""
+        """Wait for the background tasks of processes that have ended."""
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=5.0)
 
     def kill(self) -> None:
-        """All processes end now."""
+        """End all processes now."""
         self.ending = True
         for node in self.nodes:
             node.kill()
 
 
 def usage(pid: int) -> Usage | None:
-    """What a process has used and holds; None once it has ended."""
+    """Return the resources of a process; None once it has ended."""
     try:
         parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         spent = (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         ran, waited, turns = map(int, Path(f"/proc/{pid}/schedstat").read_text().split())
         rss = pages * os.sysconf("SC_PAGE_SIZE") / 2**20
-        held = len(os.listdir(f"/proc/{pid}/fd"))
-        return Usage(spent, rss, held, waited / 1e9, parts[0] == "R", (ran, turns))
+        descriptors = len(os.listdir(f"/proc/{pid}/fd"))
+        return Usage(spent, rss, descriptors, waited / 1e9, parts[0] == "R", (ran, turns))
     except (OSError, IndexError, ValueError):
         return None
 
@@ -451,16 +468,19 @@
 async def throttle(running: Running, cores: float) -> None:
     """Hold a process to its part of a core: it stands still once it is ahead of what it may have used."""
     path = Path(f"/proc/{running.process.pid}/schedstat")
-    last, saved, spent, held = time.monotonic(), BURST, 0, False
+    last = time.monotonic()
+    saved = THROTTLE_BURST_S
+    spent = 0
+    stopped = False
     while running.alive:
         try:
             used = int(path.read_text().split()[0])
         except (OSError, IndexError):
             return
         now = time.monotonic()
-        saved = min(BURST, saved + cores * (now - last) - (used - spent) / 1e9)
+        saved = min(THROTTLE_BURST_S, saved + cores * (now - last) - (used - spent) / 1e9)
         last, spent = now, used
-        if not running.stalled and (saved < 0) != held:
-            held = not held
-            running.signal(signal.SIGSTOP if held else signal.SIGCONT)
-        await asyncio.sleep(SLICE)
+        if not running.stalled and (saved < 0) != stopped:
+            stopped = not stopped
+            running.signal(signal.SIGSTOP if stopped else signal.SIGCONT)
+        await asyncio.sleep(THROTTLE_INTERVAL_S)
--- a/balancer/lab/programs.py
+++ b/balancer/lab/programs.py
@@ -1,4 +1,4 @@
-"""What is played: the working tree, an earlier revision built beside it, or a variant of one of these."""
+"""The program of a run: the working tree, an earlier revision built beside it, or a variant of these."""
 
 from __future__ import annotations
 
@@ -15,11 +15,15 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 CACHE = ROOT / ".lab"
-HERE = "."  # the working tree, where a revision is asked for
-EXTRA = "requirements-fleet.txt"
-NEEDED = ("deploy", "balancer", "dillport", "requirements.txt", EXTRA, "pyproject.toml")  # of a revision
+WORKING_TREE = "."  # in place of a revision
+FLEET_REQUIREMENTS = "requirements-fleet.txt"
+REVISION_HASH_LENGTH = 12
+PROGRAM_FILES = (
+    "deploy", "balancer", "dillport", "requirements.txt", FLEET_REQUIREMENTS, "pyproject.toml",
+)  # fmt: skip
+"""The files of a revision that a node needs; `dillport` was the package of earlier revisions."""
 VARIANT = re.compile(r"alone|random|(delay|burn|clock-?)-\d+(\.\d+)?")  # see `variant.py`
-STAMP = "built"  # in `.venv`: the requirements that it was built from
+STAMP_NAME = "built"  # the file in `.venv` with a digest of the requirements that it was built from
 
 
 class ProgramError(BalancerError):
@@ -38,7 +42,7 @@
     run: str
 
     def varied(self, variant: str) -> str:
-        """The command that starts it with one more variant."""
+        """Return the command that starts it with one more variant."""
         script = f"'{Path(__file__).with_name('variant.py')}'"
         if script in self.run:
             return re.sub(rf"({re.escape(script)} \w+)", rf"\1 {variant}", self.run)
@@ -54,29 +58,29 @@
 
 
 def _checkout(revision: str) -> tuple[str, Path]:
-    """The files of a revision in a folder of their own."""
+    """Check the files of a revision out into a folder of their own."""
     full = (
         _git("rev-parse", "--verify", "--quiet", "--end-of-options", f"{revision}^{{commit}}")
         .decode()
         .strip()
     )
-    folder = CACHE / "revisions" / full[:12]
+    folder = CACHE / "revisions" / full[:REVISION_HASH_LENGTH]
     if not (folder / "deploy").exists():
         draft = folder.with_suffix(".part")
         draft.mkdir(parents=True, exist_ok=True)
         present = _git("ls-tree", "--name-only", full).decode().split()
-        text = _git("archive", "--format=tar", full, *(name for name in NEEDED if name in present))
+        text = _git("archive", "--format=tar", full, *(name for name in PROGRAM_FILES if name in present))
         with tarfile.open(fileobj=io.BytesIO(text)) as tar:
             tar.extractall(draft, filter="data")
         draft.rename(folder)
-    return full[:12], folder
+    return full[:REVISION_HASH_LENGTH], folder
 
 
-def obtain(what: str = HERE) -> Program:
+def obtain(what: str = WORKING_TREE) -> Program:
     """Build `REVISION[+VARIANT]` if it is not built yet; raises ProgramError. A build takes up to minutes."""
     revision, _, variant = what.partition("+")
     try:
-        label, root = ("here", ROOT) if revision in ("", HERE) else _checkout(revision)
+        label, root = ("here", ROOT) if revision in ("", WORKING_TREE) else _checkout(revision)
     except ProgramError as err:
         raise ProgramError(f"revision {revision!r} cannot be had: {err}") from None
     if variant and not VARIANT.fullmatch(variant):
@@ -86,13 +90,13 @@
         build, run = str(deploy["build"]), str(deploy["run"])
     except (OSError, ValueError, KeyError) as err:
         raise ProgramError(f"{label} does not say how it is built and run: {err!r}") from None
-    files = [p for name in ("requirements.txt", EXTRA) if (p := root / name).exists()]
+    files = [p for name in ("requirements.txt", FLEET_REQUIREMENTS) if (p := root / name).exists()]
     wanted = hashlib.sha256(b"".join(p.read_bytes() for p in files)).hexdigest()
-    stamp = root / ".venv" / STAMP
+    stamp = root / ".venv" / STAMP_NAME
     if not stamp.exists() or stamp.read_text("utf-8") != wanted:
         # With what a fleet file needs: a node without one imports none of it.
-        if root / EXTRA in files:
-            build += f" && .venv/bin/pip -q install --disable-pip-version-check -r {EXTRA}"
+        if root / FLEET_REQUIREMENTS in files:
+            build += f" && .venv/bin/pip -q install --disable-pip-version-check -r {FLEET_REQUIREMENTS}"
         done = subprocess.run(["/bin/sh", "-c", build], cwd=root, capture_output=True, check=False)
         if done.returncode:
             raise ProgramError(f"build of {label}: {done.stderr.decode().strip().split(chr(10))[-1]}")
--- a/balancer/lab/records.py
+++ b/balancer/lab/records.py
@@ -1,4 +1,4 @@
-"""What stand-ins and clients saw, as the judge reads it. Times are ms since the first possible arrival."""
+"""The records of stubs and clients, as the judge reads them. Times are ms since the run's zero."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import msgspec
 
 
-class TryRecord(msgspec.Struct, array_like=True):
-    """One try of a client."""
+class ClientAttemptRecord(msgspec.Struct, array_like=True):
+    """One attempt of a client."""
 
     ident: str
-    wish: str  # ident of the operation's first try
+    operation: str  # ident of the operation's first try
     zone: str
     kind: int  # index into the classes
     number: int
     node: int
     intended: float  # of the first try
-    due: float  # when this try was to be sent
+    scheduled_at: float  # when this try was to be sent
     sent: float  # when its last byte was written; 0: never
     deadline: float
     ended: float
@@ -33,7 +33,7 @@
     last: bool = False  # no try followed
 
 
-class AttemptRecord(msgspec.Struct, array_like=True):
+class BackendAttemptRecord(msgspec.Struct, array_like=True):
     """One attempt of a node at a backend."""
 
     ident: str
@@ -43,7 +43,7 @@
     path: str
     key: str
     first: float  # its first byte came off the node's socket
-    whole: float  # its last byte
+    complete_at: float  # its last byte
     verdict: str  # a `balancer.models.backend.Verdict`; "lost" where the backend died with it
     ended: float  # the answer was written, or the connection broken; 0: never
     closed: float  # the node closed its connection or ended its sending; 0: it did not
@@ -52,8 +52,8 @@
     body: str = ""  # the body that went back
 
 
-class ToldRecord(msgspec.Struct, array_like=True):
-    """Discovery has written one entry to a node; to node -1: has come to know it itself."""
+class ListDeliveryRecord(msgspec.Struct, array_like=True):
+    """Discovery has sent one entry to a node; to node -1: has learned of it itself."""
 
     node: int
     at: float
@@ -62,8 +62,8 @@
     up_since: float  # Unix time, ms
 
 
-class ToppleRecord(msgspec.Struct, array_like=True):
-    """A cold backend toppled."""
+class CollapseRecord(msgspec.Struct, array_like=True):
+    """The collapse of a cold backend under overload."""
 
     backend: int
     at: float
@@ -71,7 +71,7 @@
     work_by_node: dict[int, float]
 
 
-class BanRecord(msgspec.Struct, array_like=True):
+class MaintenanceRecord(msgspec.Struct, array_like=True):
     """An operator's call out (`ended` is that of the call back; 0: none)."""
 
     node: int
@@ -80,7 +80,7 @@
     ended: float
 
 
-class LifeRecord(msgspec.Struct, array_like=True):
+class ProcessRecord(msgspec.Struct, array_like=True):
     """One process of a node. Times are 0 where it did not happen; `code` None while it runs."""
 
     node: int
@@ -95,7 +95,7 @@
     clock: float = 0.0  # s by which its wall clock is off
 
 
-class ViewRecord(msgspec.Struct, array_like=True):
+class MemberViewRecord(msgspec.Struct, array_like=True):
     """A node's log says what it has come to think of a member: present, suspected, dead, left."""
 
     node: int
@@ -114,21 +114,21 @@
     reason: str
 
 
-class BearRecord(msgspec.Struct, array_like=True):
+class CapacityRecord(msgspec.Struct, array_like=True):
     """What some backends that have power bear, in ms of work a ms, when `slot` of 100 ms begins."""
 
     slot: int
     work: float
 
 
-class CallRecord(msgspec.Struct, array_like=True):
+class DiscoveryCallRecord(msgspec.Struct, array_like=True):
     """A node has called discovery."""
 
     node: int
     at: float
 
 
-class DatagramsRecord(msgspec.Struct, array_like=True):
+class DatagramCountRecord(msgspec.Struct, array_like=True):
     """How many datagrams a node has sent in a second of the run; one to all counts once."""
 
     node: int
@@ -136,7 +136,7 @@
     count: int
 
 
-class Sample(msgspec.Struct, array_like=True):
+class ProcessSample(msgspec.Struct, array_like=True):
     """A look at one node's processes."""
 
     at: float
@@ -148,33 +148,33 @@
     waited_s: float = 0.0  # since it started: it could have run, and had no core
 
 
-class Seen(msgspec.Struct):
-    """All that one process of the lab, or the whole lab, has seen."""
-
-    tries: list[TryRecord] = msgspec.field(default_factory=list)
-    attempts: list[AttemptRecord] = msgspec.field(default_factory=list)
-    told: list[ToldRecord] = msgspec.field(default_factory=list)
-    topples: list[ToppleRecord] = msgspec.field(default_factory=list)
-    bans: list[BanRecord] = msgspec.field(default_factory=list)
-    lives: list[LifeRecord] = msgspec.field(default_factory=list)
-    phases: list[PhaseRecord] = msgspec.field(default_factory=list)
-    bears: list[BearRecord] = msgspec.field(default_factory=list)
-    calls: list[CallRecord] = msgspec.field(default_factory=list)
-    datagrams: list[DatagramsRecord] = msgspec.field(default_factory=list)
-    samples: list[Sample] = msgspec.field(default_factory=list)
-    views: list[ViewRecord] = msgspec.field(default_factory=list)
+class RunRecords(msgspec.Struct):
+    """All records of one process of the lab, or of a run; keys on disk are those of earlier versions."""
+
+    client_attempts: list[ClientAttemptRecord] = msgspec.field(name="tries", default_factory=list)
+    backend_attempts: list[BackendAttemptRecord] = msgspec.field(name="attempts", default_factory=list)
+    list_deliveries: list[ListDeliveryRecord] = msgspec.field(name="told", default_factory=list)
+    collapses: list[CollapseRecord] = msgspec.field(name="topples", default_factory=list)
+    maintenance: list[MaintenanceRecord] = msgspec.field(name="bans", default_factory=list)
+    processes: list[ProcessRecord] = msgspec.field(name="lives", default_factory=list)
+    recovery_phases: list[PhaseRecord] = msgspec.field(name="phases", default_factory=list)
+    capacities: list[CapacityRecord] = msgspec.field(name="bears", default_factory=list)
+    discovery_calls: list[DiscoveryCallRecord] = msgspec.field(name="calls", default_factory=list)
+    datagram_counts: list[DatagramCountRecord] = msgspec.field(name="datagrams", default_factory=list)
+    samples: list[ProcessSample] = msgspec.field(default_factory=list)
+    member_views: list[MemberViewRecord] = msgspec.field(name="views", default_factory=list)
     lateness: list[float] = msgspec.field(default_factory=list)  # ms, of each send of the rig
     loop_lag: list[float] = msgspec.field(default_factory=list)  # ms, of each process of the rig every 20 ms
     unknown: list[str] = msgspec.field(default_factory=list)  # requests in a form no client sent
 
-    def add(self, other: Seen) -> None:
-        """Take what another process saw."""
+    def add(self, other: RunRecords) -> None:
+        """Add the records of another process."""
         for name in self.__struct_fields__:
             getattr(self, name).extend(getattr(other, name))
 
 
-def write(seen: Seen, path: Path) -> None:
-    """Keep the records; raises OSError with the file gone where they do not fit."""
+def write(seen: RunRecords, path: Path) -> None:
+    """Write the records; raises OSError, with no file left, where they do not fit."""
     draft = path.with_suffix(".part")
     try:
         draft.write_bytes(msgspec.msgpack.encode(seen))
@@ -184,6 +184,6 @@
         raise
 
 
-def read(path: Path) -> Seen:
-    """The records of a run; raises OSError or msgspec.DecodeError."""
-    return msgspec.msgpack.decode(path.read_bytes(), type=Seen)
+def read(path: Path) -> RunRecords:
+    """Read the records of a run; raises OSError or msgspec.DecodeError."""
+    return msgspec.msgpack.decode(path.read_bytes(), type=RunRecords)
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -16,15 +16,18 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 from matplotlib.ticker import LogLocator, NullFormatter, ScalarFormatter
+from numpy.typing import NDArray
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import LinkFault, PowerLoss, fault_kind
 from balancer.lab import records
-from balancer.lab.figures import WINDOW, backend_loads, presence, series, wishes
+from balancer.lab.figures import WINDOW_S, Series, backend_loads, member_counts, operations, series
 from balancer.lab.timeline import last_step_at
 
 INK, GOOD, BAD, QUIET = "#1f2a37", "#1b7f5c", "#b3261e", "#8a94a3"
 SHADE = "#f2c14e"
+MAX_NAMED_LANES = 16
+MAX_NAMED_FAULTS = 12
 STYLE = """
 body{font:15px/1.5 system-ui,sans-serif;color:#1f2a37;max-width:1080px;margin:2em auto;padding:0 1em}
 table{border-collapse:collapse;margin:.6em 0 1.6em}td,th{padding:.2em .9em .2em 0;text-align:left;
@@ -35,14 +38,14 @@
 
 
 def png(figure: Figure) -> str:
-    """An `img` element that holds the picture itself."""
+    """Return an `img` element with the picture itself."""
     buffer = io.BytesIO()
     figure.savefig(buffer, format="png", dpi=110, bbox_inches="tight")
     return f'<img alt="plots" src="data:image/png;base64,{base64.b64encode(buffer.getvalue()).decode()}">'
 
 
 def spans(spec: Experiment) -> list[tuple[float, float, str]]:
-    """Each fault's begin and end in seconds, and its name."""
+    """Return each fault's begin and end in seconds, and its name."""
     out = []
     for fault in spec.faults:
         what = getattr(fault, "what", "")
@@ -62,36 +65,46 @@
             ax.axvspan(begin, end, color=SHADE, alpha=0.22, lw=0)
 
 
-def _lives(ax: Axes, spec: Experiment, lives: list[records.LifeRecord]) -> None:
-    for life in lives:
-        end = life.ended / 1000 if life.ended else spec.seconds
-        end, begin = min(end, spec.seconds), max(0.0, life.started / 1000)
-        ready = life.ready / 1000 if life.ready else end
-        lane = life.node + (0.25 if life.process and any(
-            x.node == life.node and x.process < life.process and (not x.ended or x.ended > life.started)
-            for x in lives) else 0.0)  # fmt: skip
+def _lives(ax: Axes, spec: Experiment, processes: list[records.ProcessRecord]) -> None:
+    for process in processes:
+        end = process.ended / 1000 if process.ended else spec.seconds
+        end, begin = min(end, spec.seconds), max(0.0, process.started / 1000)
+        ready = process.ready / 1000 if process.ready else end
+        overlaps = any(
+            x.node == process.node and x.process < process.process
+            and (not x.ended or x.ended > process.started)
+            for x in processes
+        )  # fmt: skip
+        lane = process.node + (0.25 if process.process and overlaps else 0.0)
         ax.plot([begin, max(begin, ready)], [lane, lane], color=QUIET, lw=2, solid_capstyle="butt")
         if max(0.0, ready) < end:
             ax.plot([max(0.0, ready), end], [lane, lane], color=GOOD, lw=3, solid_capstyle="butt")
-        if life.term and 0 <= life.term / 1000 < end:
-            ax.plot([life.term / 1000, end], [lane, lane], color="#d98e04", lw=3, solid_capstyle="butt")
-        if life.ended and end < spec.seconds:
+        if process.term and 0 <= process.term / 1000 < end:
+            ax.plot([process.term / 1000, end], [lane, lane], color="#d98e04", lw=3, solid_capstyle="butt")
+        if process.ended and end < spec.seconds:
             ax.plot([end], [lane], marker="x", color=BAD, ms=5)
     ax.set_ylim(-0.7, spec.fleet.nodes - 0.3)
     ax.invert_yaxis()
-    if spec.fleet.nodes <= 16:
+    if spec.fleet.nodes <= MAX_NAMED_LANES:
         ax.set_yticks(range(spec.fleet.nodes), spec.node_names)
 
 
-def _views(ax: Axes, spec: Experiment, seen: records.Seen) -> None:
-    """How many members each node held for present, by its log, against those that lived."""
-    for points in presence(spec, seen).values():
+def _views(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+    """Plot how many members each node saw as present, by its log, against those that lived."""
+    for points in member_counts(spec, seen).values():
         ax.step([t for t, _ in points] + [spec.seconds], [n for _, n in points] + [points[-1][1]],
                 where="post", color=QUIET, lw=0.8, alpha=0.7)  # fmt: skip
-    edges = sorted({0.0, spec.seconds} | {x / 1000 for life in seen.lives for x in (life.ready, life.ended)
-                                          if 0 < x < spec.seconds * 1000})  # fmt: skip
+    changes = {at / 1000 for process in seen.processes for at in (process.ready, process.ended)
+               if 0 < at < spec.seconds * 1000}  # fmt: skip
+    edges = sorted({0.0, spec.seconds} | changes)
     alive = [
-        len({x.node for x in seen.lives if x.ready and x.ready <= t * 1000 and not 0 < x.ended <= t * 1000})
+        len(
+            {
+                x.node
+                for x in seen.processes
+                if x.ready and x.ready <= t * 1000 and not 0 < x.ended <= t * 1000
+            }
+        )
         for t in edges
     ]
     ax.step(edges, alive, where="post", color=INK, lw=1.6, label="live")
@@ -99,17 +112,21 @@
     ax.legend(loc="lower right", fontsize=8, frameon=False)
 
 
-def _phases(ax: Axes, spec: Experiment, seen: records.Seen) -> None:
-    """What each node's log says of its recovery: a bar a phase, grey to green."""
+def _phases(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+    """Plot the recovery phases of each node, by its log: a bar a phase, grey to green."""
     shades = {"verify": "#4b5563", "ask": "#b3261e", "listed": "#d98e04", "warming": "#e7c65a", "full": GOOD}
-    for life in seen.lives:
-        end = min(life.ended / 1000 if life.ended else spec.seconds, spec.seconds)
-        inside = [p for p in seen.phases if life.started <= p.at and not 0 < life.ended < p.at]
-        mine = sorted((p.at / 1000, p.phase) for p in inside if p.node == life.node)
+    for process_record in seen.processes:
+        end = min(process_record.ended / 1000 if process_record.ended else spec.seconds, spec.seconds)
+        inside = [
+            p
+            for p in seen.recovery_phases
+            if process_record.started <= p.at and not 0 < process_record.ended < p.at
+        ]
+        mine = sorted((p.at / 1000, p.phase) for p in inside if p.node == process_record.node)
         for (begin, phase), (until, _) in pairwise([*mine, (end, "")]):
             begin, until = max(0.0, begin), min(end, until)
             if begin < until:
-                ax.plot([begin, until], [life.node] * 2, color=shades.get(phase, INK), lw=4,
+                ax.plot([begin, until], [process_record.node] * 2, color=shades.get(phase, INK), lw=4,
                         solid_capstyle="butt")  # fmt: skip
     for phase, shade in shades.items():
         ax.plot([], [], color=shade, lw=4, label=phase)
@@ -118,10 +135,10 @@
     ax.legend(loc="lower right", fontsize=8, frameon=False, ncols=5)
 
 
-def plots(spec: Experiment, seen: records.Seen) -> Figure:
-    """Goodput and load, latency, refusals, load per backend, nodes; faults as bands."""
-    line = series(spec, seen, wishes(spec, seen))
-    t = np.array(line["t_s"]) + WINDOW / 2
+def plots(spec: Experiment, seen: records.RunRecords) -> Figure:
+    """Plot goodput and load, latency, rejections, load by backend, and nodes; faults as bands."""
+    line = series(spec, seen, operations(spec, seen))
+    t = np.array(line["t_s"]) + WINDOW_S / 2
     heights = [2.2, 2.2, 1.2, 2.2, max(1.2, min(3.5, 0.22 * spec.fleet.nodes))]
     if spec.fleet.membership:
         heights.append(2.2)
@@ -131,37 +148,13 @@
     axes: Sequence[Axes] = figure.subplots(len(heights), 1, sharex=True, height_ratios=heights).tolist()
     goodput, latency, refused, backends, nodes = axes[:5]
     _shade((goodput, latency, refused, nodes), spec)
-    goodput.plot(t, line["goodput"], color=GOOD, lw=1.8)
-    goodput.set(ylabel="goodput (share of worth)", ylim=(0, 1.04))
-    load = goodput.twinx()
-    load.plot(t, line["offered_per_s"], color=QUIET, lw=1, ls="--")
-    load.set_ylim(0, max(line["offered_per_s"], default=1) * 1.3 + 1)
-    load.set_ylabel("first tries / s (dashed)", color=QUIET)
-    top = goodput.get_ylim()[1]
-    for index, (begin, _, name) in enumerate(spans(spec)[:12]):
-        goodput.annotate(name, (begin, top), xytext=(2, 4 + 10 * (index % 4)), textcoords="offset points",
-                         fontsize=7.5, color="#7a5b00", annotation_clip=False)  # fmt: skip
-    latency.plot(t, line["p50_ms"], color=INK, lw=1.4, label="p50")
-    latency.plot(t, line["p99_ms"], color=BAD, lw=1.4, label="p99")
-    latency.set_yscale("log")
-    latency.yaxis.set_major_formatter(ScalarFormatter())
-    latency.yaxis.set_minor_formatter(NullFormatter())
-    latency.yaxis.set_major_locator(LogLocator(subs=(1.0, 2.0, 5.0)))
-    latency.set_ylabel("latency of served, ms")
-    latency.legend(loc="upper right", fontsize=8, frameon=False)
+    _goodput(goodput, spec, line, t)
+    _latency(latency, line, t)
     refused.fill_between(t, line["refused_per_s"], color=BAD, alpha=0.5, step="mid")
     refused.set_ylabel("refused / s")
     refused.set_ylim(bottom=0)
-    loads = backend_loads(spec, seen)
-    image = backends.imshow(
-        loads, aspect="auto", origin="lower", cmap="viridis", interpolation="nearest",
-        extent=(0, loads.shape[1] * WINDOW, -0.5, spec.backends.count - 0.5),
-    )  # fmt: skip
-    figure.colorbar(image, ax=backends, pad=0.01, label="attempts / s", fraction=0.05)
-    if spec.backends.count <= 16:
-        backends.set_yticks(range(spec.backends.count), spec.backend_names, fontsize=7)
-    backends.set_ylabel("backends")
-    _lives(nodes, spec, seen.lives)
+    _backend_loads(figure, backends, spec, seen)
+    _lives(nodes, spec, seen.processes)
     nodes.set(ylabel="nodes", xlabel="seconds", xlim=(0, spec.seconds))
     if spec.fleet.membership:
         _views(axes[5], spec, seen)
@@ -175,7 +168,44 @@
     return figure
 
 
+def _goodput(ax: Axes, spec: Experiment, line: Series, t: NDArray[np.float64]) -> None:
+    ax.plot(t, line["goodput"], color=GOOD, lw=1.8)
+    ax.set(ylabel="goodput (share of worth)", ylim=(0, 1.04))
+    load = ax.twinx()
+    load.plot(t, line["offered_per_s"], color=QUIET, lw=1, ls="--")
+    load.set_ylim(0, max(line["offered_per_s"], default=1) * 1.3 + 1)
+    load.set_ylabel("first tries / s (dashed)", color=QUIET)
+    top = ax.get_ylim()[1]
+    for index, (begin, _, name) in enumerate(spans(spec)[:MAX_NAMED_FAULTS]):
+        ax.annotate(name, (begin, top), xytext=(2, 4 + 10 * (index % 4)), textcoords="offset points",
+                    fontsize=7.5, color="#7a5b00", annotation_clip=False)  # fmt: skip
+
+
+def _latency(ax: Axes, line: Series, t: NDArray[np.float64]) -> None:
+    ax.plot(t, line["p50_ms"], color=INK, lw=1.4, label="p50")
+    ax.plot(t, line["p99_ms"], color=BAD, lw=1.4, label="p99")
+    ax.set_yscale("log")
+    ax.yaxis.set_major_formatter(ScalarFormatter())
+    ax.yaxis.set_minor_formatter(NullFormatter())
+    ax.yaxis.set_major_locator(LogLocator(subs=(1.0, 2.0, 5.0)))
+    ax.set_ylabel("latency of served, ms")
+    ax.legend(loc="upper right", fontsize=8, frameon=False)
+
+
+def _backend_loads(figure: Figure, ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+    loads = backend_loads(spec, seen)
+    image = ax.imshow(
+        loads, aspect="auto", origin="lower", cmap="viridis", interpolation="nearest",
+        extent=(0, loads.shape[1] * WINDOW_S, -0.5, spec.backends.count - 0.5),
+    )  # fmt: skip
+    figure.colorbar(image, ax=ax, pad=0.01, label="attempts / s", fraction=0.05)
+    if spec.backends.count <= MAX_NAMED_LANES:
+        ax.set_yticks(range(spec.backends.count), spec.backend_names, fontsize=7)
+    ax.set_ylabel("backends")
+
+
 def table_html(rows: Iterable[Sequence[object]], head: Sequence[str]) -> str:
+    """Return an HTML table."""
     lines = ["<table><tr>" + "".join(f"<th>{html.escape(h)}</th>" for h in head) + "</tr>"]
     for row in rows:
         cells = []
@@ -190,7 +220,7 @@
 
 
 def page(title: str, *parts: str) -> str:
-    """A self-contained page."""
+    """Return a self-contained page."""
     name = html.escape(title)
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{name}</title><style>{STYLE}</style>'
@@ -198,8 +228,8 @@
     )
 
 
-def run_page(spec: Experiment, seen: records.Seen, table: dict[str, Any]) -> str:
-    """The report of one run."""
+def run_page(spec: Experiment, seen: records.RunRecords, table: dict[str, Any]) -> str:
+    """Return the report of one run."""
     expected = [
         (e["figure"], e["min"], e["max"], e["measured"], "held" if e["held"] else "short")
         for e in table["expectations"]
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -1,4 +1,4 @@
-"""One run: the rig's processes, the nodes, the timeline, and what all of them saw."""
+"""A run of an experiment: the processes of the harness, the nodes, the timeline, and their records."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 from balancer.errors import BalancerError
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import (
+    AnyFault,
     DiskFault,
     Kill,
     Maintenance,
@@ -34,22 +35,29 @@
 )
 from balancer.experiments.selectors import select_parties
 from balancer.lab import records
+from balancer.lab.addresses import AddressBlock, AddressPlan
 from balancer.lab.logs import LabLog
 from balancer.lab.outage import Outage
-from balancer.lab.places import Block, Places
-from balancer.lab.processes import Fleet, limits
+from balancer.lab.processes import Fleet, NodeHost, limits
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role
 
-PER_WORKER = 1700.0  # first tries a second that one process of clients offers without being late
-MOST_WORKERS = 3
-LEAD = 0.4  # s from the rig's last preparation to the first possible arrival
-SAMPLE = 0.5  # s between two looks at the nodes' processes
+MAX_RATE_PER_WORKER = 1700.0  # first attempts a second that a process of clients sends on time
+MAX_WORKERS = 3
+MAX_BACKEND_WORKERS = 2
+LEAD_S = 0.4  # from the last preparation to the first possible arrival
+SAMPLE_INTERVAL_S = 0.5  # of the nodes' processes
+READY_POLL_INTERVAL_S = 0.05
+MAX_BAN_CALL_MS = 1000.0  # after the call of a ban, from when on it counts at the latest
+SPARE_DESCRIPTORS = 100
 VIEW_LINE = re.compile(r"^(\S+ \S+) INFO membership: node (\d+) (?:is|has) (\w+)$", re.M)
 PHASE_LINE = re.compile(r"^(\S+ \S+) INFO recovery: phase (\w+), path (\w+): (.*)$", re.M)
-TAIL = 1.5  # s that late answers have after the last client's time
-WORKER_READY = 20.0  # s
+TAIL_S = 1.5  # for late answers, after the last client's deadline
+WORKER_READY_TIMEOUT_S = 20.0
+CLIENTS_SLACK_S = 30  # for the last requests, over their deadlines
+WRITE_TIMEOUT_S = 60.0  # for the records
+MAX_LINE_BYTES = 2**24  # of a process of the harness
 
 
 class LabError(BalancerError):
@@ -77,8 +85,8 @@
 
 
 @dataclass
-class Rig:
-    """One process of the rig."""
+class HarnessProcess:
+    """One process of the harness."""
 
     role: str
     process: asyncio.subprocess.Process
@@ -90,62 +98,65 @@
     error: BalancerError | None = None
 
     def say(self, line: bytes) -> None:
-        """One line of its input."""
+        """Write one line of its input."""
         assert self.process.stdin is not None
         self.process.stdin.write(line + b"\n")
 
 
 class Run:
-    """One play of an experiment; `seen` holds the records afterwards. Use `play`."""
+    """One run of an experiment; `seen` holds the records afterwards. Use `play`."""
 
     def __init__(self, spec: Experiment, seed: int, program: Program, out: Path, log: LabLog,
-                 places: Places, live: Live | None) -> None:  # fmt: skip
+                 places: AddressPlan, live: Live | None) -> None:  # fmt: skip
+        """Divide the cores between nodes and harness; nothing is started."""
         self.spec, self.seed, self.program, self.out, self.log = spec, seed, program, out, log
         self.places, self.live = places, live
         cpus = sorted(os.sched_getaffinity(0))
         half = (len(cpus) + 1) // 2
         self.rig_cpus = cpus[half:] or cpus
         self.fleet = Fleet(spec, seed, program, places, out, cpus[:half], log)
-        self.rigs: list[Rig] = []
-        self.bans: list[records.BanRecord] = []
+        self.harness: list[HarnessProcess] = []
+        self.bans: list[records.MaintenanceRecord] = []
         self.outages = [Outage(self.fleet, fault) for fault in spec.faults if isinstance(fault, PowerLoss)]
-        self.seen = records.Seen()
+        self.seen = records.RunRecords()
         self.recent: list[float] = []  # ms: times of the answers since the last look at the live figures
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    async def _rig(self, role: Role, part: int, of: int) -> None:
+    async def _start_harness(self, role: Role, part: int, of: int) -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", "balancer.lab.worker", cwd=ROOT, start_new_session=True,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=2**24,
+            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=MAX_LINE_BYTES,
             preexec_fn=limits(self.rig_cpus, None),
         )  # fmt: skip
-        rig = Rig(role, process, self.out / f"{role}-{part}.part.msgpack")
-        self.rigs.append(rig)
-        plan = Plan(self.spec, self.seed, self.places.block, role, part, of, str(rig.path))
-        rig.say(msgspec.json.encode(plan))
+        harness_process = HarnessProcess(role, process, self.out / f"{role}-{part}.part.msgpack")
+        self.harness.append(harness_process)
+        plan = Plan(self.spec, self.seed, self.places.block, role, part, of, str(harness_process.path))
+        harness_process.say(msgspec.json.encode(plan))
         self.log.say(f"{role}-{part}", "started", pid=process.pid)
-        self.fleet.task(self._listen(rig))
+        self.fleet.task(self._listen(harness_process))
 
-    async def _listen(self, rig: Rig) -> None:
-        assert rig.process.stdout is not None
-        while line := await rig.process.stdout.readline():
+    async def _listen(self, harness_process: HarnessProcess) -> None:
+        assert harness_process.process.stdout is not None
+        while line := await harness_process.process.stdout.readline():
             said = msgspec.json.decode(line)
             if said.get("live"):
-                rig.live = said
+                harness_process.live = said
                 for zone in said.get("clients", {}).values():
                     self.recent.extend(zone["recent"])
             elif "error" in said:
-                rig.error = (ResultsError if said.get("results") else LabError)(said["error"])
+                harness_process.error = (ResultsError if said.get("results") else LabError)(said["error"])
             for name in ("ready", "done", "written"):
                 if said.get(name):
-                    getattr(rig, name).set()
-        code = await rig.process.wait()
-        if not rig.written.is_set() and not self.failed.done():
-            why = rig.error or LabError(f"the rig's {rig.role} ended with code {code}")
+                    getattr(harness_process, name).set()
+        code = await harness_process.process.wait()
+        if not harness_process.written.is_set() and not self.failed.done():
+            why = harness_process.error or LabError(
+                f"the rig's {harness_process.role} ended with code {code}"
+            )
             self.failed.set_exception(why)
 
     async def _or_failed(self, work: Any, wait: float, what: str) -> None:
-        """Wait for it, but not past a failure of the rig."""
+        """Wait for some work, but not past a failure of the harness."""
         task = asyncio.ensure_future(work)
         try:
             done, _ = await asyncio.wait(
@@ -158,19 +169,19 @@
         finally:
             task.cancel()
 
-    async def whole(self) -> None:
-        """Everything, from the start of the rig to the records."""
-        for role, of in workers(self.spec).items():
+    async def execute(self) -> None:
+        """Run everything, from the start of the harness to the records."""
+        for role, of in worker_counts(self.spec).items():
             for part in range(of):
-                await self._rig(role, part, of)
-        await self._or_failed(_each([r.ready for r in self.rigs]), WORKER_READY, "the rig")
+                await self._start_harness(role, part, of)
+        await self._or_failed(_all_set([r.ready for r in self.harness]), WORKER_READY_TIMEOUT_S, "the rig")
         await asyncio.gather(*(node.start() for node in self.fleet.nodes))
         await self._nodes_ready()
-        zero = time.monotonic() + LEAD
+        zero = time.monotonic() + LEAD_S
         self.fleet.set_zero(zero)
         self.log.zero = zero
-        for rig in self.rigs:
-            rig.say(msgspec.json.encode(zero))
+        for harness_process in self.harness:
+            harness_process.say(msgspec.json.encode(zero))
         self.log.say("lab", "clients come", seed=self.seed, program=self.program.label)
         loop = asyncio.get_running_loop()
         for moment in timeline(self.spec, self.seed):
@@ -178,19 +189,19 @@
         for outage in self.outages:
             loop.call_later(zero + outage.fault.at / 2 - time.monotonic(), outage.copy)
         watch = self.fleet.task(self._watch())
-        clients = [r for r in self.rigs if r.role == "clients"]
+        clients = [r for r in self.harness if r.role == "clients"]
         longest = max(c.deadline_ms for c in self.spec.load.classes) / 1000
         await self._or_failed(
-            _each([r.done for r in clients]), self.spec.seconds + longest + LEAD + 30,
+            _all_set([r.done for r in clients]), self.spec.seconds + longest + LEAD_S + CLIENTS_SLACK_S,
             "the clients' last requests",
         )  # fmt: skip
-        rest = max(TAIL, zero + self.spec.seconds + TAIL - time.monotonic())
-        await self._or_failed(asyncio.sleep(rest), rest + TAIL, "the wait for late answers")
+        rest = max(TAIL_S, zero + self.spec.seconds + TAIL_S - time.monotonic())
+        await self._or_failed(asyncio.sleep(rest), rest + TAIL_S, "the wait for late answers")
         watch.cancel()
         await self.fleet.end_all()
-        for rig in self.rigs:
-            rig.say(b"end")
-        await self._or_failed(_each([r.written for r in self.rigs]), 60.0, "the records")
+        for harness_process in self.harness:
+            harness_process.say(b"end")
+        await self._or_failed(_all_set([r.written for r in self.harness]), WRITE_TIMEOUT_S, "the records")
         await self.fleet.settle()
         self._collect()
 
@@ -199,16 +210,16 @@
         while time.monotonic() < until:
             if self.failed.done():
                 self.failed.result()
-            waiting = [n for n in self.fleet.nodes if not any(r.life.ready for r in n.running)]
+            waiting = [n for n in self.fleet.nodes if not any(r.process_record.ready for r in n.running)]
             if not any(n.alive() for n in waiting):
                 break
-            await asyncio.sleep(0.05)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         if not any(n.alive() for n in self.fleet.nodes):
             raise LabError(f"no node started: see {self.out / 'logs'}")
 
     async def _watch(self) -> None:
         while True:
-            await asyncio.sleep(SAMPLE)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             self.fleet.sample()
             if self.live is not None:
                 self.live(self)
@@ -225,24 +236,25 @@
             self._power(fault, moment)
             return
         for name in moment.names:
-            if name[0] != "n":
-                continue
-            node = self.fleet.nodes[int(name[1:])]
-            match fault:
-                case Kill() if begin:
-                    node.kill()
-                case Kill():
-                    self.fleet.task(node.start(fault.keep_tmp))
-                case Terminate():
-                    self.fleet.task(node.roll(fault.restart_after, fault.keep_tmp))
-                case Stall():
-                    node.stall(begin)
-                case Upgrade():
-                    self.fleet.task(node.upgrade())
-                case Reload():
-                    node.reload(fault)
-                case DiskFault():
-                    node.disk(fault.mode, begin)
+            if name[0] == "n":
+                self._apply_to_node(self.fleet.nodes[int(name[1:])], fault, begin)
+
+    def _apply_to_node(self, node: NodeHost, fault: AnyFault, begin: bool) -> None:
+        match fault:
+            case Kill() if begin:
+                node.kill()
+            case Kill():
+                self.fleet.task(node.start(fault.keep_tmp))
+            case Terminate():
+                self.fleet.task(node.roll(fault.restart_after, fault.keep_tmp))
+            case Stall():
+                node.stall(begin)
+            case Upgrade():
+                self.fleet.task(node.upgrade())
+            case Reload():
+                node.reload(fault)
+            case DiskFault():
+                node.disk(fault.mode, begin)
 
     def _power(self, fault: PowerLoss, moment: Moment) -> None:
         mine = next(outage for outage in self.outages if outage.fault is fault)
@@ -257,42 +269,44 @@
 
     async def _operate(self, node: int, backend: int, out: bool) -> None:
         called = self.fleet.now()
-        held = [b for b in self.bans if (b.node, b.backend, b.ended) == (node, backend, 0.0)]
-        if not out and held:
-            held[0].ended = called
+        active_bans = [b for b in self.bans if (b.node, b.backend, b.ended) == (node, backend, 0.0)]
+        if not out and active_bans:
+            active_bans[0].ended = called
         good = await self.fleet.nodes[node].operate(backend, out)
         if out and good:
-            self.bans.append(records.BanRecord(node, backend, min(self.fleet.now(), called + 1000), 0.0))
+            self.bans.append(
+                records.MaintenanceRecord(node, backend, min(self.fleet.now(), called + MAX_BAN_CALL_MS), 0.0)
+            )
         self.log.say(f"n{node}", "maint" if out else "ready", backend=f"s{backend}", yes=good)
 
     def _collect(self) -> None:
         if self.fleet.errors:
             raise LabError(self.fleet.errors[0])
-        for rig in self.rigs:
-            self.seen.add(records.read(rig.path))
-            rig.path.unlink()
-        self.seen.lives.extend(self.fleet.lives)
+        for harness_process in self.harness:
+            self.seen.add(records.read(harness_process.path))
+            harness_process.path.unlink()
+        self.seen.processes.extend(self.fleet.process_records)
         self.seen.samples.extend(self.fleet.samples)
-        self.seen.bans.extend(self.bans)
+        self.seen.maintenance.extend(self.bans)
         # One machine, one clock: the run's zero in Unix time. A node whose clock was stepped logs by its own.
         wall = time.time() - (time.monotonic() - self.fleet.zero)
-        clocks = {(x.node, x.process): x.clock for x in self.fleet.lives}
+        clocks = {(x.node, x.process): x.clock for x in self.fleet.process_records}
         if self.spec.fleet.membership:
-            self.seen.views.extend(views(self.out / "logs", wall, clocks))
+            self.seen.member_views.extend(member_views(self.out / "logs", wall, clocks))
         if self.spec.fleet.recovery:
-            self.seen.phases.extend(phases(self.out / "logs", wall, clocks))
+            self.seen.recovery_phases.extend(recovery_phases(self.out / "logs", wall, clocks))
         records.write(self.seen, self.out / "records.msgpack")
         shutil.rmtree(self.out / "nodes", ignore_errors=True)
 
     async def abandon(self) -> None:
         """End every child now."""
         self.fleet.kill()
-        for rig in self.rigs:
-            if rig.process.returncode is None:
+        for harness_process in self.harness:
+            if harness_process.process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
-                    rig.process.kill()
-        for rig in self.rigs:
-            await rig.process.wait()
+                    harness_process.process.kill()
+        for harness_process in self.harness:
+            await harness_process.process.wait()
         await self.fleet.settle()
         if self.failed.done():
             self.failed.exception()
@@ -304,7 +318,7 @@
 def _lines(
     logs: Path, wall_zero: float, clocks: Clocks, pattern: re.Pattern[str]
 ) -> Iterator[tuple[int, float, re.Match[str]]]:
-    """Each line of a kind in the nodes' logs: the node, when (ms), the match, whose first group is a time.
+    """Yield each matching line of the nodes' logs: the node, when (ms), the match with the time as group 1.
 
     `wall_zero` is the run's zero in Unix time, s.
     """
@@ -316,35 +330,35 @@
             yield node, (stamp - zero) * 1000, found
 
 
-def views(logs: Path, wall_zero: float, clocks: Clocks) -> Iterator[records.ViewRecord]:
-    """What the nodes' logs say of members."""
+def member_views(logs: Path, wall_zero: float, clocks: Clocks) -> Iterator[records.MemberViewRecord]:
+    """Yield what the nodes' logs say of members."""
     for node, at, found in _lines(logs, wall_zero, clocks, VIEW_LINE):
-        yield records.ViewRecord(node, at, int(found[2]), found[3])
+        yield records.MemberViewRecord(node, at, int(found[2]), found[3])
 
 
-def phases(logs: Path, wall_zero: float, clocks: Clocks) -> Iterator[records.PhaseRecord]:
-    """What the nodes' logs say of their recovery."""
+def recovery_phases(logs: Path, wall_zero: float, clocks: Clocks) -> Iterator[records.PhaseRecord]:
+    """Yield what the nodes' logs say of their recovery."""
     for node, at, found in _lines(logs, wall_zero, clocks, PHASE_LINE):
         yield records.PhaseRecord(node, at, found[2], found[3], found[4])
 
 
-def workers(spec: Experiment) -> dict[Role, int]:
-    """How many processes of the rig play each role."""
-    count = min(MOST_WORKERS, 1 + int(spec.rate // PER_WORKER))
-    return {"backends": min(2, count), "clients": count, "hub": 1}
+def worker_counts(spec: Experiment) -> dict[Role, int]:
+    """Return the number of processes of the harness by role."""
+    count = min(MAX_WORKERS, 1 + int(spec.rate // MAX_RATE_PER_WORKER))
+    return {"backends": min(MAX_BACKEND_WORKERS, count), "clients": count, "discovery": 1}
 
 
-async def _each(events: list[asyncio.Event]) -> None:
+async def _all_set(events: list[asyncio.Event]) -> None:
     for event in events:
         await event.wait()
 
 
 def _check_descriptors(spec: Experiment) -> None:
-    """A process of backends listens for every pair, and holds the nodes' connections."""
-    listeners = spec.fleet.nodes * -(-spec.backends.count // workers(spec)["backends"])
-    held = spec.fleet.nodes * spec.fleet.sockets
+    """Check that a process of backends can listen for every pair and have the nodes' connections."""
+    listeners = spec.fleet.nodes * -(-spec.backends.count // worker_counts(spec)["backends"])
+    connections = spec.fleet.nodes * spec.fleet.sockets
     most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    if listeners + min(held, 2 * listeners) + 100 > most:
+    if listeners + min(connections, 2 * listeners) + SPARE_DESCRIPTORS > most:
         raise LimitError(
             f"{spec.fleet.nodes} nodes and {spec.backends.count} backends need more descriptors in one "
             f"process than the limit of {most}"
@@ -353,15 +367,15 @@
 
 async def play(
     spec: Experiment, seed: int, program: Program, out: Path, human: bool = False, live: Live | None = None
-) -> records.Seen:
-    """Play an experiment once; no child is left.
+) -> records.RunRecords:
+    """Run an experiment once; no child process is left.
 
     Raises LabError, LimitError, PlaceError, ResultsError, and CancelledError on SIGINT or SIGTERM.
     """
     _check_descriptors(spec)
     try:
         (out / "logs").mkdir(parents=True, exist_ok=True)
-        block = Block(spec.fleet.nodes, spec.backends.count)
+        block = AddressBlock(spec.fleet.nodes, spec.backends.count)
         log = LabLog(out / "lab.jsonl", f"{spec.name}-{seed}", human)
     except OSError as err:
         raise ResultsError(str(err)) from None
@@ -371,7 +385,7 @@
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, task.cancel)
     try:
-        await run.whole()
+        await run.execute()
     except OSError as err:
         raise ResultsError(f"{out}: {err.strerror or err}") from None
     finally:
