--- a/balancer/lab/scale/crowd.py
+++ b/balancer/lab/scale/concurrent_callers.py
@@ -1,4 +1,4 @@
-"""Clients of some nodes in a process of their own: requests at a steady rate, however long answers take.
+"""Concurrent clients of some nodes in a process of their own: an open loop of requests at a steady rate.
 
 It reads a plan as a line of JSON, says that it is ready, reads when to begin, and writes what it saw.
 """
@@ -21,16 +21,16 @@
 from balancer.lab.programs import ROOT
 
 HOST = "127.0.0.1"
-ANSWER_MOST = 5.0  # s from the last request until all have their answers
-LOOK = 0.02  # s between two looks whether they have
-WIRES_MOST = 64  # connections to one node; what comes beyond that waits for one of them
-LONGEST = 2**26  # bytes of a line of JSON
-LENGTH = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
-CLOSE = re.compile(rb"connection: close", re.IGNORECASE)
+ANSWER_TIMEOUT_S = 5.0  # s from the last request until all have their answers
+POLL_INTERVAL_S = 0.02  # s between two looks whether they have
+MAX_CONNECTIONS = 64  # connections to one node; what comes beyond that waits for one of them
+MAX_LINE_BYTES = 2**26  # bytes of a line of JSON
+CONTENT_LENGTH = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
+CONNECTION_CLOSE = re.compile(rb"connection: close", re.IGNORECASE)
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What one process asks, from its begin on; times in s."""
+    """The requests of one process from its begin on; times in s."""
 
     ports: list[int]  # of its nodes
     per_s: float  # requests to each
@@ -38,8 +38,8 @@
     second: float
 
 
-class Part(msgspec.Struct):
-    """What was seen of the requests that were due in one part of the time."""
+class PartResult(msgspec.Struct):
+    """The results of the requests that were due in one part of the run."""
 
     until: float  # of the monotonic clock
     due: int = 0
@@ -49,30 +49,31 @@
     late_ms: list[float] = msgspec.field(default_factory=list)  # the rig's own lateness with each request
 
     def answered(self, status: int, count: int = 1) -> None:
-        """So many requests are over."""
+        """Count requests that have ended."""
         self.statuses[status] = self.statuses.get(status, 0) + count
 
     @property
     def open(self) -> int:
-        """Requests that are not over."""
+        """The number of requests in progress."""
         return self.due - sum(self.statuses.values())
 
 
-class Wire(asyncio.Protocol):
+class CallerConnection(asyncio.Protocol):
     """One connection to a node, with one request at a time."""
 
     transport: asyncio.Transport
 
     def __init__(self, target: Target) -> None:
-        self.target, self.held = target, b""
-        self.request: tuple[Part, float] | None = None  # that has no answer yet, and when it was due
+        """Prepare a connection to a node."""
+        self.target, self.buffer = target, b""
+        self.request: tuple[PartResult, float] | None = None  # that has no answer yet, and when it was due
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It can be used."""
+        """Keep the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, part: Part, due: float) -> None:
-        """Send one."""
+    def ask(self, part: PartResult, due: float) -> None:
+        """Send a request."""
         self.request = part, due
         part.sent += time.monotonic() < part.until
         self.transport.write(
@@ -81,21 +82,21 @@
         self.target.number += 1
 
     def data_received(self, data: bytes) -> None:
-        """An answer, or a piece of it."""
-        self.held += data
-        head, found, body = self.held.partition(b"\r\n\r\n")
-        length = LENGTH.search(head)
+        """Parse a piece of a response."""
+        self.buffer += data
+        head, found, body = self.buffer.partition(b"\r\n\r\n")
+        length = CONTENT_LENGTH.search(head)
         if not found or len(body) < (int(length[1]) if length else 0):
             return
-        self.held = b""
+        self.buffer = b""
         self._over(int(head[9:12]))
-        if CLOSE.search(head):
+        if CONNECTION_CLOSE.search(head):
             self.transport.close()
         else:
             self.target.free(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What is out has no answer."""
+        """End the request in progress without an answer."""
         self._over(0)
         self.target.lost(self)
 
@@ -109,54 +110,57 @@
 
 
 class Target:
-    """One node, and what waits for a connection to it."""
+    """One node, and the requests that wait for a connection to it."""
 
     def __init__(self, port: int) -> None:
+        """Prepare the connections to a node by its port."""
         self.port, self.number = port, 0
-        self.idle: list[Wire] = []
-        self.wires = 0  # with those that are being opened
-        self.waiting: list[tuple[Part, float]] = []
+        self.idle: list[CallerConnection] = []
+        self.connections = 0  # with those that are being opened
+        self.waiting: list[tuple[PartResult, float]] = []
         self.opening: set[asyncio.Task[None]] = set()
 
-    def ask(self, part: Part, due: float) -> None:
-        """By an idle connection, a new one, or the next that is idle."""
+    def ask(self, part: PartResult, due: float) -> None:
+        """Send a request on an idle connection, a new one, or the next that becomes idle."""
         if self.idle:
             self.idle.pop().ask(part, due)
             return
         self.waiting.append((part, due))
-        if self.wires < WIRES_MOST:
-            self.wires += 1
+        if self.connections < MAX_CONNECTIONS:
+            self.connections += 1
             task = asyncio.get_running_loop().create_task(self._open())
             self.opening.add(task)
             task.add_done_callback(self.opening.discard)
 
     async def _open(self) -> None:
         try:
-            _, wire = await asyncio.get_running_loop().create_connection(lambda: Wire(self), HOST, self.port)
+            _, wire = await asyncio.get_running_loop().create_connection(
+                lambda: CallerConnection(self), HOST, self.port
+            )
         except OSError:
-            self.wires -= 1
+            self.connections -= 1
             if self.waiting:
                 self.waiting.pop(0)[0].answered(0)
         else:
             self.free(wire)
 
-    def free(self, wire: Wire) -> None:
-        """This connection is idle."""
+    def free(self, wire: CallerConnection) -> None:
+        """Take a connection that is idle."""
         if self.waiting:
             wire.ask(*self.waiting.pop(0))
         else:
             self.idle.append(wire)
 
-    def lost(self, wire: Wire) -> None:
-        """This connection has ended."""
-        self.wires -= 1
+    def lost(self, wire: CallerConnection) -> None:
+        """Forget a connection that has ended."""
+        self.connections -= 1
         if wire in self.idle:
             self.idle.remove(wire)
 
 
-async def ask(plan: Plan, begin: float) -> list[Part]:
-    """Ask as planned from a time of the monotonic clock on; both parts as they went."""
-    parts = Part(begin + plan.first), Part(begin + plan.first + plan.second)
+async def ask(plan: Plan, begin: float) -> list[PartResult]:
+    """Send all requests from `begin` (s, monotonic) on, and return the results of both parts."""
+    parts = PartResult(begin + plan.first), PartResult(begin + plan.first + plan.second)
     targets = [Target(port) for port in plan.ports]
     per_s = plan.per_s * len(targets)
     first, every = round(plan.first * per_s), round((plan.first + plan.second) * per_s)
@@ -167,36 +171,37 @@
         part.due += 1
         part.late_ms.append(max(0.0, time.monotonic() - due) * 1000)
         targets[number % len(targets)].ask(part, due)
-    last = time.monotonic() + ANSWER_MOST
+    last = time.monotonic() + ANSWER_TIMEOUT_S
     while any(part.open for part in parts) and time.monotonic() < last:
-        await asyncio.sleep(LOOK)
+        await asyncio.sleep(POLL_INTERVAL_S)
     for part in parts:
         part.answered(0, part.open)
     return list(parts)
 
 
-class Crowd:
-    """One such process, seen from the rig."""
+class CallerProcess:
+    """A process of concurrent clients, as its parent has it."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
+        """Wrap a process that has been started."""
         self.process = process
 
     async def begin(self, when: float) -> None:
-        """It asks from then on, a time of the monotonic clock."""
+        """Let it send from `when` (s, monotonic) on."""
         assert self.process.stdin is not None
         self.process.stdin.write(msgspec.json.encode(when) + b"\n")
         await self.process.stdin.drain()
 
-    async def parts(self) -> list[Part]:
-        """What it saw, once it is through. Raises msgspec.DecodeError where it has ended without."""
+    async def parts(self) -> list[PartResult]:
+        """Return its results once it is done; raises msgspec.DecodeError where it has ended without."""
         assert self.process.stdout is not None
-        return msgspec.json.decode(await self.process.stdout.readline(), type=list[Part])
+        return msgspec.json.decode(await self.process.stdout.readline(), type=list[PartResult])
 
 
-async def spawn(stack: AsyncExitStack, plan: Plan) -> Crowd:
-    """One that is ready; it ends with the stack."""
+async def spawn(stack: AsyncExitStack, plan: Plan) -> CallerProcess:
+    """Start one and wait until it is ready; it ends with the stack."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "balancer.lab.scale.crowd", cwd=ROOT, limit=LONGEST,
+        sys.executable, "-B", "-m", "balancer.lab.scale.concurrent_callers", cwd=ROOT, limit=MAX_LINE_BYTES,
         stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
         preexec_fn=limits(sorted(os.sched_getaffinity(0)), None),
     )  # fmt: skip
@@ -210,11 +215,11 @@
     assert process.stdin is not None and process.stdout is not None
     process.stdin.write(msgspec.json.encode(plan) + b"\n")
     await process.stdout.readline()
-    return Crowd(process)
+    return CallerProcess(process)
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the process."""
     plan = msgspec.json.decode(sys.stdin.readline(), type=Plan)
     gc.freeze()
     sys.stdout.write("null\n")
--- a/balancer/lab/scale/processes.py
+++ b/balancer/lab/scale/dense_hosting.py
@@ -1,4 +1,4 @@
-"""Real node processes before one list: a check on the hollow ones, which have no module and no pool."""
+"""Dense hosting: many real node processes with the same list, as a check on the hollow ones."""
 
 from __future__ import annotations
 
@@ -8,31 +8,32 @@
 import tempfile
 import time
 from collections.abc import Iterator
+from http import HTTPStatus
 from pathlib import Path
 
 import uvloop
 
 from balancer import interface as api
-from balancer.lab.scale import fleet, size
-from balancer.lab.scale.listing import (
+from balancer.lab.scale import generated_inputs, size
+from balancer.lab.scale.endpoint_list import (
     HOST,
+    BackendStub,
     Client,
+    DiscoveryStub,
     Ports,
-    StandInBackend,
-    StandInDiscovery,
-    drop,
+    drain_log,
     end_process,
-    listed,
-    serves_on,
+    resources_of,
     spawn,
-    used,
+    wait_for_ports,
+    wait_until_listed,
 )
 from balancer.lab.scale.points import NotPlayed, Play, Point
 
 COUNT = 16
 SIZES = (200, 1_000, 4_000, 20_000)
-READY_MOST = 40.0  # s that all have until they serve
-CHANGES, CHANGE_EVERY = 12, 0.4  # told to all; s between two
+READY_TIMEOUT_S = 40.0  # s that all have until they serve
+CHANGES, CHANGE_INTERVAL_S = 12, 0.4  # told to all; s between two
 
 LIMITS = (
     "Processes by `python -m balancer` that share the machine's cores, without the fleet's rooms and at "
@@ -42,46 +43,46 @@
 
 
 async def play_processes(count: int, backends: int, changes: int = CHANGES) -> list[Point | NotPlayed]:
-    """So many nodes before a list of so many: until all serve, then changes; the median node's figures."""
+    """Start nodes with a list; measure until all serve, then changes; return the median node's figures."""
     loop = asyncio.get_running_loop()
-    backend = await loop.create_server(StandInBackend, HOST, 0)
+    backend = await loop.create_server(BackendStub, HOST, 0)
     where = f"{HOST}:{backend.sockets[0].getsockname()[1]}"
-    told = fleet.entries(backends, time.time() * 1000 - fleet.DAY)
-    discovery = StandInDiscovery(fleet.line(told, 2, True, where))
+    entries = generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS)
+    discovery = DiscoveryStub(generated_inputs.line(entries, 2, True, where))
     server = await asyncio.start_server(discovery.serve, HOST, 0)
     async with contextlib.AsyncExitStack() as stack:
         stack.callback(server.close)
         stack.callback(backend.close)
         begin = loop.time()
         try:
-            ports = await serving(stack, count, backends, server.sockets[0].getsockname()[1])
+            ports = await start_nodes(stack, count, backends, server.sockets[0].getsockname()[1])
         except TimeoutError:
-            return [NotPlayed(f"processes at {backends}", f"not all {count} served in {READY_MOST:g} s")]
+            return [NotPlayed(f"processes at {backends}", f"not all {count} served in {READY_TIMEOUT_S:g} s")]
         ready_ms = (loop.time() - begin) * 1000
         pids = list(ports)
-        rest = await _spent(pids, discovery, [], changes)
+        rest = await _processor_times(pids, discovery, [], changes)
         lines = []
         for number in range(changes):
-            at = fleet.entry(
+            at = generated_inputs.entry(
                 number // 2,
                 api.EndpointPhase.IN_SERVICE if number % 2 else api.EndpointPhase.DRAINING,
-                told[0].started_at,
+                entries[0].started_at,
             )
-            lines.append(fleet.line([at], number + 3, False, where))
-        busy = await _spent(pids, discovery, lines, changes)
-        held = [used(pid)[1] for pid in pids]
+            lines.append(generated_inputs.line([at], number + 3, False, where))
+        busy = await _processor_times(pids, discovery, lines, changes)
+        memory = [resources_of(pid)[1] for pid in pids]
     figures = (
         ("ready", "ms", ready_ms),
-        ("memory", "bytes", statistics.median(held)),
+        ("memory", "bytes", statistics.median(memory)),
         ("change", "us", max(0.0, statistics.median(busy) - statistics.median(rest)) * 1e6 / changes),
     )
     return [Point("processes", name, unit, backends, value, False) for name, unit, value in figures]
 
 
-async def serving(
+async def start_nodes(
     stack: contextlib.AsyncExitStack, count: int, backends: int, discovery_port: int
 ) -> dict[int, int]:
-    """So many nodes once all serve and the list is in force: the clients' port of each, by its process id.
+    """Start nodes and wait until all serve and have the list; return each node's port by its process id.
 
     Each has a subset of its own; they end with the stack. Raises TimeoutError after READY_MOST.
     """
@@ -90,31 +91,33 @@
         folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="balancer-scale-"))
         nodes.append(await spawn(Path(folder), backends, discovery_port, me))
         stack.push_async_callback(end_process, nodes[-1])
-    async with asyncio.timeout(READY_MOST):
+    async with asyncio.timeout(READY_TIMEOUT_S):
         for node in nodes:
-            ports[node.pid] = await serves_on(node)
-            stack.callback(asyncio.create_task(drop(node)).cancel)
+            ports[node.pid] = await wait_for_ports(node)
+            stack.callback(asyncio.create_task(drain_log(node)).cancel)
             client = Client(ports[node.pid].clients)
-            while (await client.ask())[0] != 200:
+            while (await client.ask())[0] != HTTPStatus.OK:
                 await asyncio.sleep(0.05)
             client.close()
         for node in nodes:
-            await listed(ports[node.pid], backends)
+            await wait_until_listed(ports[node.pid], backends)
     return {pid: each.clients for pid, each in ports.items()}
 
 
-async def _spent(pids: list[int], discovery: StandInDiscovery, lines: list[bytes], steps: int) -> list[float]:
-    """Seconds of processor time of each, over as long as so many changes take, with these told."""
-    before = [used(pid)[0] for pid in pids]
+async def _processor_times(
+    pids: list[int], discovery: DiscoveryStub, lines: list[bytes], steps: int
+) -> list[float]:
+    """Return the processor time of each in s over `steps` intervals, in which these lines are sent."""
+    before = [resources_of(pid)[0] for pid in pids]
     for step in range(steps):
         if step < len(lines):
-            discovery.tell(lines[step])
-        await asyncio.sleep(CHANGE_EVERY)
-    return [used(pid)[0] - was for pid, was in zip(pids, before, strict=True)]
+            discovery.send(lines[step])
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+    return [resources_of(pid)[0] - was for pid, was in zip(pids, before, strict=True)]
 
 
 def plays(quick: bool) -> list[Play]:
-    """The play of the processes; not in a quick run, as it takes a minute and a half."""
+    """Return the play of the processes; a quick run leaves it out, as it takes a minute and a half."""
 
     def processes(_: int) -> Iterator[Point | NotPlayed]:
         if quick:
--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery and hollow watchers on loopback: one stand-in that takes calls in turn, hundreds of watches."""
+"""Discovery on loopback: one stub that handles calls in turn, hundreds of watches."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from balancer import interface as api
 from balancer import wire
-from balancer.lab.scale import fleet, size
+from balancer.lab.scale import generated_inputs, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
 from balancer.net.config import News
 from balancer.net.discovery import Discovery
@@ -28,17 +28,17 @@
 QUICK_WATCHERS = (10, 20, 40)
 BURSTS = (1, size.RACK_MACHINES, 400, 2_000, size.LOST_ZONE)  # entries that one line changes
 QUICK_BURSTS = (1, size.RACK_MACHINES, 400)
-LISTED = 200  # entries of the whole list that watchers are told
-EVENTS_A_DAY = size.CHANGES_A_DAY + size.RESTARTS_A_DAY
+LIST_ENTRIES = 200  # entries of the whole list that watchers are told
+EVENTS_PER_DAY = size.CHANGES_A_DAY + size.RESTARTS_A_DAY
 STREAM_WATCHERS = 4
-STREAM_AHEAD = 200  # lines that are sent before the last watcher is waited for
-TOLD = 40  # changes told to all, one after the other
-CALL = 0.004  # s of a call's work, as the platform's discovery has it
-CALL_MOST = 1.0  # s that a call may wait before it fails
-EMPTY_LINE = 2.0  # s between two empty lines of a watch
-WAIT = 40.0  # s for all watchers to have come as far
-SPARE = 100  # descriptors for all but the watches
-BATCH = 6  # bursts of each size, the median counts
+MAX_LINES_AHEAD = 200  # lines that are sent before the last watcher is waited for
+BROADCASTS = 40  # changes told to all, one after the other
+CALL_SERVICE_S = 0.004  # s of a call's work, as the platform's discovery has it
+CALL_TIMEOUT_S = 1.0  # s that a call may wait before it fails
+HEARTBEAT_INTERVAL_S = 2.0  # s between two empty lines of a watch
+CONVERGENCE_TIMEOUT_S = 40.0  # s for all watchers to have come as far
+SPARE_DESCRIPTORS = 100  # descriptors for all but the watches
+MEASURED_BURSTS = 6  # bursts of each size, the median counts
 
 LIMITS = (
     "A watcher is the very Discovery and Call of a node with nothing behind it: no module, no pool, no "
@@ -49,55 +49,56 @@
 )
 
 
-class StandIn(asyncio.Protocol):
-    """One call at the stand-in."""
+class DiscoveryCall(asyncio.Protocol):
+    """A call at the stub."""
 
     transport: asyncio.Transport
 
     def __init__(self, directory: Directory) -> None:
+        """Prepare a call of a directory."""
         self.directory, self.open = directory, False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Somebody calls."""
+        """Keep the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """A watch is asked for; a call is one small piece."""
+        """Queue a call, which is one small piece (asyncio)."""
         self.directory.call(self, b"from=0 " in data)
 
     def chunk(self, data: bytes) -> None:
-        """A line, or an empty one."""
+        """Send a line, or an empty one."""
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
+        """Forget the watch."""
         self.directory.watches.pop(self, None)
 
 
 @dataclass
 class Directory:
-    """The stand-in: calls in turn, a line to all watches."""
+    """The stub: handles calls in turn, sends a line to all watches."""
 
     whole: bytes
-    watches: dict[StandIn, None] = field(default_factory=dict)
-    queue: deque[tuple[float, StandIn, bool]] = field(default_factory=deque)
+    watches: dict[DiscoveryCall, None] = field(default_factory=dict)
+    queue: deque[tuple[float, DiscoveryCall, bool]] = field(default_factory=deque)
     calls: int = 0
     failed: int = 0
     sent: int = 0  # bytes of lists and changes
-    beats: asyncio.TimerHandle | None = None
+    heartbeat: asyncio.TimerHandle | None = None
 
-    def call(self, who: StandIn, anew: bool) -> None:
-        """A call waits for its turn."""
+    def call(self, who: DiscoveryCall, anew: bool) -> None:
+        """Queue a call."""
         loop = asyncio.get_running_loop()
         self.calls += 1
         self.queue.append((loop.time(), who, anew))
         if len(self.queue) == 1:
-            loop.call_later(CALL, self._handled)
+            loop.call_later(CALL_SERVICE_S, self._handled)
 
     def _handled(self) -> None:
         loop = asyncio.get_running_loop()
         came, who, anew = self.queue.popleft()
-        if loop.time() - came > CALL_MOST:
+        if loop.time() - came > CALL_TIMEOUT_S:
             self.failed += 1
             who.transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         elif not who.transport.is_closing():
@@ -106,19 +107,19 @@
             self.sent += len(self.whole) * anew
             self.watches[who] = None
         if self.queue:
-            loop.call_later(CALL, self._handled)
+            loop.call_later(CALL_SERVICE_S, self._handled)
 
-    def tell(self, line: bytes) -> None:
-        """A line to all watches."""
+    def broadcast(self, line: bytes) -> None:
+        """Send a line to all watches."""
         for watch in self.watches:
             watch.chunk(line)
         self.sent += len(line) * len(self.watches)
 
-    def beat(self) -> None:
-        """An empty line to all, now and then."""
+    def send_heartbeat(self) -> None:
+        """Send an empty line to all as a heartbeat, and plan the next."""
         for watch in self.watches:
             watch.chunk(b"\n")
-        self.beats = asyncio.get_running_loop().call_later(EMPTY_LINE, self.beat)
+        self.heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self.send_heartbeat)
 
 
 @dataclass(slots=True, frozen=True)
@@ -142,40 +143,41 @@
     failed: int = 0
 
     def held(self, name: str) -> None:
-        """Nothing is in force."""
+        """Accept that a list is in force."""
 
     def list(self, news: News, kind: api.ListUpdateKind) -> None:
-        """A list, or a change."""
+        """Count a snapshot or a change."""
         self.whole += kind is api.ListUpdateKind.SNAPSHOT
         self.lines += kind is api.ListUpdateKind.DELTA
         self.entries += len(news.members)
 
     def unchanged(self) -> None:
-        """An empty line."""
+        """Accept an empty line."""
 
     def list_failed(self) -> None:
-        """A call has failed."""
+        """Count a failed call."""
         self.failed += 1
 
 
 class Watchers:
-    """So many hollow watchers of one stand-in."""
+    """Hollow watchers of one stub."""
 
     def __init__(self, count: int, directory: Directory) -> None:
+        """Prepare the watchers; `start` connects them."""
         self.count, self.directory = count, directory
-        self.settings = wire.parse_settings(fleet.raw_settings(LISTED))
+        self.settings = wire.parse_settings(generated_inputs.raw_settings(LIST_ENTRIES))
         self.nodes: list[HollowNode] = []
         self.discoveries: list[Discovery] = []
         self.revisions = itertools.count(2)
 
     async def start(self) -> None:
-        """The stand-in listens, all dial at once."""
+        """Listen, and let all watchers connect at once."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: StandIn(self.directory), "127.0.0.1", 0, backlog=2 * self.count
+            lambda: DiscoveryCall(self.directory), "127.0.0.1", 0, backlog=2 * self.count
         )
         self.address = self.server.sockets[0].getsockname()[:2]
-        self.directory.beat()
+        self.directory.send_heartbeat()
         for _ in range(self.count):
             self.nodes.append(HollowNode(self.settings, Turns(loop)))
             self.discoveries.append(self._dial(self.nodes[-1]))
@@ -186,34 +188,36 @@
         return out
 
     def restart(self, number: int) -> None:
-        """This one loses all it knew, and dials."""
+        """Let a watcher lose its state and connect again."""
         self.discoveries[number].watch(False)
         self.nodes[number] = HollowNode(self.settings, Turns(asyncio.get_running_loop()))
         self.discoveries[number] = self._dial(self.nodes[number])
 
     async def until(self, done: Callable[[HollowNode], bool]) -> None:
-        """All have come so far; raises TimeoutError after WAIT."""
-        async with asyncio.timeout(WAIT):
+        """Wait until all are done; raises TimeoutError after WAIT."""
+        async with asyncio.timeout(CONVERGENCE_TIMEOUT_S):
             while not all(done(node) for node in self.nodes):
                 await asyncio.sleep(0.002)
 
     def change(self, count: int) -> bytes:
-        """A line that changes so many entries."""
+        """Return a line that changes `count` entries."""
         revision = next(self.revisions)
         phase = api.EndpointPhase.DRAINING if revision % 2 else api.EndpointPhase.IN_SERVICE
-        return fleet.line([fleet.entry(n, phase) for n in range(count)], revision, False)
+        return generated_inputs.line(
+            [generated_inputs.entry(n, phase) for n in range(count)], revision, False
+        )
 
-    async def tell(self, line: bytes) -> float:
-        """Tell a line to all, and wait until all have it; processor time in us."""
+    async def broadcast(self, line: bytes) -> float:
+        """Send a line to all, wait until all have it, and return the processor time in us."""
         wanted, begin = self.nodes[0].lines + 1, time.process_time()
-        self.directory.tell(line)
+        self.directory.broadcast(line)
         await self.until(lambda node: node.lines >= wanted)
         return (time.process_time() - begin) * 1e6
 
     async def stop(self) -> None:
-        """All is closed."""
-        if self.directory.beats is not None:
-            self.directory.beats.cancel()
+        """Close everything."""
+        if self.directory.heartbeat is not None:
+            self.directory.heartbeat.cancel()
         for one in self.discoveries:
             one.watch(False)
         self.server.close()
@@ -221,13 +225,13 @@
 
 
 def _fits(watchers: int) -> bool:
-    """Whether both ends of so many watches find descriptors."""
-    return 2 * watchers + SPARE <= resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    """Return whether there are descriptors for both ends of the watches."""
+    return 2 * watchers + SPARE_DESCRIPTORS <= resource.getrlimit(resource.RLIMIT_NOFILE)[0]
 
 
 async def play_watchers(count: int) -> list[Point]:
-    """All dial at once; changes go to all; a tenth loses all it knew and dials at once."""
-    directory = Directory(fleet.line(fleet.entries(LISTED), 1, True))
+    """Measure a join of all at once, changes, and a reconnection of a tenth without state."""
+    directory = Directory(generated_inputs.line(generated_inputs.entries(LIST_ENTRIES), 1, True))
     watchers = Watchers(count, directory)
     loop = asyncio.get_running_loop()
     begin = loop.time()
@@ -236,9 +240,9 @@
         await watchers.until(lambda node: node.whole > 0)
         joined, calls, failed = loop.time() - begin, directory.calls, directory.failed
         sent = directory.sent
-        lines = [watchers.change(1) for _ in range(TOLD)]
-        took = [await watchers.tell(line) for line in lines]
-        told = directory.sent - sent
+        lines = [watchers.change(1) for _ in range(BROADCASTS)]
+        took = [await watchers.broadcast(line) for line in lines]
+        sent_bytes = directory.sent - sent
         begin, before, some = loop.time(), directory.calls, math.ceil(count / 10)
         for number in range(some):
             watchers.restart(number)
@@ -252,7 +256,7 @@
         ("join_failed", "calls", float(failed), False),
         ("delivery", "us", statistics.median(took) / count, False),
         ("tell", "ms", statistics.median(took) / 1000, False),
-        ("told", "bytes", told / TOLD, True),
+        ("told", "bytes", sent_bytes / BROADCASTS, True),
         ("tenth_restarts", "ms", again * 1000, False),
         ("tenth_calls", "calls", float(directory.calls - before), False),
     ]
@@ -260,15 +264,15 @@
 
 
 async def play_bursts(sizes: tuple[int, ...]) -> list[Point]:
-    """Lines that change many entries: a rack, a zone; bytes, and the processor time at one watcher."""
-    watchers = Watchers(1, Directory(fleet.line(fleet.entries(LISTED), 1, True)))
+    """Measure bytes and processor time of lines that change many entries: a rack, a zone."""
+    watchers = Watchers(1, Directory(generated_inputs.line(generated_inputs.entries(LIST_ENTRIES), 1, True)))
     await watchers.start()
     out = []
     try:
         await watchers.until(lambda node: node.whole > 0)
         for count in sizes:
-            lines = [watchers.change(count) for _ in range(BATCH)]
-            took = [await watchers.tell(line) for line in lines]
+            lines = [watchers.change(count) for _ in range(MEASURED_BURSTS)]
+            took = [await watchers.broadcast(line) for line in lines]
             out.append(Point("burst", "line", "bytes", count, float(len(lines[0])), True))
             out.append(Point("burst", "delivery", "us", count, statistics.median(took), False))
     finally:
@@ -277,8 +281,8 @@
 
 
 async def play_day(events: int) -> list[Point]:
-    """A day's stream told fast: its bytes for a node, and the processor time, by how much of it is told."""
-    directory = Directory(fleet.line(fleet.entries(LISTED), 1, True))
+    """Measure bytes and processor time of a day's stream of changes, sent fast."""
+    directory = Directory(generated_inputs.line(generated_inputs.entries(LIST_ENTRIES), 1, True))
     watchers = Watchers(STREAM_WATCHERS, directory)
     await watchers.start()
     out = []
@@ -287,13 +291,13 @@
         await watchers.until(lambda node: node.whole > 0)
         begin, sent = time.process_time(), directory.sent
         for number in range(1, events + 1):
-            directory.tell(watchers.change(1))
-            if number % STREAM_AHEAD == 0 or number in marks:
+            directory.broadcast(watchers.change(1))
+            if number % MAX_LINES_AHEAD == 0 or number in marks:
                 await watchers.until(lambda node, number=number: node.lines >= number)  # type: ignore[misc]
             if number in marks:
                 spent = (time.process_time() - begin) * 1000 / STREAM_WATCHERS
-                told = (directory.sent - sent) / STREAM_WATCHERS
-                out.append(Point("day", "stream", "bytes", number, told, True))
+                sent_bytes = (directory.sent - sent) / STREAM_WATCHERS
+                out.append(Point("day", "stream", "bytes", number, sent_bytes, True))
                 out.append(Point("day", "processor", "ms", number, spent, False))
         if any(node.lines != events for node in watchers.nodes):
             raise ValueError("a watcher missed a change")
@@ -303,9 +307,9 @@
 
 
 def plays(quick: bool) -> list[Play]:
-    """The plays of discovery."""
+    """Return the plays of discovery."""
     counts, bursts = (QUICK_WATCHERS, QUICK_BURSTS) if quick else (WATCHERS, BURSTS)
-    events = EVENTS_A_DAY // 20 if quick else EVENTS_A_DAY
+    events = EVENTS_PER_DAY // 20 if quick else EVENTS_PER_DAY
 
     def discovery(_: int) -> Iterator[Point | NotPlayed]:
         for count in counts:
@@ -315,10 +319,13 @@
             try:
                 yield from uvloop.run(play_watchers(count))
             except TimeoutError:
-                yield NotPlayed(f"discovery at {count}", f"not all had the list, or a change, in {WAIT:g} s")
+                yield NotPlayed(
+                    f"discovery at {count}",
+                    f"not all had the list, or a change, in {CONVERGENCE_TIMEOUT_S:g} s",
+                )
 
     return [
         Play("discovery", discovery, size.NODES, LIMITS),
         Play("burst", lambda _: uvloop.run(play_bursts(bursts)), size.LOST_ZONE, LIMITS),
-        Play("day", lambda _: uvloop.run(play_day(events)), EVENTS_A_DAY, LIMITS),
+        Play("day", lambda _: uvloop.run(play_day(events)), EVENTS_PER_DAY, LIMITS),
     ]
--- a/balancer/lab/scale/listing.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list at growing sizes: its bytes, its decoding, and one real node process that is told it."""
+"""The endpoint list at growing sizes: its bytes, its decoding, and one real node process that has it."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 import time
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
+from http import HTTPStatus
 from mmap import mmap
 from pathlib import Path
 from typing import NamedTuple, cast
@@ -25,7 +26,7 @@
 from balancer.lab.figures import percentiles
 from balancer.lab.processes import call, limits
 from balancer.lab.programs import ROOT
-from balancer.lab.scale import crowd, fleet, module, size
+from balancer.lab.scale import concurrent_callers, decision_module, generated_inputs, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
 from balancer.net.config import News, news_in_turns, news_of
 from balancer.net.discovery_call import most_object
@@ -40,19 +41,19 @@
 QUICK_SIZES = (200, 800, 3_200)
 NODE_SIZES = (200, 2_000, 7_000, 20_000, 40_000, 70_000)
 QUICK_NODE_SIZES = (200, 1_000, 3_200)
-PIECE = 64 * 1024  # bytes that a socket gives at a time
-READY_MOST = 20.0  # s that a node has until it serves
-IN_FORCE_MOST = 20.0  # s from then on until its list is in force
-LOOK = 0.05  # s between two looks at a node's console
-PULSE = 0.02  # s between two looks how late the process is that plays backends and discovery
+PIECE_BYTES = 64 * 1024  # bytes that a socket gives at a time
+READY_TIMEOUT_S = 20.0  # s that a node has until it serves
+IN_FORCE_TIMEOUT_S = 20.0  # s from then on until its list is in force
+POLL_INTERVAL_S = 0.05  # s between two looks at a node's console
+LOOP_LAG_INTERVAL_S = 0.02  # s between two looks how late the process is that plays backends and discovery
 RATE_PER_S = size.PEAK_PER_S / size.NODES  # requests to a node
-BEGIN = 0.2  # s until the clients begin
-CHANGE_EVERY = 0.5  # s
-EMPTY_LINE = 2.0  # s between two empty lines of a watch: without them it would count as dead
-ANSWER_MOST = 5.0  # s for one answer
+CLIENT_START_DELAY_S = 0.2  # s until the clients begin
+CHANGE_INTERVAL_S = 0.5  # s
+HEARTBEAT_INTERVAL_S = 2.0  # s between two empty lines of a watch: without them it would count as dead
+ANSWER_TIMEOUT_S = 5.0  # s for one answer
 HOST = "127.0.0.1"
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-PAGE = os.sysconf("SC_PAGE_SIZE")
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 LIST_LIMITS = (
     "Objects and the decoders as the node's watch uses them, in pieces of 64 KiB, without the socket; "
@@ -73,28 +74,28 @@
 
 
 def lists(sizes: tuple[int, ...]) -> Iterator[Point | NotPlayed]:
-    """Bytes of a whole list and of a change, and the processor time to cut and decode it."""
+    """Yield the bytes of a snapshot and of a change, and the processor time to decode it."""
     for backends in sizes:
-        data = fleet.line(fleet.entries(backends), 2, True)
+        data = generated_inputs.line(generated_inputs.entries(backends), 2, True)
         yield Point("list", "whole", "bytes", backends, float(len(data)), True)
-        change = fleet.line([fleet.entry(backends - 1)], 3, False)
+        change = generated_inputs.line([generated_inputs.entry(backends - 1)], 3, False)
         yield Point("list", "change", "bytes", backends, float(len(change)), True)
         try:
             decode(data)
         except BrokenObject as err:
             yield NotPlayed(f"list.decode at {backends}", f"refused whole: {err.line}")
             continue
-        took = fleet.spent_us(lambda data=data: decode(data), 1.0, 50)  # type: ignore[misc]
+        took = generated_inputs.spent_us(lambda data=data: decode(data), 1.0, 50)  # type: ignore[misc]
         yield Point("list", "decode", "us", backends, took, False)
-        yield from uvloop.run(taken(backends))
+        yield from uvloop.run(measure_taking(backends))
 
 
 def decode(data: bytes) -> tuple[News | None, float]:
-    """Cut and decode a list as it comes: its news, and the us of the longest turn. Raises BrokenObject."""
+    """Decode a list in pieces; return its event and the us of the longest turn. Raises BrokenObject."""
     objects, news, longest = Objects(most_object(MEMORY_MB)), None, 0.0
-    for at in range(0, len(data), PIECE):
+    for at in range(0, len(data), PIECE_BYTES):
         begin = time.process_time_ns()
-        for item in objects.feed(data[at : at + PIECE]):
+        for item in objects.feed(data[at : at + PIECE_BYTES]):
             if isinstance(item, mmap):
                 steps = Steps(news_in_turns(item))
                 news, longest = steps.result, max(longest, steps.longest_us)
@@ -106,16 +107,17 @@
 
 
 class Steps:
-    """Carries out a generator, one step after the other; `Turns` without its pauses."""
+    """Runs a generator step by step, as `Turns` does but without its pauses."""
 
     def __init__(self, work: Iterator[None] | None = None) -> None:
+        """Run a generator, if one is given."""
         self.spent_us = self.longest_us = 0.0
         self.result: News | None = None
         if work is not None:
             self.add(work)
 
     def add(self, work: Iterator[None]) -> None:
-        """Carry it out."""
+        """Run a generator to its end."""
         gc.disable()
         try:
             self._carry_out(work)
@@ -135,29 +137,31 @@
                 self.spent_us, self.longest_us = self.spent_us + took, max(self.longest_us, took)
 
 
-async def taken(backends: int) -> list[Point]:
-    """A node's list is taken: all of it, a zone of it lost, the zone back: all turns, and the longest."""
-    balancer = module.node(backends, 1)
+async def measure_taking(backends: int) -> list[Point]:
+    """Measure the turns of a node that takes a list, loses a zone of it, and has the zone back."""
+    balancer = decision_module.node(backends, 1)
 
-    def tell(event: api.ListUpdate) -> None:
+    def send(event: api.ListUpdate) -> None:
         balancer.handle(now, event)
 
     pool = Pool(balancer.cfg, 1, Figures(), Budget(MEMORY_MB))
     now = time.time() * 1000
-    told = fleet.entries(backends, now - fleet.DAY)
+    lines = generated_inputs.entries(backends, now - generated_inputs.DAY_MS)
     out = []
 
     def news(revision: int, entries: list[api.Endpoint]) -> News:
-        found, longest = decode(fleet.line(entries, revision, True))
+        found, longest = decode(generated_inputs.line(entries, revision, True))
         assert found is not None
         if revision == 1:
             out.append(Point("list", "decode_turn", "us", backends, longest, False))
         return found
 
     steps = Steps()
-    listing = Listing(pool, tell, lambda *_: None, cast(Turns, steps))
-    rest = [entry for entry in told if entry.zone != told[0].zone]
-    for revision, (name, entries) in enumerate([("take", told), ("zone_lost", rest), ("zone_back", told)], 1):
+    listing = Listing(pool, send, lambda *_: None, cast(Turns, steps))
+    rest = [entry for entry in lines if entry.zone != lines[0].zone]
+    for revision, (name, entries) in enumerate(
+        [("take", lines), ("zone_lost", rest), ("zone_back", lines)], 1
+    ):
         what, steps.longest_us = news(revision, entries), 0.0
         gc.collect()
         begin = time.process_time_ns()
@@ -168,34 +172,34 @@
     return out
 
 
-class StandInBackend(asyncio.Protocol):
+class BackendStub(asyncio.Protocol):
     """Answers each request at once; a request is one head without a body."""
 
     transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep where to answer."""
-        self.transport, self.held = cast(asyncio.Transport, transport), b""
+        """Keep the transport (asyncio)."""
+        self.transport, self.buffer = cast(asyncio.Transport, transport), b""
 
     def data_received(self, data: bytes) -> None:
-        """Count heads."""
-        self.held += data
-        heads = self.held.count(b"\r\n\r\n")
+        """Answer each request head."""
+        self.buffer += data
+        heads = self.buffer.count(b"\r\n\r\n")
         if heads:
-            self.held = self.held[self.held.rindex(b"\r\n\r\n") + 4 :]
-            self.transport.write(OK * heads)
+            self.buffer = self.buffer[self.buffer.rindex(b"\r\n\r\n") + 4 :]
+            self.transport.write(OK_RESPONSE * heads)
 
 
 @dataclass
-class StandInDiscovery:
-    """Tells each watch the whole list, then changes and empty lines, as chunks."""
+class DiscoveryStub:
+    """Sends each watch the snapshot, then changes and empty lines, as chunks."""
 
     whole: bytes
     watches: list[asyncio.StreamWriter] = field(default_factory=list)
     calls: int = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One call."""
+        """Handle one call."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             self.calls += 1
@@ -209,28 +213,28 @@
 
     @staticmethod
     async def _gone(reader: asyncio.StreamReader) -> bool:
-        """Whether the caller is gone; False once an empty line is due."""
+        """Return whether the caller is gone; False once a heartbeat is due."""
         try:
-            async with asyncio.timeout(EMPTY_LINE):
+            async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
                 await reader.read()
                 return True
         except TimeoutError:
             return False
 
-    def tell(self, line: bytes) -> None:
-        """All that watch."""
+    def send(self, line: bytes) -> None:
+        """Send a line to all watches."""
         for writer in self.watches:
             self._chunk(writer, line)
 
-    async def tell_long(self, line: bytes) -> None:
-        """As `tell`, as fast as it is read and in pieces: the process has other things to do."""
+    async def send_long(self, line: bytes) -> None:
+        """Send a long line to all watches in pieces, as fast as it is read."""
         for writer in self.watches:
-            for at in range(0, len(line), PIECE):
-                self._chunk(writer, line[at : at + PIECE])
+            for at in range(0, len(line), PIECE_BYTES):
+                self._chunk(writer, line[at : at + PIECE_BYTES])
                 await writer.drain()
 
     def cut(self) -> None:
-        """Discovery is away: all watches end, behind what was told."""
+        """End all watches, as in an outage of discovery."""
         for writer in self.watches:
             writer.close()
 
@@ -248,10 +252,10 @@
     streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def ask(self) -> tuple[int, float]:
-        """One request: its answer's status, 0 where none came, and the milliseconds it took."""
+        """Send a request; return the status, 0 where no answer came, and the latency in ms."""
         begin = time.perf_counter()
         try:
-            async with asyncio.timeout(ANSWER_MOST):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 if self.streams is None:
                     self.streams = await asyncio.open_connection(HOST, self.port)
                 reader, writer = self.streams
@@ -268,27 +272,27 @@
             return 0, (time.perf_counter() - begin) * 1000
 
     def close(self) -> None:
-        """Break it off."""
+        """Close the connection at once."""
         if self.streams is not None:
             self.streams[1].transport.abort()
             self.streams = None
 
 
-def used(pid: int) -> tuple[float, float]:
-    """Seconds of processor time of a process's first thread, the event loop, and the bytes that it holds."""
+def resources_of(pid: int) -> tuple[float, float]:
+    """Return the processor time in s of a process's first thread, the event loop, and its memory in bytes."""
     spent = int(Path(f"/proc/{pid}/schedstat").read_text("utf-8").split()[0])
     pages = int(Path(f"/proc/{pid}/statm").read_text("utf-8").split()[1])
-    return spent / 1e9, float(pages * PAGE)
+    return spent / 1e9, float(pages * PAGE_BYTES)
 
 
 async def spawn(folder: Path, backends: int, discovery: int, me: int = 7) -> asyncio.subprocess.Process:
-    """A node that knows no backend yet; `me` is its number, by which it finds its subset."""
+    """Start a node without a list; `me` is its number, by which it finds its subset."""
     config = {
         "name": f"n{me}", "listen": f"{HOST}:0", "console": f"{HOST}:0", "discovery": f"{HOST}:{discovery}",
         "seed": f"8c1f30d27a5b{me:04x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"revision": 0, "complete": True, "members": []},
-        "settings": fleet.raw_settings(backends) | {"me": me},
+        "settings": generated_inputs.raw_settings(backends) | {"me": me},
     }  # fmt: skip
     path = folder / "config.json"
     path.write_text(json.dumps(config), "utf-8")
@@ -302,17 +306,17 @@
 
 
 class Ports(NamedTuple):
-    """Where a node listens."""
+    """The ports of a node."""
 
     clients: int
     console: int
 
 
-async def serves_on(process: asyncio.subprocess.Process) -> Ports:
-    """The ports that it serves on, by its log."""
+async def wait_for_ports(process: asyncio.subprocess.Process) -> Ports:
+    """Return the ports that a node serves on, by its log."""
     assert process.stderr is not None
     console = 0
-    async with asyncio.timeout(READY_MOST):
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while text := (await process.stderr.readline()).decode("utf-8", "replace"):
             if found := re.search(r"(console|serves) on \S+:(\d+)", text):
                 if found[1] == "serves":
@@ -321,149 +325,158 @@
     raise ConnectionError("the node has ended")
 
 
-async def lag(seen_ms: list[float]) -> None:
-    """Until it is ended: how late this process comes to what is due, ms."""
+async def record_lag(seen_ms: list[float]) -> None:
+    """Record how late this process is at regular wake-ups, in ms, until cancelled."""
     while True:
-        due = time.monotonic() + PULSE
-        await asyncio.sleep(PULSE)
+        due = time.monotonic() + LOOP_LAG_INTERVAL_S
+        await asyncio.sleep(LOOP_LAG_INTERVAL_S)
         seen_ms.append(max(0.0, time.monotonic() - due) * 1000)
 
 
-async def listed(ports: Ports, backends: int) -> None:
-    """Returns once its console says that so many are listed: the last piece of a list is in force."""
+async def wait_until_listed(ports: Ports, backends: int) -> None:
+    """Wait until a node's console counts `backends` members: the complete list is in force."""
     while True:
         status, body = await call((HOST, ports.console), "GET", "/stats")
-        if status == 200 and json.loads(body)["members"] == backends:
+        if status == HTTPStatus.OK and json.loads(body)["members"] == backends:
             return
-        await asyncio.sleep(LOOK)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def end_process(process: asyncio.subprocess.Process) -> None:
-    """Kill one and wait until it is gone."""
+    """Kill a process and wait until it is gone."""
     with contextlib.suppress(ProcessLookupError):
         process.kill()
     await process.wait()
 
 
-async def drop(process: asyncio.subprocess.Process) -> None:
-    """Read its log, so that it never waits for a reader."""
+async def drain_log(process: asyncio.subprocess.Process) -> None:
+    """Read the log of a process, so that it never blocks on it."""
     assert process.stderr is not None
     while await process.stderr.read(65536):
         pass
 
 
 async def play_node(backends: int, seconds: float, lists_s: float) -> list[Point | NotPlayed]:
-    """One node process before a list of so many: until it serves, until that is in force, then requests.
+    """Measure one node process with a list: until it serves, until the list is in force, then requests.
 
     For `seconds` one entry changes now and then, for `lists_s` whole lists come.
     """
     loop = asyncio.get_running_loop()
     async with contextlib.AsyncExitStack() as stack:
-        backend = await loop.create_server(StandInBackend, HOST, 0)
+        backend = await loop.create_server(BackendStub, HOST, 0)
         stack.callback(backend.close)
-        told = Told(backends, f"{HOST}:{backend.sockets[0].getsockname()[1]}")
-        discovery = StandInDiscovery(told.whole)
+        lines = ListLines(backends, f"{HOST}:{backend.sockets[0].getsockname()[1]}")
+        discovery = DiscoveryStub(lines.whole)
         server = await asyncio.start_server(discovery.serve, HOST, 0)
         stack.callback(server.close)
         folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="balancer-scale-"))
         begin = loop.time()
         process = await spawn(Path(folder), backends, server.sockets[0].getsockname()[1])
         stack.push_async_callback(end_process, process)
-        ports = await serves_on(process)
-        stack.callback(loop.create_task(drop(process)).cancel)
+        ports = await wait_for_ports(process)
+        stack.callback(loop.create_task(drain_log(process)).cancel)
         client = Client(ports.clients)
-        while (await client.ask())[0] != 200:
-            if loop.time() - begin > READY_MOST:
-                why = f"never ready: nothing served in {READY_MOST:g} s, {discovery.calls} calls"
-                held = Point("node", "memory_unready", "bytes", backends, used(process.pid)[1], False)
-                return [held, NotPlayed(f"node at {backends}", why)]
-            await asyncio.sleep(LOOK)
+        while (await client.ask())[0] != HTTPStatus.OK:
+            if loop.time() - begin > READY_TIMEOUT_S:
+                why = f"never ready: nothing served in {READY_TIMEOUT_S:g} s, {discovery.calls} calls"
+                return _unready(backends, resources_of(process.pid)[1], why)
+            await asyncio.sleep(POLL_INTERVAL_S)
         ready_ms = (loop.time() - begin) * 1000
         client.close()
         try:
-            async with asyncio.timeout(IN_FORCE_MOST):
-                await listed(ports, backends)
+            async with asyncio.timeout(IN_FORCE_TIMEOUT_S):
+                await wait_until_listed(ports, backends)
             in_force_ms = (loop.time() - begin) * 1000
-            plan = crowd.Plan([ports.clients], RATE_PER_S, seconds, lists_s)
-            clients, lags_ms = await crowd.spawn(stack, plan), list[float]()
-            stack.callback(loop.create_task(lag(lags_ms)).cancel)
-            out = await _requests(process.pid, clients, plan, ports, discovery, told, lags_ms)
+            plan = concurrent_callers.Plan([ports.clients], RATE_PER_S, seconds, lists_s)
+            clients, lags_ms = await concurrent_callers.spawn(stack, plan), list[float]()
+            stack.callback(loop.create_task(record_lag(lags_ms)).cancel)
+            out = await _requests(process.pid, clients, plan, ports, discovery, lines, lags_ms)
         except TimeoutError:
             return [NotPlayed(f"node at {backends}", "a whole list was not in force in time")]
     out = {"ready": (ready_ms, "ms"), "in_force": (in_force_ms, "ms")} | out
     return [Point("node", name, unit, backends, value, False) for name, (value, unit) in out.items()]
 
 
-class Told:
-    """What discovery tells of so many backends, made before anybody waits for it."""
+def _unready(backends: int, memory: float, why: str) -> list[Point | NotPlayed]:
+    point = Point("node", "memory_unready", "bytes", backends, memory, False)
+    return [point, NotPlayed(f"node at {backends}", why)]
+
+
+class ListLines:
+    """The lines that discovery sends, made in advance."""
 
     def __init__(self, backends: int, where: str) -> None:
-        self.entries, self.where = fleet.entries(backends, time.time() * 1000 - fleet.DAY), where
-        self.rest = [entry for entry in self.entries if entry.zone != fleet.ZONE]
-        self.whole = fleet.line(self.entries, 2, True, where)
+        """Make a list of backends that all listen at `where`."""
+        self.entries, self.where = (
+            generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS),
+            where,
+        )
+        self.rest = [entry for entry in self.entries if entry.zone != generated_inputs.ZONE]
+        self.whole = generated_inputs.line(self.entries, 2, True, where)
         self.revision = 2
 
     def change(self) -> bytes:
-        """One drains, or is back."""
+        """Return a line in which one backend drains, or is back."""
         number, self.revision = self.revision - 2, self.revision + 1
         was = self.entries[number // 2 * 7 % len(self.entries)]
         phase = api.EndpointPhase.IN_SERVICE if number % 2 else api.EndpointPhase.DRAINING
-        return fleet.line([replace(was, phase=phase)], self.revision, False, self.where)
+        return generated_inputs.line([replace(was, phase=phase)], self.revision, False, self.where)
 
     def lists(self) -> list[tuple[int, bytes]]:
-        """Whole lists that come one after the other, each with the number of its entries."""
+        """Return snapshots to send one after the other, each with the number of its entries."""
         each = self.rest, self.entries, self.entries[:-1]  # one less: its end is seen by their number
         first, self.revision = self.revision + 1, self.revision + len(each)
         return [
-            (len(some), fleet.line(some, number, True, self.where)) for number, some in enumerate(each, first)
+            (len(some), generated_inputs.line(some, number, True, self.where))
+            for number, some in enumerate(each, first)
         ]
 
 
 async def _requests(
     pid: int,
-    clients: crowd.Crowd,
-    plan: crowd.Plan,
+    clients: concurrent_callers.CallerProcess,
+    plan: concurrent_callers.Plan,
     ports: Ports,
-    discovery: StandInDiscovery,
-    told: Told,
+    discovery: DiscoveryStub,
+    lines: ListLines,
     lags_ms: list[float],
 ) -> dict[str, tuple[float, str]]:
-    """Raises TimeoutError where a whole list is not in force while requests come."""
-    changes = [told.change() for _ in range(int(plan.first / CHANGE_EVERY))]
-    lists, slowest = told.lists(), 0.0
-    begin, (cpu, _) = time.monotonic() + BEGIN, used(pid)
+    """Measure requests during changes and snapshots; raises TimeoutError where a snapshot is not in force."""
+    changes = [lines.change() for _ in range(int(plan.first / CHANGE_INTERVAL_S))]
+    lists, slowest = lines.lists(), 0.0
+    begin, (cpu, _) = time.monotonic() + CLIENT_START_DELAY_S, resources_of(pid)
     await clients.begin(begin)
     for number, line in enumerate(changes):
-        await asyncio.sleep(begin + number * CHANGE_EVERY - time.monotonic())
-        discovery.tell(line)
+        await asyncio.sleep(begin + number * CHANGE_INTERVAL_S - time.monotonic())
+        discovery.send(line)
     await asyncio.sleep(begin + plan.first - time.monotonic())
-    spent, held = used(pid)
+    spent, memory = resources_of(pid)
     async with asyncio.timeout(plan.second):
         for count, line in lists:
-            told_at = time.monotonic()
-            await discovery.tell_long(line)
-            await listed(ports, count)
-            slowest = max(slowest, time.monotonic() - told_at)
+            sent_at = time.monotonic()
+            await discovery.send_long(line)
+            await wait_until_listed(ports, count)
+            slowest = max(slowest, time.monotonic() - sent_at)
     at_rest, busy = await clients.parts()
     p50, p99 = percentiles(at_rest.took_ms, (50.0, 99.0))
     late_ms = at_rest.late_ms + busy.late_ms
     return {
-        "p50": (p50, "ms"), "p99": (p99, "ms"), "memory": (held, "bytes"),
+        "p50": (p50, "ms"), "p99": (p99, "ms"), "memory": (memory, "bytes"),
         "core_per_request": ((spent - cpu) * 1e6 / at_rest.due, "us"), "served": (_served(at_rest), "share"),
         "p99_lists": (percentiles(busy.took_ms, (99.0,))[0], "ms"), "worst_lists": (max(busy.took_ms), "ms"),
-        "in_force_lists": (slowest * 1000, "ms"), "memory_lists": (used(pid)[1], "bytes"),
+        "in_force_lists": (slowest * 1000, "ms"), "memory_lists": (resources_of(pid)[1], "bytes"),
         "served_lists": (_served(busy), "share"),
         "rig_late": (max(percentiles(some, (99.0,))[0] for some in (late_ms, lags_ms)), "ms"),
         "rig_worst": (max(late_ms + lags_ms), "ms"),
     }  # fmt: skip
 
 
-def _served(part: crowd.Part) -> float:
+def _served(part: concurrent_callers.PartResult) -> float:
     return part.statuses.get(200, 0) / part.due
 
 
 def plays(quick: bool) -> list[Play]:
-    """The plays of the list."""
+    """Return the plays of the list."""
     sizes, node_sizes = (QUICK_SIZES, QUICK_NODE_SIZES) if quick else (SIZES, NODE_SIZES)
     seconds, lists_s = (2.0, 4.0) if quick else (6.0, 10.0)
 
--- a/balancer/lab/scale/fleet.py
+++ b/balancer/lab/scale/generated_inputs.py
@@ -1,4 +1,4 @@
-"""What the plays share: a list in the platform's form, settings, and a measure of processor time."""
+"""Generated lists and settings in the platform's form, and a measure of processor time."""
 
 from __future__ import annotations
 
@@ -11,30 +11,32 @@
 from balancer import interface as api
 from balancer.lab.scale import size
 
-NOW = 1_800_000_000_000.0  # ms: a virtual wall clock's begin
-DAY = 86_400_000.0  # ms
+START_MS = 1_800_000_000_000.0  # ms: a virtual wall clock's begin
+DAY_MS = 86_400_000.0  # ms
 BATCHES = 5
 ZONE = "z0"  # the node's own
 
 
 def zone(number: int) -> str:
-    """The zone of a backend."""
+    """Return the zone of a backend."""
     return f"z{number % size.ZONES}"
 
 
 def entry(
-    number: int, phase: api.EndpointPhase = api.EndpointPhase.IN_SERVICE, started_at: float = NOW - DAY
+    number: int,
+    phase: api.EndpointPhase = api.EndpointPhase.IN_SERVICE,
+    started_at: float = START_MS - DAY_MS,
 ) -> api.Endpoint:
-    """A backend as the list gives it; warm unless it says when it started."""
+    """Return the entry of a backend; it is warm unless `started_at` says otherwise."""
     return api.Endpoint(f"b{number:06d}", zone(number), number % 700, 1.0, phase, started_at, "std")
 
 
-def entries(count: int, started_at: float = NOW - DAY) -> list[api.Endpoint]:
-    """A whole list."""
+def entries(count: int, started_at: float = START_MS - DAY_MS) -> list[api.Endpoint]:
+    """Return a complete list."""
     return [entry(number, started_at=started_at) for number in range(count)]
 
 
-_WORDS = {
+_PHASE_NAMES = {
     api.EndpointPhase.IN_SERVICE: "in_service",
     api.EndpointPhase.DRAINING: "terminating",
     api.EndpointPhase.REMOVED: "terminated",
@@ -44,7 +46,7 @@
 def line(
     some: Sequence[api.Endpoint], revision: int, complete: bool, address: str | Mapping[str, str] = ""
 ) -> bytes:
-    """A list, or a line of a watch, in the platform's form; `address`: where all of them listen, or each.
+    """Return a list, or a line of a watch, in the platform's form; `address` is that of all, or of each.
 
     Without it each has one of its own, of the length that addresses have.
     """
@@ -54,7 +56,7 @@
 
     rows = [
         {"id": e.backend, "host_port": where(e.backend), "locality": e.zone, "flavor": e.kind,
-         "cell": e.cell, "phase": _WORDS[e.phase], "size": e.weight, "up_since_ms": e.started_at}
+         "cell": e.cell, "phase": _PHASE_NAMES[e.phase], "size": e.weight, "up_since_ms": e.started_at}
         for e in some
     ]  # fmt: skip
     table = {"revision": revision, "complete": complete, "members": rows}
@@ -67,7 +69,7 @@
 
 
 def raw_settings(backends: int, classes: int = 3) -> dict[str, Any]:
-    """A node's settings as the platform words them; one class in three may not be sent twice."""
+    """Return a node's settings in the platform's form; one class in three is not idempotent."""
     effects: list[dict[str, Any]] = [
         {"effect": "retryable"},
         {"effect": "dedup", "group": "zone", "memory-span": 3000.0},
@@ -90,7 +92,7 @@
 
 
 def spent_us(call: Callable[[], object], most_s: float, most_calls: int = 20_000) -> float:
-    """Processor time of a call in us: the median of batches, whose size is what fits into `most_s` in all."""
+    """Return the processor time of a call in us: the median of batches that fit into `most_s`."""
     begin = time.process_time_ns()
     call()
     first = max(1_000, time.process_time_ns() - begin)  # ns
@@ -106,8 +108,8 @@
     return statistics.median(took)
 
 
-def clock(step: float, begin: float = NOW) -> Iterator[float]:
-    """A virtual clock: ms, `step` further on at each look."""
+def clock(step: float, begin: float = START_MS) -> Iterator[float]:
+    """Yield the times of a virtual clock in ms, `step` apart."""
     while True:
         yield begin
         begin += step
--- a/balancer/lab/scale/tiers.py
+++ b/balancer/lab/scale/membership_tiers.py
@@ -36,44 +36,45 @@
 from balancer.sim.members import GENERATION_UNIT_MS, Network, World
 
 ROLE = "membership"
-LOSS = 0.01
+LOSS_RATE = 0.01
 WARM_MS = 6_000.0  # until what each first says of itself is told
 QUIET_MS = 28_000.0  # a whole round of a node's repairs: 40 periods of 700 ms
-MOST_MS = 180_000.0  # virtual time for which an agreement is waited for at most
+CONVERGENCE_TIMEOUT_MS = 180_000.0  # virtual time for which an agreement is waited for at most
 STEP_MS = 50.0  # between two looks whether all agree: what a time may be too long by
-AFTER_MS = 1_000.0  # from a death to its restart
+RESTART_DELAY_MS = 1_000.0  # from a death to its restart
 DEATHS = 3  # of one node each; the median counts
-RACK_PART = 20  # one node in so many dies with its rack
-EACH = 10  # one node in so many is restarted at once
-DATAGRAMS = 400  # to one core, whose processor time is measured
+NODES_PER_RACK_NODE = 20  # one node in so many dies with its rack
+NODES_PER_RESTART = 10  # one node in so many is restarted at once
+MEASURED_DATAGRAMS = 400  # to one core, whose processor time is measured
 
 
 @dataclass
 class Meter:
-    """What all nodes together received: counted at the receiver, with the headers."""
+    """The traffic that all nodes together received, with headers."""
 
     datagrams: int = 0
     size: int = 0  # bytes
     updates: int = 0
     by_second: Counter[int] = field(default_factory=Counter)  # bytes
 
-    def heard(self, now: float, data: bytes) -> None:
-        """A datagram reached a node that lives."""
+    def record(self, now: float, data: bytes) -> None:
+        """Count a datagram at a live node."""
         size = len(data) + HEADERS
         self.datagrams += 1
         self.size += size
         self.by_second[int(now / 1000)] += size
 
 
-class Metered(World):
-    """A tier that counts what its nodes receive and the processor time of their cores."""
+class MeteredTier(World):
+    """A tier that counts received traffic and the processor time of its cores."""
 
     def __init__(self, count: int, seed: int, network: Network) -> None:
+        """Prepare the tier; no node is started."""
         super().__init__(count, seed, network=network)
         self.meter, self.core_ns = Meter(), 0
 
     def start_agreed(self) -> None:
-        """All are up and agree, as after a long quiet; the digests to join with are not sent."""
+        """Start all nodes with the same view, without the digests of a join."""
         generation = int(self.now / GENERATION_UNIT_MS) - 1
         view = _agreed(self.count, generation)
         for node, host in enumerate(self.hosts):
@@ -87,11 +88,11 @@
 
     @property
     def core_us(self) -> float:
-        """Processor time of a node's core, on the mean, us."""
+        """The mean processor time of a node's core, in us."""
         return self.core_ns / 1000 / self.count
 
     def measure(self) -> None:
-        """Count from here on."""
+        """Reset the counters."""
         self.meter, self.core_ns = Meter(), 0
         self.sent_by_node.clear()
 
@@ -107,7 +108,7 @@
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
         if self.hosts[target].core is not None:
-            self.meter.heard(self.now, data)
+            self.meter.record(self.now, data)
             self.meter.updates += (
                 len(data) - HEADER_STRUCT.size - data[HEADER_STRUCT.size - 1]
             ) // UPDATE_STRUCT.size
@@ -115,41 +116,42 @@
 
 
 def _agreed(count: int, generation: int) -> View:
-    """Of a node that knows all to be present in lives of one number."""
+    """Return the view of a node that knows all to be alive in one generation."""
     view = View.of_unknown(count)
     for member in range(count):
         view.put(Update(member, generation, 0, MemberState.ALIVE))
     return view
 
 
-def tier(count: int, seed: int) -> Metered:
-    """A tier that agrees, at the usual loss, whose first updates are told."""
-    world = Metered(count, seed, Network(loss_rate=LOSS))
+def tier(count: int, seed: int) -> MeteredTier:
+    """Return a converged tier at the usual loss, whose first updates are disseminated."""
+    world = MeteredTier(count, seed, Network(loss_rate=LOSS_RATE))
     world.start_agreed()
     world.run(world.now + WARM_MS)
     world.measure()
     return world
 
 
-class Figures:
-    """Points of one role at one size, by name."""
+class PointFactory:
+    """Makes the points of one role at one size."""
 
     def __init__(self, role: str, size: int) -> None:
+        """Name the role and the size of the points."""
         self.role, self.size = role, size
 
     def counted(self, figure: str, unit: str, value: float) -> Point:
-        """Counted, or virtual time: the same for a seed."""
+        """Return a counted figure, or one in virtual time: the same for a seed."""
         return Point(self.role, figure, unit, self.size, value, True)
 
     def took(self, figure: str, ms: float) -> Iterator[Point | NotPlayed]:
-        """A time on the virtual clock; infinite where it had not come to its end."""
+        """Yield a virtual time; NotPlayed where it is infinite."""
         if math.isfinite(ms):
             yield self.counted(figure, "s", ms / 1000)
         else:
             yield NotPlayed(f"{self.role}.{figure} at {self.size}", "it had not come to its end in the play")
 
     def machine(self, figure: str, unit: str, value: float) -> Point:
-        """Processor time or memory of this machine."""
+        """Return a processor time or memory of this machine."""
         return Point(self.role, figure, unit, self.size, value, False)
 
 
@@ -157,9 +159,9 @@
 
 
 def quiet(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
-    """What a node receives, sends and computes a second: with nothing but loss, and at a day's restarts."""
+    """Measure the cost of a node a second, at rest and at the restarts of a day."""
     for count in sizes:
-        world, of = tier(count, seed), Figures(ROLE, count)
+        world, of = tier(count, seed), PointFactory(ROLE, count)
         yield from _seconds(world, of, "quiet")
         world.measure()
         gap = DAY_S * 1000 / RESTARTS_A_DAY
@@ -168,98 +170,98 @@
         yield from _seconds(world, of, "day")
 
 
-def _seconds(world: Metered, of: Figures, when: str) -> Iterator[Point | NotPlayed]:
+def _seconds(world: MeteredTier, of: PointFactory, when: str) -> Iterator[Point | NotPlayed]:
     begun, seconds = world.now, int(QUIET_MS / 1000)
     world.run(begun + QUIET_MS)
     meter, share = world.meter, 1 / world.count / seconds
     yield of.counted(f"{when}_datagrams", "datagrams/s", meter.datagrams * share)
     yield of.counted(f"{when}_bytes", "bytes/s", meter.size * share)
-    yield of.counted(f"{when}_worst_second", "bytes/s", _worst(world))
+    yield of.counted(f"{when}_worst_second", "bytes/s", _worst_second(world))
     yield of.counted(f"{when}_sent", "datagrams/s", sum(world.sent_by_node.values()) * share)
     yield of.machine(f"{when}_processor", "us", world.core_us / seconds)
 
 
-def _restart(world: Metered, node: int) -> None:
-    """In good order: it says that it leaves, ends, and is back a little later."""
+def _restart(world: MeteredTier, node: int) -> None:
+    """Restart a node gracefully: it leaves, ends, and is back later."""
     world.leave(node)
-    world.at(world.now + AFTER_MS, partial(world.start, node))
+    world.at(world.now + RESTART_DELAY_MS, partial(world.start, node))
 
 
 def cold_start(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
-    """All come up within one moment and know nobody."""
+    """Measure a start of all nodes at once without any state."""
     for count in sizes:
-        world, of = Metered(count, seed, Network(loss_rate=LOSS)), Figures(ROLE, count)
+        world, of = MeteredTier(count, seed, Network(loss_rate=LOSS_RATE)), PointFactory(ROLE, count)
         begun = time.thread_time()
         for node in range(count):
             world.start(node)
-        took = world.run_until_converged(MOST_MS, STEP_MS)
+        took = world.run_until_converged(CONVERGENCE_TIMEOUT_MS, STEP_MS)
         whole = time.thread_time() - begun
         meter = world.meter
         yield from of.took("cold_start_time", took)
         yield of.counted("cold_start_bytes", "bytes", meter.size / count)
-        yield of.counted("cold_start_worst_second", "bytes/s", _worst(world))
+        yield of.counted("cold_start_worst_second", "bytes/s", _worst_second(world))
         yield of.counted("cold_start_datagrams", "entries", meter.datagrams / count)
         yield of.counted("cold_start_rumours", "entries", meter.updates / count)
         yield of.machine("cold_start_processor", "us", world.core_us)
         yield of.machine("cold_start_world", "s", whole)
 
 
-def _worst(world: Metered) -> float:
-    """Bytes that a node received in the worst second."""
+def _worst_second(world: MeteredTier) -> float:
+    """Return the bytes that a node received in the worst second."""
     return max(world.meter.by_second.values(), default=0) / world.count
 
 
-def _deaths(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
+def _deaths(world: MeteredTier, of: PointFactory) -> Iterator[Point | NotPlayed]:
     took = []
     for node in range(DEATHS):
         world.kill(node)
-        took.append(world.run_until_converged(MOST_MS, STEP_MS))
+        took.append(world.run_until_converged(CONVERGENCE_TIMEOUT_MS, STEP_MS))
     yield from of.took("death_time", statistics.median(took))
-    yield of.counted("death_worst_second", "bytes/s", _worst(world))
+    yield of.counted("death_worst_second", "bytes/s", _worst_second(world))
 
 
-def _rack(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
-    for node in range(max(1, min(RACK_MACHINES, world.count // RACK_PART))):
+def _rack(world: MeteredTier, of: PointFactory) -> Iterator[Point | NotPlayed]:
+    for node in range(max(1, min(RACK_MACHINES, world.count // NODES_PER_RACK_NODE))):
         world.kill(node)
-    took = world.run_until_converged(MOST_MS, STEP_MS)
+    took = world.run_until_converged(CONVERGENCE_TIMEOUT_MS, STEP_MS)
     yield from of.took("rack_time", took)
-    yield of.counted("rack_worst_second", "bytes/s", _worst(world))
+    yield of.counted("rack_worst_second", "bytes/s", _worst_second(world))
 
 
-def _restarts(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
-    gone = range(max(1, world.count // EACH))
+def _restarts(world: MeteredTier, of: PointFactory) -> Iterator[Point | NotPlayed]:
+    gone = range(max(1, world.count // NODES_PER_RESTART))
     for node in gone:
         world.kill(node)
-    world.run(world.now + AFTER_MS)
+    world.run(world.now + RESTART_DELAY_MS)
     for node in gone:
         world.start(node)
-    took = world.run_until_converged(MOST_MS, STEP_MS)
+    took = world.run_until_converged(CONVERGENCE_TIMEOUT_MS, STEP_MS)
     yield from of.took("tenth_time", took)
-    yield of.counted("tenth_worst_second", "bytes/s", _worst(world))
+    yield of.counted("tenth_worst_second", "bytes/s", _worst_second(world))
 
 
-def _region(world: Metered, of: Figures) -> Iterator[Point | NotPlayed]:
+def _region(world: MeteredTier, of: PointFactory) -> Iterator[Point | NotPlayed]:
     far = world.count // REGIONS
     sides = (range(far), range(far, world.count))
     world.network.is_cut = lambda source, target: (source < far) != (target < far)
     begun = world.now
-    while not _sides_agree(world, sides) and world.now < begun + MOST_MS:
+    while not _sides_agree(world, sides) and world.now < begun + CONVERGENCE_TIMEOUT_MS:
         world.run(world.now + STEP_MS)
     apart = world.now - begun if _sides_agree(world, sides) else math.inf
     yield from of.took("cut_time", apart)
-    yield of.counted("cut_worst_second", "bytes/s", _worst(world))
+    yield of.counted("cut_worst_second", "bytes/s", _worst_second(world))
     yield of.machine("cut_processor", "us", world.core_us)
     world.network.is_cut = lambda source, target: False
     world.measure()
-    took = world.run_until_converged(MOST_MS, STEP_MS)
+    took = world.run_until_converged(CONVERGENCE_TIMEOUT_MS, STEP_MS)
     yield from of.took("heal_time", took)
     yield of.counted("heal_bytes", "bytes", world.meter.size / world.count)
-    yield of.counted("heal_worst_second", "bytes/s", _worst(world))
+    yield of.counted("heal_worst_second", "bytes/s", _worst_second(world))
     yield of.machine("heal_processor", "us", world.core_us)
 
 
-def _sides_agree(world: Metered, sides: Sequence[Sequence[int]]) -> bool:
-    """Whether on each side all hold just their own side for present."""
+def _sides_agree(world: MeteredTier, sides: Sequence[Sequence[int]]) -> bool:
+    """Return whether all nodes of each side see just their own side as present."""
     for side in sides:
         cores = [core for node in side if (core := world.hosts[node].core) is not None]
         if len({(core.view.state_hash, core.view.present_count) for core in cores}) > 1:
@@ -269,7 +271,7 @@
     return True
 
 
-FAULTS: dict[str, Callable[[Metered, Figures], Iterator[Point | NotPlayed]]] = {
+FAULTS: dict[str, Callable[[MeteredTier, PointFactory], Iterator[Point | NotPlayed]]] = {
     "a death": _deaths, "a rack": _rack, "restarts": _restarts, "a region": _region,
 }  # fmt: skip
 
@@ -277,26 +279,27 @@
 def faults(
     sizes: Sequence[int], seed: int, some: Iterable[str] = tuple(FAULTS)
 ) -> Iterator[Point | NotPlayed]:
-    """One death, a rack's, a tenth restarted, a region cut off and healed; each from a tier that agrees."""
+    """Measure faults of a converged tier: a death, a rack, restarts, a partition of a region."""
     for count in sizes:
         for fault in some:
-            yield from FAULTS[fault](tier(count, seed), Figures(ROLE, count))
+            yield from FAULTS[fault](tier(count, seed), PointFactory(ROLE, count))
 
 
 # --- one core at the full size
 
 
-class Lone:
-    """One core among `count` hollow peers that answer every probe."""
+class SingleCore:
+    """A core among `count` hollow peers that answer every probe."""
 
     def __init__(self, count: int, seed: int) -> None:
+        """Start the core at time 0."""
         self.count, self.now, self.sequence = count, 0.0, 0
         self.core = Membership(World(0, 0).config, 0, count, 1, seed, self.now)
-        self.heard: list[Message] = []  # what it sent
+        self.record: list[Message] = []  # what it sent
         self.core_ns = 0
 
-    def meet(self) -> None:
-        """It hears of all, from each of them, and agrees with them."""
+    def learn_all(self) -> None:
+        """Let it learn of all nodes, from each of them."""
         each = PAYLOAD_BYTES // UPDATE_STRUCT.size
         for first in range(0, self.count, each):
             named = range(max(1, first), min(first + each, self.count))
@@ -306,7 +309,7 @@
             self.hear(peer, MessageKind.BULK_UPDATE)
 
     def agree(self) -> None:
-        """It has known all for long, and has nothing to tell that is new."""
+        """Let it know all nodes for long, without pending updates."""
         self.core.adopt_view(_agreed(self.count, 1))
         for peer in range(1, self.count):
             self.hear(peer, MessageKind.ACK)
@@ -314,24 +317,24 @@
     def hear(
         self, peer: int, kind: MessageKind, updates: tuple[Update, ...] = (), extra: bytes = b""
     ) -> None:
-        """A datagram to all from a peer whose view is the same."""
+        """Deliver a broadcast of a peer with the same view."""
         message = Message(kind, peer, 1, 0, 0, self.core.view.state_hash, NO_MEMBER, extra, updates)
         self.give(DatagramReceived(peer, encode(message)))
 
     def give(self, event: Event) -> None:
-        """An event for the core; a probe is answered at once."""
+        """Handle an event; answer its probes at once."""
         begun = time.thread_time_ns()
         actions = self.core.handle(self.now, event)
         self.core_ns += time.thread_time_ns() - begun
         told = [(a.node, decode(a.data)) for a in actions if isinstance(a, SendDatagram)]
-        self.heard += [message for _, message in told]
+        self.record += [message for _, message in told]
         for peer, message in told:
             if peer is not None and message.kind == MessageKind.PING:
                 ack = Message(MessageKind.ACK, peer, 1, 0, message.sequence, self.core.view.state_hash, peer)
                 self.give(DatagramReceived(peer, encode(ack)))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         while self.core.next_wakeup_ms <= until:
             self.now = max(self.now, self.core.next_wakeup_ms)
             self.give(Tick())
@@ -339,57 +342,59 @@
 
 
 def one_node(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
-    """What one core holds and does for each member that it knows, at the size itself."""
+    """Measure the memory and work of one core at the size itself."""
     for count in sizes:
-        of = Figures(ROLE, count)
-        memory = _memory(partial(_met, count, seed))
+        of = PointFactory(ROLE, count)
+        memory = _memory(partial(_core_that_learned, count, seed))
         yield of.machine("core_memory", "bytes", memory)
-        lone = Lone(count, seed)
-        lone.agree()
-        lone.run(lone.now + QUIET_MS)
-        lone.core_ns = 0
-        lone.run(lone.now + QUIET_MS)
-        period = lone.core_ns / 1000 / (QUIET_MS / lone.core.node.config.probe_interval_ms)
+        single = SingleCore(count, seed)
+        single.agree()
+        single.run(single.now + QUIET_MS)
+        single.core_ns = 0
+        single.run(single.now + QUIET_MS)
+        period = single.core_ns / 1000 / (QUIET_MS / single.core.node.config.probe_interval_ms)
         yield of.machine("core_period", "us", period)
-        yield of.machine("core_datagram", "us", _reading(lone))
-        yield from _repair(lone, of)
+        yield of.machine("core_datagram", "us", _datagram_us(single))
+        yield from _repair(single, of)
 
 
-def _repair(lone: Lone, of: Figures) -> Iterator[Point | NotPlayed]:
-    """A peer's digest differs in all its buckets; what it is sent is paced."""
-    first, begun = len(lone.heard), lone.now
-    wrong = (~salted & 0xFFFF for salted in lone.core.view.digest(0))
-    lone.hear(1, MessageKind.DIGEST, extra=DIGEST_STRUCT.pack(True, *wrong))
+def _repair(single: SingleCore, of: PointFactory) -> Iterator[Point | NotPlayed]:
+    """Measure the repair of a peer whose digest differs in all buckets."""
+    first, begun = len(single.record), single.now
+    wrong = (~salted & 0xFFFF for salted in single.core.view.digest(0))
+    single.hear(1, MessageKind.DIGEST, extra=DIGEST_STRUCT.pack(True, *wrong))
     ends = begun
-    while lone.now < ends + 2 * lone.core.node.config.probe_interval_ms:
-        before = len(lone.heard)
-        lone.run(lone.now + STEP_MS)
-        if any(m.kind == MessageKind.GOSSIP and m.subject == 1 for m in lone.heard[before:]):
-            ends = lone.now
-    sent = [m for m in lone.heard[first:] if m.kind == MessageKind.GOSSIP and m.subject == 1]
+    while single.now < ends + 2 * single.core.node.config.probe_interval_ms:
+        before = len(single.record)
+        single.run(single.now + STEP_MS)
+        if any(m.kind == MessageKind.GOSSIP and m.subject == 1 for m in single.record[before:]):
+            ends = single.now
+    sent = [m for m in single.record[first:] if m.kind == MessageKind.GOSSIP and m.subject == 1]
     yield from of.took("repair_time", ends - begun)
     yield of.counted("repair_datagrams", "entries", len(sent))
     yield of.counted("repair_rumours", "entries", sum(len(m.updates) for m in sent))
 
 
-def _met(count: int, seed: int) -> Lone:
-    lone = Lone(count, seed)
-    lone.meet()
-    return lone
+def _core_that_learned(count: int, seed: int) -> SingleCore:
+    single = SingleCore(count, seed)
+    single.learn_all()
+    return single
 
 
-def _reading(lone: Lone) -> float:
-    """Processor time in us of a datagram with six updates that are no news."""
-    known = lone.core.view.records
-    lone.core_ns = 0
-    for at in range(DATAGRAMS):
-        peer = 1 + at % (lone.count - 1)
-        lone.hear(peer, MessageKind.GOSSIP, tuple(known[1 + (at + i) % (lone.count - 1)] for i in range(6)))
-    return lone.core_ns / 1000 / DATAGRAMS
+def _datagram_us(single: SingleCore) -> float:
+    """Return the processor time in us of a datagram with six known updates."""
+    known = single.core.view.records
+    single.core_ns = 0
+    for at in range(MEASURED_DATAGRAMS):
+        peer = 1 + at % (single.count - 1)
+        single.hear(
+            peer, MessageKind.GOSSIP, tuple(known[1 + (at + i) % (single.count - 1)] for i in range(6))
+        )
+    return single.core_ns / 1000 / MEASURED_DATAGRAMS
 
 
 def _memory(make: Callable[[], object]) -> float:
-    """Bytes of the objects that are alive once it is made."""
+    """Return the bytes of the objects that `make` creates."""
     tracemalloc.start()
     try:
         made = make()
--- a/balancer/lab/scale/beside.py
+++ b/balancer/lab/scale/parallel_parts.py
@@ -1,5 +1,6 @@
-"""Parts of plays in worker processes, beside one another: simulations, whose counted figures depend on a seed
-alone. Each has its own process's time; what measures times of a machine that is at rest has no place here.
+"""Run parts of plays in parallel worker processes: simulations whose counted figures depend on a seed alone.
+
+Each part has the processor time of its own process; plays that measure an idle machine do not belong here.
 """
 
 from __future__ import annotations
@@ -20,30 +21,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Done:
-    """One part, and what came of it."""
+class PartResult:
+    """A part and its results."""
 
     part: Part
     items: Sequence[Point | NotPlayed]
     seconds: float  # that it took in its process
 
 
-def workers_most() -> int:
-    """Half of the cores: other work has the rest, and the processor times still mean something."""
+def default_workers() -> int:
+    """Return half of the cores: the rest is for other work."""
     return max(1, len(os.sched_getaffinity(0)) // 2)
 
 
 def played(
     parts: Sequence[Part], seed: int, workers: int, until: float, left: Callable[[str], NotPlayed]
-) -> Generator[Done, None, None]:
-    """Each part as it ends, the costliest begun first, by so many processes.
+) -> Generator[PartResult, None, None]:
+    """Yield each part as it ends; the costliest begin first.
 
     At `until`, a time of the monotonic clock, processes that have not ended are killed, and `left` tells of
     their parts. Raises what a part raises.
     """
     others = set(multiprocessing.active_children())
     spawn = multiprocessing.get_context("spawn")
-    pool = ProcessPoolExecutor(workers, spawn, partial(_die_with, os.getpid()))
+    pool = ProcessPoolExecutor(workers, spawn, partial(_end_with_parent, os.getpid()))
     ordered = sorted(parts, key=lambda part: -part.cost)
     running = {pool.submit(_play, part.run, seed): part for part in ordered}
     try:
@@ -51,7 +52,7 @@
             for future in ended:
                 yield _done(running.pop(future), future)
         for part in running.values():
-            yield Done(part, [left(part.name)], 0.0)
+            yield PartResult(part, [left(part.name)], 0.0)
     finally:
         if running:
             for process in set(multiprocessing.active_children()) - others:
@@ -59,11 +60,11 @@
         pool.shutdown(cancel_futures=True)
 
 
-def _done(part: Part, future: Future[tuple[list[Point | NotPlayed], float]]) -> Done:
+def _done(part: Part, future: Future[tuple[list[Point | NotPlayed], float]]) -> PartResult:
     try:
-        return Done(part, *future.result())
+        return PartResult(part, *future.result())
     except BrokenProcessPool:  # for want of memory, perhaps
-        return Done(part, [NotPlayed(part.name, "its process, or one beside it, was ended")], 0.0)
+        return PartResult(part, [NotPlayed(part.name, "its process, or one beside it, was ended")], 0.0)
 
 
 def _play(
@@ -73,8 +74,8 @@
     return list(run(seed)), time.monotonic() - begin
 
 
-def _die_with(parent: int) -> None:
-    """However the rig ends, so does its worker; an interrupt is the rig's."""
+def _end_with_parent(parent: int) -> None:
+    """End with the parent, however it ends; leave interrupts to it."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
     if os.getppid() != parent:  # it died in between
--- a/balancer/lab/scale/points.py
+++ b/balancer/lab/scale/points.py
@@ -1,4 +1,4 @@
-"""What a play of the scale rig measures, and its slope: four forms, least squares, the simplest that fits."""
+"""Points of a play and their slope: four forms, least squares, the simplest that fits."""
 
 from __future__ import annotations
 
@@ -16,10 +16,12 @@
     "linear": np.array,
 }
 """The forms a + b * f(size), the simplest first."""
-NEAR = 1.1  # a simpler form is taken where its residual is at most so many times the least one
-NOTHING = 1e-9  # a relative residual under this is rounding
-LEAST_PART = 0.01  # of the largest value: what is less is weighed as if it were that, so a zero weighs too
-LEAST_SIZES = 3  # a form has two numbers; a slope through two points fits always and shows nothing
+SIMPLER_FORM_FACTOR = 1.1  # a simpler form is taken where its residual is at most so many times the least one
+ROUNDING_RESIDUAL = 1e-9  # a relative residual under this is rounding
+MIN_WEIGHT_SHARE = (
+    0.01  # of the largest value: what is less is weighed as if it were that, so a zero weighs too
+)
+MIN_SIZES = 3  # a form has two numbers; a slope through two points fits always and shows nothing
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NotPlayed:
-    """What a play left out, or what did not come to an end within its bound."""
+    """A part that a play left out, or that did not end within its bound."""
 
     what: str
     why: str
@@ -82,24 +84,26 @@
 
 
 def fit(points: Sequence[Point], target: int) -> Slope:
-    """The slope of one figure of one role; raises ValueError for points of several, or of too few sizes.
+    """Fit the slope of one figure of one role; raises ValueError for points of several, or of too few sizes.
 
     Errors count in proportion to the value: sizes lie over a factor of 16 and more, and the largest would
     hide what the small ones show. A form by which what was never negative would be so at the target is out.
     """
     if len({(p.role, p.figure, p.unit) for p in points}) != 1:
         raise ValueError("the points are not of one figure")
-    if len({p.size for p in points}) < LEAST_SIZES:
-        raise ValueError(f"a slope needs {LEAST_SIZES} sizes")
+    if len({p.size for p in points}) < MIN_SIZES:
+        raise ValueError(f"a slope needs {MIN_SIZES} sizes")
     ordered = sorted(points, key=lambda p: p.size)
     sizes = np.array([p.size for p in ordered], dtype=np.float64)
     values = np.array([p.value for p in ordered], dtype=np.float64)
-    scale = np.maximum(np.abs(values), max(LEAST_PART * float(np.max(np.abs(values))), NOTHING))
+    largest = float(np.max(np.abs(values)))
+    scale = np.maximum(np.abs(values), max(MIN_WEIGHT_SHARE * largest, ROUNDING_RESIDUAL))
     tried = {form: _least_squares(form, sizes, values, scale) for form in FORMS}
     if float(np.min(values)) >= 0:
         tried = {form: found for form, found in tried.items() if at(form, *found[:2], target) >= 0}
     least = min(residual for _, _, residual in tried.values())
-    form = next(form for form, found in tried.items() if found[2] <= max(NEAR * least, NOTHING))
+    bound = max(SIMPLER_FORM_FACTOR * least, ROUNDING_RESIDUAL)
+    form = next(form for form, found in tried.items() if found[2] <= bound)
     a, b, residual = tried[form]
     first = ordered[0]
     return Slope(
@@ -120,22 +124,22 @@
 
 
 def at(form: str, a: float, b: float, size: float) -> float:
-    """What a fit gives at a size."""
+    """Return the value of a fit at a size."""
     return a + b * float(FORMS[form](np.array([float(size)]))[0])
 
 
 def slopes(points: Iterable[Point], target: int) -> list[Slope]:
-    """The slopes of all figures that were measured at enough sizes, in the order in which they first came."""
+    """Fit the slopes of all figures with enough sizes, in the order of their first points."""
     groups: dict[tuple[str, str, str], list[Point]] = defaultdict(list)
     for point in points:
         groups[point.role, point.figure, point.unit].append(point)
-    return [fit(some, target) for some in groups.values() if len({p.size for p in some}) >= LEAST_SIZES]
+    return [fit(some, target) for some in groups.values() if len({p.size for p in some}) >= MIN_SIZES]
 
 
 def _least_squares(
     form: str, sizes: NDArray[np.float64], values: NDArray[np.float64], scale: NDArray[np.float64]
 ) -> tuple[float, float, float]:
-    """a, b, and the relative residual by the degrees of freedom that are left."""
+    """Return a, b, and the relative residual by the degrees of freedom."""
     columns = [np.ones_like(sizes)] if form == "constant" else [np.ones_like(sizes), FORMS[form](sizes)]
     matrix = np.stack(columns, axis=1) / scale[:, None]
     found, *_ = np.linalg.lstsq(matrix, values / scale, rcond=None)
--- a/balancer/lab/scale/returns.py
+++ b/balancer/lab/scale/power_recovery.py
@@ -1,4 +1,4 @@
-"""A tier's return from a loss of power at growing sizes, and what of it one node says and waits for.
+"""The recovery of a tier from a power loss at growing sizes, and the part of one node in it.
 
 Whole tiers are those of `sim/recovery_world.py`: the cores of membership and recovery, with discovery and
 disks played. Above some hundreds of nodes discovery's turns are played by a small tier whose nodes each take
@@ -13,9 +13,9 @@
 from collections.abc import Iterator, Sequence
 from functools import partial
 
+from balancer.lab.scale.membership_tiers import LOSS_RATE, Meter, PointFactory
 from balancer.lab.scale.points import NotPlayed, Point
 from balancer.lab.scale.size import HEADERS
-from balancer.lab.scale.tiers import LOSS, Figures, Meter
 from balancer.recovery import events as room
 from balancer.recovery.core import ANSWERS, Config, Recovery
 from balancer.recovery.messages import Flag, Kind, Message, State, bits_of, decode, encode
@@ -30,28 +30,29 @@
 from balancer.sim.scheduler import EventScheduler
 
 ROLE = "recovery"
-DARK_MS, SPREAD_MS = 1_000.0, 2_000.0  # from the cut until power is back; over which nodes start then
-MOST_MS = 400_000.0  # virtual time for which FULL and the list are waited for at most
+OUTAGE_MS, SPREAD_MS = 1_000.0, 2_000.0  # from the cut until power is back; over which nodes start then
+RECOVERY_TIMEOUT_MS = 400_000.0  # virtual time for which FULL and the list are waited for at most
 STEP_MS = 50.0  # between two looks: what a time may be too long by
-RATE = 193.0  # requests a second that a node carried
+REQUESTS_PER_S = 193.0  # requests a second that a node carried
 ANSWER_MS = 20.0  # from a roll call to its answers
-STAND_IN = 24  # nodes of the tier whose nodes each take the turns of many
-PLANS = 8  # of turns, whose processor time is measured
+REPRESENTATIVES = 24  # nodes of the tier whose nodes each take the turns of many
+MEASURED_PLANS = 8  # of turns, whose processor time is measured
 
 
-class Returning(Tier):
+class RecoveringTier(Tier):
     """A tier whose nodes all have sound disks of a moment ago, and start as power comes back."""
 
     def __init__(self, count: int, seed: int, config: Config) -> None:
-        super().__init__(count, seed, Network(loss_rate=LOSS), config, Recovery, BACKENDS)
+        """Lose the power of all nodes, and plan their starts."""
+        super().__init__(count, seed, Network(loss_rate=LOSS_RATE), config, Recovery, BACKENDS)
         self.meter = Meter()
         life = int(self.now / GENERATION_UNIT_MS)
         ban = Row(BACKENDS[0], 0, life, 1, True, self.now)
         for disk in self.disks:
             disk.used, disk.life, disk.written_wall = True, life, self.now
             disk.rows, disk.revision, disk.saved = [(ban,)], self.discovery.revision, BACKENDS
-            disk.rate = RATE
-        self.run(self.now + DARK_MS)
+            disk.rate = REQUESTS_PER_S
+        self.run(self.now + OUTAGE_MS)
         self.power_at = self.now
         for name in BACKENDS:
             self.restart_backend(name)
@@ -62,7 +63,7 @@
 
     def finish(self) -> None:
         """Run until all are FULL and have been told the list, or the longest time is over."""
-        ends = self.now + MOST_MS
+        ends = self.now + RECOVERY_TIMEOUT_MS
         while self.now < ends and min(len(self.full), len(self.told)) < self.count:
             self.run(self.now + STEP_MS)
             since = self.now - self.power_at
@@ -74,15 +75,15 @@
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
         if self.hosts[target].core is not None:
-            self.meter.heard(self.now, data)
+            self.meter.record(self.now, data)
         super()._arrive(source, target, data)
 
 
 def tiers(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
     """All nodes of a tier lose power and return over two seconds, at the usual loss of datagrams."""
     for count in sizes:
-        of, begun = Figures(ROLE, count), time.thread_time()
-        tier = Returning(count, seed, Config())
+        of, begun = PointFactory(ROLE, count), time.thread_time()
+        tier = RecoveringTier(count, seed, Config())
         tier.finish()
         meter, full, told = tier.meter, _last(tier.full, count), _last(tier.told, count)
         yield from of.took("return_full", full)
@@ -99,11 +100,11 @@
 def turns(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
     """Discovery's turns where each of a few nodes takes those of many, so that a round is as long."""
     for count in sizes:
-        of, each = Figures(ROLE, count), count / STAND_IN
-        tier = Returning(STAND_IN, seed, Config(slot=Config().slot * each))
+        of, each = PointFactory(ROLE, count), count / REPRESENTATIVES
+        tier = RecoveringTier(REPRESENTATIVES, seed, Config(slot=Config().slot * each))
         tier.finish()
         early = sum(tier.full[node] < at for node, at in tier.told.items() if node in tier.full)
-        told = _last(tier.told, STAND_IN)
+        told = _last(tier.told, REPRESENTATIVES)
         yield from of.took("turns_told", told)
         yield of.counted("turns_early", "entries", early * each)
         one = Turns(0, Config().slot)
@@ -111,27 +112,28 @@
         one.failed(0.0, count)
         yield from of.took("turns_again", one.due)
         begun = time.thread_time()
-        for node in range(PLANS):
+        for node in range(MEASURED_PLANS):
             Turns(node, Config().slot).plan(0.0, range(count))
-        took = (time.thread_time() - begun) * 1000 / PLANS
+        took = (time.thread_time() - begun) * 1000 / MEASURED_PLANS
         yield of.machine("turns_plan", "ms", took)
 
 
-class Restarted(EventScheduler):
+class RestartedNode(EventScheduler):
     """One node that comes back alone into a tier of hollow peers that went on, FULL, each seeing all."""
 
     def __init__(self, count: int, seed: int) -> None:
+        """Start the node again at time 0."""
         super().__init__(0.0)
         self.count, self.dice = count, random.Random(f"restart {seed}")
         self.core = Recovery(Config(), 0, count, 2, seed, self.now)
         self.full = self.told = math.inf
-        self._give(room.Kept(True, False, 1, DARK_MS, (), 1, RATE))
+        self._give(room.Kept(True, False, 1, OUTAGE_MS, (), 1, REQUESTS_PER_S))
         self._give(room.Members(dict.fromkeys(range(count), 1), True))
 
     def finish(self) -> None:
         """Run until it is FULL and has been told the list, or the longest time is over."""
-        while self.now < MOST_MS and max(self.full, self.told) == math.inf:
-            self.at(min(self.core.due, MOST_MS), partial(self._give, room.Tick()))
+        while self.now < RECOVERY_TIMEOUT_MS and max(self.full, self.told) == math.inf:
+            self.at(min(self.core.due, RECOVERY_TIMEOUT_MS), partial(self._give, room.Tick()))
             self.run(self.next_event)
 
     def _give(self, event: room.Event) -> None:
@@ -148,8 +150,9 @@
                     self.full = self.now
 
     def _answer(self, peer: int) -> None:
-        state = State(1, DAY_MS, Phase.FULL, 0, Flag.SOUND | Flag.LISTED | Flag.WARM, 1, RATE, RATE, 0,
-                      bits_of(range(self.count)))  # fmt: skip
+        flags = Flag.SOUND | Flag.LISTED | Flag.WARM
+        seen = bits_of(range(self.count))
+        state = State(1, DAY_MS, Phase.FULL, 0, flags, 1, REQUESTS_PER_S, REQUESTS_PER_S, 0, seen)
         message = Message(Kind.ANSWER, peer, self.core.register.hash, state)
         self._give(room.Received(peer, encode(message, self.now)))
 
@@ -157,18 +160,20 @@
 def restarts(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
     """One node crashes and comes back, as thousands do a day: until it is FULL, and until it has the list."""
     for count in sizes:
-        of, one = Figures(ROLE, count), Restarted(count, seed)
+        of, one = PointFactory(ROLE, count), RestartedNode(count, seed)
         one.finish()
         yield from of.took("restart_full", one.full)
         yield from of.took("restart_told", one.told)
 
 
-def words(sizes: Sequence[int], seed: int) -> Iterator[Point]:
-    """What a node can say of all that it sees, in one datagram."""
+def answers(sizes: Sequence[int], seed: int) -> Iterator[Point]:
+    """Measure the datagram in which a node reports its view."""
     del seed  # nothing is drawn
     for count in sizes:
-        of = Figures(ROLE, count)
-        state = State(1, 0.0, Phase.FULL, 0, Flag.SOUND, 1, RATE, RATE, 0, bits_of(range(count)))
+        of = PointFactory(ROLE, count)
+        state = State(
+            1, 0.0, Phase.FULL, 0, Flag.SOUND, 1, REQUESTS_PER_S, REQUESTS_PER_S, 0, bits_of(range(count))
+        )
         begun = time.thread_time()
         data = encode(Message(Kind.ANSWER, 0, 0, state), 0.0)
         body = decode(data, 0.0).body
@@ -180,5 +185,5 @@
 
 
 def _last(times: dict[int, float], count: int) -> float:
-    """When the last of them had come so far, ms; infinity where one did not."""
+    """Return the latest time in ms; infinity where one is missing."""
     return max(times.values()) if len(times) == count else math.inf
--- a/balancer/lab/scale/rig.py
+++ b/balancer/lab/scale/runner.py
@@ -1,6 +1,4 @@
-"""Plays all roles, one after the other or in parts: points, slopes, what was not played; `scale.json` and
-`scale.html`.
-"""
+"""Run the plays of all roles, and write their points and slopes to `scale.json` and `scale.html`."""
 
 from __future__ import annotations
 
@@ -21,18 +19,26 @@
 
 from balancer.lab.programs import ROOT
 from balancer.lab.report import BAD, GOOD, INK, page, png, table_html
-from balancer.lab.scale import control, discovery, listing, module, processes, rack, tables
-from balancer.lab.scale.beside import Done, played, workers_most
+from balancer.lab.scale import (
+    decision_module,
+    dense_hosting,
+    discovery,
+    endpoint_list,
+    rack_failure,
+    settings_tables,
+    shared_state,
+)
+from balancer.lab.scale.parallel_parts import PartResult, default_workers, played
 from balancer.lab.scale.points import FORMS, NotPlayed, Play, Point, Slope, slopes
 
 VERSION = 1
 # s for all plays, of 15 and 2 minutes: the report takes the rest. What does not fit any more is not played.
-MOST_S, MOST_QUICK_S = 840.0, 90.0
+TIME_LIMIT_S, QUICK_TIME_LIMIT_S = 840.0, 90.0
 COLUMNS = 3
 
 
 class Played(msgspec.Struct, frozen=True):
-    """One play as it went."""
+    """A play that was run."""
 
     name: str
     target: int
@@ -58,21 +64,29 @@
 
 
 def program() -> str:
-    """The commit that is played, with a mark where files differ from it; "unknown" without git."""
+    """Return the commit, with a mark where files differ from it; "unknown" without git."""
     done = subprocess.run(["git", "-C", str(ROOT), "describe", "--always", "--dirty", "--abbrev=12"],
                           capture_output=True, check=False)  # fmt: skip
     return done.stdout.decode().strip() if not done.returncode else "unknown"
 
 
 def all_plays(quick: bool) -> list[Play]:
-    """All plays in the order of their weight for the page."""
-    rooms = (module, listing, tables, discovery, control, processes, rack)
-    return [play for room in rooms for play in room.plays(quick)]
+    """Return all plays in the order of the report."""
+    modules = (
+        decision_module,
+        endpoint_list,
+        settings_tables,
+        discovery,
+        shared_state,
+        dense_hosting,
+        rack_failure,
+    )
+    return [play for room in modules for play in room.plays(quick)]
 
 
 @dataclass(slots=True, frozen=True)
-class Course:
-    """What holds for all plays of one run."""
+class RunBounds:
+    """The bounds and the observer of one run."""
 
     seed: int
     most: float  # s for all of them
@@ -81,17 +95,17 @@
 
     @property
     def over(self) -> bool:
-        """Nothing is begun any more."""
+        """Whether the time is over, so that nothing more begins."""
         return time.monotonic() > self.until
 
     def left(self, what: str) -> NotPlayed:
-        """What there was no time for."""
+        """Return the mark of a play for which there was no time."""
         return NotPlayed(what, f"the {self.most:g} s of the whole command were over")
 
 
 @dataclass(slots=True, frozen=True)
-class Went:
-    """What came of one play."""
+class PlayResult:
+    """The results of one play."""
 
     items: list[Point | NotPlayed]
     seconds: float | None  # that it took, all its parts together; None: it was not begun
@@ -101,21 +115,21 @@
     plays: Sequence[Play], seed: int, quick: bool, tell: Callable[[str, Point | None], None],
     workers: int | None = None,
 ) -> Result:  # fmt: skip
-    """Play them, one at a time; then those that have parts, so many parts at a time, see `workers_most`.
+    """Run plays one at a time, then those that have parts in `workers` processes, see `workers_most`.
 
     `tell` hears of each play as it begins, and of each point.
     """
     version, load, begin = program(), os.getloadavg()[0], time.monotonic()
-    most = MOST_QUICK_S if quick else MOST_S
-    course = Course(seed, most, begin + most, tell)
-    went = {play.name: _alone(play, course) for play in plays if not play.parts}
-    went |= _beside([play for play in plays if play.parts], course, workers or workers_most())
+    most = QUICK_TIME_LIMIT_S if quick else TIME_LIMIT_S
+    course = RunBounds(seed, most, begin + most, tell)
+    results = {play.name: _play_alone(play, course) for play in plays if not play.parts}
+    results |= _play_parts([play for play in plays if play.parts], course, workers or default_workers())
     points: list[Point] = []
     found: list[Slope] = []
     left: list[NotPlayed] = []
     done: list[Played] = []
     for play in plays:
-        items, seconds = went[play.name].items, went[play.name].seconds
+        items, seconds = results[play.name].items, results[play.name].seconds
         mine = [item for item in items if isinstance(item, Point)]
         points += mine
         found += slopes(mine, play.target)
@@ -138,10 +152,10 @@
     )
 
 
-def _alone(play: Play, course: Course) -> Went:
-    """Play one in this process; the time is looked at after each item."""
+def _play_alone(play: Play, course: RunBounds) -> PlayResult:
+    """Run one play in this process; check the time after each item."""
     if course.over:
-        return Went([course.left(play.name)], None)
+        return PlayResult([course.left(play.name)], None)
     begin, items = time.monotonic(), list[Point | NotPlayed]()
     course.tell(play.name, None)
     for item in play.run(course.seed):
@@ -151,24 +165,24 @@
         if course.over:
             items.append(course.left(f"{play.name}, the rest"))
             break
-    return Went(items, time.monotonic() - begin)
+    return PlayResult(items, time.monotonic() - begin)
 
 
-def _beside(plays: Sequence[Play], course: Course, workers: int) -> dict[str, Went]:
-    """Play the parts of these in processes beside one another; their points keep the order of the parts."""
+def _play_parts(plays: Sequence[Play], course: RunBounds, workers: int) -> dict[str, PlayResult]:
+    """Run the parts of plays in parallel processes; their points keep the order of the parts."""
     if course.over:
-        return {play.name: Went([course.left(play.name)], None) for play in plays}
+        return {play.name: PlayResult([course.left(play.name)], None) for play in plays}
     for play in plays:
         course.tell(play.name, None)
     of = {part.name: play.name for play in plays for part in play.parts}
-    parts, done = [part for play in plays for part in play.parts], dict[str, Done]()
+    parts, done = [part for play in plays for part in play.parts], dict[str, PartResult]()
     for ended in played(parts, course.seed, workers, course.until, course.left):
         done[ended.part.name] = ended
         for item in ended.items:
             if isinstance(item, Point):
                 course.tell(of[ended.part.name], item)
     return {
-        play.name: Went(
+        play.name: PlayResult(
             [item for part in play.parts for item in done[part.name].items],
             sum(done[part.name].seconds for part in play.parts),
         )
@@ -177,31 +191,31 @@
 
 
 def _rounded(point: Point) -> Point:
-    """Counted figures as they are, others to six digits."""
+    """Return a point with six digits, or as it is where it was counted."""
     value = point.value if point.exact else float(f"{point.value:.6g}")
     return Point(point.role, point.figure, point.unit, point.size, value, point.exact)
 
 
 def encode(result: Result) -> bytes:
-    """`scale.json`: a line a point and a slope, so that two runs can be compared as text."""
+    """Encode `scale.json` with a line for each value, so that two runs can be compared as text."""
     text = msgspec.json.encode(result)
     return msgspec.json.format(text, indent=1) + b"\n"
 
 
 def read(path: Path) -> Result:
-    """A result that was written; raises OSError, msgspec.MsgspecError."""
+    """Read a result; raises OSError, msgspec.MsgspecError."""
     return msgspec.json.decode(path.read_bytes(), type=Result)
 
 
 def write(result: Result, out: Path) -> None:
-    """Both files; raises OSError."""
+    """Write both files; raises OSError."""
     out.mkdir(parents=True, exist_ok=True)
     (out / "scale.json").write_bytes(encode(result))
     (out / "scale.html").write_text(report(result), "utf-8")
 
 
 def report(result: Result) -> str:
-    """One HTML file: a plot and a row a slope, and what was left out."""
+    """Return an HTML page: a plot and a row for each slope, and what was left out."""
     rows = [
         (s.role, s.figure, s.unit, s.sizes[0], s.sizes[-1], s.fit, f"{s.residual:.1%}", s.target, s.at_target,
          f"{s.beyond:.3g}", "counted" if s.exact else "measured")
@@ -223,7 +237,7 @@
 
 
 def by_role(found: Iterable[Slope]) -> dict[str, list[Slope]]:
-    """The slopes of each role: a picture each."""
+    """Group slopes by role."""
     out: dict[str, list[Slope]] = {}
     for slope in found:
         out.setdefault(slope.role, []).append(slope)
@@ -231,7 +245,7 @@
 
 
 def plots(some: Sequence[Slope]) -> Figure:
-    """Each slope: its points, its fit up to the size of two years."""
+    """Plot each slope: its points, and its fit up to the size of two years."""
     rows = -(-len(some) // COLUMNS)
     figure = Figure(figsize=(10.5, 2.6 * rows))
     figure.subplots_adjust(hspace=0.45, wspace=0.25)
--- a/balancer/lab/scale/tables.py
+++ b/balancer/lab/scale/settings_tables.py
@@ -1,4 +1,4 @@
-"""The tables that a node is told at its start: classes (a route each) and tenants, at growing numbers."""
+"""The tables of a node's settings at growing sizes: classes (one for each route) and tenants."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from balancer import interface as api
 from balancer import wire
-from balancer.lab.scale import fleet, size
+from balancer.lab.scale import generated_inputs, size
 from balancer.lab.scale.points import Play, Point
 from balancer.policy import Balancer
 
@@ -27,7 +27,7 @@
 
 
 def measure(role: str, count: int, text: str, seed: int) -> Iterator[Point]:
-    """Making the settings out of their JSON, what they hold, and the turn of a reload."""
+    """Measure the parsing of settings, their memory, and the turn of a reload."""
     raw = json.loads(text)
     begin = time.process_time_ns()
     settings = wire.parse_settings(raw)
@@ -46,25 +46,32 @@
 
 
 def _reload_ms(settings: api.Settings, seed: int) -> float:
-    """The module's turn, where all classes have their record already."""
-    balancer = Balancer(wire.parse_settings(fleet.raw_settings(LISTED)), seed)
-    balancer.handle(fleet.NOW, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, fleet.entries(LISTED), 1))
-    balancer.handle(fleet.NOW, api.Reconfigured(settings))
+    """Return the ms of the module's turn where all classes have their record already."""
+    balancer = Balancer(wire.parse_settings(generated_inputs.raw_settings(LISTED)), seed)
+    balancer.handle(
+        generated_inputs.START_MS,
+        api.ListUpdate(api.ListUpdateKind.SNAPSHOT, generated_inputs.entries(LISTED), 1),
+    )
+    balancer.handle(generated_inputs.START_MS, api.Reconfigured(settings))
     event = api.Reconfigured(settings)
-    return fleet.spent_us(lambda: balancer.handle(fleet.NOW, event), 0.5, 50) / 1000
+    return (
+        generated_inputs.spent_us(lambda: balancer.handle(generated_inputs.START_MS, event), 0.5, 50) / 1000
+    )
 
 
 def plays(quick: bool) -> list[Play]:
-    """The plays of the tables."""
+    """Return the plays of the tables."""
 
     def routes(seed: int) -> Iterator[Point]:
         for count in QUICK_ROUTES if quick else ROUTES:
-            yield from measure("routes", count, json.dumps(fleet.raw_settings(LISTED, count)), seed)
+            yield from measure(
+                "routes", count, json.dumps(generated_inputs.raw_settings(LISTED, count)), seed
+            )
 
     def tenants(seed: int) -> Iterator[Point]:
         for count in QUICK_TENANTS if quick else TENANTS:
             rows = [{"name": f"t{n:06d}", "quota-per-s": 3.0, "share": 0.1} for n in range(count)]
-            text = json.dumps(fleet.raw_settings(LISTED) | {"projects": rows})
+            text = json.dumps(generated_inputs.raw_settings(LISTED) | {"projects": rows})
             yield from measure("tenants", count, text, seed)
 
     return [Play("routes", routes, size.ROUTES, LIMITS), Play("tenants", tenants, size.TENANTS, LIMITS)]
--- a/balancer/lab/scale/size.py
+++ b/balancer/lab/scale/size.py
@@ -1,4 +1,4 @@
-"""The size of two years, as the operators plan it, and what follows: the one place for both.
+"""The planned size in two years, and the figures that follow from it.
 
 Times in s, memory and messages in bytes, shares of 1, all else counted.
 """
--- a/balancer/lab/timeline.py
+++ b/balancer/lab/timeline.py
@@ -9,7 +9,7 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import AnyFault, BatchedFault, Drain, Fault, Kill, PowerLoss, TimedFault
 from balancer.experiments.selectors import fault_targets, split_into_batches
-from balancer.lab.power import return_times
+from balancer.lab.power_loss import return_times
 
 
 class Step(Enum):
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -1,4 +1,4 @@
-"""One process of the rig: it plays some of the backends, some of the clients, or discovery and the network.
+"""A process of the harness: some of the backends, some of the clients, or discovery and the datagram relay.
 
 The lab starts it with a plan on its first line of input, gives it the run's zero on the second, and ends it
 with the third; when its input ends before that, so does it. It answers with lines of JSON.
@@ -37,25 +37,30 @@
 )
 from balancer.experiments.random_streams import stream
 from balancer.lab import records
-from balancer.lab.backends import Farm, Host
-from balancer.lab.clients import Crowd
-from balancer.lab.hub import DirectoryService, Relay
-from balancer.lab.places import Places
+from balancer.lab.addresses import AddressPlan
+from balancer.lab.backend_stubs import BackendGroup, BackendStub
+from balancer.lab.clients import ClientGroup
+from balancer.lab.datagram_relay import DatagramRelay
+from balancer.lab.discovery_stub import DiscoveryStub
+from balancer.lab.impaired_sockets import ImpairedConnection, RunClock
 from balancer.lab.timeline import Moment, Step, timeline
-from balancer.lab.wires import Clock, Wire
 from balancer.models.directory import Phase
-from balancer.models.network import Weather
+from balancer.models.network import NetworkConditions
 
-LIVE = 0.25  # s between two lines of live figures
-PULSE = 0.02  # s between two looks at the event loop's lag
-SLOT = 0.1  # s between two looks at what the backends bear
+LIVE_INTERVAL_S = 0.25  # of live figures
+LOOP_LAG_INTERVAL_S = 0.02
+CAPACITY_INTERVAL_S = 0.1
+GC_THRESHOLDS = (100_000, 50, 100)  # records pile up: frequent young collections would stall the harness
+MAX_LINE_BYTES = 2**24
 
 
-Role = Literal["backends", "clients", "hub"]
+Role = Literal["backends", "clients", "discovery"]
+STREAM_NAMES: dict[Role, str] = {"backends": "backends", "clients": "clients", "discovery": "hub"}
+"""Former names of the roles: a seed draws the same network as in earlier versions."""
 
 
 class Plan(msgspec.Struct):
-    """What one process of the rig plays."""
+    """The part of one process in a run."""
 
     experiment: Experiment
     seed: int
@@ -67,87 +72,90 @@
 
 
 class Worker:
-    """The parties of this process, and the faults on them; `read` gives the event loop's time, in s."""
+    """The parties of this process, and the faults on them."""
 
     def __init__(self, plan: Plan, read: Callable[[], float] = time.monotonic) -> None:
-        self.plan, self.spec, self.seen = plan, plan.experiment, records.Seen()
-        self.clock = Clock(read)
-        places = Places(plan.block, self.spec.backends.count)
-        self.weather = Weather(self.spec, stream(plan.seed, "weather", plan.role, plan.part))
-        world = (places, self.weather, self.clock, self.seen)
-        self.farm: Farm | None = None
-        self.crowds: list[Crowd] = []
-        self.directory: DirectoryService | None = None
-        self.relay: Relay | None = None
+        """Prepare the parties of a plan; `read` gives the time of the event loop in s."""
+        self.plan, self.spec, self.seen = plan, plan.experiment, records.RunRecords()
+        self.clock = RunClock(read)
+        places = AddressPlan(plan.block, self.spec.backends.count)
+        self.network = NetworkConditions(
+            self.spec, stream(plan.seed, "weather", STREAM_NAMES[plan.role], plan.part)
+        )
+        world = (places, self.network, self.clock, self.seen)
+        self.group: BackendGroup | None = None
+        self.client_groups: list[ClientGroup] = []
+        self.directory: DiscoveryStub | None = None
+        self.relay: DatagramRelay | None = None
         if plan.role == "backends":
             everyone = range(self.spec.backends.count)
             cells = sorted({self.spec.cell_of(n) for n in everyone})[plan.part :: plan.of]
             numbers = [n for n in everyone if self.spec.cell_of(n) in cells]
-            self.farm = Farm(self.spec, plan.seed, *world, numbers)
+            self.group = BackendGroup(self.spec, plan.seed, *world, numbers)
         elif plan.role == "clients":
             for zone in self.spec.fleet.zones:
-                self.crowds.append(Crowd(self.spec, plan.seed, zone, plan.part, plan.of, *world))
+                self.client_groups.append(ClientGroup(self.spec, plan.seed, zone, plan.part, plan.of, *world))
         else:
-            self.directory = DirectoryService(self.spec, *world)
+            self.directory = DiscoveryStub(self.spec, *world)
             if self.spec.network.peer_datagrams:
-                self.relay = Relay(self.spec, places, self.weather)
+                self.relay = DatagramRelay(self.spec, places, self.network)
 
     async def open(self) -> None:
-        """Listen, and begin to look at the nodes. Raises OSError."""
-        for part in (self.farm, self.directory):
+        """Listen, and start the health checks of the nodes. Raises OSError."""
+        for part in (self.group, self.directory):
             if part is not None:
                 part.open()
         if self.relay is not None:
             await self.relay.open()
-        for crowd in self.crowds:
-            crowd.front.start()
+        for group in self.client_groups:
+            group.front_end.start()
 
     def start(self, zero: float) -> None:
-        """The run's zero is known: faults and clients go by it."""
+        """Start faults and clients by the run's zero."""
         self.clock.zero = zero
         loop = asyncio.get_running_loop()
         for moment in timeline(self.spec, self.plan.seed):
             loop.call_later(max(0.0, moment.at - self.clock.now() / 1000), self._apply, moment)
         wait = -self.clock.now() / 1000
-        for crowd in self.crowds:
-            loop.call_later(max(0.0, wait), crowd.start)
-        loop.call_later(PULSE, self._pulse, loop.time() + PULSE)
-        if self.farm is not None and any(isinstance(f, PowerLoss) for f in self.spec.faults):
-            loop.call_later(max(0.0, wait), self._bears, self.farm, 0)
-
-    def _bears(self, farm: Farm, slot: int) -> None:
-        self.seen.bears.append(records.BearRecord(slot, farm.bears()))
-        wait = (slot + 1) * SLOT - self.clock.now() / 1000
-        asyncio.get_running_loop().call_later(max(0.0, wait), self._bears, farm, slot + 1)
-
-    def _pulse(self, due: float) -> None:
+        for group in self.client_groups:
+            loop.call_later(max(0.0, wait), group.start)
+        loop.call_later(LOOP_LAG_INTERVAL_S, self._record_loop_lag, loop.time() + LOOP_LAG_INTERVAL_S)
+        if self.group is not None and any(isinstance(f, PowerLoss) for f in self.spec.faults):
+            loop.call_later(max(0.0, wait), self._record_capacity, self.group, 0)
+
+    def _record_capacity(self, group: BackendGroup, slot: int) -> None:
+        self.seen.capacities.append(records.CapacityRecord(slot, group.capacity()))
+        wait = (slot + 1) * CAPACITY_INTERVAL_S - self.clock.now() / 1000
+        asyncio.get_running_loop().call_later(max(0.0, wait), self._record_capacity, group, slot + 1)
+
+    def _record_loop_lag(self, scheduled_at: float) -> None:
         loop = asyncio.get_running_loop()
-        self.seen.loop_lag.append((loop.time() - due) * 1000)
-        loop.call_later(PULSE, self._pulse, loop.time() + PULSE)
+        self.seen.loop_lag.append((loop.time() - scheduled_at) * 1000)
+        loop.call_later(LOOP_LAG_INTERVAL_S, self._record_loop_lag, loop.time() + LOOP_LAG_INTERVAL_S)
 
     def _apply(self, moment: Moment) -> None:
         fault, on = moment.fault, moment.step is Step.BEGIN
         if isinstance(fault, LinkFault):
             if on and fault.reset:
-                self._reset(fault)
-            self.weather.change(fault, on)
+                self._reset_links(fault)
+            self.network.change(fault, on)
         elif self.directory is not None:
-            self._list(self.directory, moment)
-        elif self.farm is not None:
+            self._apply_to_discovery(self.directory, moment)
+        elif self.group is not None:
             for name in moment.names:
-                if (host := self.farm.hosts.get(name)) is not None:
-                    _strike(host, moment)
+                if (host := self.group.hosts.get(name)) is not None:
+                    _apply_to_backend(host, moment)
 
-    def _reset(self, fault: LinkFault) -> None:
-        wires: list[Wire] = [
-            w for h in (self.farm.hosts.values() if self.farm else ()) for w in h.connections
+    def _reset_links(self, fault: LinkFault) -> None:
+        connections: list[ImpairedConnection] = [
+            w for h in (self.group.hosts.values() if self.group else ()) for w in h.connections
         ]
-        wires += [wire for crowd in self.crowds for wire in crowd.wires]
-        for wire in wires:
-            if self.weather.touches(fault, wire.me, wire.peer):
-                wire.reset()
+        connections += [connection for group in self.client_groups for connection in group.connections]
+        for connection in connections:
+            if self.network.affects_link(fault, connection.me, connection.peer):
+                connection.reset()
 
-    def _list(self, directory: DirectoryService, moment: Moment) -> None:
+    def _apply_to_discovery(self, directory: DiscoveryStub, moment: Moment) -> None:
         fault, spec = moment.fault, self.spec.discovery
         if isinstance(fault, DiscoveryOutage):
             directory.fail(moment.step is Step.BEGIN)
@@ -159,7 +167,7 @@
             if fault.moves_discovery:
                 directory.move(moment.names)
         elif isinstance(fault, PowerLoss):
-            self._outage(directory, moment)
+            self._apply_power_loss(directory, moment)
         elif isinstance(fault, (Kill, Drain)):
             for name in moment.names:
                 if name[0] != "s":
@@ -171,8 +179,8 @@
                 else:
                     directory.plan(spec.removal_delay_s, name, Phase.GONE)
 
-    def _outage(self, directory: DirectoryService, moment: Moment) -> None:
-        """Who comes back before it is missed is listed on, with its new start once that is known."""
+    def _apply_power_loss(self, directory: DiscoveryStub, moment: Moment) -> None:
+        """Keep a backend listed that is back before it is missed; list its new start once that is known."""
         spec, on = self.spec.discovery, moment.step is Step.BEGIN
         if "d" in moment.names:
             directory.fail(on)
@@ -187,12 +195,12 @@
                 directory.plan(spec.removal_delay_s, name, Phase.GONE)
 
     def live(self) -> dict[str, Any]:
-        """Figures for the screen."""
+        """Return live figures for the screen."""
         out: dict[str, Any] = {"live": True, "role": self.plan.role}
-        if self.farm is not None:
-            out["backends"] = self.farm.live()
-        if self.crowds:
-            out["clients"] = {crowd.zone: crowd.live() for crowd in self.crowds}
+        if self.group is not None:
+            out["backends"] = self.group.live()
+        if self.client_groups:
+            out["clients"] = {group.zone: group.live() for group in self.client_groups}
         if self.directory is not None:
             out["calls"] = dict(self.directory.counts)
         if self.relay is not None:
@@ -200,16 +208,16 @@
         return out
 
     async def finished(self) -> None:
-        """All wishes have ended; where there are none, never."""
-        await asyncio.gather(*(crowd.done.wait() for crowd in self.crowds))
-        if not self.crowds:
+        """Wait until all operations have ended; without clients, for ever."""
+        await asyncio.gather(*(group.done.wait() for group in self.client_groups))
+        if not self.client_groups:
             await asyncio.Event().wait()
 
 
-def _strike(host: Host, moment: Moment) -> None:
-    """What a fault does to one backend."""
-    fault, on, now = moment.fault, moment.step is Step.BEGIN, host.farm.clock.now()
-    trouble = host.core.trouble
+def _apply_to_backend(host: BackendStub, moment: Moment) -> None:
+    """Apply a step of a fault to one backend."""
+    fault, on, now = moment.fault, moment.step is Step.BEGIN, host.group.clock.now()
+    active_faults = host.core.active_faults
     match fault:
         case Kill() | Drain() | PowerLoss() if moment.step is Step.BACK:
             host.restart()
@@ -223,13 +231,13 @@
             host.conclude(host.core.wake(now))
             host.arm()
         case GrayFailure():
-            trouble.gray, trouble.gray_ms = (fault.share if on else 0.0), fault.answer_ms
+            active_faults.gray, active_faults.gray_ms = (fault.share if on else 0.0), fault.answer_ms
         case Slowdown():
-            trouble.slow = fault.factor if on else 1.0
+            active_faults.slow = fault.factor if on else 1.0
         case ConnectionResets():
-            trouble.resets = fault.share if on else 0.0
+            active_faults.resets = fault.share if on else 0.0
         case SlowConnects() if on:
-            host.late(fault)
+            host.schedule_connect_delays(fault)
 
 
 def _say(**table: Any) -> None:
@@ -238,7 +246,7 @@
 
 
 async def _input() -> asyncio.StreamReader:
-    reader = asyncio.StreamReader(limit=2**24)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
@@ -246,7 +254,7 @@
 
 
 async def work() -> int:
-    """Play until told to end; 1 if the input ended before."""
+    """Take part in a run until told to end; return 1 if the input ended before."""
     lines = await _input()
     worker = Worker(msgspec.json.decode(await lines.readline(), type=Plan))
     try:
@@ -256,21 +264,21 @@
         return 1
     gc.collect()
     gc.freeze()
-    gc.set_threshold(100_000, 50, 100)  # records pile up: young collections would be the rig's own stalls
+    gc.set_threshold(*GC_THRESHOLDS)
     _say(ready=True, pid=os.getpid())
     zero = msgspec.json.decode(await lines.readline() or b"null", type=float | None)
     if zero is None:
         return 1
     worker.start(zero)
-    tell = asyncio.get_running_loop().create_task(_tell(worker))
-    done = asyncio.get_running_loop().create_task(_done(worker))
+    live_report = asyncio.get_running_loop().create_task(_report_live(worker))
+    done = asyncio.get_running_loop().create_task(_report_done(worker))
     last = await lines.readline()
-    tell.cancel()
+    live_report.cancel()
     done.cancel()
     if not last:
         return 1
     if worker.relay is not None:
-        worker.seen.datagrams.extend(worker.relay.sent(worker.clock.zero))
+        worker.seen.datagram_counts.extend(worker.relay.sent(worker.clock.zero))
     try:
         records.write(worker.seen, Path(worker.plan.records))
     except OSError as err:
@@ -280,13 +288,13 @@
     return 0
 
 
-async def _tell(worker: Worker) -> None:
+async def _report_live(worker: Worker) -> None:
     while True:
-        await asyncio.sleep(LIVE)
+        await asyncio.sleep(LIVE_INTERVAL_S)
         _say(**worker.live())
 
 
-async def _done(worker: Worker) -> None:
+async def _report_done(worker: Worker) -> None:
     await worker.finished()
     _say(done=True)
 
--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -1,4 +1,4 @@
-"""One backend: cores, slots, a waiting room, a cold start that can topple, repeats dropped per cell.
+"""A backend: cores, slots, a queue, a cold start that can collapse under overload, duplicates per cell.
 
 All times are milliseconds on the caller's clock. Work is time on a standard core that is warm and not
 crowded. The model follows the platform's pages (WIRE: the four rules, `ramp-time`, `fall`; DEPLOY: what a
@@ -16,11 +16,11 @@
 
 from balancer.experiments.tables import Backends, Rules
 
-PATIENCE = 64  # random numbers drawn at a time
+RANDOM_BATCH = 64  # numbers drawn at a time
 
 
 class Verdict(Enum):
-    """How an attempt ends at the backend."""
+    """The ends of an attempt at the backend."""
 
     SERVED = "served"
     REPEATED = "repeated"  # a keyed repeat: answered as served, run no second time
@@ -49,8 +49,8 @@
 
 
 @dataclass(slots=True)
-class Topple:
-    """A cold backend was sent more than it may bear: when, and by whom the work came."""
+class OverloadCollapse:
+    """The collapse of a cold backend that was sent too much work: when, and from which nodes."""
 
     at: float
     started: float
@@ -63,8 +63,8 @@
 
 
 @dataclass
-class Trouble:
-    """What is wrong with a backend for now; shares of requests, and a factor on times."""
+class ActiveFaults:
+    """The faults of a backend that are in force: shares of requests, and a factor on times."""
 
     slow: float = 1.0
     gray: float = 0.0
@@ -74,7 +74,7 @@
 
 @dataclass
 class Backend:
-    """The state of one backend. `offer` and `advance` are its events; both return what ends now."""
+    """One backend. `offer` and `advance` are its events; both return what ends now."""
 
     spec: Backends
     rules: Rules
@@ -82,30 +82,31 @@
     cell: Cell
     random: np.random.Generator
     started: float = -1e12  # ms; long ago: warm
-    trouble: Trouble = field(default_factory=Trouble)
-    toppled: Topple | None = None
+    active_faults: ActiveFaults = field(default_factory=ActiveFaults)
+    collapsed: OverloadCollapse | None = None
     stalled_at: float | None = None
 
     def __post_init__(self) -> None:
+        """Derive the slots and the queue length."""
         self.slots = max(1, round(self.spec.cores * self.spec.slots_per_core))
-        self.room = self.spec.cores * self.spec.queue_per_core
+        self.queue_capacity = self.spec.cores * self.spec.queue_per_core
         self.running: list[tuple[float, int, Job]] = []  # a heap by the time of the end
         self.waiting: deque[Job] = deque()
         self.fresh: deque[tuple[float, int, float]] = deque()  # work that came while cold: when, from whom
         self.done_work = self.pressure = 0.0
         self.count = 0
-        self._dice: list[float] = []
+        self._uniforms: list[float] = []
 
     def restart(self, now: float) -> None:
-        """Come back cold; whatever it held is lost."""
+        """Restart cold; all requests in progress are lost."""
         self.started, self.done_work, self.pressure = now, 0.0, 0.0
         self.running.clear()
         for job in self.waiting:  # the cell never ran these: their repeats must not be dropped
             self.cell.pop(job.key, None)
         self.waiting.clear()
         self.fresh.clear()
-        self.toppled = self.stalled_at = None
-        self.trouble = Trouble()
+        self.collapsed = self.stalled_at = None
+        self.active_faults = ActiveFaults()
 
     def warmth(self, now: float) -> float:
         """Return the share of its capacity that it has now, which rises to 1 by time or by work done."""
@@ -118,36 +119,36 @@
         )
 
     def capacity(self, now: float) -> float:
-        """Work a millisecond that it can do now."""
+        """Return the work a millisecond that it can do now."""
         return self.spec.cores * self.speed * self.warmth(now)
 
     @property
     def report(self) -> tuple[int, int]:
-        """Requests being handled, and waiting."""
+        """The numbers of requests in service and in the queue."""
         return len(self.running), len(self.waiting)
 
     @property
     def next_end(self) -> float | None:
-        """When `advance` has something to do."""
+        """The time at which the next request ends; None where none is in service."""
         return self.running[0][0] if self.running and self.stalled_at is None else None
 
-    def _die(self) -> float:
-        if not self._dice:
-            self._dice = self.random.random(PATIENCE).tolist()
-        return self._dice.pop()
+    def _next_uniform(self) -> float:
+        if not self._uniforms:
+            self._uniforms = self.random.random(RANDOM_BATCH).tolist()
+        return self._uniforms.pop()
 
     def offer(self, now: float, job: Job) -> Verdict | None:
-        """An attempt's last byte came; what it ends with at once, or None while it is held."""
+        """Accept a complete attempt; return how it ends at once, or None while it is in progress."""
         self._press(now, job)
-        if self.toppled is not None:
+        if self.collapsed is not None:
             return Verdict.TURNED_AWAY
-        if self.trouble.gray and self._die() < self.trouble.gray:
+        if self.active_faults.gray and self._next_uniform() < self.active_faults.gray:
             return Verdict.ERROR
         if job.key:
             first = self.cell.get(job.key)
             if first is not None and now - first <= job.span:
                 return Verdict.REPEATED
-        if len(self.waiting) >= self.room and len(self.running) >= self.slots:
+        if len(self.waiting) >= self.queue_capacity and len(self.running) >= self.slots:
             return Verdict.TURNED_AWAY
         if job.key:
             self.cell[job.key] = now
@@ -158,7 +159,7 @@
         return None
 
     def advance(self, now: float) -> list[Job]:
-        """The jobs that have ended by `now`, in order. A late call does not slow the backend down."""
+        """Return the jobs that have ended by `now`, in order; a late call does not slow the backend down."""
         out: list[Job] = []
         while self.running and self.running[0][0] <= now and self.stalled_at is None:
             end, _, job = heapq.heappop(self.running)
@@ -180,24 +181,26 @@
 
     def _begin(self, now: float, job: Job) -> None:
         job.began = True
-        die = self._die()
-        if die < self.spec.error_rate:
+        next_uniform = self._next_uniform()
+        if next_uniform < self.spec.error_rate:
             job.verdict = Verdict.ERROR
-        elif die < self.spec.error_rate + self.trouble.resets:
+        elif next_uniform < self.spec.error_rate + self.active_faults.resets:
             job.verdict = Verdict.RESET
-        held = (len(self.running) + len(self.waiting)) / self.spec.cores
-        crowd = 1 + self.spec.thrash * max(0.0, held - self.spec.thrash_at)
+        in_progress = (len(self.running) + len(self.waiting)) / self.spec.cores
+        slowdown = 1 + self.spec.thrash * max(0.0, in_progress - self.spec.thrash_at)
         # Slots over the cores share them; under them each has a core of its own.
         per_slot = min(1.0, self.spec.cores / self.slots) * self.speed * self.warmth(now)
         self.count += 1
-        heapq.heappush(self.running, (now + job.work * crowd * self.trouble.slow / per_slot, self.count, job))
+        heapq.heappush(
+            self.running, (now + job.work * slowdown * self.active_faults.slow / per_slot, self.count, job)
+        )
 
     def stall(self, now: float) -> None:
         """Stand still."""
         self.stalled_at = now
 
     def wake(self, now: float) -> list[Job]:
-        """Go on after a stall: what ran goes on from where it stood."""
+        """Continue after a stall; requests in service continue from where they stood."""
         assert self.stalled_at is not None
         lost, self.stalled_at = now - self.stalled_at, None
         self.running = [(end + lost, number, job) for end, number, job in self.running]
@@ -207,8 +210,8 @@
         return out
 
     def _press(self, now: float, job: Job) -> None:
-        """Count the work that reaches it while cold; over the budget of a window it topples."""
-        if self.toppled is not None or now - self.started >= self.spec.warm_up_s * 1000:
+        """Count the work that reaches it while cold; it collapses over the budget of a window."""
+        if self.collapsed is not None or now - self.started >= self.spec.warm_up_s * 1000:
             self.fresh.clear()
             self.pressure = 0.0
             return
@@ -222,4 +225,4 @@
             shares: dict[int, float] = {}
             for _, node, work in self.fresh:
                 shares[node] = shares.get(node, 0.0) + work
-            self.toppled = Topple(now, self.started, budget, shares)
+            self.collapsed = OverloadCollapse(now, self.started, budget, shares)
--- a/balancer/models/client.py
+++ b/balancer/models/client.py
@@ -1,4 +1,4 @@
-"""One client's wish: its tries, when it tries again, when it is over. Told the time, does no I/O."""
+"""A client's operation: its attempts, the backoff between them, its end. It is given the time."""
 
 from __future__ import annotations
 
@@ -7,46 +7,52 @@
 
 from balancer.experiments.tables import Clients, RequestClass
 
-IMPATIENT_AFTER = 0.2  # share of a try's time that even an impatient client waits
+MIN_PATIENCE_SHARE = 0.2  # of an attempt's time
 
 
-class End(Enum):
-    """How one try ended, as the client saw it."""
+class Outcome(Enum):
+    """How an attempt ended, as the client saw it."""
 
     SERVED = "served"
     REFUSED = "refused"  # 429 or 503
-    FAILED = "failed"  # any other whole answer
-    CUT = "cut"  # the connection ended with the answer not whole, or with none
+    FAILED = "failed"  # any other complete answer
+    CUT = "cut"  # the connection ended with an incomplete answer, or none
     UNREACHABLE = "unreachable"  # no connection came up
     SILENT = "silent"  # nothing by the end of its time
     LEFT = "left"  # the client gave up early
 
 
 @dataclass(slots=True)
-class Try:
-    """One try: what it asks for and until when it waits."""
+class PlannedAttempt:
+    """An attempt that is about to be sent."""
 
     number: int
     deadline: float  # ms on the run's clock
     leaves: float | None  # when an impatient client closes
 
 
-class Wish:
-    """One operation over all its tries. `begin` gives each try, `ended` says when the next one comes."""
+class Operation:
+    """One operation over all its attempts: `begin` plans each, `ended` says when the next one is sent."""
 
     __slots__ = ("backoff", "clients", "cls", "first_risk", "give_up", "honours", "impatient", "intended",
                  "leave_share", "number")  # fmt: skip
 
-    def __init__(self, cls: RequestClass, clients: Clients, intended: float, whim: tuple[float, ...]) -> None:
+    def __init__(
+        self, cls: RequestClass, clients: Clients, intended: float, client_draws: tuple[float, ...]
+    ) -> None:
+        """Plan an operation; `client_draws` are four uniform numbers, see `models.load.Arrivals`."""
         self.cls, self.clients, self.intended = cls, clients, intended
         self.give_up = intended + cls.deadline_ms
-        self.impatient, self.leave_share = whim[0] < clients.impatient_share, whim[1]
-        self.honours, self.backoff = whim[2] < clients.retry_after_share, clients.backoff_ms * (0.5 + whim[3])
+        self.impatient, self.leave_share = client_draws[0] < clients.impatient_share, client_draws[1]
+        self.honours, self.backoff = (
+            client_draws[2] < clients.retry_after_share,
+            clients.backoff_ms * (0.5 + client_draws[3]),
+        )
         self.number = -1
         self.first_risk: float | None = None  # when a try first may have run
 
-    def begin(self, now: float) -> Try:
-        """The next try, sent now."""
+    def begin(self, now: float) -> PlannedAttempt:
+        """Plan the next attempt, which is sent now."""
         self.number += 1
         last = self.number >= self.clients.retries
         deadline = self.give_up
@@ -54,15 +60,15 @@
             deadline = min(deadline, now + self.clients.attempt_time_share * self.cls.deadline_ms)
         leaves = None
         if self.impatient:
-            share = IMPATIENT_AFTER + (1 - IMPATIENT_AFTER) * self.leave_share
+            share = MIN_PATIENCE_SHARE + (1 - MIN_PATIENCE_SHARE) * self.leave_share
             leaves = now + share * (deadline - now)
-        return Try(self.number, deadline, leaves)
+        return PlannedAttempt(self.number, deadline, leaves)
 
-    def ended(self, now: float, sent: float, end: End, retry_after: float) -> float | None:
-        """When the next try is sent; None if there is none. `retry_after` is in ms."""
-        if end in (End.SERVED, End.LEFT) or self.number >= self.clients.retries:
+    def ended(self, now: float, sent: float, end: Outcome, retry_after: float) -> float | None:
+        """Return when the next attempt is sent, in ms; None if there is none. `retry_after` is in ms."""
+        if end in (Outcome.SERVED, Outcome.LEFT) or self.number >= self.clients.retries:
             return None
-        harmless = end in (End.REFUSED, End.UNREACHABLE)
+        harmless = end in (Outcome.REFUSED, Outcome.UNREACHABLE)
         if not harmless:
             if self.cls.effect == "fragile":
                 return None
@@ -73,6 +79,6 @@
                 if now - self.first_risk > self.cls.memory_span_ms:
                     return None
         wait = self.backoff
-        if end is End.REFUSED and self.honours:
+        if end is Outcome.REFUSED and self.honours:
             wait = max(wait, retry_after)
         return now + wait if now + wait < self.give_up else None
--- a/balancer/models/connect_delay.py
+++ b/balancer/models/connect_delay.py
@@ -1,19 +1,21 @@
-"""When the way to a backend lets no connection come up for a moment. Times are seconds."""
+"""Intervals in which connections to a backend do not come up. Times are seconds."""
 
 from __future__ import annotations
 
 import numpy as np
 
-SPELL = 0.9  # what is dialled meanwhile comes up by the kernel's second try, a second after its first
-REST = 1.1  # between two spells at least, so that the second try finds the way open
+CONNECT_DELAY_S = 0.9  # shorter than the second after which the kernel sends a second SYN
+MIN_REST_S = 1.1  # between two intervals, so that the second SYN passes
 
 
-def spells(random: np.random.Generator, share: float, begin: float, end: float) -> list[tuple[float, float]]:
-    """Spells that together are a `share` (0.45 at most) of the time between `begin` and `end`, drawn."""
-    rest = SPELL * (1 - share) / share
+def connect_delays(
+    random: np.random.Generator, share: float, begin: float, end: float
+) -> list[tuple[float, float]]:
+    """Draw intervals that are a `share` (0.45 at most) of the time between `begin` and `end`."""
+    rest = CONNECT_DELAY_S * (1 - share) / share
     out: list[tuple[float, float]] = []
     at = begin + random.uniform(0.0, rest)
-    while at + SPELL <= end:
-        out.append((at, at + SPELL))
-        at += SPELL + REST + random.exponential(max(0.0, rest - REST))
+    while at + CONNECT_DELAY_S <= end:
+        out.append((at, at + CONNECT_DELAY_S))
+        at += CONNECT_DELAY_S + MIN_REST_S + random.exponential(max(0.0, rest - MIN_REST_S))
     return out
--- a/balancer/models/directory.py
+++ b/balancer/models/directory.py
@@ -1,4 +1,4 @@
-"""What discovery knows: the list, its versions, and what becomes known when. Times are ms."""
+"""The endpoint list of discovery: its revisions, and when changes become known. Times are ms."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-PAST = 500  # changes kept for watches that come back; older ones get the whole list
+MAX_HISTORY = 500  # changes; a watch from an older revision gets a snapshot
 
 
 class Phase(Enum):
@@ -30,29 +30,29 @@
 
 @dataclass
 class Watch:
-    """What one watch has been told: the list up to a version. Its first object comes in any case."""
+    """The state of a watch: the revision up to which it was sent the list. Its first event always comes."""
 
-    told: int
+    sent_revision: int
     first: bool = True
     silent: bool = False
-    brief: bool = False  # it ends where something has changed, instead of telling it
+    brief: bool = False  # it ends at a change instead of sending an event
 
     def ends(self, directory: Directory) -> bool:
-        """Whether it is to end now."""
-        return self.brief and not (self.first or self.silent) and self.told != directory.revision
+        """Return whether it is to end now."""
+        return self.brief and not (self.first or self.silent) and self.sent_revision != directory.revision
 
-    def news(self, directory: Directory) -> tuple[list[Listed], bool] | None:
-        """What it does not know, and whether that is the whole list; None where nothing is to be said."""
-        if self.silent or (self.told == directory.revision and not self.first):
+    def pending(self, directory: Directory) -> tuple[list[Listed], bool] | None:
+        """Return the entries to send and whether they are a snapshot; None where there is nothing to send."""
+        if self.silent or (self.sent_revision == directory.revision and not self.first):
             return None
-        changed = directory.since(self.told)
-        self.told, self.first = directory.revision, False
+        changed = directory.since(self.sent_revision)
+        self.sent_revision, self.first = directory.revision, False
         return (list(directory.entries.values()), True) if changed is None else (changed, False)
 
 
 @dataclass
 class Directory:
-    """The list with its history. `plan` sets a change that is known later, `advance` makes it known."""
+    """The list with its history: `plan` adds a change that becomes known later, `advance` applies it."""
 
     entries: dict[str, Listed]
     revision: int = 1
@@ -61,7 +61,7 @@
     count: int = 0
 
     def plan(self, known_at: float, name: str, phase: Phase, up_since: float | None = None) -> None:
-        """Discovery learns at `known_at` that a backend is in this phase."""
+        """Plan that discovery learns at `known_at` (ms) of a backend's phase."""
         self.count += 1
         entry = self.entries[name] if name in self.entries else self._last(name)
         since = entry.up_since if up_since is None else up_since
@@ -71,7 +71,7 @@
         return next(entry for _, entry in reversed(self.changes) if entry.name == name)
 
     def advance(self, now: float) -> list[Listed]:
-        """What becomes known by `now`."""
+        """Apply the changes that become known by `now`, and return them."""
         out: list[Listed] = []
         while self.planned and self.planned[0][0] <= now:
             entry = heapq.heappop(self.planned)[2]
@@ -86,11 +86,11 @@
             else:
                 self.entries[entry.name] = entry
             out.append(entry)
-        del self.changes[:-PAST]
+        del self.changes[:-MAX_HISTORY]
         return out
 
     def since(self, revision: int) -> list[Listed] | None:
-        """The latest state of what changed after a version; None where only the whole list will do."""
+        """Return the latest state of what changed after a revision; None where a snapshot is needed."""
         if revision > self.revision or revision < self.revision - len(self.changes):
             return None
         return list({entry.name: entry for number, entry in self.changes if number > revision}.values())
--- a/balancer/models/load.py
+++ b/balancer/models/load.py
@@ -1,4 +1,4 @@
-"""Arrivals drawn ahead, whatever the answers do: times, classes, work, and the whims of each client."""
+"""Open-loop arrivals, drawn ahead: times, classes, work, and the behaviour of each client."""
 
 from __future__ import annotations
 
@@ -13,36 +13,38 @@
 from balancer.experiments.random_streams import stream
 from balancer.experiments.tables import Load
 
+BURST_SHARE = 0.25  # of the time
+
 Floats = NDArray[np.float64]
 
 
 @dataclass(slots=True, frozen=True)
 class Arrivals:
-    """The first tries of one zone, in order of time. All arrays have the same length."""
+    """The first attempts of one zone, in order of time. All arrays have the same length."""
 
     zone: str
     at: Floats  # ms since the first possible arrival
     kind: NDArray[np.int64]  # index into the classes
     work: Floats  # ms on a standard core
-    whim: Floats  # uniform 0 to 1, one column a use: impatience, its time, honour, backoff
+    client_draws: Floats  # uniform 0 to 1, one column a use: impatience, its time, honour, backoff
     ident: NDArray[np.uint64]
 
 
-def skew(spec: Experiment, zone: str) -> float:
-    """How much of the mean rate a zone's clients have."""
+def zone_factor(spec: Experiment, zone: str) -> float:
+    """Return the factor on the mean rate for a zone's clients."""
     zones, index = len(spec.fleet.zones), spec.fleet.zones.index(zone)
     return 1 + spec.load.zone_skew * (1 - 2 * index / (zones - 1)) if zones > 1 else 1.0
 
 
 def intensity(load: Load, faults: tuple[object, ...], zone: str, at_ms: Floats, random: np.random.Generator,
               seconds: float) -> Floats:  # fmt: skip
-    """The rate at each time, as a multiple of the mean."""
+    """Return the rate at each time, as a multiple of the mean."""
     out = np.ones_like(at_ms)
     if load.shape == "wave":
         out += load.amplitude * np.sin(2 * math.pi * at_ms / 1000 / max(4.0, seconds / 3))
     elif load.shape == "bursty":
         # Bursts of half a second, a quarter of the time, the mean kept.
-        high = random.random(int(seconds * 2) + 2) < 0.25
+        high = random.random(int(seconds * 2) + 2) < BURST_SHARE
         factor = np.where(high, 1 + load.amplitude * 2, 1 - load.amplitude * 2 / 3)
         out *= factor[np.minimum((at_ms / 500).astype(int), len(factor) - 1)]
     for fault in faults:
@@ -52,10 +54,10 @@
     return out
 
 
-def draw(spec: Experiment, seed: int, zone: str) -> Arrivals:
-    """All arrivals of a zone: a Poisson process with a changing rate, by thinning; sizes are log-normal."""
+def draw_arrivals(spec: Experiment, seed: int, zone: str) -> Arrivals:
+    """Draw all arrivals of a zone: a Poisson process of changing rate, by thinning; work is log-normal."""
     times, sizes = stream(seed, "arrivals", zone), stream(seed, "sizes", zone)
-    mean = spec.rate * skew(spec, zone) / len(spec.fleet.zones) / 1000  # a ms
+    mean = spec.rate * zone_factor(spec, zone) / len(spec.fleet.zones) / 1000  # a ms
     length = spec.seconds * 1000
     most = 1 + 2 * spec.load.amplitude
     for fault in spec.faults:
@@ -63,10 +65,10 @@
             most *= max(1.0, fault.factor)
     count = times.poisson(mean * most * length)
     at = np.sort(times.uniform(0, length, count))
-    kept = times.random(count) * most < intensity(
+    accepted = times.random(count) * most < intensity(
         spec.load, spec.faults, zone, at, stream(seed, "bursts", zone), spec.seconds
     )
-    at = at[kept]
+    at = at[accepted]
     shares = np.array([c.share for c in spec.load.classes])
     sigma2 = math.log(1 + spec.load.work_cv**2)
     work = sizes.lognormal(math.log(spec.load.work_ms) - sigma2 / 2, math.sqrt(sigma2), len(at))
--- a/balancer/models/network.py
+++ b/balancer/models/network.py
@@ -1,4 +1,4 @@
-"""The network's faults: what holds between two parties now, by the faults in force. Told the time in ms."""
+"""The conditions of the network between two parties, by the link faults in force. Times are ms."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 from balancer.experiments.faults import LinkFault
 from balancer.experiments.selectors import select_parties
 
-RETRANSMIT = 200.0  # ms that a lost segment costs a TCP connection, as the kernel's least time-out
+MAX_UNNOTICED_DELAY_MS = 0.5
+MAX_SEGMENT_LOSS = 0.99  # of each transmission, so that a stream goes on at last
+RETRANSMISSION_MS = 200.0  # the least retransmission timeout of the kernel
 
 
 @dataclass(slots=True, frozen=True)
-class Conditions:
+class LinkConditions:
     """One direction between two parties."""
 
     delay: float  # ms
@@ -27,14 +29,16 @@
     ms_per_byte: float = 0.0
 
     @property
-    def plain(self) -> bool:
-        """Whether bytes may as well pass at once: event loops count whole milliseconds."""
-        return self.delay + self.jitter < 0.5 and not (self.loss or self.cut or self.ms_per_byte)
+    def is_unimpaired(self) -> bool:
+        """Whether bytes pass at once: event loops count whole milliseconds."""
+        return self.delay + self.jitter < MAX_UNNOTICED_DELAY_MS and not (
+            self.loss or self.cut or self.ms_per_byte
+        )
 
 
 @dataclass
-class Weather:
-    """All directions. `random` is a stream of its own, so that a fault shifts nobody else's numbers."""
+class NetworkConditions:
+    """The conditions of all links. `random` is a stream of its own, so that a fault changes no other draw."""
 
     spec: Experiment
     random: np.random.Generator
@@ -42,46 +46,47 @@
     watchers: list[Callable[[], None]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self._known: dict[tuple[str, str], Conditions] = {}
-        self._dice: list[float] = []
-        self._sets: dict[str, frozenset[str]] = {}
+        """Prepare the caches."""
+        self._conditions: dict[tuple[str, str], LinkConditions] = {}
+        self._uniforms: list[float] = []
+        self._selected: dict[str, frozenset[str]] = {}
 
-    def die(self) -> float:
-        """Uniform from 0 to 1."""
-        if not self._dice:
-            self._dice = self.random.random(256).tolist()
-        return self._dice.pop()
+    def next_uniform(self) -> float:
+        """Draw a uniform number from 0 to 1."""
+        if not self._uniforms:
+            self._uniforms = self.random.random(256).tolist()
+        return self._uniforms.pop()
 
     def change(self, fault: LinkFault, on: bool) -> None:
-        """A fault begins or ends."""
+        """Put a fault into force, or end it."""
         (self.active.append if on else self.active.remove)(fault)
-        self._known.clear()
+        self._conditions.clear()
         for watcher in list(self.watchers):
             watcher()
 
-    def _chosen(self, selector: str) -> frozenset[str]:
-        if selector not in self._sets:
-            self._sets[selector] = frozenset(select_parties(self.spec, selector))
-        return self._sets[selector]
+    def _selected_parties(self, selector: str) -> frozenset[str]:
+        if selector not in self._selected:
+            self._selected[selector] = frozenset(select_parties(self.spec, selector))
+        return self._selected[selector]
 
-    def hits(self, fault: LinkFault, source: str, target: str) -> bool:
-        """Whether a fault lies on the way from `source` to `target`."""
-        here, there = self._chosen(fault.source), self._chosen(fault.destination)
+    def affects_direction(self, fault: LinkFault, source: str, target: str) -> bool:
+        """Return whether a fault affects what `source` sends to `target`."""
+        here, there = self._selected_parties(fault.source), self._selected_parties(fault.destination)
         return (source in here and target in there) or (fault.both and source in there and target in here)
 
-    def touches(self, fault: LinkFault, one: str, other: str) -> bool:
-        """Whether a fault lies on either way between two parties."""
-        return self.hits(fault, one, other) or self.hits(fault, other, one)
+    def affects_link(self, fault: LinkFault, one: str, other: str) -> bool:
+        """Return whether a fault affects either direction between two parties."""
+        return self.affects_direction(fault, one, other) or self.affects_direction(fault, other, one)
 
-    def severed(self, one: str, other: str) -> bool:
-        """Whether either way between two parties is cut: no connection comes up then."""
-        return self.between(one, other).cut or self.between(other, one).cut
+    def is_cut(self, one: str, other: str) -> bool:
+        """Return whether either direction between two parties is cut: no connection comes up then."""
+        return self.conditions(one, other).cut or self.conditions(other, one).cut
 
-    def between(self, source: str, target: str) -> Conditions:
-        """What holds from `source` to `target` now."""
-        found = self._known.get((source, target))
+    def conditions(self, source: str, target: str) -> LinkConditions:
+        """Return the conditions from `source` to `target` now."""
+        found = self._conditions.get((source, target))
         if found is None:
-            found = self._known[source, target] = self._work_out(source, target)
+            found = self._conditions[source, target] = self._combined_conditions(source, target)
         return found
 
     def _base(self, source: str, target: str) -> float:
@@ -93,35 +98,35 @@
             return net.peer_ms
         return net.same_zone_ms if zones[0] == zones[1] or "" in zones else net.cross_zone_ms
 
-    def _work_out(self, source: str, target: str) -> Conditions:
+    def _combined_conditions(self, source: str, target: str) -> LinkConditions:
         delay = self._base(source, target)
         jitter = delay * self.spec.network.jitter
         passes, duplicate, reorder, cut, per_byte = 1.0, 0.0, 0.0, False, 0.0
         for fault in self.active:
-            if self.hits(fault, source, target):
+            if self.affects_direction(fault, source, target):
                 delay, jitter = delay + fault.delay_ms, jitter + fault.jitter_ms
                 passes *= 1 - fault.loss
                 duplicate, reorder = max(duplicate, fault.duplicate), max(reorder, fault.reorder)
                 cut = cut or fault.cut
                 if fault.kbit_per_s:
                     per_byte = max(per_byte, 8 / fault.kbit_per_s)
-        return Conditions(delay, jitter, 1 - passes, duplicate, reorder, cut, per_byte)
+        return LinkConditions(delay, jitter, 1 - passes, duplicate, reorder, cut, per_byte)
 
-    def lag(self, held: Conditions, size: int) -> float:
-        """Milliseconds that a piece of a TCP stream takes."""
-        out = held.delay + held.jitter * self.die() + size * held.ms_per_byte
-        while held.loss and self.die() < min(held.loss, 0.99):
-            out += RETRANSMIT
+    def tcp_delay_ms(self, link: LinkConditions, size: int) -> float:
+        """Draw the milliseconds that a segment of a TCP stream of `size` bytes takes."""
+        out = link.delay + link.jitter * self.next_uniform() + size * link.ms_per_byte
+        while link.loss and self.next_uniform() < min(link.loss, MAX_SEGMENT_LOSS):
+            out += RETRANSMISSION_MS
         return out
 
-    def datagram(self, held: Conditions, size: int) -> list[float]:
-        """When the copies of a datagram arrive, ms from now; none if it is lost."""
-        if held.cut or (held.loss and self.die() < held.loss):
+    def datagram_delays_ms(self, link: LinkConditions, size: int) -> list[float]:
+        """Draw the delays of a datagram's copies, in ms; none if it is lost."""
+        if link.cut or (link.loss and self.next_uniform() < link.loss):
             return []
         out = []
-        for _ in range(2 if held.duplicate and self.die() < held.duplicate else 1):
-            late = held.delay + held.jitter * self.die() + size * held.ms_per_byte
-            if held.reorder and self.die() < held.reorder:
-                late += 2 * (held.delay + held.jitter) + 5  # behind what is sent in the next 5 ms at least
+        for _ in range(2 if link.duplicate and self.next_uniform() < link.duplicate else 1):
+            late = link.delay + link.jitter * self.next_uniform() + size * link.ms_per_byte
+            if link.reorder and self.next_uniform() < link.reorder:
+                late += 2 * (link.delay + link.jitter) + 5  # behind what is sent in the next 5 ms at least
             out.append(late)
         return out
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 import pytest
 
 from balancer import policy
-from balancer.lab.scale import rig, size
+from balancer.lab.scale import runner, size
 from balancer.lab.scale.points import Slope
 
 ROOT = Path(__file__).parents[1]
@@ -56,7 +56,7 @@
 
 
 ROWS = rows()
-RUNS = {path.stem: rig.read(path) for path in sorted((ROOT / "lab" / "scale").glob("*.json"))}
+RUNS = {path.stem: runner.read(path) for path in sorted((ROOT / "lab" / "scale").glob("*.json"))}
 
 
 def slope_of(run: str, role: str, figure: str) -> Slope:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,8 +20,8 @@
 from balancer.cli.app import app
 from balancer.experiments.loading import load_experiment
 from balancer.lab import records
-from balancer.lab.places import Block, Places, text
-from balancer.lab.processes import configuration
+from balancer.lab.addresses import AddressBlock, AddressPlan, format_address
+from balancer.lab.processes import node_configuration
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import Run, play
 from balancer.membership.config import Config
@@ -74,13 +74,13 @@
 
     def __call__(self, run: Run) -> None:
         if run.fleet.now() > 8000 and self.thread is None:
-            console = text(run.fleet.places.console(0, 0))
+            console = format_address(run.fleet.places.console(0, 0))
             self.thread = threading.Thread(target=lambda: self.looks.append(command.look(console)))
             self.thread.start()
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> tuple[records.Seen, command.Membership]:
+def played(tmp_path_factory: pytest.TempPathFactory) -> tuple[records.RunRecords, command.Membership]:
     """A run with membership on, and what node 0 told in its midst."""
     folder = tmp_path_factory.mktemp("fleet")
     (folder / "spec.toml").write_text(SPEC)
@@ -97,47 +97,47 @@
 
 
 @pytest.fixture(scope="module")
-def seen(played: tuple[records.Seen, command.Membership]) -> records.Seen:
+def seen(played: tuple[records.RunRecords, command.Membership]) -> records.RunRecords:
     """What the run saw."""
     return played[0]
 
 
-def void(seen: records.Seen) -> bool:
+def void(seen: records.RunRecords) -> bool:
     """Whether a process that was to end had no processor until SIGKILL came: of it nobody could be told."""
-    return any(life.term and life.killed for life in seen.lives)
+    return any(life.term and life.killed for life in seen.processes)
 
 
-def states(seen: records.Seen, node: int, member: int) -> list[str]:
+def states(seen: records.RunRecords, node: int, member: int) -> list[str]:
     """What one process after another of `node` came to think of a member, in order of time.
 
     Suspicions are left out: they come to nothing where the member was only late.
     """
-    rows = sorted((v for v in seen.views if (v.node, v.member) == (node, member)), key=lambda v: v.at)
+    rows = sorted((v for v in seen.member_views if (v.node, v.member) == (node, member)), key=lambda v: v.at)
     return [state for state, _ in groupby(row.state for row in rows if row.state != "suspected")]
 
 
 @pytest.mark.parametrize("node", [0, 4])
-def test_a_killed_node_is_dead_to_all_that_live(seen: records.Seen, node: int) -> None:
+def test_a_killed_node_is_dead_to_all_that_live(seen: records.RunRecords, node: int) -> None:
     assert states(seen, node, 1)[-1] == "dead"
 
 
 @pytest.mark.parametrize("node", [0, 4])
-def test_a_planned_restart_is_said_and_is_no_death(seen: records.Seen, node: int) -> None:
+def test_a_planned_restart_is_said_and_is_no_death(seen: records.RunRecords, node: int) -> None:
     found = states(seen, node, 3)
     assert found == ["present", "left", "present", "left"] or found == ["present", "left", "present"]
 
 
 @pytest.mark.parametrize("node", [0, 4])
-def test_an_upgraded_node_never_leaves_its_place(seen: records.Seen, node: int) -> None:
-    until = min(life.term for life in seen.lives if life.node == 0)  # from then on all leave
-    found = [v.state for v in seen.views if (v.node, v.member) == (node, 2) and v.at < until]
+def test_an_upgraded_node_never_leaves_its_place(seen: records.RunRecords, node: int) -> None:
+    until = min(life.term for life in seen.processes if life.node == 0)  # from then on all leave
+    found = [v.state for v in seen.member_views if (v.node, v.member) == (node, 2) and v.at < until]
     assert "dead" not in found and "left" not in found
 
 
 def run_node(tmp_path: Path, fleet: str, **over: Any) -> str:
     """What a node says that cannot start."""
     spec = load_text(tmp_path)
-    table = configuration(spec, Places(16, 3), 0, 1, 4) | over
+    table = node_configuration(spec, AddressPlan(16, 3), 0, 1, 4) | over
     (tmp_path / "config.json").write_text(json.dumps({k: v for k, v in table.items() if v is not None}))
     (tmp_path / "fleet.toml").write_text(fleet)
     env = {"PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_FLEET": str(tmp_path / "fleet.toml"),
@@ -174,7 +174,7 @@
         read(tmp_path / "none")
 
 
-def test_the_console_tells_who_is_present(played: tuple[records.Seen, command.Membership]) -> None:
+def test_the_console_tells_who_is_present(played: tuple[records.RunRecords, command.Membership]) -> None:
     told = played[1]
     rows = told.rows()
     assert [r["node"] for r in rows] == [0, 1, 2, 3, 4] and rows[1]["state"] == "dead"
@@ -225,7 +225,7 @@
 
 def test_another_list_of_peers_is_taken_over_by_nodes_that_run() -> None:
     async def body() -> None:
-        block = Block(4, 1)
+        block = AddressBlock(4, 1)
         peers = [block.places.peer(node) for node in range(4)]
         nodes = [await present(n, peers[n], peers[:3], n) for n in range(3)]
         shells = [shell for _, shell in nodes]
@@ -249,7 +249,7 @@
 
 def test_the_port_gives_each_room_its_kinds_and_leaves_half_of_the_budget_to_membership() -> None:
     async def body() -> None:
-        block = Block(2, 1)
+        block = AddressBlock(2, 1)
         peers = [block.places.peer(node) for node in range(2)]
         here, there = PeerSocket(peers[0], peers, peers[1]), PeerSocket(peers[1], peers, peers[0])
         foreign = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -288,7 +288,7 @@
 
 
 def test_peers_that_make_no_sense_at_sighup_change_nothing(tmp_path: Path) -> None:
-    table = configuration(load_text(tmp_path), Places(16, 3), 0, 1, 4)
+    table = node_configuration(load_text(tmp_path), AddressPlan(16, 3), 0, 1, 4)
     path, fleet = tmp_path / "config.json", tmp_path / "fleet.toml"
     fleet.write_text("[membership]\n")
     path.write_text(json.dumps(table))
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -16,7 +16,7 @@
 from typer.testing import CliRunner
 
 from balancer.cli.app import app
-from balancer.lab.places import Block, text
+from balancer.lab.addresses import AddressBlock, format_address
 from tests.sockets import WAIT, Backend, FakeDiscovery, Rig, configuration, happens, spawn, started
 from tests.test_console import CONSOLE
 
@@ -29,7 +29,7 @@
 
     folder: Path
     count: int
-    block: Block
+    block: AddressBlock
     backends: list[Backend] = field(default_factory=lambda: [Backend(name) for name in BACKENDS])
     discovery: list[FakeDiscovery] = field(default_factory=list)
     cut: set[frozenset[int]] = field(default_factory=set)  # pairs between which nothing gets through
@@ -58,9 +58,10 @@
         table = configuration([b.member() for b in self.backends], self.discovery[node].port,
                               console=CONSOLE, me=node)  # fmt: skip
         table["settings"]["rules"]["cold-share"] = 1.0  # what cold backends bear is not in question here
-        table |= {"name": f"n{node}", "seed": f"{node + 1:016x}", "peer_listen": text(places.peer(node)),
-                  "peers": [text(places.relay(node, far)) for far in range(self.count)],
-                  "peers_all": text(places.relay(node, node))}  # fmt: skip
+        table |= {"name": f"n{node}", "seed": f"{node + 1:016x}",
+                  "peer_listen": format_address(places.peer(node)),
+                  "peers": [format_address(places.relay(node, far)) for far in range(self.count)],
+                  "peers_all": format_address(places.relay(node, node))}  # fmt: skip
         (home / "config.json").write_text(json.dumps(table))
         state = json.dumps(str(home / "state"))
         (home / "fleet.toml").write_text(
@@ -127,7 +128,7 @@
 @contextlib.asynccontextmanager
 async def tier(folder: Path, count: int = 3) -> AsyncIterator[Tier]:
     """All of a tier but its processes."""
-    one = Tier(folder, count, Block(count, 1))
+    one = Tier(folder, count, AddressBlock(count, 1))
     try:
         await one.prepare()
         yield one
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -20,7 +20,7 @@
 from balancer.lab.judge import RULES, Judge
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import play
-from tests import virtual
+from tests import virtual_run
 
 # A drain, a ban and a cold backend: room to break every rule.
 SPEC = """
@@ -74,7 +74,7 @@
 
 def broken(spec: Experiment, seed: int, defect: str) -> dict[str, int]:
     """The rules that a defect broke, by the judge."""
-    seen = virtual.play(spec, seed, defect)
+    seen = virtual_run.play(spec, seed, defect)
     judged = Judge(spec, seen).judge()
     assert figures(spec, seed, seen, judged)["served"] > 0.1
     assert max(seen.lateness) < 0.001  # ms
@@ -98,8 +98,10 @@
 
 
 def test_a_play_by_the_virtual_clock_is_the_same_each_time(spec: Experiment) -> None:
-    one, other = (virtual.play(spec, 1, "twice") for _ in range(2))
-    assert (one.tries, one.attempts, one.lateness) == (other.tries, other.attempts, other.lateness)
+    one, other = (virtual_run.play(spec, 1, "twice") for _ in range(2))
+    assert one.client_attempts == other.client_attempts
+    assert one.backend_attempts == other.backend_attempts
+    assert one.lateness == other.lateness
 
 
 def test_answers_that_a_process_made_up_are_all_caught(spec: Experiment, tmp_path: Path) -> None:
@@ -108,6 +110,6 @@
     spec = structs.replace(spec, seconds=1.0, faults=())
     for number in range(VOID):
         seen = asyncio.run(play(spec, 1, program, tmp_path / str(number)))
-        if made_up := sum(one.status == 200 and one.body == MADE_UP for one in seen.tries):
+        if made_up := sum(one.status == 200 and one.body == MADE_UP for one in seen.client_attempts):
             break
     assert 0 < made_up == Judge(spec, seen).judge().broken["made-up"]
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -19,15 +19,15 @@
 from balancer.experiments.selectors import select_parties, split_into_batches
 from balancer.experiments.tables import DEFAULT_CLASSES, Backends, Clients, Expect, Fleet, Load, Rules
 from balancer.lab import records
-from balancer.lab.figures import STARVED, held, waited
-from balancer.lab.processes import Usage, Waiting
+from balancer.lab.figures import MAX_CPU_WAIT_S, expectation_holds, max_cpu_wait_s
+from balancer.lab.processes import CpuWait, Usage
 from balancer.lab.timeline import Step, timeline
 from balancer.models.backend import Backend, Job, Verdict
-from balancer.models.client import End, Wish
-from balancer.models.connect_delay import REST, SPELL, spells
+from balancer.models.client import Operation, Outcome
+from balancer.models.connect_delay import CONNECT_DELAY_S, MIN_REST_S, connect_delays
 from balancer.models.directory import Directory, Listed, Phase, Watch
-from balancer.models.load import draw
-from balancer.models.network import Weather
+from balancer.models.load import draw_arrivals
+from balancer.models.network import NetworkConditions
 
 BACKENDS = Backends(cores=1, queue_per_core=2, thrash=0.0, cold_capacity_share=0.5, warm_up_s=10.0)
 
@@ -85,14 +85,14 @@
 def test_a_cold_backend_topples_over_its_budget_and_says_whose_work_it_was() -> None:
     core = backend(started=0.0, spec=replace_spec(queue_per_core=1000), fall_multiple=2.0)
     sent = 0
-    while core.toppled is None:
+    while core.collapsed is None:
         core.offer(1.0, job(f"j{sent}"))
         sent += 1
     # Two times half a core for a second, and ten requests for chance.
-    assert sent == 111 and core.toppled.work_by_node == {0: 1110.0}
+    assert sent == 111 and core.collapsed.work_by_node == {0: 1110.0}
     assert core.offer(2.0, job("late")) is Verdict.TURNED_AWAY
     core.restart(5.0)
-    assert core.toppled is None and core.offer(6.0, job("again")) is None
+    assert core.collapsed is None and core.offer(6.0, job("again")) is None
 
 
 def test_a_stalled_backend_goes_on_where_it_stood() -> None:
@@ -106,10 +106,10 @@
 
 def test_gray_and_resets_strike_the_stated_share() -> None:
     core = backend(spec=replace_spec(queue_per_core=10_000))
-    core.trouble.gray = 0.6
+    core.active_faults.gray = 0.6
     struck = sum(core.offer(0.0, job(str(i))) is Verdict.ERROR for i in range(2000))
     assert 1100 < struck < 1300
-    core.trouble.gray, core.trouble.resets = 0.0, 0.2
+    core.active_faults.gray, core.active_faults.resets = 0.0, 0.2
     done = [verdict for _, verdict in ends(core, 1e9)]
     assert 0.15 < done.count("reset") / len(done) < 0.25
 
@@ -122,24 +122,26 @@
 @pytest.mark.parametrize(
     ("cls", "end", "again"),
     [
-        (BROWSE, End.SILENT, True), (BROWSE, End.FAILED, True), (BROWSE, End.SERVED, False),
-        (BROWSE, End.LEFT, False), (ORDER, End.REFUSED, True), (ORDER, End.UNREACHABLE, True),
-        (ORDER, End.SILENT, False), (ORDER, End.CUT, False), (KEYED, End.SILENT, False),
-        (KEYED, End.REFUSED, True),
+        (BROWSE, Outcome.SILENT, True), (BROWSE, Outcome.FAILED, True), (BROWSE, Outcome.SERVED, False),
+        (BROWSE, Outcome.LEFT, False), (ORDER, Outcome.REFUSED, True), (ORDER, Outcome.UNREACHABLE, True),
+        (ORDER, Outcome.SILENT, False), (ORDER, Outcome.CUT, False), (KEYED, Outcome.SILENT, False),
+        (KEYED, Outcome.REFUSED, True),
     ],
 )  # fmt: skip
-def test_a_client_tries_again_only_as_the_class_allows(cls: object, end: End, again: bool) -> None:
-    wish = Wish(cls, Clients(), 0.0, (1.0,) * 4)  # type: ignore[arg-type]
-    wish.begin(0.0)
-    assert (wish.ended(100.0, 0.0, end, 0.0) is not None) == again
+def test_a_client_tries_again_only_as_the_class_allows(cls: object, end: Outcome, again: bool) -> None:
+    operation = Operation(cls, Clients(), 0.0, (1.0,) * 4)  # type: ignore[arg-type]
+    operation.begin(0.0)
+    assert (operation.ended(100.0, 0.0, end, 0.0) is not None) == again
 
 
 def test_tries_end_and_a_client_that_honours_advice_waits_for_it() -> None:
-    wish = Wish(BROWSE, Clients(retries=1, backoff_ms=10.0, retry_after_share=1.0), 0.0, (1.0, 0.0, 0.0, 0.5))
-    assert wish.begin(0.0).deadline == 400.0
-    assert wish.ended(100.0, 0.0, End.REFUSED, 300.0) == 400.0
-    assert wish.begin(400.0).deadline == 800.0
-    assert wish.ended(500.0, 400.0, End.REFUSED, 10.0) is None
+    operation = Operation(
+        BROWSE, Clients(retries=1, backoff_ms=10.0, retry_after_share=1.0), 0.0, (1.0, 0.0, 0.0, 0.5)
+    )
+    assert operation.begin(0.0).deadline == 400.0
+    assert operation.ended(100.0, 0.0, Outcome.REFUSED, 300.0) == 400.0
+    assert operation.begin(400.0).deadline == 800.0
+    assert operation.ended(500.0, 400.0, Outcome.REFUSED, 10.0) is None
 
 
 # --- discovery
@@ -152,22 +154,22 @@
     names = [f"s{i}" for i in range(4)]
     core = Directory({n: Listed(n, "a", 0) for n in names})
     views: list[dict[str, Listed]] = [dict(core.entries) for _ in range(4)]
-    told = [Watch(core.revision, first=False) for _ in range(4)]
+    sent_revision = [Watch(core.revision, first=False) for _ in range(4)]
     for now, (which, phase, watcher) in enumerate(steps):
         core.plan(float(now), names[which], phase, float(now))
         core.advance(float(now))
-        for entry in (told[watcher].news(core) or ((), False))[0]:
+        for entry in (sent_revision[watcher].pending(core) or ((), False))[0]:
             views[watcher].pop(entry.name, None)
             if entry.phase is not Phase.GONE:
                 views[watcher][entry.name] = entry
-        assert views[watcher] == core.entries and told[watcher].news(core) is None
+        assert views[watcher] == core.entries and sent_revision[watcher].pending(core) is None
 
 
 def test_an_unknown_version_gets_the_whole_list() -> None:
     core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
     assert core.since(8) is None and core.since(3) is None and core.since(7) == []
     whole = ([Listed("s0", "a", 0)], True)
-    assert Watch(3).news(core) == whole and Watch(7).news(core) == ([], False)
+    assert Watch(3).pending(core) == whole and Watch(7).pending(core) == ([], False)
 
 
 def test_a_watch_that_fell_silent_is_told_nothing_and_the_next_one_what_was_missed() -> None:
@@ -175,15 +177,15 @@
     watch = Watch(7, first=False, silent=True)
     core.plan(1.0, "s0", Phase.DRAINING)
     drained = core.advance(1.0)
-    assert watch.news(core) is None and watch.told == 7
-    assert Watch(watch.told).news(core) == (drained, False)
+    assert watch.pending(core) is None and watch.sent_revision == 7
+    assert Watch(watch.sent_revision).pending(core) == (drained, False)
 
 
 def test_a_brief_watch_ends_at_the_first_change_behind_its_first_object() -> None:
     core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
     watch = Watch(5, brief=True)
     assert not watch.ends(core)
-    assert watch.news(core) is not None and not watch.ends(core)
+    assert watch.pending(core) is not None and not watch.ends(core)
     core.plan(1.0, "s0", Phase.DRAINING)
     core.advance(1.0)
     assert watch.ends(core)
@@ -194,29 +196,31 @@
 @pytest.mark.parametrize("share", [0.05, 0.2, 0.45])
 def test_connections_come_up_late_in_the_stated_share_and_never_twice(share: float) -> None:
     """A second try, a second after the first, finds the way open."""
-    drawn = [spells(stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
-    assert drawn[0] == spells(stream(0, "late"), share, 10.0, 110.0) != drawn[1]
+    drawn = [connect_delays(stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
+    assert drawn[0] == connect_delays(stream(0, "late"), share, 10.0, 110.0) != drawn[1]
     for row in drawn:
-        assert all(a >= 10.0 and b <= 110.0 and b - a == pytest.approx(SPELL) for a, b in row)
-        assert all(later[0] - earlier[1] >= REST - 1e-9 for earlier, later in pairwise(row))
-    assert SPELL < 1.0 < REST
-    assert sum(map(len, drawn)) * SPELL / 4000 == pytest.approx(share, rel=0.1)
+        assert all(a >= 10.0 and b <= 110.0 and b - a == pytest.approx(CONNECT_DELAY_S) for a, b in row)
+        assert all(later[0] - earlier[1] >= MIN_REST_S - 1e-9 for earlier, later in pairwise(row))
+    assert CONNECT_DELAY_S < 1.0 < MIN_REST_S
+    assert sum(map(len, drawn)) * CONNECT_DELAY_S / 4000 == pytest.approx(share, rel=0.1)
 
 
 # --- load, network, experiments
 
 
 def test_streams_are_independent_and_a_surge_moves_nothing_else() -> None:
-    plain = Experiment(name="x", load=Load(rate=600.0))
-    a, b = draw(plain, 1, "a"), draw(plain, 1, "b")
-    assert np.array_equal(a.at, draw(plain, 1, "a").at) and not np.array_equal(a.at[:50], b.at[:50])
-    assert not np.array_equal(a.at, draw(plain, 2, "a").at)
+    is_unimpaired = Experiment(name="x", load=Load(rate=600.0))
+    a, b = draw_arrivals(is_unimpaired, 1, "a"), draw_arrivals(is_unimpaired, 1, "b")
+    assert np.array_equal(a.at, draw_arrivals(is_unimpaired, 1, "a").at) and not np.array_equal(
+        a.at[:50], b.at[:50]
+    )
+    assert not np.array_equal(a.at, draw_arrivals(is_unimpaired, 2, "a").at)
     surge = Experiment(
         name="x", load=Load(rate=600.0), faults=(Surge(at=5.0, duration_s=2.0, factor=3.0, zone="a"),)
     )
-    inside = draw(surge, 1, "a").at
+    inside = draw_arrivals(surge, 1, "a").at
     assert 1000 < np.sum((inside >= 5000) & (inside < 7000)) < 1400
-    assert np.array_equal(draw(surge, 1, "b").work[:100], b.work[:100])
+    assert np.array_equal(draw_arrivals(surge, 1, "b").work[:100], b.work[:100])
     assert a.work.mean() == pytest.approx(20.0, rel=0.05)
 
 
@@ -230,22 +234,25 @@
         cut=True,
         loss=0.5,
     )
-    weather = Weather(Experiment(name="x", faults=(fault,)), stream(1, "w"))
-    weather.change(fault, True)
-    assert weather.between("n0", "s1").cut and not weather.between("s1", "n0").cut
-    assert not weather.between("n0", "s0").cut and weather.datagram(weather.between("n0", "s1"), 10) == []
-    weather.change(fault, False)
-    assert not weather.between("n0", "s1").cut
+    network = NetworkConditions(Experiment(name="x", faults=(fault,)), stream(1, "w"))
+    network.change(fault, True)
+    assert network.conditions("n0", "s1").cut and not network.conditions("s1", "n0").cut
+    assert (
+        not network.conditions("n0", "s0").cut
+        and network.datagram_delays_ms(network.conditions("n0", "s1"), 10) == []
+    )
+    network.change(fault, False)
+    assert not network.conditions("n0", "s1").cut
 
 
 def test_datagrams_are_lost_doubled_and_reordered_in_the_stated_shares() -> None:
     fault = LinkFault(
         at=0.0, duration_s=1.0, source="nodes", destination="nodes", loss=0.3, duplicate=0.2, reorder=0.1
     )
-    weather = Weather(Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), stream(1, "w"))
-    weather.change(fault, True)
-    held_ = weather.between("n0", "n1")
-    copies = [weather.datagram(held_, 100) for _ in range(4000)]
+    network = NetworkConditions(Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), stream(1, "w"))
+    network.change(fault, True)
+    held_ = network.conditions("n0", "n1")
+    copies = [network.datagram_delays_ms(held_, 100) for _ in range(4000)]
     assert 0.27 < sum(not c for c in copies) / 4000 < 0.33
     assert 0.17 < sum(len(c) == 2 for c in copies) / 2800 < 0.23
     late = [x for c in copies for x in c]
@@ -293,19 +300,19 @@
 
 
 def test_an_expectation_on_a_figure_that_is_not_there_falls_short() -> None:
-    assert not held(Expect(figure="recovery_s", max=3.0), {})
-    assert held(Expect(figure="x", min=1.0, max=2.0), {"x": 1.5})
-    assert not held(Expect(figure="x", min=1.0), {"x": 0.5})
+    assert not expectation_holds(Expect(figure="recovery_s", max=3.0), {})
+    assert expectation_holds(Expect(figure="x", min=1.0, max=2.0), {"x": 1.5})
+    assert not expectation_holds(Expect(figure="x", min=1.0), {"x": 0.5})
 
 
 def test_a_wait_for_a_core_that_never_ends_is_seen_and_one_that_ends_counts_once() -> None:
     """The system counts a wait when it is over: a process that gets no core at all has waited for nothing."""
 
-    def looks(*found: Usage) -> records.Seen:
-        waiting, out = Waiting(), records.Seen(lives=[records.LifeRecord(0, 0, -5000.0)])
+    def looks(*found: Usage) -> records.RunRecords:
+        waiting, out = CpuWait(), records.RunRecords(processes=[records.ProcessRecord(0, 0, -5000.0)])
         for at, each in enumerate(found):
             so_far = each.waited_s + waiting.so_far(float(at), each)
-            out.samples.append(records.Sample(1000.0 * at, 0, each.cpu_s, 20.0, 9, waited_s=so_far))
+            out.samples.append(records.ProcessSample(1000.0 * at, 0, each.cpu_s, 20.0, 9, waited_s=so_far))
         return out
 
     runs, starved = Usage(0.3, 20.0, 9, 0.2, True, (300, 7)), Usage(0.3, 20.0, 9, 0.2, True, (310, 8))
@@ -313,6 +320,8 @@
     assert [s.waited_s for s in looks(runs, starved, starved, starved, after).samples] == pytest.approx(
         [0.2, 0.2, 1.2, 2.2, 3.1]
     )
-    assert waited(looks(runs, starved, starved, starved)) == pytest.approx(2.0) and STARVED < 2.0
+    assert (
+        max_cpu_wait_s(looks(runs, starved, starved, starved)) == pytest.approx(2.0) and MAX_CPU_WAIT_S < 2.0
+    )
     for found in ((runs, rests, rests, rests), (runs, rests, starved, rests, starved)):
-        assert waited(looks(*found)) == 0.0
+        assert max_cpu_wait_s(looks(*found)) == 0.0
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -16,10 +16,10 @@
 from balancer.experiments.faults import DiskState, LinkFault, PowerLoss
 from balancer.experiments.loading import load_experiment
 from balancer.experiments.tables import Backends, Fleet, Load
-from balancer.lab import power, records
+from balancer.lab import power_loss, records
+from balancer.lab.power_recovery import count_forgotten_bans, power_recovery_figures
 from balancer.lab.programs import Program
-from balancer.lab.returning import forgotten, returning
-from balancer.lab.run import phases
+from balancer.lab.run import recovery_phases
 from balancer.lab.timeline import Step, last_step_at, timeline
 from balancer.sim.disk import DiskCall, PowerCutError, SimulatedDirectory, SimulatedDisk, no_fault
 from tests.test_lab_run import file, lab
@@ -70,7 +70,7 @@
         for seed in range(6):
             disk, acked = killed(at, seed)
             image = disk.image()
-            left = power.cut(image, random.Random(seed))
+            left = power_loss.crash_image(image, random.Random(seed))
             found = read_directory(SimulatedDirectory(SimulatedDisk(left)))
             assert acked == [n for n in replay(found.snapshot, found.records).banned if n in acked], (
                 at,
@@ -93,20 +93,22 @@
              DiskState(nodes="nodes:2-3", state="swapped"))  # fmt: skip
     spec, images = SMALL, {f"n{n}": killed(60 + n, n)[0].image() for n in range(4)}
     cut = PowerLoss(at=5.0, disks=disks)
-    plain = power.leave(spec, 1, PowerLoss(at=5.0), images, {})
-    left = power.leave(spec, 1, cut, images, {"n1": {"fence": b"of old"}})
-    assert left == power.leave(spec, 1, cut, images, {"n1": {"fence": b"of old"}})
+    is_unimpaired = power_loss.images_after(spec, 1, PowerLoss(at=5.0), images, {})
+    left = power_loss.images_after(spec, 1, cut, images, {"n1": {"fence": b"of old"}})
+    assert left == power_loss.images_after(spec, 1, cut, images, {"n1": {"fence": b"of old"}})
     assert (left["n0"], left["n1"]) == ({}, {"fence": b"of old"})
-    assert (left["n2"], left["n3"]) == (plain["n3"], plain["n2"])
-    bad = power.damage(plain["n2"], random.Random(1))
-    assert [n for n in bad if bad[n] != plain["n2"][n]] and read_directory(
+    assert (left["n2"], left["n3"]) == (is_unimpaired["n3"], is_unimpaired["n2"])
+    bad = power_loss.corrupted(is_unimpaired["n2"], random.Random(1))
+    assert [n for n in bad if bad[n] != is_unimpaired["n2"][n]] and read_directory(
         SimulatedDirectory(SimulatedDisk(bad))
     ).problems
 
 
 def test_all_come_back_but_those_that_never_do_and_a_second_cut_keeps_who_had_not_yet() -> None:
-    orders = [power.return_times(SMALL, seed, fault(SMALL)) for seed in range(5)]
-    assert orders[1] == power.return_times(SMALL, 1, fault(SMALL)) and len({tuple(o) for o in orders}) > 1
+    orders = [power_loss.return_times(SMALL, seed, fault(SMALL)) for seed in range(5)]
+    assert (
+        orders[1] == power_loss.return_times(SMALL, 1, fault(SMALL)) and len({tuple(o) for o in orders}) > 1
+    )
     for order in orders:
         assert set(order) == {"n0", "n1", "n2", "s0", "s1", "d"} and order["d"] == 6.0
         assert sorted(order.values())[-1] == 9.0 == last_step_at(SMALL, fault(SMALL))
@@ -119,26 +121,26 @@
     assert {m.names[0] for m in steps if m.fault is again and m.step is Step.BACK} >= {"n3", "d"}
 
 
-def life(node: int, process: int, started: float, ready: float, ended: float = 0.0) -> records.LifeRecord:
-    return records.LifeRecord(node, process, started, ready, killed=ended, ended=ended)
+def life(node: int, process: int, started: float, ready: float, ended: float = 0.0) -> records.ProcessRecord:
+    return records.ProcessRecord(node, process, started, ready, killed=ended, ended=ended)
 
 
-def seen(bans: list[records.BanRecord], attempts: list[tuple[int, float]]) -> records.Seen:
+def seen(bans: list[records.MaintenanceRecord], attempts: list[tuple[int, float]]) -> records.RunRecords:
     """Three of four nodes are back at 7.0, 8.0 and 9.0 s; both backends have half their work from 6.5 s."""
-    out = records.Seen(bans=bans)
-    out.lives += [life(n, 0, -500.0, -100.0, 5000.0) for n in range(4)]
-    out.lives += [life(n, 1, 6500.0 + 1000 * n, 7000.0 + 1000 * n) for n in range(3)]
-    out.bears += [records.BearRecord(slot, 0.5) for slot in range(65, 200)]
-    out.attempts += [
-        records.AttemptRecord("", node, 0, "GET", "/", "", at, at, "served", at, 0.0, True)
+    out = records.RunRecords(maintenance=bans)
+    out.processes += [life(n, 0, -500.0, -100.0, 5000.0) for n in range(4)]
+    out.processes += [life(n, 1, 6500.0 + 1000 * n, 7000.0 + 1000 * n) for n in range(3)]
+    out.capacities += [records.CapacityRecord(slot, 0.5) for slot in range(65, 200)]
+    out.backend_attempts += [
+        records.BackendAttemptRecord("", node, 0, "GET", "/", "", at, at, "served", at, 0.0, True)
         for node, at in attempts
     ]
     return out
 
 
 def test_goodput_is_of_what_returned_backends_bear_and_counts_from_the_median_node() -> None:
-    wishes = [(10.0 * n, 1.0, 1.0 if n < 500 else 0.0 if n < 900 else 0.25) for n in range(2000)]
-    values = returning(SMALL, 1, seen([], []), wishes)
+    operations = [(10.0 * n, 1.0, 1.0 if n < 500 else 0.0 if n < 900 else 0.25) for n in range(2000)]
+    values = power_recovery_figures(SMALL, 1, seen([], []), operations)
     assert values["return_ready_s"] == 2.0  # of n0, n1, n2: n1, 8 s less 6 s
     # 100 wishes a second, 10 ms of work each: 1 ms a ms is asked for, half of it can be had.
     assert values["return_goodput"] == pytest.approx(0.5) and values["return_share"] < 0.25
@@ -146,25 +148,25 @@
 
 
 def test_a_ban_counts_from_when_a_node_could_know_it() -> None:
-    def count(ban: records.BanRecord, node: int, at: float, *more: LinkFault,
+    def count(ban: records.MaintenanceRecord, node: int, at: float, *more: LinkFault,
               disks: tuple[DiskState, ...] = ()) -> int:  # fmt: skip
         spec = Experiment(name="x", seconds=20.0, fleet=SMALL.fleet, backends=SMALL.backends,
                           faults=(PowerLoss(at=5.0, disks=disks), *more))  # fmt: skip
-        return forgotten(spec, seen([ban], [(node, at)]))
+        return count_forgotten_bans(spec, seen([ban], [(node, at)]))
 
-    ban = records.BanRecord(1, 0, 2000.0, 15_000.0)  # n1 said yes; it is back at 8 s
+    ban = records.MaintenanceRecord(1, 0, 2000.0, 15_000.0)  # n1 said yes; it is back at 8 s
     assert count(ban, 1, 9000.0) == count(ban, 0, 9000.0) == 1
     assert count(ban, 0, 7900.0) == count(ban, 0, 16_000.0) == 0  # n1 is not back; it was called off
     assert count(ban, 0, 9000.0, disks=(DiskState(nodes="nodes:1", state="empty"),)) == 0
     apart = LinkFault(at=5.0, duration_s=5.0, source="nodes:0", destination="nodes:1", cut=True)
     assert count(ban, 0, 9000.0, apart) == 0 and count(ban, 0, 12_500.0, apart) == 1
-    assert count(records.BanRecord(2, 0, 10_000.0, 0.0), 0, 12_000.0) == 1  # a live peer's
+    assert count(records.MaintenanceRecord(2, 0, 10_000.0, 0.0), 0, 12_000.0) == 1  # a live peer's
 
 
 def test_phases_are_read_by_the_clock_that_a_node_had(tmp_path: Path) -> None:
     line = "1970-01-01 00:20:{},500 INFO recovery: phase {}, path power: 3 of 4 heard\n"
     (tmp_path / "n1-2.log").write_text("INFO other\n" + line.format("10", "ask") + line.format("12", "full"))
-    found = list(phases(tmp_path, 0.0, {(1, 2): 1200.0}))
+    found = list(recovery_phases(tmp_path, 0.0, {(1, 2): 1200.0}))
     assert [(p.node, p.phase, p.path, p.reason) for p in found] == [
         (1, "ask", "power", "3 of 4 heard"), (1, "full", "power", "3 of 4 heard")]  # fmt: skip
     assert found[1].at - found[0].at == 2000.0
@@ -172,9 +174,13 @@
 
 @pytest.mark.parametrize("package", ["balancer", "dillport"])
 def test_a_clock_is_one_more_variant_of_what_is_played(package: str) -> None:
-    plain = Program("x", Path(), f"exec python -B -m {package}").varied("clock--600")
-    assert plain.endswith(f"variant.py' {package} clock--600")
-    assert Program("x", Path(), plain).varied("alone").endswith(f"variant.py' {package} alone clock--600")
+    is_unimpaired = Program("x", Path(), f"exec python -B -m {package}").varied("clock--600")
+    assert is_unimpaired.endswith(f"variant.py' {package} clock--600")
+    assert (
+        Program("x", Path(), is_unimpaired)
+        .varied("alone")
+        .endswith(f"variant.py' {package} alone clock--600")
+    )
 
 
 PLAYS = 3  # at most, until one is not void, or all came back in it
@@ -212,17 +218,19 @@
         done = lab("run", path, "--out", str(out), "--json")
         assert done.returncode in (0, 1, 2) and not done.stderr, done.stderr
         spec, found = load_experiment(tmp_path / "spec.toml"), records.read(out / "records.msgpack")
-        lives = {(x.node, x.process): x for x in found.lives}
-        if not json.loads(done.stdout)["void"] or all(life.ready or life.killed for life in found.lives):
+        lives = {(x.node, x.process): x for x in found.processes}
+        if not json.loads(done.stdout)["void"] or all(life.ready or life.killed for life in found.processes):
             break
     assert sorted(lives) == [(n, p) for n in range(3) for p in range(2)]
     assert all(lives[n, 0].killed and lives[n, 1].ready for n in range(3))
     assert max(lives[n, 0].ended for n in range(3)) < min(lives[n, 1].started for n in range(3))
     logs = {n: (out / "logs" / f"n{n}-1.log").read_text() for n in range(3)}
-    said = {ban.node for ban in found.bans if ban.begun < lives[ban.node, 0].killed}  # a busy console may not
+    said = {
+        ban.node for ban in found.maintenance if ban.begun < lives[ban.node, 0].killed
+    }  # a busy console may not
     kept = {n for n in range(3) if ": 1 backends in maintenance," in logs[n]}
     assert kept == said - {1}  # its disk is empty
     stamps = [logs[n][11:16] for n in (0, 2)]  # HH:MM
     minutes = [int(s[:2]) * 60 + int(s[3:]) for s in stamps]
     assert (minutes[0] - minutes[1]) % 1440 in (9, 10, 11)
-    assert found.bears and last_step_at(spec) == pytest.approx(3.4)
+    assert found.capacities and last_step_at(spec) == pytest.approx(3.4)
