--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -22,12 +22,12 @@
 from balancer.experiments.random_streams import stream
 from balancer.experiments.tables import Fleet, Network
 from balancer.lab import records
-from balancer.lab.hub import Relay
-from balancer.lab.places import Block
+from balancer.lab.addresses import AddressBlock
+from balancer.lab.datagram_relay import DatagramRelay
+from balancer.lab.impaired_sockets import ImpairedConnection, ImpairedListener, RunClock
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import LabError, play
-from balancer.lab.wires import Clock, Listener, Wire
-from balancer.models.network import Weather
+from balancer.models.network import NetworkConditions
 from tests.sockets import WAIT, until
 
 FAULTS = """
@@ -123,7 +123,7 @@
     assert table == json.loads((out / "summary.json").read_text())
     assert [e["held"] for e in table["expectations"]] == [True, True]
     seen = records.read(out / "records.msgpack")
-    lives = {(life.node, life.process): life for life in seen.lives}
+    lives = {(life.node, life.process): life for life in seen.processes}
     assert sorted(lives) == [(0, 0), (0, 1), (1, 0), (1, 1), (2, 0), (2, 1)]
     assert (
         lives[0, 0].code == -signal.SIGKILL and lives[2, 0].code == 0 and all(x.ready for x in lives.values())
@@ -255,7 +255,7 @@
 # --- the network
 
 
-class Echo(Wire):
+class Echo(ImpairedConnection):
     """A stand-in that sends back what it got."""
 
     def received(self, data: bytes) -> None:
@@ -264,7 +264,7 @@
 
 @pytest.fixture
 def block() -> Any:
-    out = Block(4, 4)
+    out = AddressBlock(4, 4)
     yield out
     out.close()
 
@@ -273,25 +273,25 @@
     return LinkFault(at=0.0, duration_s=1.0, source=spec_from, destination=spec_to, cut=True)
 
 
-def test_a_cut_link_is_silent_and_lets_no_connection_come_up(block: Block) -> None:
+def test_a_cut_link_is_silent_and_lets_no_connection_come_up(block: AddressBlock) -> None:
     async def whole() -> None:
-        weather = Weather(Experiment(name="x"), stream(1, "w"))
+        network = NetworkConditions(Experiment(name="x"), stream(1, "w"))
         address = block.places.backend(0, 0)
-        listener = Listener(address, lambda: Echo(weather, Clock(), "s0", "n0"))
+        listener = ImpairedListener(address, lambda: Echo(network, RunClock(), "s0", "n0"))
         listener.open()
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
         fault = cut("nodes:0", "backends:0")
-        weather.change(fault, True)
-        listener.darken(True)
+        network.change(fault, True)
+        listener.set_unresponsive(True)
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(1), 0.15)
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.open_connection(*address), 0.15)
-        weather.change(fault, False)
-        listener.darken(False)
+        network.change(fault, False)
+        listener.set_unresponsive(False)
         assert await asyncio.wait_for(reader.readexactly(3), WAIT) == b"two"
         other, again = await asyncio.wait_for(asyncio.open_connection(*address), WAIT)
         again.write(b"three")
@@ -305,11 +305,11 @@
     asyncio.run(whole())
 
 
-def test_bytes_keep_their_order_under_delay_and_jitter(block: Block) -> None:
+def test_bytes_keep_their_order_under_delay_and_jitter(block: AddressBlock) -> None:
     async def whole() -> None:
         spec = Experiment(name="x", network=Network(same_zone_ms=2.0, jitter=3.0))
-        weather = Weather(spec, stream(1, "w"))
-        listener = Listener(block.places.backend(0, 0), lambda: Echo(weather, Clock(), "s0", "n0"))
+        network = NetworkConditions(spec, stream(1, "w"))
+        listener = ImpairedListener(block.places.backend(0, 0), lambda: Echo(network, RunClock(), "s0", "n0"))
         listener.open()
         reader, writer = await asyncio.open_connection(*block.places.backend(0, 0))
         sent = b""
@@ -325,11 +325,11 @@
     asyncio.run(whole())
 
 
-def test_datagrams_come_from_the_senders_address_in_peers(block: Block) -> None:
+def test_datagrams_come_from_the_senders_address_in_peers(block: AddressBlock) -> None:
     async def whole() -> None:
         spec = Experiment(name="x", fleet=Fleet(nodes=3), network=Network(peer_datagrams=True, peer_ms=1.0))
-        weather = Weather(spec, stream(1, "w"))
-        relay = Relay(spec, block.places, weather)
+        network = NetworkConditions(spec, stream(1, "w"))
+        relay = DatagramRelay(spec, block.places, network)
         await relay.open()
         sockets = []
         for node in range(3):
@@ -347,13 +347,13 @@
         sockets[1].sendto(b"all", block.places.relay(1, 1))
         assert await receive(0) == (b"all", block.places.relay(0, 1))
         assert await receive(2) == (b"all", block.places.relay(2, 1))
-        weather.change(cut("nodes:0", "nodes:2"), True)
+        network.change(cut("nodes:0", "nodes:2"), True)
         sockets[0].sendto(b"lost", block.places.relay(0, 2))
         sockets[0].sendto(b"x" * 257, block.places.relay(0, 1))
         sockets[0].sendto(b"here", block.places.relay(0, 1))
         assert (await receive(1))[0] == b"here"
         assert relay.counts["lost"] == 1 and relay.counts["too_long"] == 1
-        for transport in relay.ways.values():
+        for transport in relay.transports.values():
             transport.close()
         for sock in sockets:
             sock.close()
@@ -362,7 +362,7 @@
 
 
 def test_two_blocks_at_once_are_never_the_same() -> None:
-    blocks = [Block(4, 4) for _ in range(3)]
+    blocks = [AddressBlock(4, 4) for _ in range(3)]
     assert len({b.places.block for b in blocks}) == 3
     for b in blocks:
         b.close()
--- a/tests/test_scale_beside.py
+++ b/tests/test_scale_parallel_parts.py
@@ -6,12 +6,13 @@
 import os
 import time
 from collections.abc import Callable, Iterator
+from dataclasses import replace
 from functools import partial
 from types import SimpleNamespace
 
 import pytest
 
-from balancer.lab.scale import beside, control, rig
+from balancer.lab.scale import parallel_parts, runner, shared_state
 from balancer.lab.scale.points import NotPlayed, Part, Play, Point
 
 SMALL = {"membership quiet": (4, 6, 8), "membership cold start": (4, 6, 8), "membership faults": (6, 8, 12),
@@ -44,9 +45,13 @@
 @pytest.fixture
 def small(monkeypatch: pytest.MonkeyPatch) -> list[Play]:
     """The plays of whole tiers, at sizes that take a moment."""
-    plays = [(*play[:3], SMALL[play[0]], *play[4:]) for play in control.PLAYS if play[0] in SMALL]
-    monkeypatch.setattr(control, "PLAYS", plays)
-    return control.plays(True)
+    scenarios = [
+        replace(scenario, quick_sizes=SMALL[scenario.name])
+        for scenario in shared_state.SCENARIOS
+        if scenario.name in SMALL
+    ]
+    monkeypatch.setattr(shared_state, "SCENARIOS", scenarios)
+    return shared_state.plays(True)
 
 
 def test_a_seed_gives_the_same_points_whatever_the_number_of_workers(small: list[Play]) -> None:
@@ -59,7 +64,7 @@
     def exact(points: list[Point]) -> list[Point]:
         return [point for point in points if point.exact]
 
-    results = [rig.run([*small, planted], 3, True, tell, workers) for workers in (1, 3)]
+    results = [runner.run([*small, planted], 3, True, tell, workers) for workers in (1, 3)]
     assert exact(results[0].points) == exact(results[1].points)
     assert [p.figure for p in results[0].points] == [p.figure for p in results[1].points]
     alone = [item for play in (*small, planted) for item in play.run(3) if isinstance(item, Point)]
@@ -71,7 +76,7 @@
 
 def test_the_parts_of_a_play_are_all_of_it() -> None:
     for quick in (False, True):
-        plays = [play for play in control.plays(quick) if play.parts]
+        plays = [play for play in shared_state.plays(quick) if play.parts]
         assert [play.name for play in plays] == list(SMALL)
         names = [part.name for play in plays for part in play.parts]
         assert len(set(names)) == len(names)
@@ -80,9 +85,9 @@
 
 def test_what_is_not_through_in_time_is_ended_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [0.0]
-    monkeypatch.setattr(beside, "time", SimpleNamespace(monotonic=lambda: clock[0]))
+    monkeypatch.setattr(parallel_parts, "time", SimpleNamespace(monotonic=lambda: clock[0]))
     parts = [Part("b", forever, 1.0), Part("c", forever, 1.0), Part("a", one, 2.0)]
-    found = beside.played(parts, 7, 1, 600.0, left)
+    found = parallel_parts.played(parts, 7, 1, 600.0, left)
     first = next(found)
     assert (first.part.name, first.items) == ("a", list(one(7)))
     clock[0] = 600.0
@@ -93,7 +98,7 @@
 
 
 def test_who_asks_no_further_leaves_no_process_behind() -> None:
-    found = beside.played(
+    found = parallel_parts.played(
         [Part("a", one, 2.0), Part("b", forever, 1.0)], 7, 2, time.monotonic() + 600.0, left
     )
     assert next(found).part.name == "a"
@@ -103,19 +108,19 @@
 
 def test_a_defect_in_a_part_is_raised() -> None:
     with pytest.raises(ArithmeticError, match="planted"):
-        list(beside.played([Part("a", broken, 1.0)], 7, 1, time.monotonic() + 600.0, left))
+        list(parallel_parts.played([Part("a", broken, 1.0)], 7, 1, time.monotonic() + 600.0, left))
     assert not multiprocessing.active_children()
 
 
 def test_a_process_that_ends_by_itself_is_named() -> None:
-    (done,) = beside.played([Part("a", dies, 1.0)], 7, 1, time.monotonic() + 600.0, left)
+    (done,) = parallel_parts.played([Part("a", dies, 1.0)], 7, 1, time.monotonic() + 600.0, left)
     (item,) = done.items
     assert isinstance(item, NotPlayed) and item.what == "a" and "was ended" in item.why
 
 
 def test_parts_that_the_command_has_no_time_for_are_named(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rig, "MOST_QUICK_S", -1.0)
+    monkeypatch.setattr(runner, "QUICK_TIME_LIMIT_S", -1.0)
     run: Callable[[int], Iterator[Point]] = partial(one, size=2)
     play = Play("planted", run, 10, "nothing is real", (Part("planted at 2", run, 1.0),))
-    result = rig.run([play], 1, True, lambda *_: None)
+    result = runner.run([play], 1, True, lambda *_: None)
     assert [item.what for item in result.not_played] == ["planted"] and not result.plays
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_runner.py
@@ -15,7 +15,18 @@
 from balancer import interface as api
 from balancer.cli import scale as command
 from balancer.cli.app import app
-from balancer.lab.scale import crowd, discovery, fleet, listing, module, processes, rack, rig, size, tables
+from balancer.lab.scale import (
+    concurrent_callers,
+    decision_module,
+    dense_hosting,
+    discovery,
+    endpoint_list,
+    generated_inputs,
+    rack_failure,
+    runner,
+    settings_tables,
+    size,
+)
 from balancer.lab.scale.points import NotPlayed, Play, Point
 from balancer.net.config import news_of
 from tests.helpers import member
@@ -44,20 +55,20 @@
 
 def test_a_list_in_the_platforms_form_comes_back_as_it_was() -> None:
     told = [
-        fleet.entry(0),
-        fleet.entry(1, api.EndpointPhase.DRAINING),
-        fleet.entry(2, api.EndpointPhase.REMOVED, 5.0),
+        generated_inputs.entry(0),
+        generated_inputs.entry(1, api.EndpointPhase.DRAINING),
+        generated_inputs.entry(2, api.EndpointPhase.REMOVED, 5.0),
     ]
-    news = news_of(fleet.line(told, 3, True))
+    news = news_of(generated_inputs.line(told, 3, True))
     assert list(news.members) == [member(one, f"10.0.0.{i}:8080") for i, one in enumerate(told)]
     assert (news.revision, news.complete) == (3, True)
-    assert {m.address for m in news_of(fleet.line(told, 3, True, "127.0.0.1:9")).members} == {
+    assert {m.address for m in news_of(generated_inputs.line(told, 3, True, "127.0.0.1:9")).members} == {
         ("127.0.0.1", 9)
     }
 
 
 def test_the_modules_play_gives_each_figure_at_its_size() -> None:
-    found = [module.memory(60, 1), *module.measure(60, 1, 0.2)]
+    found = [decision_module.memory(60, 1), *decision_module.measure(60, 1, 0.2)]
     assert [p.figure for p in found] == [
         "memory", "whole_list", "choice", "answer", "failure", "drain", "replace", "restart", "unavailable",
         "learned",
@@ -66,25 +77,28 @@
 
 
 def test_each_request_of_the_modules_play_is_sent_and_each_failed_one_sent_again() -> None:
-    balancer = module.node(60, 1)
-    balancer.handle(fleet.NOW, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, fleet.entries(60), 1))
-    requests = module.Requests(balancer, fleet.NOW)
+    balancer = decision_module.node(60, 1)
+    balancer.handle(
+        generated_inputs.START_MS,
+        api.ListUpdate(api.ListUpdateKind.SNAPSHOT, generated_inputs.entries(60), 1),
+    )
+    requests = decision_module.Requests(balancer, generated_inputs.START_MS)
     requests.play(60.0, 200)
     assert (len(requests.choice), len(requests.answer), len(requests.failure)) == (200, 200, 20)
     assert balancer.out == 0 and not balancer.requests
 
 
 def test_replacements_stop_at_their_bound_and_say_so() -> None:
-    whole = list(module.replacements(1, 40, (10, 40), 60.0))
+    whole = list(decision_module.replacements(1, 40, (10, 40), 60.0))
     assert list(figures(whole)) == [
         ("replaced", figure, n) for figure in ("change", "memory") for n in (10, 40)
     ]
-    cut = [p for p in module.replacements(1, 10_000, (10_000,), 0.02) if isinstance(p, NotPlayed)]
+    cut = [p for p in decision_module.replacements(1, 10_000, (10_000,), 0.02) if isinstance(p, NotPlayed)]
     assert len(cut) == 2 and "of 10000" in cut[0].what
 
 
 def test_the_lists_bytes_are_counted_and_what_is_refused_is_left_out() -> None:
-    small = list(listing.lists((200, 800)))
+    small = list(endpoint_list.lists((200, 800)))
     assert figures(small, exact=True) == {
         ("list", "whole", 200): 33227.0, ("list", "change", 200): 215.0,
         ("list", "whole", 800): 133055.0, ("list", "change", 800): 213.0,
@@ -93,7 +107,7 @@
 
 
 def test_a_real_node_serves_before_a_stand_in() -> None:
-    found = figures(uvloop.run(listing.play_node(60, 0.6, 3.0)))
+    found = figures(uvloop.run(endpoint_list.play_node(60, 0.6, 3.0)))
     assert [name for _, name, _ in found] == [
         "ready", "in_force", "p50", "p99", "memory", "core_per_request", "served", "p99_lists", "worst_lists",
         "in_force_lists", "memory_lists", "served_lists", "rig_late", "rig_worst",
@@ -103,8 +117,8 @@
 
 async def test_the_stand_in_keeps_a_quiet_watch_alive(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against watches that count as dead and take the whole list while a change is measured."""
-    monkeypatch.setattr(listing, "EMPTY_LINE", 0.02)
-    stand_in = listing.StandInDiscovery(b"{}\n")
+    monkeypatch.setattr(endpoint_list, "HEARTBEAT_INTERVAL_S", 0.02)
+    stand_in = endpoint_list.DiscoveryStub(b"{}\n")
     server = await asyncio.start_server(stand_in.serve, "127.0.0.1", 0)
     reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname()[:2])
     writer.write(b"GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n")
@@ -117,50 +131,56 @@
 
 
 def test_real_processes_take_one_list() -> None:
-    found = uvloop.run(processes.play_processes(2, 60, 2))
+    found = uvloop.run(dense_hosting.play_processes(2, 60, 2))
     assert list(figures(found)) == [("processes", figure, 60) for figure in ("ready", "memory", "change")]
 
 
 def test_nothing_goes_to_a_lost_rack_while_discovery_is_cut_off() -> None:
     """Real processes; the counts are the rule's, whatever the machine's speed."""
-    points = uvloop.run(rack.play_rack(2, 600, before=1.5, after=2.5))
+    points = uvloop.run(rack_failure.play_rack(2, 600, before=1.5, after=2.5))
     found = {p.figure: p.value for p in points if isinstance(p, Point)}
     assert found["sent_before"] > 0 and found["sent_late"] == 0 and found["unanswered"] == 0
     assert found["asked_after"] == pytest.approx(2 * 2.5 * size.PEAK_PER_S / size.NODES, abs=4)
 
 
 def test_what_the_racks_clients_could_not_offer_is_said() -> None:
-    whole = crowd.Part(0.0, due=1930, sent=1930, statuses={200: 1900, 503: 28, 0: 2}, late_ms=[0.5] * 1930)
-    found = list(rack.seen_by_clients(600, 20.0, whole, whole, [1.0]))
+    whole = concurrent_callers.PartResult(
+        0.0, due=1930, sent=1930, statuses={200: 1900, 503: 28, 0: 2}, late_ms=[0.5] * 1930
+    )
+    found = list(rack_failure.seen_by_clients(600, 20.0, whole, whole, [1.0]))
     values = {item.figure: item.value for item in found if isinstance(item, Point)}
     assert len(values) == len(found) and (values["offered"], values["unanswered"]) == (193.0, 4)
     assert values["served_after"] == 1900 / 1930 and values["rig_late"] == pytest.approx(1.0, rel=0.01)
-    for seconds, lags in ((20.0, [rack.LATE_MS * 2]), (21.0, [1.0])):
-        *_, last = rack.seen_by_clients(600, seconds, whole, whole, lags)
+    for seconds, lags in ((20.0, [rack_failure.MAX_LATENESS_MS * 2]), (21.0, [1.0])):
+        *_, last = rack_failure.seen_by_clients(600, seconds, whole, whole, lags)
         assert isinstance(last, NotPlayed) and "at 193 requests" in last.what
 
 
 async def test_a_crowd_asks_at_its_rate_and_counts_each_request_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Also before a node that breaks connections, one that is gone and one that never answers."""
 
-    class Breaks(listing.StandInBackend):
+    class Breaks(endpoint_list.BackendStub):
         def data_received(self, data: bytes) -> None:
             self.transport.close()
 
-    class Silent(listing.StandInBackend):
+    class Silent(endpoint_list.BackendStub):
         def data_received(self, data: bytes) -> None:
             pass
 
     loop = asyncio.get_running_loop()
     servers = [
-        await loop.create_server(one, "127.0.0.1", 0) for one in (listing.StandInBackend, Breaks, Silent)
+        await loop.create_server(one, "127.0.0.1", 0) for one in (endpoint_list.BackendStub, Breaks, Silent)
     ]
     gone = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
     ports = [server.sockets[0].getsockname()[1] for server in (*servers, gone)]
     gone.close()
     for port, status, wait in zip(ports, (200, 0, 0, 0), (60.0, 60.0, 0.2, 60.0), strict=True):
-        monkeypatch.setattr(crowd, "ANSWER_MOST", wait)  # s; only the silent one needs all of it
-        first, second = await crowd.ask(crowd.Plan([port], 500.0, 0.1, 0.2), time.monotonic())
+        monkeypatch.setattr(
+            concurrent_callers, "ANSWER_TIMEOUT_S", wait
+        )  # s; only the silent one needs all of it
+        first, second = await concurrent_callers.ask(
+            concurrent_callers.Plan([port], 500.0, 0.1, 0.2), time.monotonic()
+        )
         assert (first.due, second.due) == (50, 100)
         assert first.statuses.get(status) == 50 and second.statuses.get(status) == 100
         assert len(first.late_ms) == 50 and len(first.took_ms) == (50 if status else 0)
@@ -169,12 +189,12 @@
 
 
 def test_a_quick_run_says_that_the_processes_are_not_played() -> None:
-    (play,) = processes.plays(True)
+    (play,) = dense_hosting.plays(True)
     (item,) = play.run(1)
     assert isinstance(item, NotPlayed) and "16 real processes" in item.what
 
 
-@pytest.mark.parametrize("play", tables.plays(True), ids=lambda play: play.name)
+@pytest.mark.parametrize("play", settings_tables.plays(True), ids=lambda play: play.name)
 def test_tables_grow(play: Play) -> None:
     found = list(play.run(1))
     assert {p.figure for p in found if isinstance(p, Point)} == {"make", "reload", "memory"}
@@ -188,14 +208,14 @@
     assert found["discovery", "join_calls", 12] == 12
     assert found["discovery", "join_failed", 12] == 0
     assert found["discovery", "tenth_calls", 12] == 2
-    line = len(fleet.line([fleet.entry(0, api.EndpointPhase.DRAINING)], 3, False))
+    line = len(generated_inputs.line([generated_inputs.entry(0, api.EndpointPhase.DRAINING)], 3, False))
     assert found["discovery", "told", 12] == pytest.approx(12 * line, rel=0.02)
 
 
 def test_bursts_and_a_days_stream_are_counted() -> None:
     bursts = figures(uvloop.run(discovery.play_bursts((1, 40, 90))), exact=True)
-    assert bursts["burst", "line", 40] == len(fleet.line(
-        [fleet.entry(n) for n in range(40)], 8, False))  # fmt: skip
+    assert bursts["burst", "line", 40] == len(generated_inputs.line(
+        [generated_inputs.entry(n) for n in range(40)], 8, False))  # fmt: skip
     day = uvloop.run(discovery.play_day(160))
     again = uvloop.run(discovery.play_day(160))
     assert figures(day, exact=True) == figures(again, exact=True)
@@ -204,7 +224,7 @@
 
 def test_all_plays_name_what_is_hollow_and_the_size_of_two_years() -> None:
     for quick in (True, False):
-        plays = rig.all_plays(quick)
+        plays = runner.all_plays(quick)
         assert len({play.name for play in plays}) == len(plays)
         assert all(play.limits and play.target > 0 for play in plays)
     assert {"module", "list", "node", "routes", "tenants", "discovery"} <= {p.name for p in plays}
@@ -212,20 +232,26 @@
 
 def test_sizes_span_what_a_slope_needs() -> None:
     """Five sizes over a factor of 16, up to the size of two years where it can be had on one machine."""
-    for sizes in (module.SIZES, listing.SIZES, listing.NODE_SIZES, tables.ROUTES, tables.TENANTS,
+    for sizes in (decision_module.SIZES,
+                  endpoint_list.SIZES,
+                  endpoint_list.NODE_SIZES,
+                  settings_tables.ROUTES,
+                  settings_tables.TENANTS,
                   discovery.WATCHERS):  # fmt: skip
         assert len(sizes) >= 5 and max(sizes) >= 16 * min(sizes)
-    assert module.SIZES[-1] == listing.SIZES[-1] == listing.NODE_SIZES[-1] == size.BACKENDS
-    assert (tables.ROUTES[-1], tables.TENANTS[-1]) == (size.ROUTES, size.TENANTS)
+    assert (
+        decision_module.SIZES[-1] == endpoint_list.SIZES[-1] == endpoint_list.NODE_SIZES[-1] == size.BACKENDS
+    )
+    assert (settings_tables.ROUTES[-1], settings_tables.TENANTS[-1]) == (size.ROUTES, size.TENANTS)
 
 
 # --- the whole
 
 
 def test_a_result_has_its_slopes_and_says_what_was_not_played(tmp_path: Path) -> None:
-    result = rig.run([PLANTED], 5, True, quiet)
-    rig.write(result, tmp_path)
-    assert rig.read(tmp_path / "scale.json") == result
+    result = runner.run([PLANTED], 5, True, quiet)
+    runner.write(result, tmp_path)
+    assert runner.read(tmp_path / "scale.json") == result
     table = json.loads((tmp_path / "scale.json").read_text())
     assert set(table) == {
         "version", "seed", "quick", "program", "python", "machine", "load", "seconds", "plays", "points",
@@ -239,8 +265,8 @@
 
 
 def test_what_comes_after_the_time_is_over_is_not_played(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rig, "MOST_QUICK_S", -1.0)
-    result = rig.run([PLANTED], 1, True, quiet)
+    monkeypatch.setattr(runner, "QUICK_TIME_LIMIT_S", -1.0)
+    result = runner.run([PLANTED], 1, True, quiet)
     assert not result.points and [n.what for n in result.not_played] == ["planted"]
 
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_shared_state.py
@@ -10,9 +10,9 @@
 from balancer.durable import frames
 from balancer.durable.records import EndpointListReceived, encode_record
 from balancer.durable.state import DurableState, replay
-from balancer.lab.scale import returns, stores, tiers
-from balancer.lab.scale.control import Run, plays
+from balancer.lab.scale import durable_state, membership_tiers, power_recovery
 from balancer.lab.scale.points import NotPlayed, Point
+from balancer.lab.scale.shared_state import Run, plays
 from balancer.lab.scale.size import BACKENDS, NODES
 from balancer.recovery.core import Config
 from balancer.sim.disk import SimulatedDisk
@@ -21,10 +21,11 @@
 
 UNITS = {"ms", "us", "bytes", "bytes/s", "datagrams/s", "s", "entries"}
 RUNS: list[tuple[Run, tuple[int, ...]]] = [
-    (tiers.quiet, (4, 8)), (tiers.one_node, (30, 60)), (tiers.cold_start, (4, 8)), (tiers.faults, (6, 12)),
-    (returns.tiers, (4, 8)), (returns.turns, (24, 48)), (returns.words, (8, 5_700)),
-    (returns.restarts, (8, 356)),
-    (stores.stores, (100, 400)), (stores.limits, (100,)),
+    (membership_tiers.quiet, (4, 8)), (membership_tiers.one_node, (30, 60)),
+    (membership_tiers.cold_start, (4, 8)), (membership_tiers.faults, (6, 12)),
+    (power_recovery.tiers, (4, 8)), (power_recovery.turns, (24, 48)), (power_recovery.answers, (8, 5_700)),
+    (power_recovery.restarts, (8, 356)),
+    (durable_state.stores, (100, 400)), (durable_state.limits, (100,)),
 ]  # fmt: skip
 
 
@@ -55,13 +56,13 @@
 
 
 def test_a_time_without_an_end_is_no_figure() -> None:
-    of = tiers.Figures("membership", 10)
+    of = membership_tiers.PointFactory("membership", 10)
     assert list(of.took("heal_time", 1_500.0)) == [Point("membership", "heal_time", "s", 10, 1.5, True)]
     assert [type(item) for item in of.took("heal_time", math.inf)] == [NotPlayed]
 
 
 def test_a_tier_that_starts_agreed_stays_so() -> None:
-    world = tiers.Metered(12, 1, Network())
+    world = membership_tiers.MeteredTier(12, 1, Network())
     world.start_agreed()
     assert world.has_converged()
     world.run(world.now + 20_000.0)
@@ -70,39 +71,39 @@
 
 
 def test_what_is_received_is_counted_with_its_headers() -> None:
-    meter = tiers.Meter()
-    meter.heard(1_500.0, b"x" * 100)
-    meter.heard(1_900.0, b"x" * 50)
+    meter = membership_tiers.Meter()
+    meter.record(1_500.0, b"x" * 100)
+    meter.record(1_900.0, b"x" * 50)
     assert (meter.datagrams, meter.size, meter.by_second) == (2, 206, {1: 206})
 
 
 def test_in_a_cold_start_a_node_hears_of_all() -> None:
     for count in (4, 16):
-        found = {p.figure: p.value for p in points(tiers.cold_start((count,), 2))}
+        found = {p.figure: p.value for p in points(membership_tiers.cold_start((count,), 2))}
         assert found["cold_start_rumours"] + found["cold_start_datagrams"] >= count - 1
 
 
 def test_a_repair_tells_of_all() -> None:
-    found = {p.figure: p.value for p in points(tiers.one_node((60,), 1))}
+    found = {p.figure: p.value for p in points(membership_tiers.one_node((60,), 1))}
     assert found["repair_rumours"] == 60
     assert found["repair_datagrams"] == 3  # 25 rumours fit in one
     assert found["repair_time"] == pytest.approx(1.4, abs=0.1)  # one at once, then one each period
 
 
 def test_nodes_whose_turn_is_late_are_told_late() -> None:
-    found = {(p.figure, p.size): p.value for p in points(returns.turns((24, 960), 1))}
+    found = {(p.figure, p.size): p.value for p in points(power_recovery.turns((24, 960), 1))}
     assert found["turns_told", 24] < found["turns_told", 960]
     assert found["turns_again", 24] == 1.0  # the least
     assert found["turns_again", 960] == 24.0  # 25 ms for each
 
 
 def test_a_node_that_comes_back_alone_is_full_at_once() -> None:
-    found = {p.figure: p.value for p in points(returns.restarts((356,), 1))}
+    found = {p.figure: p.value for p in points(power_recovery.restarts((356,), 1))}
     assert 0 < found["restart_full"] < found["restart_told"] < 0.1  # s: two that agree are enough
 
 
 def test_a_returning_tier_begins_with_what_its_disks_kept() -> None:
-    tier = returns.Returning(5, 1, Config())
+    tier = power_recovery.RecoveringTier(5, 1, Config())
     tier.finish()
     assert len(tier.full) == len(tier.told) == 5
     for process in tier.processes:
@@ -110,23 +111,23 @@
 
 
 def test_a_start_reads_the_list_that_was_kept() -> None:
-    disk, rows = SimulatedDisk(), stores.listed(50, 1)
-    node = stores.Node(disk)
-    size = node.keep(EndpointListReceived(7, True, 0.0, rows))
+    disk, rows = SimulatedDisk(), durable_state.listed(50, 1)
+    node = durable_state.Node(disk)
+    size = node.append(EndpointListReceived(7, True, 0.0, rows))
     node.store.close()
     assert size == frames.HEADER.size + len(encode_record(EndpointListReceived(7, True, 0.0, rows)))
-    again = stores.Node(SimulatedDisk(disk.image()))
-    assert again.kept.list_revision == 7 and list(again.kept.endpoints.values()) == rows
+    again = durable_state.Node(SimulatedDisk(disk.image()))
+    assert again.state.list_revision == 7 and list(again.state.endpoints.values()) == rows
 
 
 def test_one_entry_above_the_limit_does_not_fit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frames, "MAX_PAYLOAD_BYTES", 4_000)
-    found = {p.figure: int(p.value) for p in stores.limits((200,), 1)}
+    found = {p.figure: int(p.value) for p in durable_state.limits((200,), 1)}
     assert "most_learned_of_a_quarter" not in found  # all 200 fit
-    rows = stores.listed(200, 1)
+    rows = durable_state.listed(200, 1)
 
     def record(count: int) -> bytes:
-        return encode_record(EndpointListReceived(1, True, stores.WALL_MS, rows[:count]))
+        return encode_record(EndpointListReceived(1, True, durable_state.WALL_CLOCK_MS, rows[:count]))
 
     most = found["most_list"]
     assert len(record(most)) <= 4_000 < len(record(most + 1))
@@ -135,13 +136,15 @@
 
 def test_a_list_that_does_not_fit_leaves_out_its_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frames, "MAX_PAYLOAD_BYTES", 4_000)
-    items = list(stores.stores((100,), 1))
+    items = list(durable_state.stores((100,), 1))
     figures = {item.figure for item in items if isinstance(item, Point)}
     assert "list_record" in figures and "start_read" not in figures
     assert [item.why.partition(":")[0] for item in items if isinstance(item, NotPlayed)] == ["STA03"]
 
 
 def test_a_snapshot_of_what_is_kept_reads_back() -> None:
-    rows = stores.listed(20, 1)
-    kept = DurableState(endpoints={row.backend: row for row in rows}, learned_sample=stores.sampled(rows))
-    assert replay(kept.encode_snapshot(), []).learned_sample == stores.sampled(rows)
+    rows = durable_state.listed(20, 1)
+    kept = DurableState(
+        endpoints={row.backend: row for row in rows}, learned_sample=durable_state.sampled(rows)
+    )
+    assert replay(kept.encode_snapshot(), []).learned_sample == durable_state.sampled(rows)
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -13,7 +13,7 @@
 import pytest
 
 from balancer import interface as api
-from balancer.lab.scale import fleet, size
+from balancer.lab.scale import generated_inputs, size
 from balancer.net import listing
 from balancer.net.config import Member, News
 from balancer.net.figures import Figures
@@ -46,7 +46,7 @@
 @pytest.fixture(scope="module")
 def whole() -> list[Member]:
     """The whole list, of warm backends in nine zones."""
-    return [member(fleet.entry(number)) for number in range(size.BACKENDS)]
+    return [member(generated_inputs.entry(number)) for number in range(size.BACKENDS)]
 
 
 def member(entry: api.Endpoint) -> Member:
@@ -57,7 +57,7 @@
     """One node's list, pool and module on a virtual clock: a turn of the list, then what is due before it."""
 
     def __init__(self) -> None:
-        super().__init__(fleet.NOW)
+        super().__init__(generated_inputs.START_MS)
         self.balancer, self.checker = Balancer(SETTINGS, 3), RuleChecker(SETTINGS)
         self.budget = ColdBudget(SETTINGS, FULL_PER_S)
         self.seats: dict[str, int] = {}  # of backends sent to, by which they are taken together
@@ -162,8 +162,8 @@
     assert len(lost) == round(size.BACKENDS / size.ZONES)
     rest = [m for m in whole if m.zone != zone]
     drain = [replace(m, phase=DRAINING) for m in rest[:CHANGED]]
-    numbers = (n for n in range(size.BACKENDS, 2 * size.BACKENDS) if fleet.zone(n) != zone)
-    new = [member(fleet.entry(next(numbers))) for _ in range(CHANGED)]
+    numbers = (n for n in range(size.BACKENDS, 2 * size.BACKENDS) if generated_inputs.zone(n) != zone)
+    new = [member(generated_inputs.entry(next(numbers))) for _ in range(CHANGED)]
     world.put(2, [*new, *drain, *rest[CHANGED:]])
     while world.in_force != [1, 2]:
         world.load(world.now + GAP_MS)
--- a/tests/virtual.py
+++ b/tests/virtual_run.py
@@ -15,15 +15,15 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import Maintenance
 from balancer.lab import records
-from balancer.lab.places import Places
-from balancer.lab.processes import call, configuration
-from balancer.lab.run import LEAD, TAIL
+from balancer.lab.addresses import AddressPlan
+from balancer.lab.processes import call, node_configuration
+from balancer.lab.run import LEAD_S, TAIL_S
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role, Worker
 from tests.broken_node import StandIn
 
 Address = tuple[str, int]
-ROLES: tuple[Role, ...] = ("backends", "clients", "hub")
+ROLES: tuple[Role, ...] = ("backends", "clients", "discovery")
 CRASHED = 3  # the code with which a stand-in's process ends by itself
 
 
@@ -100,7 +100,7 @@
     """What listens at an address; `dark`: connections to it never come up."""
 
     def __init__(self, places: dict[Address, Server], address: Address, make: Make) -> None:
-        self.places, self.address, self.make, self.dark = places, address, make, False
+        self.places, self.address, self.make, self.unresponsive = places, address, make, False
 
     def open(self) -> None:
         """Listen."""
@@ -110,9 +110,9 @@
         """Refuse connections from now on."""
         self.places.pop(self.address, None)
 
-    def darken(self, dark: bool) -> None:
+    def set_unresponsive(self, unresponsive: bool) -> None:
         """As the lab's own."""
-        self.dark = dark
+        self.unresponsive = unresponsive
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -143,7 +143,7 @@
         server = self.places.get((host, port))
         if server is None:
             raise ConnectionRefusedError(f"nobody listens at {host}:{port}")
-        if server.dark:
+        if server.unresponsive:
             await asyncio.Event().wait()
         near, far = Pipe(self, protocol_factory()), Pipe(self, server.make())
         near.peer, far.peer = far, near
@@ -156,13 +156,13 @@
     """One play of an experiment with one stand-in node; `seen` holds the records afterwards."""
 
     def __init__(self, spec: Experiment, seed: int, defect: str, loop: VirtualLoop) -> None:
-        self.spec, self.seed, self.loop, self.seen = spec, seed, loop, records.Seen()
-        self.places = Places(block=0, backends=spec.backends.count)
+        self.spec, self.seed, self.loop, self.seen = spec, seed, loop, records.RunRecords()
+        self.places = AddressPlan(block=0, backends=spec.backends.count)
         self.workers = [Worker(Plan(spec, seed, 0, role, 0, 1, ""), loop.time) for role in ROLES]
         self.clock = self.workers[0].clock
-        config = configuration(spec, self.places, 0, seed, spec.rules.max_attempts)
+        config = node_configuration(spec, self.places, 0, seed, spec.rules.max_attempts)
         self.node = StandIn(defect, config, self.crash)
-        self.life = records.LifeRecord(0, 0, -LEAD * 1000)
+        self.process_record = records.ProcessRecord(0, 0, -LEAD_S * 1000)
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def end_node(self) -> None:
@@ -175,7 +175,11 @@
     def crash(self) -> None:
         """The node's process ends by itself."""
         self.end_node()
-        self.life.ended, self.life.code, self.life.why = self.clock.now(), CRASHED, "ended by itself"
+        self.process_record.ended, self.process_record.code, self.process_record.why = (
+            self.clock.now(),
+            CRASHED,
+            "ended by itself",
+        )
 
     def maintain(self, moment: Moment) -> None:
         """The operators take backends out, or put them back."""
@@ -185,13 +189,15 @@
     async def operate(self, backend: str, out: bool) -> None:
         """An operator's call at the console, and what the judge is to know of it."""
         called = self.clock.now()
-        bans = [b for b in self.seen.bans if f"s{b.backend}" == backend and not b.ended]
+        bans = [b for b in self.seen.maintenance if f"s{b.backend}" == backend and not b.ended]
         if not out and bans:
             bans[0].ended = called
         path = f"/backends/{backend}/{'maint' if out else 'ready'}"
         status, _ = await call(self.places.console(0, 0), "POST", path)
         if out and status == 200:
-            self.seen.bans.append(records.BanRecord(0, int(backend[1:]), self.clock.now(), 0.0))
+            self.seen.maintenance.append(
+                records.MaintenanceRecord(0, int(backend[1:]), self.clock.now(), 0.0)
+            )
 
     def task(self, work: Any) -> None:
         """Run it in the background."""
@@ -199,37 +205,37 @@
 
     def start(self) -> None:
         """Clients come `LEAD` from now; the faults go by the same zero."""
-        zero = self.loop.time() + LEAD
+        zero = self.loop.time() + LEAD_S
         for worker in self.workers:
             worker.start(zero)
         for moment in timeline(self.spec, self.seed):
             if isinstance(moment.fault, Maintenance):
                 self.loop.call_at(zero + moment.at, self.maintain, moment)
 
-    async def whole(self) -> records.Seen:
+    async def whole(self) -> records.RunRecords:
         """Everything, to the last late answer."""
         for worker in self.workers:
             await worker.open()
         self.task(self.node.run(self.places.node(0), self.places.console(0, 0)))
         self.start()
         await self.workers[ROLES.index("clients")].finished()
-        await asyncio.sleep(max(TAIL, self.spec.seconds + TAIL - self.clock.now() / 1000))
+        await asyncio.sleep(max(TAIL_S, self.spec.seconds + TAIL_S - self.clock.now() / 1000))
         assert not self.loop.errors, str(self.loop.errors[0])
         self.end_node()
-        await asyncio.sleep(TAIL)
+        await asyncio.sleep(TAIL_S)
         for worker in self.workers:
             self.seen.add(worker.seen)
-        self.seen.lives.append(self.life)
+        self.seen.processes.append(self.process_record)
         return self.seen
 
 
-def play(spec: Experiment, seed: int, defect: str) -> records.Seen:
+def play(spec: Experiment, seed: int, defect: str) -> records.RunRecords:
     """Play an experiment once, its one node a stand-in with a defect."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, VirtualLoop)
         with (
-            mock.patch("balancer.lab.backends.Listener", loop.listener),
-            mock.patch("balancer.lab.hub.Listener", loop.listener),
+            mock.patch("balancer.lab.backend_stubs.ImpairedListener", loop.listener),
+            mock.patch("balancer.lab.discovery_stub.ImpairedListener", loop.listener),
         ):
             return runner.run(VirtualPlay(spec, seed, defect, loop).whole())
