--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -1,41 +1,24 @@
 """Simulate a tier that serves requests through a power loss, in virtual time and without sockets.
 
-The nodes are `Balancer` objects as in production, backends and clients are those of `balancer.models`. The
-network is simple: a constant delay between parties, a round trip and the work of a handshake for a new
-connection to a backend, front-end proxies that know at once which nodes serve, persistent client
-connections. Recovery progress (`RecoveryProgressed`) comes as from a node that knows at once who is back;
-what finding that out takes is the subject of the simulation of recovery.
+Recovery progress (`RecoveryProgressed`) comes as from a node that knows at once who is back; what finding
+that out takes is the subject of the simulation of recovery.
 """
 
 from __future__ import annotations
 
-import random
-from collections import Counter, defaultdict
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 
 from balancer import interface as api
 from balancer import wire
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.platform_settings import platform_settings
-from balancer.experiments.random_streams import stream
-from balancer.models.backend import Backend, Job, Verdict
 from balancer.models.client import Operation, Outcome
 from balancer.models.load import draw_arrivals
 from balancer.policy import Balancer
-from balancer.sim.scheduler import EventScheduler
+from balancer.sim.request_path import BackendHost, Figures, NodeProcess, RequestSimulation
 
 DEMAND_WEIGHT = 0.8  # of a node's share of the work that is by its demand; the rest is equal
-ANSWER_MARGIN_MS = 10.0  # before its client's deadline, at which a node answers at the latest
-STATUS = {
-    Verdict.SERVED: api.AttemptStatus.OK,
-    Verdict.REPEATED: api.AttemptStatus.OK,
-    Verdict.ERROR: api.AttemptStatus.ERROR,
-    Verdict.TURNED_AWAY: api.AttemptStatus.REJECTED,
-    Verdict.EXPIRED: api.AttemptStatus.REJECTED,
-    Verdict.RESET: api.AttemptStatus.RESET,
-}
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,114 +33,15 @@
     never: int = 0  # nodes that do not return
 
 
-@dataclass
-class Figures:
-    """The results of a simulation; value and work are in the units of the experiment."""
-
-    value_served: defaultdict[int, float] = field(
-        default_factory=lambda: defaultdict(float)
-    )  # by tenth of a second
-    value_asked: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))
-    capacity_by_tenth: dict[int, float] = field(default_factory=dict)  # ms of work
-    work: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))  # that is wanted
-    collapsed: int = 0
-    ends: Counter[str] = field(default_factory=Counter)
-    back: list[float] = field(default_factory=list)  # ms at which each node serves again
-
-    def goodput(self, begin: float, end: float) -> float:
-        """Return the value served over what available capacity could serve, from second `begin` to `end`."""
-        tenths = range(int(begin * 10), int(end * 10))
-        bears = {t: min(1.0, self.capacity_by_tenth.get(t, 0.0) / max(self.work[t], 1e-9)) for t in tenths}
-        could = sum(self.value_asked[t] * bears[t] for t in tenths)
-        return sum(self.value_served[t] for t in tenths) / could if could else 1.0
-
-    def until(self, share: float, begin: float) -> float:
-        """Return the seconds after `begin` until half a second's value is a `share` of the demand."""
-        t, last = int(begin * 10), max(self.value_asked, default=0)
-        while t + 5 <= last:
-            half = range(t, t + 5)
-            if sum(self.value_served[i] for i in half) >= share * sum(self.value_asked[i] for i in half):
-                return t / 10 - begin
-            t += 1
-        return float("inf")
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """An attempt in flight."""
-
-    request: str
-    number: int
-    host: BackendHost
-    sent: float
-    over: bool = False
-
-
-@dataclass(slots=True, eq=False)
-class OpenRequest:
-    """A request that a node has in progress."""
-
-    operation: Operation
-    row: int
-    sent: float
-    deadline: float
-    work: float
-    key: str
-    again: Callable[[], None]  # sends the client's next attempt
-    zone: str
-    uses: int  # requests for which its connection is kept after this one
-    attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False
-
-
-@dataclass(eq=False)
-class BackendHost:
-    """A backend with its state in the simulation."""
-
-    core: Backend
-    name: str
-    alive: bool = True
-    owners: dict[Job, tuple[NodeProcess, Attempt]] = field(default_factory=dict)
-    timer_at: float = float("inf")
-
-
-@dataclass(eq=False)
-class NodeProcess:
-    """One process of a node."""
-
-    number: int
-    balancer: Balancer
-    incarnation: int
-    open: dict[str, OpenRequest] = field(default_factory=dict)
-    demand: float = 0.0  # requests in the last second, as all nodes know it
-    came: int = 0
-    idle: Counter[str] = field(default_factory=Counter)  # connections to each backend
-
-
-class World(EventScheduler):
-    """All nodes, backends and clients of an experiment; times are ms since its begin."""
+class World(RequestSimulation):
+    """A tier through a power loss of all its nodes and backends; times are ms since the begin."""
 
     def __init__(self, spec: Experiment, seed: int, cut: PowerCut, with_recovery: bool) -> None:
         """Prepare nodes, backends and arrivals; `with_recovery`: the nodes have recovery."""
-        super().__init__(0.0)
-        self.spec, self.seed, self.cut, self.with_recovery = spec, seed, cut, with_recovery
-        self.random = random.Random(f"service {seed}")
-        self.figures = Figures()
-        speeds = stream(seed, "speeds").uniform(*spec.backends.speed, spec.backends.count).tolist()
-        self.hosts = {
-            name: BackendHost(
-                Backend(spec.backends, spec.rules, speeds[i], {}, stream(seed, "backend", i)), name
-            )
-            for i, name in enumerate(spec.backend_names)
-        }
-        self.nodes: list[NodeProcess | None] = [None] * spec.fleet.nodes
-        self.incarnations = self.served = 0
+        super().__init__(spec, seed)
+        self.cut, self.with_recovery = cut, with_recovery
+        self.incarnations = 0
         self.rate = 0.0  # requests a second that the tier served before the cut
-        self.turn: Counter[str] = Counter()
-        self.idle_connections: dict[str, list[tuple[NodeProcess, int]]] = {
-            zone: [] for zone in spec.fleet.zones
-        }
-        self.idents = 0
 
     # --- time
 
@@ -175,7 +59,7 @@
                 self.figures.value_asked[tenth] += cls.value
                 self.figures.work[tenth] += work
                 ident = f"{int(arrivals.ident[row]):016x}"
-                self.at(operation.intended, partial(self._try, operation, row, zone, work, ident))
+                self.at(operation.intended, partial(self.send_attempt, operation, row, zone, work, ident))
         self.at(self.cut.at * 1000, self._lose_power)
         for tenth in range(int(self.spec.seconds * 10)):
             self.at(tenth * 100.0, partial(self._measure, tenth))
@@ -209,7 +93,7 @@
     def _kill(self, node: NodeProcess) -> None:
         self.nodes[node.number] = None
         for ident in list(node.open):
-            self._answer(node, ident, Outcome.CUT, 0.0)
+            self.answer(node, ident, Outcome.CUT, 0.0)
 
     def _restart(self, host: BackendHost) -> None:
         host.core.restart(self.now)
@@ -221,7 +105,7 @@
         node = NodeProcess(number, Balancer(cfg, self.random.getrandbits(64)), self.incarnations)
         self.nodes[number] = node
         saved = [self._entry(i, 0.0) for i in range(len(self.hosts))]
-        self._event(node, api.ListUpdate(api.ListUpdateKind.CACHED, saved))
+        self.handle_event(node, api.ListUpdate(api.ListUpdateKind.CACHED, saved))
         if again:
             if self.with_recovery:
                 self._publish_shares(node)
@@ -243,15 +127,15 @@
         if self.nodes[node.number] is not node:
             return
         entries = [self._entry(i, h.core.started) for i, h in enumerate(self.hosts.values()) if h.alive]
-        self._event(node, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, entries, 2))
+        self.handle_event(node, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, entries, 2))
         if self.with_recovery:
-            self._event(node, self._progress(node, api.RecoveryPhase.WARMING, 0.0))
+            self.handle_event(node, self._progress(node, api.RecoveryPhase.WARMING, 0.0))
             warm = max(e.started_at for e in entries) + self.spec.rules.ramp_time_ms
             self.at(warm, partial(self._full, node))
 
     def _full(self, node: NodeProcess) -> None:
         if self.nodes[node.number] is node:
-            self._event(node, self._progress(node, api.RecoveryPhase.FULL, 0.0))
+            self.handle_event(node, self._progress(node, api.RecoveryPhase.FULL, 0.0))
 
     def _progress(
         self, node: NodeProcess, phase: api.RecoveryPhase, cold_since: float
@@ -268,202 +152,14 @@
         """Send all nodes their new shares, as one more is back or demand has changed."""
         for node in filter(None, self.nodes):
             if node is first:
-                self._event(node, self._progress(node, api.RecoveryPhase.LISTED, self.now))
+                self.handle_event(node, self._progress(node, api.RecoveryPhase.LISTED, self.now))
             elif (admission := node.balancer.admission) is not None:
                 before = admission.word
-                self._event(node, self._progress(node, before.phase, before.cold_since))
+                self.handle_event(node, self._progress(node, before.phase, before.cold_since))
 
     def _publish_demand(self) -> None:
         """Let each node publish its demand of the last second."""
         for node in filter(None, self.nodes):
-            node.demand, node.came = float(node.came), 0
+            node.demand, node.arrived = float(node.arrived), 0
         self._publish_shares()
         self.at(self.now + 1000, self._publish_demand)
-
-    # --- clients
-
-    def _try(self, operation: Operation, row: int, zone: str, work: float, first: str) -> None:
-        step = operation.begin(self.now)
-        self.idents += 1
-        key = f"k{first}" if operation.cls.effect == "dedup" else ""
-        again = partial(self._try, operation, row, zone, work, first)
-        node, uses = self._connection(zone)
-        request = OpenRequest(operation, row, self.now, step.deadline, work, key, again, zone, uses - 1)
-        if node is None:
-            self._finish_attempt(request, Outcome.UNREACHABLE, 0.0)
-            return
-        ident = f"{self.idents:016x}"
-        node.open[ident] = request
-        node.came += 1
-        self._event(
-            node, api.RequestArrived(ident, operation.cls.name, step.deadline, step.number > 0, key or None)
-        )
-        self.at(step.deadline - ANSWER_MARGIN_MS, partial(self._deadline, node, ident))
-
-    def _connection(self, zone: str) -> tuple[NodeProcess | None, int]:
-        """Return the node of an idle connection of the zone, or of a new one, and its remaining uses."""
-        idle_connections = self.idle_connections[zone]
-        while idle_connections:
-            index = self.random.randrange(len(idle_connections))
-            idle_connections[index], idle_connections[-1] = idle_connections[-1], idle_connections[index]
-            node, uses = idle_connections.pop()
-            if self.nodes[node.number] is node:
-                return node, uses
-        alive = [n for n in self.nodes if n is not None]
-        near = [n for n in alive if self.spec.zone_of(f"n{n.number}") == zone] or alive
-        if not near:
-            return None, 1
-        self.turn[zone] += 1
-        uses = 1 + int(self.random.expovariate(1 / self.spec.clients.requests_per_connection))
-        return near[self.turn[zone] % len(near)], uses
-
-    def _finish_attempt(self, request: OpenRequest, end: Outcome, away: float) -> None:
-        operation = request.operation
-        self.figures.ends[end.value] += 1
-        if end is Outcome.SERVED:
-            took, cls = self.now - operation.intended, operation.cls
-            part = 1.0 if took <= cls.objective_ms else cls.late_value
-            self.figures.value_served[int(operation.intended // 100)] += cls.value * part
-            self.served += 1
-        when = operation.ended(self.now, request.sent, end, away)
-        if when is not None:
-            self.at(when, request.again)
-
-    def _answer(self, node: NodeProcess, ident: str, end: Outcome, away: float) -> None:
-        request = node.open.get(ident)
-        if request is None or request.answered:
-            return
-        request.answered = True
-        if end is not Outcome.CUT and request.uses > 0:
-            self.idle_connections[request.zone].append((node, request.uses))
-        self._forget(node, ident)
-        self._finish_attempt(request, end, away)
-
-    def _forget(self, node: NodeProcess, ident: str) -> None:
-        if all(item.over for item in node.open[ident].attempts):
-            del node.open[ident]
-
-    def _deadline(self, node: NodeProcess, ident: str) -> None:
-        """Time out attempts in flight and fail an unanswered request, as the production node does."""
-        request = node.open.get(ident)
-        if request is None or request.answered or self.nodes[node.number] is not node:
-            return
-        for item in request.attempts:
-            self._outcome(node, item, api.AttemptStatus.TIMEOUT)
-        if not request.answered:
-            self._answer(node, ident, Outcome.FAILED, 0.0)
-            self._event(node, api.ClientDisconnected(ident))
-
-    # --- a node's module
-
-    def _event(self, node: NodeProcess, event: api.Event) -> None:
-        if self.nodes[node.number] is not node:
-            return
-        for action in node.balancer.handle(self.now, event):
-            match action:
-                case api.StartAttempt():
-                    self._send(node, action)
-                case api.SetTimer():
-                    self.at(action.when, partial(self._event, node, api.TimerFired(action.token)))
-                case api.RejectRequest():
-                    self._answer(node, action.request, Outcome.REFUSED, action.retry_after)
-                case api.FailRequest():
-                    self._answer(node, action.request, Outcome.FAILED, 0.0)
-                case api.CancelAttempt():
-                    request = node.open.get(action.request)
-                    if request is not None and action.attempt < len(request.attempts):
-                        self.at(
-                            self.now,
-                            partial(
-                                self._outcome,
-                                node,
-                                request.attempts[action.attempt],
-                                api.AttemptStatus.CANCELLED,
-                            ),
-                        )
-
-    def _delay_ms(self, node: NodeProcess, host: BackendHost) -> float:
-        same = self.spec.zone_of(f"n{node.number}") == self.spec.zone_of(host.name)
-        return self.spec.network.same_zone_ms if same else self.spec.network.cross_zone_ms
-
-    def _send(self, node: NodeProcess, action: api.StartAttempt) -> None:
-        host, request = self.hosts[action.backend], node.open[action.request]
-        item = Attempt(action.request, len(request.attempts), host, self.now)
-        request.attempts.append(item)
-        wait, work = self._delay_ms(node, host), request.work
-        if node.idle[host.name]:
-            node.idle[host.name] -= 1
-        else:
-            wait, work = 3 * wait, work + self.spec.backends.handshake_ms
-        if action.timeout:
-            self.at(self.now + action.timeout, partial(self._outcome, node, item, api.AttemptStatus.TIMEOUT))
-        cls = request.operation.cls
-        job = Job(
-            action.request,
-            node.number,
-            work,
-            self.now + wait,
-            request.deadline,
-            request.key,
-            cls.memory_span_ms,
-        )
-        self.at(self.now + wait, partial(self._arrive, node, item, job))
-
-    def _arrive(self, node: NodeProcess, item: Attempt, job: Job) -> None:
-        host, back = item.host, self._delay_ms(node, item.host)
-        if item.over:  # its connection was closed before it came up
-            return
-        if not host.alive:
-            self.at(self.now + back, partial(self._outcome, node, item, api.AttemptStatus.CONNECT_FAILED))
-            return
-        was = host.core.collapsed
-        verdict = host.core.offer(self.now, job)
-        if host.core.collapsed is not None and was is None:
-            self.figures.collapsed += 1
-            self._collapse(host)
-        if verdict is not None:
-            self.at(self.now + back, partial(self._outcome, node, item, STATUS[verdict]))
-        else:
-            host.owners[job] = (node, item)
-            self._arm(host)
-
-    def _collapse(self, host: BackendHost) -> None:
-        """Take a collapsed backend down for good."""
-        host.alive = False
-        for node, item in list(host.owners.values()):
-            self.at(self.now, partial(self._outcome, node, item, api.AttemptStatus.RESET))
-        host.owners.clear()
-
-    def _arm(self, host: BackendHost) -> None:
-        timer_at = host.core.next_end
-        if timer_at is not None and timer_at < host.timer_at:
-            host.timer_at = timer_at
-            self.at(timer_at, partial(self._advance, host))
-
-    def _advance(self, host: BackendHost) -> None:
-        host.timer_at = float("inf")
-        if not host.alive:
-            return
-        for job in host.core.advance(self.now):
-            if (owner := host.owners.pop(job, None)) is not None:
-                node, item = owner
-                node.idle[host.name] += 1
-                done = partial(self._outcome, node, item, STATUS[job.verdict])
-                self.at(self.now + self._delay_ms(node, host), done)
-        self._arm(host)
-
-    def _outcome(self, node: NodeProcess, item: Attempt, status: api.AttemptStatus) -> None:
-        if item.over or self.nodes[node.number] is not node:
-            return
-        item.over = True
-        request = node.open[item.request]
-        if status is api.AttemptStatus.OK:
-            self._answer(node, item.request, Outcome.SERVED, 0.0)
-        if request.answered and item.request in node.open:
-            self._forget(node, item.request)
-        self._event(
-            node,
-            api.AttemptEnded(
-                item.request, item.number, item.host.name, status, self.now - item.sent, request.answered
-            ),
-        )
