--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -52,9 +52,9 @@
         ends: dict[str, int] = {}
         up: set[int] = set()
         backends: dict[str, dict[str, Any]] = {}
-        for rig in run.harness:
-            backends |= rig.live.get("backends", {})
-            for zone in rig.live.get("clients", {}).values():
+        for harness_process in run.harness:
+            backends |= harness_process.live.get("backends", {})
+            for zone in harness_process.live.get("clients", {}).values():
                 up.update(zone["up"])
                 for name, count in zone["ends"].items():
                     ends[name] = ends.get(name, 0) + count
--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -71,7 +71,7 @@
     me: int = 0
     nodes: int = 0
     present_nodes: int = 0
-    life: int = 0
+    generation: int = msgspec.field(name="life", default=0)
     incarnation: int = 0
     view: str = ""
     view_for_ms: int = 0
@@ -88,7 +88,7 @@
         return [{"node": n} | dict(zip(self.columns, m, strict=False)) for n, m in enumerate(self.members)]
 
 
-class Rooms(msgspec.Struct):
+class FleetStats(msgspec.Struct):
     """The `fleet` object."""
 
     membership: Membership | None = None
@@ -98,10 +98,10 @@
 class Stats(msgspec.Struct):
     """`GET /stats`, as far as it is read here."""
 
-    fleet: Rooms | None = None
+    fleet: FleetStats | None = None
 
 
-def rooms(console: str) -> Rooms:
+def read_fleet_stats(console: str) -> FleetStats:
     """Read the `fleet` object of a console; raises typer.Exit where there is none."""
     import httpx  # some 50 ms that the other commands need not wait
 
@@ -120,12 +120,12 @@
         stats = msgspec.json.decode(answer.content, type=Stats)
     except msgspec.MsgspecError as err:
         raise stop(SilentError(f"{console} gives no figures of a node: {err}")) from None
-    return stats.fleet or Rooms()
+    return stats.fleet or FleetStats()
 
 
-def look(console: str) -> Membership:
+def read_membership(console: str) -> Membership:
     """Read the membership of a console; raises typer.Exit where there is none."""
-    found = rooms(console).membership
+    found = read_fleet_stats(console).membership
     if found is None:
         raise stop(AbsentError(
             f"{console}: membership is off there (PROXY_FLEET names no file with [membership])"
@@ -161,7 +161,7 @@
     return table
 
 
-def members_held(seen: Membership) -> bool:
+def all_members_alive(seen: Membership) -> bool:
     """Return whether every member is present and none is suspected."""
     return all(row["state"] == "alive" for row in seen.rows())
 
@@ -176,7 +176,7 @@
         "node": seen.me, "view": seen.view, "for_ms": seen.view_for_ms, "reason": seen.view_reason,
         "nodes": seen.nodes, "present": seen.present_nodes, "states": dict(states), "quorum": seen.quorum,
         "agreement": seen.agreement, "last_said_otherwise": others, "health": seen.health,
-        "life": seen.life, "incarnation": seen.incarnation, "counts": seen.counts,
+        "life": seen.generation, "incarnation": seen.incarnation, "counts": seen.counts,
     }  # fmt: skip
 
 
@@ -191,7 +191,7 @@
     others = ", ".join(map(str, named[:MAX_LISTED_NODES])) + more if named else "none"
     counts = ", ".join(f"{name} {count}" for name, count in sorted(seen.counts.items()))
     lines = [
-        f"node {seen.me}, life {seen.life}, incarnation {seen.incarnation}, late by {seen.health} of 8",
+        f"node {seen.me}, life {seen.generation}, incarnation {seen.incarnation}, late by {seen.health} of 8",
         f"view {seen.view} for {ago(seen.view_for_ms)} ({seen.view_reason})",
         f"{seen.present_nodes} of {seen.nodes} present, {quorum}: {states}",
         f"{agree} of the peers heard lately agree; last said otherwise: {others}",
@@ -200,44 +200,44 @@
     return Group(*(Text.from_markup(line) for line in lines))
 
 
-def view_held(seen: Membership) -> bool:
+def is_agreed_majority(seen: Membership) -> bool:
     """Whether this node is of a majority whose views agree."""
     return seen.quorum and seen.agreement == 1.0
 
 
 def show(
-    at: str, as_json: bool, watch: bool, look: Callable[[str], Shown], data: Callable[[Shown], Any],
-    draw: Callable[[Shown], RenderableType], held: Callable[[Shown], bool],
+    at: str, as_json: bool, watch: bool, read: Callable[[str], Shown], data: Callable[[Shown], Any],
+    draw: Callable[[Shown], RenderableType], is_well: Callable[[Shown], bool],
 ) -> typer.Exit:  # fmt: skip
     """Look once, or again and again; the exit code is that of the last look."""
-    seen = look(at)
+    seen = read(at)
     try:
         if watch and not as_json:
             with rich.live.Live(draw(seen), console=Console(), refresh_per_second=2) as picture:
                 while True:
                     time.sleep(WATCH_INTERVAL_S)
-                    seen = look(at)
+                    seen = read(at)
                     picture.update(draw(seen))
         while watch:
             print(json.dumps(data(seen)), flush=True)
             time.sleep(WATCH_INTERVAL_S)
-            seen = look(at)
+            seen = read(at)
     except KeyboardInterrupt:
-        return typer.Exit(Exit.HELD if held(seen) else Exit.SHORT)
+        return typer.Exit(Exit.HELD if is_well(seen) else Exit.SHORT)
     if as_json:
         print(json.dumps(data(seen)))
     else:
         Console().print(draw(seen))
-    return typer.Exit(Exit.HELD if held(seen) else Exit.SHORT)
+    return typer.Exit(Exit.HELD if is_well(seen) else Exit.SHORT)
 
 
 @app.command()
 def members(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
     """Every member, its state and life. Exit code 0: all present; 1: some are not; 2: no answer."""
-    raise show(console, as_json, watch, look, Membership.rows, table_of, members_held)
+    raise show(console, as_json, watch, read_membership, Membership.rows, table_of, all_members_alive)
 
 
 @app.command()
 def view(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
     """Whether the tier agrees. Exit code 0: a majority that agrees; 1: not; 2: no answer."""
-    raise show(console, as_json, watch, look, summary, view_of, view_held)
+    raise show(console, as_json, watch, read_membership, summary, view_of, is_agreed_majority)
--- a/balancer/cli/returning.py
+++ b/balancer/cli/returning.py
@@ -8,7 +8,7 @@
 from rich.console import Group, RenderableType
 from rich.text import Text
 
-from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, rooms, show
+from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, read_fleet_stats, show
 from balancer.cli.output import stop
 
 COLOURS = {"verify": "red", "ask": "red", "listed": "yellow", "warming": "yellow", "full": "green"}
@@ -36,7 +36,7 @@
 
 def look(console: str) -> Recovery:
     """What the console says now; raises typer.Exit with one line where it says nothing of use."""
-    found = rooms(console).recovery
+    found = read_fleet_stats(console).recovery
     if found is None:
         why = f"{console}: recovery is off there (PROXY_FLEET names no file with [recovery])"
         raise stop(AbsentError(why))
--- a/balancer/cli/scale.py
+++ b/balancer/cli/scale.py
@@ -17,11 +17,11 @@
     with Progress(*columns, console=console, transient=True) as progress:
         bar = progress.add_task("scale", total=None)
 
-        def tell(play: str, point: Point | None) -> None:
+        def observe(play: str, point: Point | None) -> None:
             what = f"{point.figure} at {point.size:,}: {point.value:.4g} {point.unit}" if point else "begins"
             progress.update(bar, description=f"{play}: {what}")
 
-        return run(plays, seed, quick, tell)
+        return run(plays, seed, quick, observe)
 
 
 def show_slopes(result: Result) -> None:
--- a/balancer/experiments/faults.py
+++ b/balancer/experiments/faults.py
@@ -106,7 +106,7 @@
     """Cut the power of all targets at one moment; restore it in a drawn order over `return-over` seconds.
 
     The first target is back `restart-after` the loss, discovery `discovery-after` that. Targets in `never`
-    stay away. `lab/power.py` draws what the loss leaves in a node's durable directory.
+    stay away. `lab/power_loss.py` draws what the loss leaves in a node's durable directory.
     """
 
     targets: tuple[str, ...] = field(name="what", default=("nodes", "backends", "discovery"))
--- a/balancer/lab/backend_stubs.py
+++ b/balancer/lab/backend_stubs.py
@@ -14,17 +14,17 @@
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan
 from balancer.lab.impaired_sockets import ImpairedConnection, ImpairedListener, RunClock
-from balancer.models.backend import RAN, Backend, Cell, Job, OverloadCollapse, Verdict
+from balancer.models.backend import EXECUTED, Backend, Cell, Job, OverloadCollapse, Verdict
 from balancer.models.connect_delay import connect_delays
 from balancer.models.network import NetworkConditions
 
 STATUS_LINES = {
     Verdict.SERVED: "200 OK", Verdict.REPEATED: "200 OK", Verdict.ERROR: "500 Internal Server Error",
-    Verdict.TURNED_AWAY: "503 Service Unavailable", Verdict.EXPIRED: "504 Gateway Timeout",
+    Verdict.REJECTED: "503 Service Unavailable", Verdict.EXPIRED: "504 Gateway Timeout",
 }  # fmt: skip
 MIN_NOTICED_WAIT_MS = 0.5  # the resolution of the event loop
 TIMER_TOLERANCE_MS = 0.5
-NOT_STARTED = frozenset({Verdict.TURNED_AWAY, Verdict.EXPIRED})
+NOT_STARTED = frozenset({Verdict.REJECTED, Verdict.EXPIRED})
 WORK_PARAMETER = "w"  # of the query: the work of a request, which nodes pass on unread
 
 
@@ -118,15 +118,15 @@
 
     def arm(self) -> None:
         """Set the timer for the next end of a request."""
-        when = self.core.next_end
-        if when is None or (self.timer is not None and self.timer_at <= when):
+        ends_at = self.core.next_end
+        if ends_at is None or (self.timer is not None and self.timer_at <= ends_at):
             return
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0.0, when - self.group.clock.now()) / 1000
-        self.timer, self.timer_at = asyncio.get_running_loop().call_later(wait, self._due), when
+        wait = max(0.0, ends_at - self.group.clock.now()) / 1000
+        self.timer, self.timer_at = asyncio.get_running_loop().call_later(wait, self._on_timer), ends_at
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         self.conclude(self.core.advance(self.group.clock.now() + TIMER_TOLERANCE_MS))
         self.arm()
@@ -146,7 +146,7 @@
         super().__init__(host.group.network, host.group.clock, host.name, f"n{node}")
         self.host, self.node = host, node
         self.parser = httptools.HttpRequestParser(self)
-        self.fresh, self.surplus = True, False
+        self.new_connection, self.surplus = True, False
         self.first = 0.0
         self.record: records.BackendAttemptRecord | None = None
         self.job: Job | None = None
@@ -180,7 +180,7 @@
         """Lose the attempt in progress with the backend, and reset."""
         if self.record is not None and not self.record.ended:
             self.record.verdict, self.record.ended = "lost", self.clock.now()
-            self.record.ran = self.job is not None and self.job.began
+            self.record.was_executed = self.job is not None and self.job.started
         self.reset()
 
     # --- httptools
@@ -230,21 +230,21 @@
         now = self.clock.now()
         self.record = records.BackendAttemptRecord(
             ident, self.node, self.host.number, method, self.url.decode("latin-1"), key, first, self.came_at,
-            "", 0.0, self.closed_at, False, asked=self.body.decode("latin-1"),
+            "", 0.0, self.closed_at, False, request_body=self.body.decode("latin-1"),
         )  # fmt: skip
         self.host.group.seen.backend_attempts.append(self.record)
-        if self.fresh:
+        if self.new_connection:
             work += self.host.group.spec.backends.handshake_ms
         self.job = Job(ident, self.node, work, now, now + timeout, key if span else "", span)
         self._submit(self.job)
 
     def _submit(self, job: Job) -> None:
         """Offer an attempt, after the handshake of a new connection; reject it on a surplus one."""
-        fresh, self.fresh = self.fresh, False
+        new_connection, self.new_connection = self.new_connection, False
         if self.surplus:
-            job.verdict = Verdict.TURNED_AWAY
+            job.verdict = Verdict.REJECTED
             self.conclude(job)
-        elif fresh and (wait := self._handshake_ms()) >= MIN_NOTICED_WAIT_MS:
+        elif new_connection and (wait := self._handshake_ms()) >= MIN_NOTICED_WAIT_MS:
             asyncio.get_running_loop().call_later(wait / 1000, self._late_offer, job)
         else:
             self.host.offer(job, self)
@@ -268,7 +268,11 @@
         if record is None or record.ident != job.ident or record.ended:
             return
         verdict = job.verdict
-        record.verdict, record.ended, record.ran = verdict.value, self.clock.now(), verdict in RAN
+        record.verdict, record.ended, record.was_executed = (
+            verdict.value,
+            self.clock.now(),
+            verdict in EXECUTED,
+        )
         if verdict is Verdict.RESET:
             self.reset()
             return
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -115,7 +115,7 @@
     record: records.ClientAttemptRecord
     data: bytes
     connection: ClientConnection | None = None  # what it was written to last
-    over: bool = False  # the client has moved on
+    ended: bool = False  # the client has moved on
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
 
@@ -128,7 +128,7 @@
         self.group, self.node, self.uses = group, node, uses
         self.in_flight: InFlightAttempt | None = in_flight
         self.parser = httptools.HttpResponseParser(self)
-        self.fresh = self.keep = True
+        self.new_connection = self.keep = True
 
     def up(self) -> None:
         """Send the attempt that waits for the connection."""
@@ -139,8 +139,8 @@
     def write(self, in_flight: InFlightAttempt) -> None:
         """Send a request on this connection."""
         self.in_flight, in_flight.connection = in_flight, self
-        in_flight.record.node, in_flight.record.fresh = self.node, self.fresh
-        if in_flight.over:  # its time ran out while the connection came up
+        in_flight.record.node, in_flight.record.new_connection = self.node, self.new_connection
+        if in_flight.ended:  # its time ran out while the connection came up
             self.group.free(self)
             return
         self.body, self.retry_after, self.keep = b"", 0.0, True
@@ -151,7 +151,7 @@
     def received(self, data: bytes) -> None:
         """Parse a piece of a response."""
         if self.in_flight is not None:
-            self.in_flight.record.began = True
+            self.in_flight.record.response_started = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -172,7 +172,7 @@
         in_flight, code = self.in_flight, self.parser.get_status_code()
         if in_flight is None or code < HTTPStatus.OK:
             return
-        self.fresh, record = False, in_flight.record
+        self.new_connection, record = False, in_flight.record
         record.answered, record.status = self.clock.now(), code
         record.body, record.retry_after = self.body.decode("latin-1"), self.retry_after
         end = _outcome(code)
@@ -224,14 +224,16 @@
             operation = Operation(cls, self.spec.clients, float(self.arrivals.at[row]),
                         tuple(self.arrivals.client_draws[row].tolist()))  # fmt: skip
             self.open += 1
-            self._try(operation, row, float(self.arrivals.at[row]), f"{int(self.arrivals.ident[row]):016x}")
+            self._send_attempt(
+                operation, row, float(self.arrivals.at[row]), f"{int(self.arrivals.ident[row]):016x}"
+            )
         if self.next < total:
             wait = (self.arrivals.at[self.next] - self.clock.now()) / 1000
             asyncio.get_running_loop().call_later(max(0.0, float(wait)), self._send_due)
         elif not self.open:
             self.done.set()
 
-    def _try(self, operation: Operation, row: int, scheduled_at: float, first: str) -> None:
+    def _send_attempt(self, operation: Operation, row: int, scheduled_at: float, first: str) -> None:
         now = self.clock.now()
         self.seen.lateness.append(max(0.0, now - scheduled_at))
         step = operation.begin(max(now, scheduled_at))
@@ -244,17 +246,17 @@
         self.seen.client_attempts.append(record)
         data = _request(record, cls, float(self.arrivals.work[row]), step.deadline - max(now, scheduled_at))
         in_flight = InFlightAttempt(operation, row, step, record, data)
-        self._at(in_flight, step.deadline, Outcome.SILENT)
+        self._at(in_flight, step.deadline, Outcome.TIMED_OUT)
         if step.leaves is not None:
-            self._at(in_flight, step.leaves, Outcome.LEFT)
+            self._at(in_flight, step.leaves, Outcome.ABANDONED)
         self._place(in_flight)
 
-    def _at(self, in_flight: InFlightAttempt, when: float, end: Outcome) -> None:
-        wait = max(0.0, when - self.clock.now()) / 1000
+    def _at(self, in_flight: InFlightAttempt, retry_at: float, end: Outcome) -> None:
+        wait = max(0.0, retry_at - self.clock.now()) / 1000
         in_flight.timers.append(asyncio.get_running_loop().call_later(wait, self.ended, in_flight, end))
 
-    def _place(self, in_flight: InFlightAttempt, fresh: bool = False) -> None:
-        while self.idle and not fresh:
+    def _place(self, in_flight: InFlightAttempt, new_connection: bool = False) -> None:
+        while self.idle and not new_connection:
             index = int(self.random.random() * len(self.idle))
             self.idle[index], self.idle[-1] = self.idle[-1], self.idle[index]
             connection = self.idle.pop()
@@ -274,12 +276,12 @@
         in_flight.record.node = node
         uses = int(self.random.geometric(1 / self.spec.clients.requests_per_connection))
         while self.network.is_cut(f"c-{self.zone}", f"n{node}"):
-            if in_flight.over:
+            if in_flight.ended:
                 return
             await asyncio.sleep(LINK_POLL_S)
         try:
-            left = max(0.01, (in_flight.step.deadline - self.clock.now()) / 1000)
-            async with asyncio.timeout(left):
+            remaining_s = max(0.01, (in_flight.step.deadline - self.clock.now()) / 1000)
+            async with asyncio.timeout(remaining_s):
                 await loop.create_connection(
                     lambda: ClientConnection(self, node, in_flight, uses), *self.places.node(node)
                 )
@@ -304,43 +306,43 @@
         in_flight, connection.in_flight = connection.in_flight, None
         if in_flight is None:
             return
-        crossed = (
-            not connection.fresh
-            and not in_flight.record.began
-            and not in_flight.over
-            and not in_flight.record.crossed
+        resent_at = (
+            not connection.new_connection
+            and not in_flight.record.response_started
+            and not in_flight.ended
+            and not in_flight.record.resent_at
         )
-        if crossed:
-            in_flight.record.crossed = self.clock.now()
-            self._place(in_flight, fresh=True)
+        if resent_at:
+            in_flight.record.resent_at = self.clock.now()
+            self._place(in_flight, new_connection=True)
         else:
-            self.ended(in_flight, Outcome.CUT)
+            self.ended(in_flight, Outcome.DISCONNECTED)
 
     def ended(self, in_flight: InFlightAttempt, end: Outcome) -> None:
         """End an attempt for its client; a late answer is still recorded."""
         now, record = self.clock.now(), in_flight.record
-        if in_flight.over:
+        if in_flight.ended:
             return
-        in_flight.over, record.ended, record.end = True, now, end.value
+        in_flight.ended, record.ended, record.end = True, now, end.value
         for timer in in_flight.timers:
             timer.cancel()
-        if end is Outcome.LEFT:
+        if end is Outcome.ABANDONED:
             self._hang_up(in_flight)
-        elif end is Outcome.SILENT:
+        elif end is Outcome.TIMED_OUT:
             asyncio.get_running_loop().call_later(OVERDUE_MS / 1000, self._hang_up, in_flight)
         self.counts[end.value] += 1
         if end is Outcome.SERVED:
             self.recent.append(now - in_flight.operation.intended)
-        when = in_flight.operation.ended(now, record.sent or record.scheduled_at, end, record.retry_after)
-        if when is None:
+        retry_at = in_flight.operation.ended(now, record.sent or record.scheduled_at, end, record.retry_after)
+        if retry_at is None:
             record.last = True
             self.open -= 1
             if not self.open and self.next >= len(self.arrivals.at):
                 self.done.set()
         else:
-            wait = max(0.0, when - now) / 1000
+            wait = max(0.0, retry_at - now) / 1000
             asyncio.get_running_loop().call_later(
-                wait, self._try, in_flight.operation, in_flight.row, when, record.operation
+                wait, self._send_attempt, in_flight.operation, in_flight.row, retry_at, record.operation
             )
 
     def _hang_up(self, in_flight: InFlightAttempt) -> None:
@@ -360,7 +362,7 @@
 def _outcome(status: int) -> Outcome:
     if status == HTTPStatus.OK:
         return Outcome.SERVED
-    return Outcome.REFUSED if status in REJECTED else Outcome.FAILED
+    return Outcome.REJECTED if status in REJECTED else Outcome.FAILED
 
 
 def method_and_body(cls: RequestClass, operation: str) -> tuple[str, str]:
--- a/balancer/lab/discovery_stub.py
+++ b/balancer/lab/discovery_stub.py
@@ -151,7 +151,7 @@
             for number, name in enumerate(self.spec.backend_names):
                 if name not in here:
                     self.seen.list_deliveries.append(
-                        records.ListDeliveryRecord(node, now, number, Phase.GONE.value, 0.0)
+                        records.ListDeliveryRecord(node, now, number, Phase.REMOVED.value, 0.0)
                     )
         table = {"revision": self.core.revision, "complete": complete, "members": rows}
         return json.dumps(table, indent=1 if self.spec.discovery.multi_line else None).encode() + b"\n"
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -104,10 +104,10 @@
         value[index] += operation.value
         served_value[index] += operation.served_value
         offered[index] += 1
-        refused[index] += operation.last_end == Outcome.REFUSED.value
+        refused[index] += operation.last_end == Outcome.REJECTED.value
         if operation.latency is not None:
             latencies[index].append(operation.latency)
-    points = [percentiles(some, (50.0, 99.0)) for some in latencies]
+    points = [percentiles(group, (50.0, 99.0)) for group in latencies]
     return {
         "t_s": [i * WINDOW_S for i in range(count)],
         "offered_per_s": (offered / WINDOW_S).tolist(),
@@ -189,8 +189,9 @@
         "worst_second": float(min(seconds, default=0.0)),
         "worst_class": min(_class_goodputs(spec, counted), default=0.0),
         "served": len(latency) / total,
-        "refused": ends[Outcome.REFUSED.value] / total,
-        "failed": (total - len(latency) - ends[Outcome.REFUSED.value] - ends[Outcome.LEFT.value]) / total,
+        "refused": ends[Outcome.REJECTED.value] / total,
+        "failed": (total - len(latency) - ends[Outcome.REJECTED.value] - ends[Outcome.ABANDONED.value])
+        / total,
         "latency_p50_ms": p50,
         "latency_p90_ms": p90,
         "latency_p99_ms": p99,
@@ -258,7 +259,7 @@
         after = [t for t in attempts if successor.ready <= t.sent < until]
         if not before or not after:
             continue
-        refused.append(sum(t.end == Outcome.REFUSED.value for t in after) / len(after))
+        refused.append(sum(t.end == Outcome.REJECTED.value for t in after) / len(after))
         recovery.append(_recovered_after_s(after, successor.ready, RECOVERED * sum(before) / len(before)))
     if not refused:
         return {}
@@ -302,7 +303,7 @@
     by_process: dict[tuple[int, int], list[records.ProcessSample]] = defaultdict(list)
     for sample in sorted(seen.samples, key=lambda s: s.at):
         by_process[sample.node, sample.process].append(sample)
-    most = 0.0
+    longest = 0.0
     for process_record in seen.processes:
         samples = [
             s
@@ -311,8 +312,8 @@
         ]
         for first in samples:
             last = [s for s in samples if first.at <= s.at <= first.at + CPU_WAIT_WINDOW_S * 1000][-1]
-            most = max(most, last.waited_s - first.waited_s)
-    return most
+            longest = max(longest, last.waited_s - first.waited_s)
+    return longest
 
 
 def flaky_nodes(spec: Experiment) -> set[int]:
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -45,7 +45,7 @@
     "changed": "a backend gets only what a client sent, unchanged",
     "crash": "no node ends by itself, or is late to start",
 }
-NEVER_RAN = frozenset({Verdict.TURNED_AWAY.value, Verdict.EXPIRED.value})
+NEVER_RAN = frozenset({Verdict.REJECTED.value, Verdict.EXPIRED.value})
 MADE = frozenset({Verdict.SERVED.value, Verdict.REPEATED.value})
 
 
@@ -116,12 +116,12 @@
         self._bans()
         self._topples()
         for process_record in self.seen.processes:
-            if process_record.why:
+            if process_record.failure:
                 self.out.add(
                     "crash",
                     process_record.ended,
                     process_record.node,
-                    f"process {process_record.process}: {process_record.why} ({process_record.code})",
+                    f"process {process_record.process}: {process_record.failure} ({process_record.code})",
                 )
         for text in self.seen.unknown:
             self.out.add("changed", 0.0, -1, text)
@@ -130,7 +130,7 @@
     # --- answers
 
     def _answered(self, one: records.ClientAttemptRecord) -> None:
-        if not one.sent or one.end in (Outcome.LEFT.value, Outcome.UNREACHABLE.value):
+        if not one.sent or one.end in (Outcome.ABANDONED.value, Outcome.UNREACHABLE.value):
             return
         if one.status == HTTPStatus.OK:
             made = self.attempts.get(one.ident, ())
@@ -140,12 +140,12 @@
             late = one.answered - one.deadline
             self.out.overdue += late > self.spec.rules.answer_slack_ms + SOCKET_SLACK_MS
             return
-        if one.end == Outcome.CUT.value and one.began:
+        if one.end == Outcome.DISCONNECTED.value and one.response_started:
             return  # failed: the client can tell that the answer is not whole
-        until = one.ended if one.end == Outcome.CUT.value else one.deadline + OVERDUE_MS
+        until = one.ended if one.end == Outcome.DISCONNECTED.value else one.deadline + OVERDUE_MS
         if self._excused(one, until):
             self.out.excused += 1
-        elif one.end == Outcome.CUT.value and not self.attempts.get(one.ident):
+        elif one.end == Outcome.DISCONNECTED.value and not self.attempts.get(one.ident):
             self.out.door += 1
         else:
             self.out.add("answer", one.deadline, one.node, f"{one.ident} ({one.end}) never got its answer")
@@ -154,7 +154,7 @@
         """Return whether a fault of the lab itself prevented the answer."""
         name, zone = f"n{one.node}", f"c-{one.zone}"
         for process_record in self.process_records[one.node]:
-            end = process_record.killed or (process_record.ended if process_record.why else 0.0)
+            end = process_record.killed or (process_record.ended if process_record.failure else 0.0)
             if not end or not one.sent - SOCKET_SLACK_MS <= end <= until + SOCKET_SLACK_MS:
                 continue
             if not process_record.term or one.sent <= process_record.term + TERMINATION_SLACK_MS:
@@ -188,7 +188,7 @@
                 continue
             cls = self.spec.load.classes[one.kind]
             same = (
-                (attempt.method, attempt.asked) == method_and_body(cls, one.operation)
+                (attempt.method, attempt.request_body) == method_and_body(cls, one.operation)
                 and attempt.path.startswith(f"/{cls.name}/{one.operation}?")
                 and attempt.key == one.key
             )
@@ -201,7 +201,7 @@
         self, one: records.ClientAttemptRecord, attempts: list[records.BackendAttemptRecord]
     ) -> None:
         cls = self.spec.load.classes[one.kind]
-        if cls.effect == "retryable" or one.crossed:
+        if cls.effect == "retryable" or one.resent_at:
             return
         risky: list[records.BackendAttemptRecord] = []
         for attempt in attempts:
@@ -259,7 +259,7 @@
             ]
             barred = None
             for record in known:
-                if record.phase == Phase.UP.value:
+                if record.phase == Phase.IN_SERVICE.value:
                     barred = None
                 elif barred is None:
                     barred = record.at
@@ -277,7 +277,7 @@
         for history in known.values():
             for record, after in zip(history, [*history[1:], None], strict=True):
                 at = record.at + ASSUMED_DELIVERY_MS
-                if record.phase == Phase.UP.value or (after is not None and after.at <= at):
+                if record.phase == Phase.IN_SERVICE.value or (after is not None and after.at <= at):
                     continue
                 for node in range(self.spec.fleet.nodes):
                     if not self._is_cut_from_discovery(node, record.at, at):
@@ -301,16 +301,16 @@
     def _bans(self) -> None:
         by_place: dict[tuple[int, int], list[tuple[float, float]]] = defaultdict(list)
         for ban in self.seen.maintenance:
-            over = [ban.ended] if ban.ended else []
+            ends = [ban.ended] if ban.ended else []
             # A node that comes up anew with nothing else of it running has forgotten: `$TMPDIR` does not
             # last.
             process_records = self.process_records[ban.node]
-            over += [
+            ends += [
                 x.started for x in process_records
                 if x.started > ban.begun
                 and not any(y.started < x.started and not 0 < y.ended < x.started for y in process_records)
             ]  # fmt: skip
-            by_place[ban.node, ban.backend].append((ban.begun, min(over, default=float("inf"))))
+            by_place[ban.node, ban.backend].append((ban.begun, min(ends, default=float("inf"))))
         for attempt in self.seen.backend_attempts:
             for begun, until in by_place.get((attempt.node, attempt.backend), ()):
                 if begun + SOCKET_SLACK_MS < attempt.first < until:
--- a/balancer/lab/logs.py
+++ b/balancer/lab/logs.py
@@ -40,7 +40,7 @@
             print(self.show(logger, method, shown), file=sys.stderr)
         return str(self.render(logger, method, event))
 
-    def say(self, party: str, event: str, **fields: Any) -> None:
+    def write_event(self, party: str, event: str, **fields: Any) -> None:
         """Write one event of a party."""
         self.logger.info(event, party=party, **fields)
 
--- a/balancer/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -18,8 +18,8 @@
         """Prepare one loss of the fleet."""
         self.fleet, self.fault = fleet, fault
         self.copies: dict[str, DiskImage] = {}
-        self.laid = asyncio.Event()
-        self.over = False  # a later cut has come
+        self.replaced = asyncio.Event()
+        self.superseded = False  # a later cut has come
 
     def copy(self) -> None:
         """Copy the directories whose later state is `old`; called at half the time to the loss."""
@@ -28,28 +28,32 @@
                 with contextlib.suppress(OSError):  # a file has just gone: an old disk may be an empty one
                     self.copies[node.name] = power_loss.read_image(node.state)
 
-    def cut(self, names: tuple[str, ...]) -> None:
+    def cut_power(self, names: tuple[str, ...]) -> None:
         """Send SIGKILL to all at one moment; replace their directories in the background."""
         nodes = [self.fleet.nodes[int(name[1:])] for name in names if name[0] == "n"]
         for node in nodes:
             node.kill()
-        self.fleet.task(self._lay(nodes))
+        self.fleet.task(self._replace_directories(nodes))
 
-    async def _lay(self, nodes: list[NodeHost]) -> None:
+    async def _replace_directories(self, nodes: list[NodeHost]) -> None:
         await asyncio.gather(*(running.process.wait() for node in nodes for running in node.running))
         images = {node.name: power_loss.read_image(node.state) for node in nodes}
-        left = power_loss.images_after(self.fleet.spec, self.fleet.seed, self.fault, images, self.copies)
+        images_after = power_loss.images_after(
+            self.fleet.spec, self.fleet.seed, self.fault, images, self.copies
+        )
         for node in nodes:
-            power_loss.write_image(node.state, left[node.name])
+            power_loss.write_image(node.state, images_after[node.name])
             state = power_loss.disk_state_of(self.fleet.spec, self.fault, node.name)
-            changed = sorted(n for n in images[node.name] if left[node.name].get(n) != images[node.name][n])
-            self.fleet.log.say(node.name, "disk after the cut", state=state, changed=changed)
-        self.laid.set()
+            changed = sorted(
+                n for n in images[node.name] if images_after[node.name].get(n) != images[node.name][n]
+            )
+            self.fleet.log.write_event(node.name, "disk after the cut", state=state, changed=changed)
+        self.replaced.set()
 
-    async def back(self, node: NodeHost) -> None:
+    async def restart(self, node: NodeHost) -> None:
         """Start a node with what its disk holds now; its `$TMPDIR` is empty after the loss."""
-        await self.laid.wait()
+        await self.replaced.wait()
         node.clock = power_loss.clock_offset_of(self.fleet.spec, self.fault, node.name)
         await node.start()
-        if self.over:  # the next cut came while it was being started
+        if self.superseded:  # the next cut came while it was being started
             node.kill()
--- a/balancer/lab/power_loss.py
+++ b/balancer/lab/power_loss.py
@@ -45,10 +45,10 @@
     away = {name for one in fault.never for name in select_parties(spec, one)}
     names = [name for name in fault_targets(spec, fault) if name not in away]
     first = fault.at + fault.restart_after
-    many = [name for name in names if name != "d"]
-    order = stream(seed, "power", round(fault.at * 1000)).permutation(len(many))
-    gap = fault.return_over / max(1, len(many) - 1)
-    out = {many[int(which)]: first + place * gap for place, which in enumerate(order)}
+    order_names = [name for name in names if name != "d"]
+    order = stream(seed, "power", round(fault.at * 1000)).permutation(len(order_names))
+    gap = fault.return_over / max(1, len(order_names) - 1)
+    out = {order_names[int(which)]: first + place * gap for place, which in enumerate(order)}
     if "d" in names:
         out["d"] = first + fault.discovery_after
     return out
@@ -173,13 +173,13 @@
     """Return what each node finds, by what its process had written and by an earlier copy."""
     dice = {n: random.Random(f"{seed} {fault.at} {n}") for n in images}
     out = {n: crash_image(image, dice[n]) for n, image in images.items()}
-    for left in fault.disks:
+    for disk_state in fault.disks:
         some = [
             n
-            for n in select_parties(spec, left.nodes)
-            if n in out and disk_state_of(spec, fault, n) == left.state
+            for n in select_parties(spec, disk_state.nodes)
+            if n in out and disk_state_of(spec, fault, n) == disk_state.state
         ]
-        out |= _altered(left.state, some, out, copies, dice)
+        out |= _altered(disk_state.state, some, out, copies, dice)
     return out
 
 
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -50,8 +50,8 @@
             os._exit(1)
         os.sched_setaffinity(0, cpus)
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        most = hard if sockets is None else min(hard, sockets)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+        limit = hard if sockets is None else min(hard, sockets)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
         if sockets is not None:
             # A folder that is read-only must be so for a lab that runs as root, too.
             libc.prctl(PR_CAPBSET_DROP, CAP_DAC_OVERRIDE, 0, 0, 0)
@@ -235,7 +235,7 @@
         fleet.task(self._ready(out, process))
         if fleet.spec.fleet.cores < 1:
             fleet.task(throttle(out, fleet.spec.fleet.cores))
-        fleet.log.say(self.name, "started", pid=child.pid, process=process)
+        fleet.log.write_event(self.name, "started", pid=child.pid, process=process)
         return out
 
     def _environment(self, process: int) -> dict[str, str]:
@@ -269,9 +269,9 @@
         process_record = running.process_record
         process_record.ended, process_record.code = self.fleet.now(), code
         if not process_record.term and not process_record.killed and not self.fleet.ending:
-            process_record.why = process_record.why or "ended by itself"
-        self.fleet.log.say(
-            self.name, "ended", process=process_record.process, code=code, why=process_record.why
+            process_record.failure = process_record.failure or "ended by itself"
+        self.fleet.log.write_event(
+            self.name, "ended", process=process_record.process, code=code, failure=process_record.failure
         )
 
     async def _ready(self, running: Running, process: int) -> None:
@@ -279,7 +279,7 @@
         while running.alive:
             if (await call(address, "GET", "/healthcheck"))[0] == HTTPStatus.OK:
                 running.process_record.ready = self.fleet.now()
-                self.fleet.log.say(self.name, "ready", process=process)
+                self.fleet.log.write_event(self.name, "ready", process=process)
                 return
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
@@ -320,8 +320,8 @@
         while not new.process_record.ready and new.alive and time.monotonic() < until:
             await asyncio.sleep(READY_POLL_INTERVAL_S)
         if not new.process_record.ready:
-            new.process_record.why = (
-                new.process_record.why or f"not ready within {UPGRADE_READY_TIMEOUT_S:g} s"
+            new.process_record.failure = (
+                new.process_record.failure or f"not ready within {UPGRADE_READY_TIMEOUT_S:g} s"
             )
         await self.terminate(old)
 
@@ -429,7 +429,7 @@
                                                    found.descriptors, running.process_record.process,
                                                    waited))  # fmt: skip
                 if found.rss_mb > self.spec.fleet.memory_mb:
-                    running.process_record.why = f"over its memory: {found.rss_mb:.0f} MB"
+                    running.process_record.failure = f"over its memory: {found.rss_mb:.0f} MB"
                     running.signal(signal.SIGKILL)
 
     async def end_all(self) -> None:
@@ -457,10 +457,10 @@
         parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         spent = (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-        ran, waited, turns = map(int, Path(f"/proc/{pid}/schedstat").read_text().split())
+        ran_ns, waited, turns = map(int, Path(f"/proc/{pid}/schedstat").read_text().split())
         rss = pages * os.sysconf("SC_PAGE_SIZE") / 2**20
         descriptors = len(os.listdir(f"/proc/{pid}/fd"))
-        return Usage(spent, rss, descriptors, waited / 1e9, parts[0] == "R", (ran, turns))
+        return Usage(spent, rss, descriptors, waited / 1e9, parts[0] == "R", (ran_ns, turns))
     except (OSError, IndexError, ValueError):
         return None
 
--- a/balancer/lab/records.py
+++ b/balancer/lab/records.py
@@ -27,9 +27,9 @@
     answered: float = 0.0  # when the last byte of an answer came, also past the deadline
     key: str = ""
     retry_after: float = 0.0  # ms, as the node advised
-    fresh: bool = False  # on a new connection
-    began: bool = False  # a byte of an answer came
-    crossed: float = 0.0  # when a kept connection ended under it, and it was sent once more; 0: it did not
+    new_connection: bool = False  # on a new connection
+    response_started: bool = False  # a byte of an answer came
+    resent_at: float = 0.0  # when a kept connection ended under it, and it was sent once more; 0: it did not
     last: bool = False  # no try followed
 
 
@@ -47,8 +47,8 @@
     verdict: str  # a `balancer.models.backend.Verdict`; "lost" where the backend died with it
     ended: float  # the answer was written, or the connection broken; 0: never
     closed: float  # the node closed its connection or ended its sending; 0: it did not
-    ran: bool
-    asked: str = ""  # the body that came
+    was_executed: bool
+    request_body: str = ""  # the body that came
     body: str = ""  # the body that went back
 
 
@@ -91,7 +91,7 @@
     killed: float = 0.0  # the lab's own SIGKILL
     ended: float = 0.0
     code: int | None = None
-    why: str = ""
+    failure: str = ""
     clock: float = 0.0  # s by which its wall clock is off
 
 
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -65,7 +65,7 @@
             ax.axvspan(begin, end, color=SHADE, alpha=0.22, lw=0)
 
 
-def _lives(ax: Axes, spec: Experiment, processes: list[records.ProcessRecord]) -> None:
+def _plot_processes(ax: Axes, spec: Experiment, processes: list[records.ProcessRecord]) -> None:
     for process in processes:
         end = process.ended / 1000 if process.ended else spec.seconds
         end, begin = min(end, spec.seconds), max(0.0, process.started / 1000)
@@ -89,7 +89,7 @@
         ax.set_yticks(range(spec.fleet.nodes), spec.node_names)
 
 
-def _views(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+def _plot_members(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
     """Plot how many members each node saw as present, by its log, against those that lived."""
     for points in member_counts(spec, seen).values():
         ax.step([t for t, _ in points] + [spec.seconds], [n for _, n in points] + [points[-1][1]],
@@ -112,7 +112,7 @@
     ax.legend(loc="lower right", fontsize=8, frameon=False)
 
 
-def _phases(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+def _plot_phases(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
     """Plot the recovery phases of each node, by its log: a bar a phase, grey to green."""
     shades = {"verify": "#4b5563", "ask": "#b3261e", "listed": "#d98e04", "warming": "#e7c65a", "full": GOOD}
     for process_record in seen.processes:
@@ -148,18 +148,18 @@
     axes: Sequence[Axes] = figure.subplots(len(heights), 1, sharex=True, height_ratios=heights).tolist()
     goodput, latency, refused, backends, nodes = axes[:5]
     _shade((goodput, latency, refused, nodes), spec)
-    _goodput(goodput, spec, line, t)
-    _latency(latency, line, t)
+    _plot_goodput(goodput, spec, line, t)
+    _plot_latency(latency, line, t)
     refused.fill_between(t, line["refused_per_s"], color=BAD, alpha=0.5, step="mid")
     refused.set_ylabel("refused / s")
     refused.set_ylim(bottom=0)
-    _backend_loads(figure, backends, spec, seen)
-    _lives(nodes, spec, seen.processes)
+    _plot_backend_loads(figure, backends, spec, seen)
+    _plot_processes(nodes, spec, seen.processes)
     nodes.set(ylabel="nodes", xlabel="seconds", xlim=(0, spec.seconds))
     if spec.fleet.membership:
-        _views(axes[5], spec, seen)
+        _plot_members(axes[5], spec, seen)
     if spec.fleet.recovery:
-        _phases(axes[-1], spec, seen)
+        _plot_phases(axes[-1], spec, seen)
     _shade(axes[5:], spec)
     for ax in (goodput, latency, refused, nodes, *axes[5:]):
         ax.grid(axis="y", color="#e3e7ec", lw=0.6)
@@ -168,7 +168,7 @@
     return figure
 
 
-def _goodput(ax: Axes, spec: Experiment, line: Series, t: NDArray[np.float64]) -> None:
+def _plot_goodput(ax: Axes, spec: Experiment, line: Series, t: NDArray[np.float64]) -> None:
     ax.plot(t, line["goodput"], color=GOOD, lw=1.8)
     ax.set(ylabel="goodput (share of worth)", ylim=(0, 1.04))
     load = ax.twinx()
@@ -181,7 +181,7 @@
                     fontsize=7.5, color="#7a5b00", annotation_clip=False)  # fmt: skip
 
 
-def _latency(ax: Axes, line: Series, t: NDArray[np.float64]) -> None:
+def _plot_latency(ax: Axes, line: Series, t: NDArray[np.float64]) -> None:
     ax.plot(t, line["p50_ms"], color=INK, lw=1.4, label="p50")
     ax.plot(t, line["p99_ms"], color=BAD, lw=1.4, label="p99")
     ax.set_yscale("log")
@@ -192,7 +192,7 @@
     ax.legend(loc="upper right", fontsize=8, frameon=False)
 
 
-def _backend_loads(figure: Figure, ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+def _plot_backend_loads(figure: Figure, ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
     loads = backend_loads(spec, seen)
     image = ax.imshow(
         loads, aspect="auto", origin="lower", cmap="viridis", interpolation="nearest",
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -97,7 +97,7 @@
     live: dict[str, Any] = field(default_factory=dict)
     error: BalancerError | None = None
 
-    def say(self, line: bytes) -> None:
+    def write_line(self, line: bytes) -> None:
         """Write one line of its input."""
         assert self.process.stdin is not None
         self.process.stdin.write(line + b"\n")
@@ -131,29 +131,31 @@
         harness_process = HarnessProcess(role, process, self.out / f"{role}-{part}.part.msgpack")
         self.harness.append(harness_process)
         plan = Plan(self.spec, self.seed, self.places.block, role, part, of, str(harness_process.path))
-        harness_process.say(msgspec.json.encode(plan))
-        self.log.say(f"{role}-{part}", "started", pid=process.pid)
+        harness_process.write_line(msgspec.json.encode(plan))
+        self.log.write_event(f"{role}-{part}", "started", pid=process.pid)
         self.fleet.task(self._listen(harness_process))
 
     async def _listen(self, harness_process: HarnessProcess) -> None:
         assert harness_process.process.stdout is not None
         while line := await harness_process.process.stdout.readline():
-            said = msgspec.json.decode(line)
-            if said.get("live"):
-                harness_process.live = said
-                for zone in said.get("clients", {}).values():
+            message = msgspec.json.decode(line)
+            if message.get("live"):
+                harness_process.live = message
+                for zone in message.get("clients", {}).values():
                     self.recent.extend(zone["recent"])
-            elif "error" in said:
-                harness_process.error = (ResultsError if said.get("results") else LabError)(said["error"])
+            elif "error" in message:
+                harness_process.error = (ResultsError if message.get("results") else LabError)(
+                    message["error"]
+                )
             for name in ("ready", "done", "written"):
-                if said.get(name):
+                if message.get(name):
                     getattr(harness_process, name).set()
         code = await harness_process.process.wait()
         if not harness_process.written.is_set() and not self.failed.done():
-            why = harness_process.error or LabError(
+            failure = harness_process.error or LabError(
                 f"the rig's {harness_process.role} ended with code {code}"
             )
-            self.failed.set_exception(why)
+            self.failed.set_exception(failure)
 
     async def _or_failed(self, work: Any, wait: float, what: str) -> None:
         """Wait for some work, but not past a failure of the harness."""
@@ -181,8 +183,8 @@
         self.fleet.set_zero(zero)
         self.log.zero = zero
         for harness_process in self.harness:
-            harness_process.say(msgspec.json.encode(zero))
-        self.log.say("lab", "clients come", seed=self.seed, program=self.program.label)
+            harness_process.write_line(msgspec.json.encode(zero))
+        self.log.write_event("lab", "clients come", seed=self.seed, program=self.program.label)
         loop = asyncio.get_running_loop()
         for moment in timeline(self.spec, self.seed):
             loop.call_later(zero + moment.at - time.monotonic(), self._apply, moment)
@@ -195,12 +197,12 @@
             _all_set([r.done for r in clients]), self.spec.seconds + longest + LEAD_S + CLIENTS_SLACK_S,
             "the clients' last requests",
         )  # fmt: skip
-        rest = max(TAIL_S, zero + self.spec.seconds + TAIL_S - time.monotonic())
-        await self._or_failed(asyncio.sleep(rest), rest + TAIL_S, "the wait for late answers")
+        remaining_s = max(TAIL_S, zero + self.spec.seconds + TAIL_S - time.monotonic())
+        await self._or_failed(asyncio.sleep(remaining_s), remaining_s + TAIL_S, "the wait for late answers")
         watch.cancel()
         await self.fleet.end_all()
         for harness_process in self.harness:
-            harness_process.say(b"end")
+            harness_process.write_line(b"end")
         await self._or_failed(_all_set([r.written for r in self.harness]), WRITE_TIMEOUT_S, "the records")
         await self.fleet.settle()
         self._collect()
@@ -226,7 +228,9 @@
 
     def _apply(self, moment: Moment) -> None:
         fault, begin = moment.fault, moment.step is Step.BEGIN
-        self.log.say("lab", f"fault {moment.step.value}", kind=fault_kind(fault), what=list(moment.names))
+        self.log.write_event(
+            "lab", f"fault {moment.step.value}", kind=fault_kind(fault), what=list(moment.names)
+        )
         if isinstance(fault, Maintenance):
             consoles = select_parties(self.spec, fault.nodes) if begin else self.spec.node_names
             for name in moment.names:
@@ -260,12 +264,12 @@
         mine = next(outage for outage in self.outages if outage.fault is fault)
         if moment.step is Step.BEGIN:
             for earlier in self.outages:
-                earlier.over = earlier.over or earlier.fault.at < fault.at
-            mine.cut(moment.names)
+                earlier.superseded = earlier.superseded or earlier.fault.at < fault.at
+            mine.cut_power(moment.names)
             return
         for name in moment.names:
             if name[0] == "n":
-                self.fleet.task(mine.back(self.fleet.nodes[int(name[1:])]))
+                self.fleet.task(mine.restart(self.fleet.nodes[int(name[1:])]))
 
     async def _operate(self, node: int, backend: int, out: bool) -> None:
         called = self.fleet.now()
@@ -277,7 +281,7 @@
             self.bans.append(
                 records.MaintenanceRecord(node, backend, min(self.fleet.now(), called + MAX_BAN_CALL_MS), 0.0)
             )
-        self.log.say(f"n{node}", "maint" if out else "ready", backend=f"s{backend}", yes=good)
+        self.log.write_event(f"n{node}", "maint" if out else "ready", backend=f"s{backend}", yes=good)
 
     def _collect(self) -> None:
         if self.fleet.errors:
@@ -357,11 +361,11 @@
     """Check that a process of backends can listen for every pair and have the nodes' connections."""
     listeners = spec.fleet.nodes * -(-spec.backends.count // worker_counts(spec)["backends"])
     connections = spec.fleet.nodes * spec.fleet.sockets
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    if listeners + min(connections, 2 * listeners) + SPARE_DESCRIPTORS > most:
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    if listeners + min(connections, 2 * listeners) + SPARE_DESCRIPTORS > limit:
         raise LimitError(
             f"{spec.fleet.nodes} nodes and {spec.backends.count} backends need more descriptors in one "
-            f"process than the limit of {most}"
+            f"process than the limit of {limit}"
         )
 
 
--- a/balancer/lab/scale/concurrent_callers.py
+++ b/balancer/lab/scale/concurrent_callers.py
@@ -42,7 +42,7 @@
     """The results of the requests that were due in one part of the run."""
 
     until: float  # of the monotonic clock
-    due: int = 0
+    scheduled: int = 0
     sent: int = 0  # of them, before the part was over
     statuses: dict[int, int] = msgspec.field(default_factory=dict)  # of the answers; 0: none came
     took_ms: list[float] = msgspec.field(default_factory=list)  # of each answer, since its request was due
@@ -55,7 +55,7 @@
     @property
     def open(self) -> int:
         """The number of requests in progress."""
-        return self.due - sum(self.statuses.values())
+        return self.scheduled - sum(self.statuses.values())
 
 
 class CallerConnection(asyncio.Protocol):
@@ -72,9 +72,9 @@
         """Keep the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, part: PartResult, due: float) -> None:
+    def send(self, part: PartResult, due_at: float) -> None:
         """Send a request."""
-        self.request = part, due
+        self.request = part, due_at
         part.sent += time.monotonic() < part.until
         self.transport.write(
             b"GET /c0 HTTP/1.1\r\nHost: node\r\nRequest-Id: %016x\r\n\r\n" % self.target.number
@@ -89,7 +89,7 @@
         if not found or len(body) < (int(length[1]) if length else 0):
             return
         self.buffer = b""
-        self._over(int(head[9:12]))
+        self._end_request(int(head[9:12]))
         if CONNECTION_CLOSE.search(head):
             self.transport.close()
         else:
@@ -97,15 +97,15 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the request in progress without an answer."""
-        self._over(0)
+        self._end_request(0)
         self.target.lost(self)
 
-    def _over(self, status: int) -> None:
+    def _end_request(self, status: int) -> None:
         if self.request is not None:
-            part, due = self.request
+            part, due_at = self.request
             part.answered(status)
             if status:
-                part.took_ms.append((time.monotonic() - due) * 1000)
+                part.took_ms.append((time.monotonic() - due_at) * 1000)
             self.request = None
 
 
@@ -120,12 +120,12 @@
         self.waiting: list[tuple[PartResult, float]] = []
         self.opening: set[asyncio.Task[None]] = set()
 
-    def ask(self, part: PartResult, due: float) -> None:
+    def send(self, part: PartResult, due_at: float) -> None:
         """Send a request on an idle connection, a new one, or the next that becomes idle."""
         if self.idle:
-            self.idle.pop().ask(part, due)
+            self.idle.pop().send(part, due_at)
             return
-        self.waiting.append((part, due))
+        self.waiting.append((part, due_at))
         if self.connections < MAX_CONNECTIONS:
             self.connections += 1
             task = asyncio.get_running_loop().create_task(self._open())
@@ -147,7 +147,7 @@
     def free(self, wire: CallerConnection) -> None:
         """Take a connection that is idle."""
         if self.waiting:
-            wire.ask(*self.waiting.pop(0))
+            wire.send(*self.waiting.pop(0))
         else:
             self.idle.append(wire)
 
@@ -158,19 +158,19 @@
             self.idle.remove(wire)
 
 
-async def ask(plan: Plan, begin: float) -> list[PartResult]:
+async def send_all(plan: Plan, begin: float) -> list[PartResult]:
     """Send all requests from `begin` (s, monotonic) on, and return the results of both parts."""
     parts = PartResult(begin + plan.first), PartResult(begin + plan.first + plan.second)
     targets = [Target(port) for port in plan.ports]
     per_s = plan.per_s * len(targets)
     first, every = round(plan.first * per_s), round((plan.first + plan.second) * per_s)
     for number in range(every):
-        due = begin + number / per_s
-        await asyncio.sleep(max(0.0, due - time.monotonic()))
+        due_at = begin + number / per_s
+        await asyncio.sleep(max(0.0, due_at - time.monotonic()))
         part = parts[number >= first]
-        part.due += 1
-        part.late_ms.append(max(0.0, time.monotonic() - due) * 1000)
-        targets[number % len(targets)].ask(part, due)
+        part.scheduled += 1
+        part.late_ms.append(max(0.0, time.monotonic() - due_at) * 1000)
+        targets[number % len(targets)].send(part, due_at)
     last = time.monotonic() + ANSWER_TIMEOUT_S
     while any(part.open for part in parts) and time.monotonic() < last:
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -225,7 +225,7 @@
     sys.stdout.write("null\n")
     sys.stdout.flush()
     begin = msgspec.json.decode(sys.stdin.readline(), type=float)
-    parts = uvloop.run(ask(plan, begin))
+    parts = uvloop.run(send_all(plan, begin))
     sys.stdout.write(msgspec.json.encode(parts).decode() + "\n")
 
 
--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -79,7 +79,7 @@
 class Directory:
     """The stub: handles calls in turn, sends a line to all watches."""
 
-    whole: bytes
+    snapshots: bytes
     watches: dict[DiscoveryCall, None] = field(default_factory=dict)
     queue: deque[tuple[float, DiscoveryCall, bool]] = field(default_factory=deque)
     calls: int = 0
@@ -103,8 +103,8 @@
             who.transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         elif not who.transport.is_closing():
             who.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            who.chunk(self.whole if anew else b"\n")
-            self.sent += len(self.whole) * anew
+            who.chunk(self.snapshots if anew else b"\n")
+            self.sent += len(self.snapshots) * anew
             self.watches[who] = None
         if self.queue:
             loop.call_later(CALL_SERVICE_S, self._handled)
@@ -137,7 +137,7 @@
     turns: Turns
     config: HollowConfig = HollowConfig()
     fleet: None = None
-    whole: int = 0  # lists
+    snapshots: int = 0  # lists
     lines: int = 0  # changes
     entries: int = 0  # in all of them
     failed: int = 0
@@ -147,7 +147,7 @@
 
     def list(self, news: News, kind: api.ListUpdateKind) -> None:
         """Count a snapshot or a change."""
-        self.whole += kind is api.ListUpdateKind.SNAPSHOT
+        self.snapshots += kind is api.ListUpdateKind.SNAPSHOT
         self.lines += kind is api.ListUpdateKind.DELTA
         self.entries += len(news.members)
 
@@ -237,7 +237,7 @@
     begin = loop.time()
     await watchers.start()
     try:
-        await watchers.until(lambda node: node.whole > 0)
+        await watchers.until(lambda node: node.snapshots > 0)
         joined, calls, failed = loop.time() - begin, directory.calls, directory.failed
         sent = directory.sent
         lines = [watchers.change(1) for _ in range(BROADCASTS)]
@@ -246,7 +246,7 @@
         begin, before, some = loop.time(), directory.calls, math.ceil(count / 10)
         for number in range(some):
             watchers.restart(number)
-        await watchers.until(lambda node: node.whole > 0)
+        await watchers.until(lambda node: node.snapshots > 0)
         again = loop.time() - begin
     finally:
         await watchers.stop()
@@ -269,7 +269,7 @@
     await watchers.start()
     out = []
     try:
-        await watchers.until(lambda node: node.whole > 0)
+        await watchers.until(lambda node: node.snapshots > 0)
         for count in sizes:
             lines = [watchers.change(count) for _ in range(MEASURED_BURSTS)]
             took = [await watchers.broadcast(line) for line in lines]
@@ -288,7 +288,7 @@
     out = []
     marks = [events * part // 16 for part in (1, 2, 4, 8, 16)]
     try:
-        await watchers.until(lambda node: node.whole > 0)
+        await watchers.until(lambda node: node.snapshots > 0)
         begin, sent = time.process_time(), directory.sent
         for number in range(1, events + 1):
             directory.broadcast(watchers.change(1))
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -92,18 +92,18 @@
 
 def decode(data: bytes) -> tuple[News | None, float]:
     """Decode a list in pieces; return its event and the us of the longest turn. Raises BrokenObject."""
-    objects, news, longest = Objects(most_object(MEMORY_MB)), None, 0.0
+    objects, event, longest = Objects(most_object(MEMORY_MB)), None, 0.0
     for at in range(0, len(data), PIECE_BYTES):
         begin = time.process_time_ns()
         for item in objects.feed(data[at : at + PIECE_BYTES]):
             if isinstance(item, mmap):
                 steps = Steps(news_in_turns(item))
-                news, longest = steps.result, max(longest, steps.longest_us)
+                event, longest = steps.result, max(longest, steps.longest_us)
             elif item:
-                news = news_of(item)
+                event = news_of(item)
             begin = time.process_time_ns()
         longest = max(longest, (time.process_time_ns() - begin) / 1000)
-    return news, longest
+    return event, longest
 
 
 class Steps:
@@ -149,7 +149,7 @@
     lines = generated_inputs.entries(backends, now - generated_inputs.DAY_MS)
     out = []
 
-    def news(revision: int, entries: list[api.Endpoint]) -> News:
+    def event(revision: int, entries: list[api.Endpoint]) -> News:
         found, longest = decode(generated_inputs.line(entries, revision, True))
         assert found is not None
         if revision == 1:
@@ -158,11 +158,11 @@
 
     steps = Steps()
     listing = Listing(pool, send, lambda *_: None, cast(Turns, steps))
-    rest = [entry for entry in lines if entry.zone != lines[0].zone]
+    other_zones = [entry for entry in lines if entry.zone != lines[0].zone]
     for revision, (name, entries) in enumerate(
-        [("take", lines), ("zone_lost", rest), ("zone_back", lines)], 1
+        [("take", lines), ("zone_lost", other_zones), ("zone_back", lines)], 1
     ):
-        what, steps.longest_us = news(revision, entries), 0.0
+        what, steps.longest_us = event(revision, entries), 0.0
         gc.collect()
         begin = time.process_time_ns()
         listing.put(what, api.ListUpdateKind.SNAPSHOT)
@@ -194,7 +194,7 @@
 class DiscoveryStub:
     """Sends each watch the snapshot, then changes and empty lines, as chunks."""
 
-    whole: bytes
+    snapshot: bytes
     watches: list[asyncio.StreamWriter] = field(default_factory=list)
     calls: int = 0
 
@@ -204,15 +204,15 @@
             await reader.readuntil(b"\r\n\r\n")
             self.calls += 1
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self._chunk(writer, self.whole)
+            self._chunk(writer, self.snapshot)
             self.watches.append(writer)
-            while not await self._gone(reader):
+            while not await self._is_caller_gone(reader):
                 self._chunk(writer, b"\n")
         if writer in self.watches:
             self.watches.remove(writer)
 
     @staticmethod
-    async def _gone(reader: asyncio.StreamReader) -> bool:
+    async def _is_caller_gone(reader: asyncio.StreamReader) -> bool:
         """Return whether the caller is gone; False once a heartbeat is due."""
         try:
             async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
@@ -366,7 +366,7 @@
         backend = await loop.create_server(BackendStub, HOST, 0)
         stack.callback(backend.close)
         lines = ListLines(backends, f"{HOST}:{backend.sockets[0].getsockname()[1]}")
-        discovery = DiscoveryStub(lines.whole)
+        discovery = DiscoveryStub(lines.snapshot)
         server = await asyncio.start_server(discovery.serve, HOST, 0)
         stack.callback(server.close)
         folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="balancer-scale-"))
@@ -411,8 +411,8 @@
             generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS),
             where,
         )
-        self.rest = [entry for entry in self.entries if entry.zone != generated_inputs.ZONE]
-        self.whole = generated_inputs.line(self.entries, 2, True, where)
+        self.other_zones = [entry for entry in self.entries if entry.zone != generated_inputs.ZONE]
+        self.snapshot = generated_inputs.line(self.entries, 2, True, where)
         self.revision = 2
 
     def change(self) -> bytes:
@@ -424,11 +424,11 @@
 
     def lists(self) -> list[tuple[int, bytes]]:
         """Return snapshots to send one after the other, each with the number of its entries."""
-        each = self.rest, self.entries, self.entries[:-1]  # one less: its end is seen by their number
+        each = self.other_zones, self.entries, self.entries[:-1]  # one less: its end is seen by their number
         first, self.revision = self.revision + 1, self.revision + len(each)
         return [
-            (len(some), generated_inputs.line(some, number, True, self.where))
-            for number, some in enumerate(each, first)
+            (len(entries), generated_inputs.line(entries, number, True, self.where))
+            for number, entries in enumerate(each, first)
         ]
 
 
@@ -462,17 +462,18 @@
     late_ms = at_rest.late_ms + busy.late_ms
     return {
         "p50": (p50, "ms"), "p99": (p99, "ms"), "memory": (memory, "bytes"),
-        "core_per_request": ((spent - cpu) * 1e6 / at_rest.due, "us"), "served": (_served(at_rest), "share"),
+        "core_per_request": ((spent - cpu) * 1e6 / at_rest.scheduled, "us"),
+        "served": (_served(at_rest), "share"),
         "p99_lists": (percentiles(busy.took_ms, (99.0,))[0], "ms"), "worst_lists": (max(busy.took_ms), "ms"),
         "in_force_lists": (slowest * 1000, "ms"), "memory_lists": (resources_of(pid)[1], "bytes"),
         "served_lists": (_served(busy), "share"),
-        "rig_late": (max(percentiles(some, (99.0,))[0] for some in (late_ms, lags_ms)), "ms"),
+        "rig_late": (max(percentiles(each, (99.0,))[0] for each in (late_ms, lags_ms)), "ms"),
         "rig_worst": (max(late_ms + lags_ms), "ms"),
     }  # fmt: skip
 
 
 def _served(part: concurrent_callers.PartResult) -> float:
-    return part.statuses.get(200, 0) / part.due
+    return part.statuses.get(200, 0) / part.scheduled
 
 
 def plays(quick: bool) -> list[Play]:
--- a/balancer/lab/scale/membership_tiers.py
+++ b/balancer/lab/scale/membership_tiers.py
@@ -195,7 +195,7 @@
         for node in range(count):
             world.start(node)
         took = world.run_until_converged(CONVERGENCE_TIMEOUT_MS, STEP_MS)
-        whole = time.thread_time() - begun
+        world_s = time.thread_time() - begun
         meter = world.meter
         yield from of.took("cold_start_time", took)
         yield of.counted("cold_start_bytes", "bytes", meter.size / count)
@@ -203,7 +203,7 @@
         yield of.counted("cold_start_datagrams", "entries", meter.datagrams / count)
         yield of.counted("cold_start_rumours", "entries", meter.updates / count)
         yield of.machine("cold_start_processor", "us", world.core_us)
-        yield of.machine("cold_start_world", "s", whole)
+        yield of.machine("cold_start_world", "s", world_s)
 
 
 def _worst_second(world: MeteredTier) -> float:
@@ -229,11 +229,11 @@
 
 
 def _restarts(world: MeteredTier, of: PointFactory) -> Iterator[Point | NotPlayed]:
-    gone = range(max(1, world.count // NODES_PER_RESTART))
-    for node in gone:
+    restarted = range(max(1, world.count // NODES_PER_RESTART))
+    for node in restarted:
         world.kill(node)
     world.run(world.now + RESTART_DELAY_MS)
-    for node in gone:
+    for node in restarted:
         world.start(node)
     took = world.run_until_converged(CONVERGENCE_TIMEOUT_MS, STEP_MS)
     yield from of.took("tenth_time", took)
@@ -277,11 +277,11 @@
 
 
 def faults(
-    sizes: Sequence[int], seed: int, some: Iterable[str] = tuple(FAULTS)
+    sizes: Sequence[int], seed: int, selected: Iterable[str] = tuple(FAULTS)
 ) -> Iterator[Point | NotPlayed]:
     """Measure faults of a converged tier: a death, a rack, restarts, a partition of a region."""
     for count in sizes:
-        for fault in some:
+        for fault in selected:
             yield from FAULTS[fault](tier(count, seed), PointFactory(ROLE, count))
 
 
@@ -326,9 +326,9 @@
         begun = time.thread_time_ns()
         actions = self.core.handle(self.now, event)
         self.core_ns += time.thread_time_ns() - begun
-        told = [(a.node, decode(a.data)) for a in actions if isinstance(a, SendDatagram)]
-        self.record += [message for _, message in told]
-        for peer, message in told:
+        sent = [(a.node, decode(a.data)) for a in actions if isinstance(a, SendDatagram)]
+        self.record += [message for _, message in sent]
+        for peer, message in sent:
             if peer is not None and message.kind == MessageKind.PING:
                 ack = Message(MessageKind.ACK, peer, 1, 0, message.sequence, self.core.view.state_hash, peer)
                 self.give(DatagramReceived(peer, encode(ack)))
--- a/balancer/lab/scale/parallel_parts.py
+++ b/balancer/lab/scale/parallel_parts.py
@@ -35,7 +35,7 @@
 
 
 def played(
-    parts: Sequence[Part], seed: int, workers: int, until: float, left: Callable[[str], NotPlayed]
+    parts: Sequence[Part], seed: int, workers: int, until: float, not_played: Callable[[str], NotPlayed]
 ) -> Generator[PartResult, None, None]:
     """Yield each part as it ends; the costliest begin first.
 
@@ -52,7 +52,7 @@
             for future in ended:
                 yield _done(running.pop(future), future)
         for part in running.values():
-            yield PartResult(part, [left(part.name)], 0.0)
+            yield PartResult(part, [not_played(part.name)], 0.0)
     finally:
         if running:
             for process in set(multiprocessing.active_children()) - others:
--- a/balancer/lab/scale/points.py
+++ b/balancer/lab/scale/points.py
@@ -101,8 +101,8 @@
     tried = {form: _least_squares(form, sizes, values, scale) for form in FORMS}
     if float(np.min(values)) >= 0:
         tried = {form: found for form, found in tried.items() if at(form, *found[:2], target) >= 0}
-    least = min(residual for _, _, residual in tried.values())
-    bound = max(SIMPLER_FORM_FACTOR * least, ROUNDING_RESIDUAL)
+    least_residual = min(residual for _, _, residual in tried.values())
+    bound = max(SIMPLER_FORM_FACTOR * least_residual, ROUNDING_RESIDUAL)
     form = next(form for form, found in tried.items() if found[2] <= bound)
     a, b, residual = tried[form]
     first = ordered[0]
@@ -133,7 +133,7 @@
     groups: dict[tuple[str, str, str], list[Point]] = defaultdict(list)
     for point in points:
         groups[point.role, point.figure, point.unit].append(point)
-    return [fit(some, target) for some in groups.values() if len({p.size for p in some}) >= MIN_SIZES]
+    return [fit(group, target) for group in groups.values() if len({p.size for p in group}) >= MIN_SIZES]
 
 
 def _least_squares(
--- a/balancer/lab/scale/power_recovery.py
+++ b/balancer/lab/scale/power_recovery.py
@@ -46,10 +46,10 @@
         """Lose the power of all nodes, and plan their starts."""
         super().__init__(count, seed, Network(loss_rate=LOSS_RATE), config, Recovery, BACKENDS)
         self.meter = Meter()
-        life = int(self.now / GENERATION_UNIT_MS)
-        ban = Row(BACKENDS[0], 0, life, 1, True, self.now)
+        generation = int(self.now / GENERATION_UNIT_MS)
+        ban = Row(BACKENDS[0], 0, generation, 1, True, self.now)
         for disk in self.disks:
-            disk.used, disk.life, disk.written_wall = True, life, self.now
+            disk.used, disk.life, disk.written_wall = True, generation, self.now
             disk.rows, disk.revision, disk.saved = [(ban,)], self.discovery.revision, BACKENDS
             disk.rate = REQUESTS_PER_S
         self.run(self.now + OUTAGE_MS)
@@ -59,19 +59,19 @@
         for node in range(count):
             self.at(self.now + self.dice.uniform(0, SPREAD_MS), partial(self.boot, node, Condition.SOUND))
         self.full: dict[int, float] = {}  # ms from power to a node's FULL
-        self.told: dict[int, float] = {}  # and until discovery told it the list
+        self.listed_at: dict[int, float] = {}  # and until discovery told it the list
 
     def finish(self) -> None:
         """Run until all are FULL and have been told the list, or the longest time is over."""
         ends = self.now + RECOVERY_TIMEOUT_MS
-        while self.now < ends and min(len(self.full), len(self.told)) < self.count:
+        while self.now < ends and min(len(self.full), len(self.listed_at)) < self.count:
             self.run(self.now + STEP_MS)
             since = self.now - self.power_at
             for node, process in enumerate(self.processes):
                 if process is not None and process.phase is Phase.FULL:
                     self.full.setdefault(node, since)
                 if process is not None and process.told:
-                    self.told.setdefault(node, since)
+                    self.listed_at.setdefault(node, since)
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
         if self.hosts[target].core is not None:
@@ -85,9 +85,9 @@
         of, begun = PointFactory(ROLE, count), time.thread_time()
         tier = RecoveringTier(count, seed, Config())
         tier.finish()
-        meter, full, told = tier.meter, _last(tier.full, count), _last(tier.told, count)
+        meter, full, listed_at = tier.meter, _last(tier.full, count), _last(tier.listed_at, count)
         yield from of.took("return_full", full)
-        yield from of.took("return_told", told)
+        yield from of.took("return_told", listed_at)
         calls = max(tier.discovery.per_second.values())
         yield of.counted("return_calls", "entries", calls)
         yield of.counted("return_datagrams", "entries", meter.datagrams / count)
@@ -103,9 +103,9 @@
         of, each = PointFactory(ROLE, count), count / REPRESENTATIVES
         tier = RecoveringTier(REPRESENTATIVES, seed, Config(slot=Config().slot * each))
         tier.finish()
-        early = sum(tier.full[node] < at for node, at in tier.told.items() if node in tier.full)
-        told = _last(tier.told, REPRESENTATIVES)
-        yield from of.took("turns_told", told)
+        early = sum(tier.full[node] < at for node, at in tier.listed_at.items() if node in tier.full)
+        listed_at = _last(tier.listed_at, REPRESENTATIVES)
+        yield from of.took("turns_told", listed_at)
         yield of.counted("turns_early", "entries", early * each)
         one = Turns(0, Config().slot)
         one.taken(0.0, count)
@@ -126,13 +126,13 @@
         super().__init__(0.0)
         self.count, self.dice = count, random.Random(f"restart {seed}")
         self.core = Recovery(Config(), 0, count, 2, seed, self.now)
-        self.full = self.told = math.inf
+        self.full = self.listed_at = math.inf
         self._give(room.Kept(True, False, 1, OUTAGE_MS, (), 1, REQUESTS_PER_S))
         self._give(room.Members(dict.fromkeys(range(count), 1), True))
 
     def finish(self) -> None:
         """Run until it is FULL and has been told the list, or the longest time is over."""
-        while self.now < RECOVERY_TIMEOUT_MS and max(self.full, self.told) == math.inf:
+        while self.now < RECOVERY_TIMEOUT_MS and max(self.full, self.listed_at) == math.inf:
             self.at(min(self.core.due, RECOVERY_TIMEOUT_MS), partial(self._give, room.Tick()))
             self.run(self.next_event)
 
@@ -145,7 +145,7 @@
                 case room.AskList():
                     listed = room.Listed(1, (self.now - DAY_MS,), BACKENDS[:1])
                     self.at(self.now + Discovery.serve_ms, partial(self._give, listed))
-                    self.told = self.now + Discovery.serve_ms
+                    self.listed_at = self.now + Discovery.serve_ms
                 case room.Entered(phase=Phase.FULL):
                     self.full = self.now
 
@@ -163,7 +163,7 @@
         of, one = PointFactory(ROLE, count), RestartedNode(count, seed)
         one.finish()
         yield from of.took("restart_full", one.full)
-        yield from of.took("restart_told", one.told)
+        yield from of.took("restart_told", one.listed_at)
 
 
 def answers(sizes: Sequence[int], seed: int) -> Iterator[Point]:
--- a/balancer/lab/scale/rack_failure.py
+++ b/balancer/lab/scale/rack_failure.py
@@ -168,8 +168,8 @@
     late_ms = max(percentiles(some, (99.0,))[0] for some in (earlier.late_ms + later.late_ms, lags_ms))
     figures = (
         ("unanswered", "requests", float(earlier.statuses.get(0, 0) + later.statuses.get(0, 0))),
-        ("asked_after", "requests", float(later.due)),
-        ("served_after", "share", later.statuses.get(200, 0) / max(1, later.due)),
+        ("asked_after", "requests", float(later.scheduled)),
+        ("served_after", "share", later.statuses.get(200, 0) / max(1, later.scheduled)),
         ("offered", "requests/s", sent_per_s), ("rig_late", "ms", late_ms),
         ("p99_before", "ms", percentiles(earlier.took_ms, (99.0,))[0]),
         ("p99_after", "ms", percentiles(later.took_ms, (99.0,))[0]),
@@ -185,7 +185,7 @@
     """Merge the results of all client processes for one part."""
     out = concurrent_callers.PartResult(parts[0].until)
     for part in parts:
-        out.due, out.sent = out.due + part.due, out.sent + part.sent
+        out.scheduled, out.sent = out.scheduled + part.scheduled, out.sent + part.sent
         out.took_ms += part.took_ms
         out.late_ms += part.late_ms
         for status, number in part.statuses.items():
--- a/balancer/lab/scale/runner.py
+++ b/balancer/lab/scale/runner.py
@@ -72,7 +72,7 @@
 
 def all_plays(quick: bool) -> list[Play]:
     """Return all plays in the order of the report."""
-    modules = (
+    play_modules = (
         decision_module,
         endpoint_list,
         settings_tables,
@@ -81,7 +81,7 @@
         dense_hosting,
         rack_failure,
     )
-    return [play for room in modules for play in room.plays(quick)]
+    return [play for module in play_modules for play in module.plays(quick)]
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,18 +89,18 @@
     """The bounds and the observer of one run."""
 
     seed: int
-    most: float  # s for all of them
+    limit_s: float  # s for all of them
     until: float  # when that is over, by the monotonic clock
-    tell: Callable[[str, Point | None], None]  # hears of each play as it begins, and of each point
+    observe: Callable[[str, Point | None], None]  # hears of each play as it begins, and of each point
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the time is over, so that nothing more begins."""
         return time.monotonic() > self.until
 
-    def left(self, what: str) -> NotPlayed:
+    def not_played_in_time(self, what: str) -> NotPlayed:
         """Return the mark of a play for which there was no time."""
-        return NotPlayed(what, f"the {self.most:g} s of the whole command were over")
+        return NotPlayed(what, f"the {self.limit_s:g} s of the whole command were over")
 
 
 @dataclass(slots=True, frozen=True)
@@ -112,7 +112,7 @@
 
 
 def run(
-    plays: Sequence[Play], seed: int, quick: bool, tell: Callable[[str, Point | None], None],
+    plays: Sequence[Play], seed: int, quick: bool, observe: Callable[[str, Point | None], None],
     workers: int | None = None,
 ) -> Result:  # fmt: skip
     """Run plays one at a time, then those that have parts in `workers` processes, see `workers_most`.
@@ -120,20 +120,20 @@
     `tell` hears of each play as it begins, and of each point.
     """
     version, load, begin = program(), os.getloadavg()[0], time.monotonic()
-    most = QUICK_TIME_LIMIT_S if quick else TIME_LIMIT_S
-    course = RunBounds(seed, most, begin + most, tell)
+    limit_s = QUICK_TIME_LIMIT_S if quick else TIME_LIMIT_S
+    course = RunBounds(seed, limit_s, begin + limit_s, observe)
     results = {play.name: _play_alone(play, course) for play in plays if not play.parts}
     results |= _play_parts([play for play in plays if play.parts], course, workers or default_workers())
     points: list[Point] = []
     found: list[Slope] = []
-    left: list[NotPlayed] = []
+    not_played_in_time: list[NotPlayed] = []
     done: list[Played] = []
     for play in plays:
         items, seconds = results[play.name].items, results[play.name].seconds
         mine = [item for item in items if isinstance(item, Point)]
         points += mine
         found += slopes(mine, play.target)
-        left += [item for item in items if isinstance(item, NotPlayed)]
+        not_played_in_time += [item for item in items if isinstance(item, NotPlayed)]
         if seconds is not None:
             done.append(Played(play.name, play.target, play.limits, round(seconds, 1)))
     return Result(
@@ -148,39 +148,39 @@
         plays=done,
         points=[_rounded(p) for p in points],
         slopes=found,
-        not_played=left,
+        not_played=not_played_in_time,
     )
 
 
 def _play_alone(play: Play, course: RunBounds) -> PlayResult:
     """Run one play in this process; check the time after each item."""
-    if course.over:
-        return PlayResult([course.left(play.name)], None)
+    if course.is_over:
+        return PlayResult([course.not_played_in_time(play.name)], None)
     begin, items = time.monotonic(), list[Point | NotPlayed]()
-    course.tell(play.name, None)
+    course.observe(play.name, None)
     for item in play.run(course.seed):
         items.append(item)
         if isinstance(item, Point):
-            course.tell(play.name, item)
-        if course.over:
-            items.append(course.left(f"{play.name}, the rest"))
+            course.observe(play.name, item)
+        if course.is_over:
+            items.append(course.not_played_in_time(f"{play.name}, the rest"))
             break
     return PlayResult(items, time.monotonic() - begin)
 
 
 def _play_parts(plays: Sequence[Play], course: RunBounds, workers: int) -> dict[str, PlayResult]:
     """Run the parts of plays in parallel processes; their points keep the order of the parts."""
-    if course.over:
-        return {play.name: PlayResult([course.left(play.name)], None) for play in plays}
+    if course.is_over:
+        return {play.name: PlayResult([course.not_played_in_time(play.name)], None) for play in plays}
     for play in plays:
-        course.tell(play.name, None)
+        course.observe(play.name, None)
     of = {part.name: play.name for play in plays for part in play.parts}
     parts, done = [part for play in plays for part in play.parts], dict[str, PartResult]()
-    for ended in played(parts, course.seed, workers, course.until, course.left):
+    for ended in played(parts, course.seed, workers, course.until, course.not_played_in_time):
         done[ended.part.name] = ended
         for item in ended.items:
             if isinstance(item, Point):
-                course.tell(of[ended.part.name], item)
+                course.observe(of[ended.part.name], item)
     return {
         play.name: PlayResult(
             [item for part in play.parts for item in done[part.name].items],
@@ -228,7 +228,7 @@
         f"<p>{kind} run, seed {result.seed}, program {html.escape(result.program)}, Python {result.python}, "
         f"{html.escape(result.machine)}, load {result.load:g} before it, {result.seconds:g} s</p>",
         table_html(rows, head),
-        *(png(plots(some)) for some in by_role(result.slopes).values()),
+        *(png(plots(group)) for group in by_role(result.slopes).values()),
         "<h2>Not played</h2>",
         table_html([(n.what, n.why) for n in result.not_played], ("what", "why")),
         "<h2>What is hollow</h2>",
@@ -244,13 +244,13 @@
     return out
 
 
-def plots(some: Sequence[Slope]) -> Figure:
+def plots(group: Sequence[Slope]) -> Figure:
     """Plot each slope: its points, and its fit up to the size of two years."""
-    rows = -(-len(some) // COLUMNS)
+    rows = -(-len(group) // COLUMNS)
     figure = Figure(figsize=(10.5, 2.6 * rows))
     figure.subplots_adjust(hspace=0.45, wspace=0.25)
     axes: list[Axes] = figure.subplots(rows, COLUMNS, squeeze=False).ravel().tolist()
-    for ax, slope in zip(axes, some, strict=False):
+    for ax, slope in zip(axes, group, strict=False):
         last = max(slope.target, slope.sizes[-1])
         line = np.geomspace(slope.sizes[0], last, 60)
         ax.plot(line, slope.a + slope.b * FORMS[slope.fit](line), color=GOOD, lw=1.4)
@@ -266,6 +266,6 @@
             axis.set_minor_formatter(NullFormatter())
         if ax.get_yscale() == "log":
             ax.yaxis.set_major_locator(LogLocator(subs=(1.0, 2.0, 5.0), numticks=5))
-    for ax in axes[len(some) :]:
+    for ax in axes[len(group) :]:
         ax.set_axis_off()
     return figure
--- a/balancer/lab/scale/settings_tables.py
+++ b/balancer/lab/scale/settings_tables.py
@@ -38,9 +38,9 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        held = Balancer(wire.parse_settings(json.loads(text)), seed)
+        balancer = Balancer(wire.parse_settings(json.loads(text)), seed)
         yield Point(role, "memory", "bytes", count, float(tracemalloc.get_traced_memory()[0] - before), False)
-        del held
+        del balancer
     finally:
         tracemalloc.stop()
 
--- a/balancer/lab/scale/shared_state.py
+++ b/balancer/lab/scale/shared_state.py
@@ -139,7 +139,7 @@
     membership_tiers.quiet: {"": (membership_tiers.quiet, 0.4)},
     membership_tiers.cold_start: {"": (membership_tiers.cold_start, 0.5)},
     membership_tiers.faults: {
-        f", {name}": (partial(membership_tiers.faults, some=(name,)), 2.0 if name == "a region" else 0.2)
+        f", {name}": (partial(membership_tiers.faults, selected=(name,)), 2.0 if name == "a region" else 0.2)
         for name in membership_tiers.FAULTS
     },
     power_recovery.tiers: {"": (power_recovery.tiers, 16.0)},
--- a/balancer/lab/timeline.py
+++ b/balancer/lab/timeline.py
@@ -17,7 +17,7 @@
 
     BEGIN = "begin"
     END = "end"
-    BACK = "back"  # targets that ended start again
+    RESTART = "back"  # targets that ended start again
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,13 +71,13 @@
 def _moments_of(spec: Experiment, seed: int, fault: AnyFault, batch: Batch) -> Iterator[Moment]:
     yield Moment(batch.at, Step.BEGIN, fault, batch.names)
     if isinstance(fault, Kill) and fault.restart_after is not None:
-        yield Moment(batch.at + fault.restart_after, Step.BACK, fault, batch.names)
+        yield Moment(batch.at + fault.restart_after, Step.RESTART, fault, batch.names)
     if isinstance(fault, PowerLoss):
         yield from _power_returns(spec, seed, fault)
     if isinstance(fault, TimedFault) and fault.duration_s:
         yield Moment(fault.ends_at, Step.END, fault, batch.names)
     if isinstance(fault, Drain):
-        yield Moment(fault.ends_at + fault.restart_after, Step.BACK, fault, batch.names)
+        yield Moment(fault.ends_at + fault.restart_after, Step.RESTART, fault, batch.names)
 
 
 def _power_returns(spec: Experiment, seed: int, fault: PowerLoss) -> Iterator[Moment]:
@@ -86,4 +86,4 @@
     next_loss = min((at for at in losses if at > fault.at), default=float("inf"))
     for name, back_at in return_times(spec, seed, fault).items():
         if back_at < next_loss:
-            yield Moment(back_at, Step.BACK, fault, (name,))
+            yield Moment(back_at, Step.RESTART, fault, (name,))
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -172,27 +172,27 @@
             for name in moment.names:
                 if name[0] != "s":
                     continue
-                if moment.step is Step.BACK:
-                    directory.plan(spec.addition_delay_s, name, Phase.UP, time.time() * 1000)
+                if moment.step is Step.RESTART:
+                    directory.plan(spec.addition_delay_s, name, Phase.IN_SERVICE, time.time() * 1000)
                 elif isinstance(fault, Drain) and moment.step is Step.BEGIN:
                     directory.plan(spec.addition_delay_s, name, Phase.DRAINING)
                 else:
-                    directory.plan(spec.removal_delay_s, name, Phase.GONE)
+                    directory.plan(spec.removal_delay_s, name, Phase.REMOVED)
 
     def _apply_power_loss(self, directory: DiscoveryStub, moment: Moment) -> None:
         """Keep a backend listed that is back before it is missed; list its new start once that is known."""
         spec, on = self.spec.discovery, moment.step is Step.BEGIN
         if "d" in moment.names:
             directory.fail(on)
-        back = {m.names[0]: m.at for m in timeline(self.spec, self.plan.seed)
-                if m.fault is moment.fault and m.step is Step.BACK}  # fmt: skip
+        return_times = {m.names[0]: m.at for m in timeline(self.spec, self.plan.seed)
+                if m.fault is moment.fault and m.step is Step.RESTART}  # fmt: skip
         for name in moment.names:
             if name[0] != "s":
                 continue
             if not on:
-                directory.plan(spec.addition_delay_s, name, Phase.UP, time.time() * 1000)
-            elif back.get(name, math.inf) + spec.addition_delay_s >= moment.at + spec.removal_delay_s:
-                directory.plan(spec.removal_delay_s, name, Phase.GONE)
+                directory.plan(spec.addition_delay_s, name, Phase.IN_SERVICE, time.time() * 1000)
+            elif return_times.get(name, math.inf) + spec.addition_delay_s >= moment.at + spec.removal_delay_s:
+                directory.plan(spec.removal_delay_s, name, Phase.REMOVED)
 
     def live(self) -> dict[str, Any]:
         """Return live figures for the screen."""
@@ -219,7 +219,7 @@
     fault, on, now = moment.fault, moment.step is Step.BEGIN, host.group.clock.now()
     active_faults = host.core.active_faults
     match fault:
-        case Kill() | Drain() | PowerLoss() if moment.step is Step.BACK:
+        case Kill() | Drain() | PowerLoss() if moment.step is Step.RESTART:
             host.restart()
         case Kill() | PowerLoss():
             host.close()
@@ -240,7 +240,7 @@
             host.schedule_connect_delays(fault)
 
 
-def _say(**table: Any) -> None:
+def _write_message(**table: Any) -> None:
     sys.stdout.buffer.write(msgspec.json.encode(table) + b"\n")
     sys.stdout.buffer.flush()
 
@@ -260,12 +260,12 @@
     try:
         await worker.open()
     except OSError as err:
-        _say(error=f"{worker.plan.role}: {err}")
+        _write_message(error=f"{worker.plan.role}: {err}")
         return 1
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
-    _say(ready=True, pid=os.getpid())
+    _write_message(ready=True, pid=os.getpid())
     zero = msgspec.json.decode(await lines.readline() or b"null", type=float | None)
     if zero is None:
         return 1
@@ -282,21 +282,21 @@
     try:
         records.write(worker.seen, Path(worker.plan.records))
     except OSError as err:
-        _say(error=f"results cannot be written: {err}", results=True)
+        _write_message(error=f"results cannot be written: {err}", results=True)
         return 1
-    _say(written=True)
+    _write_message(written=True)
     return 0
 
 
 async def _report_live(worker: Worker) -> None:
     while True:
         await asyncio.sleep(LIVE_INTERVAL_S)
-        _say(**worker.live())
+        _write_message(**worker.live())
 
 
 async def _report_done(worker: Worker) -> None:
     await worker.finished()
-    _say(done=True)
+    _write_message(done=True)
 
 
 def main() -> int:
--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -25,12 +25,12 @@
     SERVED = "served"
     REPEATED = "repeated"  # a keyed repeat: answered as served, run no second time
     ERROR = "error"
-    TURNED_AWAY = "turned_away"  # never started
+    REJECTED = "turned_away"  # never started
     EXPIRED = "expired"  # never started: its time was over
     RESET = "reset"  # it has run, and the connection breaks
 
 
-RAN = frozenset({Verdict.SERVED, Verdict.RESET})
+EXECUTED = frozenset({Verdict.SERVED, Verdict.RESET})
 
 
 @dataclass(slots=True, eq=False)
@@ -44,7 +44,7 @@
     give_up: float  # when its caller stops waiting
     key: str = ""  # of a keyed request; empty otherwise
     span: float = 0.0  # ms that the cell remembers the key
-    began: bool = False
+    started: bool = False
     verdict: Verdict = Verdict.SERVED
 
 
@@ -92,7 +92,9 @@
         self.queue_capacity = self.spec.cores * self.spec.queue_per_core
         self.running: list[tuple[float, int, Job]] = []  # a heap by the time of the end
         self.waiting: deque[Job] = deque()
-        self.fresh: deque[tuple[float, int, float]] = deque()  # work that came while cold: when, from whom
+        self.recent_work: deque[tuple[float, int, float]] = (
+            deque()
+        )  # work that came while cold: when, from whom
         self.done_work = self.pressure = 0.0
         self.count = 0
         self._uniforms: list[float] = []
@@ -104,7 +106,7 @@
         for job in self.waiting:  # the cell never ran these: their repeats must not be dropped
             self.cell.pop(job.key, None)
         self.waiting.clear()
-        self.fresh.clear()
+        self.recent_work.clear()
         self.collapsed = self.stalled_at = None
         self.active_faults = ActiveFaults()
 
@@ -141,7 +143,7 @@
         """Accept a complete attempt; return how it ends at once, or None while it is in progress."""
         self._press(now, job)
         if self.collapsed is not None:
-            return Verdict.TURNED_AWAY
+            return Verdict.REJECTED
         if self.active_faults.gray and self._next_uniform() < self.active_faults.gray:
             return Verdict.ERROR
         if job.key:
@@ -149,7 +151,7 @@
             if first is not None and now - first <= job.span:
                 return Verdict.REPEATED
         if len(self.waiting) >= self.queue_capacity and len(self.running) >= self.slots:
-            return Verdict.TURNED_AWAY
+            return Verdict.REJECTED
         if job.key:
             self.cell[job.key] = now
         if len(self.running) < self.slots and self.stalled_at is None:
@@ -180,7 +182,7 @@
                 self._begin(now, job)
 
     def _begin(self, now: float, job: Job) -> None:
-        job.began = True
+        job.started = True
         next_uniform = self._next_uniform()
         if next_uniform < self.spec.error_rate:
             job.verdict = Verdict.ERROR
@@ -212,17 +214,17 @@
     def _press(self, now: float, job: Job) -> None:
         """Count the work that reaches it while cold; it collapses over the budget of a window."""
         if self.collapsed is not None or now - self.started >= self.spec.warm_up_s * 1000:
-            self.fresh.clear()
+            self.recent_work.clear()
             self.pressure = 0.0
             return
-        self.fresh.append((now, job.node, job.work))
+        self.recent_work.append((now, job.node, job.work))
         self.pressure += job.work
-        while self.fresh[0][0] < now - self.rules.fall_ms:
-            self.pressure -= self.fresh.popleft()[2]
+        while self.recent_work[0][0] < now - self.rules.fall_ms:
+            self.pressure -= self.recent_work.popleft()[2]
         # A little slack for chance: ten requests of this size.
         budget = self.rules.fall_multiple * self.capacity(now) * self.rules.fall_ms + 10 * job.work
         if self.pressure > budget:
             shares: dict[int, float] = {}
-            for _, node, work in self.fresh:
+            for _, node, work in self.recent_work:
                 shares[node] = shares.get(node, 0.0) + work
             self.collapsed = OverloadCollapse(now, self.started, budget, shares)
--- a/balancer/models/client.py
+++ b/balancer/models/client.py
@@ -14,12 +14,12 @@
     """How an attempt ended, as the client saw it."""
 
     SERVED = "served"
-    REFUSED = "refused"  # 429 or 503
+    REJECTED = "refused"  # 429 or 503
     FAILED = "failed"  # any other complete answer
-    CUT = "cut"  # the connection ended with an incomplete answer, or none
+    DISCONNECTED = "cut"  # the connection ended with an incomplete answer, or none
     UNREACHABLE = "unreachable"  # no connection came up
-    SILENT = "silent"  # nothing by the end of its time
-    LEFT = "left"  # the client gave up early
+    TIMED_OUT = "silent"  # nothing by the end of its time
+    ABANDONED = "left"  # the client gave up early
 
 
 @dataclass(slots=True)
@@ -66,9 +66,9 @@
 
     def ended(self, now: float, sent: float, end: Outcome, retry_after: float) -> float | None:
         """Return when the next attempt is sent, in ms; None if there is none. `retry_after` is in ms."""
-        if end in (Outcome.SERVED, Outcome.LEFT) or self.number >= self.clients.retries:
+        if end in (Outcome.SERVED, Outcome.ABANDONED) or self.number >= self.clients.retries:
             return None
-        harmless = end in (Outcome.REFUSED, Outcome.UNREACHABLE)
+        harmless = end in (Outcome.REJECTED, Outcome.UNREACHABLE)
         if not harmless:
             if self.cls.effect == "fragile":
                 return None
@@ -79,6 +79,6 @@
                 if now - self.first_risk > self.cls.memory_span_ms:
                     return None
         wait = self.backoff
-        if end is Outcome.REFUSED and self.honours:
+        if end is Outcome.REJECTED and self.honours:
             wait = max(wait, retry_after)
         return now + wait if now + wait < self.give_up else None
--- a/balancer/models/connect_delay.py
+++ b/balancer/models/connect_delay.py
@@ -12,10 +12,10 @@
     random: np.random.Generator, share: float, begin: float, end: float
 ) -> list[tuple[float, float]]:
     """Draw intervals that are a `share` (0.45 at most) of the time between `begin` and `end`."""
-    rest = CONNECT_DELAY_S * (1 - share) / share
+    mean_rest = CONNECT_DELAY_S * (1 - share) / share
     out: list[tuple[float, float]] = []
-    at = begin + random.uniform(0.0, rest)
+    at = begin + random.uniform(0.0, mean_rest)
     while at + CONNECT_DELAY_S <= end:
         out.append((at, at + CONNECT_DELAY_S))
-        at += CONNECT_DELAY_S + MIN_REST_S + random.exponential(max(0.0, rest - MIN_REST_S))
+        at += CONNECT_DELAY_S + MIN_REST_S + random.exponential(max(0.0, mean_rest - MIN_REST_S))
     return out
--- a/balancer/models/directory.py
+++ b/balancer/models/directory.py
@@ -12,9 +12,9 @@
 class Phase(Enum):
     """A backend's state in the list."""
 
-    UP = "in_service"
+    IN_SERVICE = "in_service"
     DRAINING = "terminating"
-    GONE = "terminated"
+    REMOVED = "terminated"
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,7 +24,7 @@
     name: str
     zone: str
     cell: int
-    phase: Phase = Phase.UP
+    phase: Phase = Phase.IN_SERVICE
     up_since: float = 0.0
 
 
@@ -76,12 +76,12 @@
         while self.planned and self.planned[0][0] <= now:
             entry = heapq.heappop(self.planned)[2]
             if self.entries.get(entry.name) == entry or (
-                entry.phase is Phase.GONE and entry.name not in self.entries
+                entry.phase is Phase.REMOVED and entry.name not in self.entries
             ):
                 continue
             self.revision += 1
             self.changes.append((self.revision, entry))
-            if entry.phase is Phase.GONE:
+            if entry.phase is Phase.REMOVED:
                 del self.entries[entry.name]
             else:
                 self.entries[entry.name] = entry
--- a/balancer/models/load.py
+++ b/balancer/models/load.py
@@ -59,13 +59,13 @@
     times, sizes = stream(seed, "arrivals", zone), stream(seed, "sizes", zone)
     mean = spec.rate * zone_factor(spec, zone) / len(spec.fleet.zones) / 1000  # a ms
     length = spec.seconds * 1000
-    most = 1 + 2 * spec.load.amplitude
+    peak = 1 + 2 * spec.load.amplitude
     for fault in spec.faults:
         if isinstance(fault, Surge):
-            most *= max(1.0, fault.factor)
-    count = times.poisson(mean * most * length)
+            peak *= max(1.0, fault.factor)
+    count = times.poisson(mean * peak * length)
     at = np.sort(times.uniform(0, length, count))
-    accepted = times.random(count) * most < intensity(
+    accepted = times.random(count) * peak < intensity(
         spec.load, spec.faults, zone, at, stream(seed, "bursts", zone), spec.seconds
     )
     at = at[accepted]
--- a/balancer/sim/request_path.py
+++ b/balancer/sim/request_path.py
@@ -26,7 +26,7 @@
     Verdict.SERVED: api.AttemptStatus.OK,
     Verdict.REPEATED: api.AttemptStatus.OK,
     Verdict.ERROR: api.AttemptStatus.ERROR,
-    Verdict.TURNED_AWAY: api.AttemptStatus.REJECTED,
+    Verdict.REJECTED: api.AttemptStatus.REJECTED,
     Verdict.EXPIRED: api.AttemptStatus.REJECTED,
     Verdict.RESET: api.AttemptStatus.RESET,
 }
@@ -196,7 +196,7 @@
         if request is None or request.answered:
             return
         request.answered = True
-        if end is not Outcome.CUT and request.uses > 0:
+        if end is not Outcome.DISCONNECTED and request.uses > 0:
             self.idle_connections[request.zone].append((node, request.uses))
         self._forget(node, ident)
         self._finish_attempt(request, end, retry_after_ms)
@@ -229,7 +229,7 @@
                 case api.SetTimer():
                     self.at(action.when, partial(self.handle_event, node, api.TimerFired(action.token)))
                 case api.RejectRequest():
-                    self.answer(node, action.request, Outcome.REFUSED, action.retry_after)
+                    self.answer(node, action.request, Outcome.REJECTED, action.retry_after)
                 case api.FailRequest():
                     self.answer(node, action.request, Outcome.FAILED, 0.0)
                 case api.CancelAttempt():
--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -93,7 +93,7 @@
     def _kill(self, node: NodeProcess) -> None:
         self.nodes[node.number] = None
         for ident in list(node.open):
-            self.answer(node, ident, Outcome.CUT, 0.0)
+            self.answer(node, ident, Outcome.DISCONNECTED, 0.0)
 
     def _restart(self, host: BackendHost) -> None:
         host.core.restart(self.now)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -75,7 +75,7 @@
     def __call__(self, run: Run) -> None:
         if run.fleet.now() > 8000 and self.thread is None:
             console = format_address(run.fleet.places.console(0, 0))
-            self.thread = threading.Thread(target=lambda: self.looks.append(command.look(console)))
+            self.thread = threading.Thread(target=lambda: self.looks.append(command.read_membership(console)))
             self.thread.start()
 
 
@@ -178,7 +178,7 @@
     told = played[1]
     rows = told.rows()
     assert [r["node"] for r in rows] == [0, 1, 2, 3, 4] and rows[1]["state"] == "dead"
-    assert not command.members_held(told) and told.quorum
+    assert not command.all_members_alive(told) and told.quorum
     assert command.summary(told)["states"].get("dead") == 1 and told.view_reason
 
 
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -51,13 +51,13 @@
 def test_a_backend_serves_in_turn_and_a_late_look_does_not_slow_it() -> None:
     core = backend()
     assert [core.offer(0.0, job(n)) for n in "abc"] == [None] * 3
-    assert core.offer(0.0, job("d")) is Verdict.TURNED_AWAY
+    assert core.offer(0.0, job("d")) is Verdict.REJECTED
     assert core.report == (1, 2) and core.next_end == 10.0
     assert ends(core, 29.0) == [("a", "served"), ("b", "served")]
     assert core.next_end == 30.0
 
 
-def test_a_waiting_request_whose_time_is_over_never_starts() -> None:
+def test_a_queued_request_past_its_deadline_never_starts() -> None:
     core = backend()
     core.offer(0.0, job("a"))
     core.offer(0.0, job("b", give_up=5.0, key="k", span=100.0))
@@ -65,7 +65,7 @@
     assert core.offer(60.0, job("c", key="k", span=100.0)) is None  # it did not run: no repeat
 
 
-def test_a_keyed_repeat_is_answered_and_not_run_within_its_span() -> None:
+def test_a_duplicate_of_a_keyed_request_is_answered_and_not_run_within_its_span() -> None:
     core = backend()
     core.offer(0.0, job("a", key="k", span=50.0))
     core.advance(10.0)
@@ -82,7 +82,7 @@
     assert core.warmth(100.0) == pytest.approx(0.9)
 
 
-def test_a_cold_backend_topples_over_its_budget_and_says_whose_work_it_was() -> None:
+def test_a_cold_backend_collapses_over_its_budget_and_names_the_nodes_whose_work_it_was() -> None:
     core = backend(started=0.0, spec=replace_spec(queue_per_core=1000), fall_multiple=2.0)
     sent = 0
     while core.collapsed is None:
@@ -90,7 +90,7 @@
         sent += 1
     # Two times half a core for a second, and ten requests for chance.
     assert sent == 111 and core.collapsed.work_by_node == {0: 1110.0}
-    assert core.offer(2.0, job("late")) is Verdict.TURNED_AWAY
+    assert core.offer(2.0, job("late")) is Verdict.REJECTED
     core.restart(5.0)
     assert core.collapsed is None and core.offer(6.0, job("again")) is None
 
@@ -122,26 +122,28 @@
 @pytest.mark.parametrize(
     ("cls", "end", "again"),
     [
-        (BROWSE, Outcome.SILENT, True), (BROWSE, Outcome.FAILED, True), (BROWSE, Outcome.SERVED, False),
-        (BROWSE, Outcome.LEFT, False), (ORDER, Outcome.REFUSED, True), (ORDER, Outcome.UNREACHABLE, True),
-        (ORDER, Outcome.SILENT, False), (ORDER, Outcome.CUT, False), (KEYED, Outcome.SILENT, False),
-        (KEYED, Outcome.REFUSED, True),
+        (BROWSE, Outcome.TIMED_OUT, True), (BROWSE, Outcome.FAILED, True), (BROWSE, Outcome.SERVED, False),
+        (BROWSE, Outcome.ABANDONED, False), (ORDER, Outcome.REJECTED, True),
+        (ORDER, Outcome.UNREACHABLE, True),
+        (ORDER, Outcome.TIMED_OUT, False), (ORDER, Outcome.DISCONNECTED, False),
+        (KEYED, Outcome.TIMED_OUT, False),
+        (KEYED, Outcome.REJECTED, True),
     ],
 )  # fmt: skip
-def test_a_client_tries_again_only_as_the_class_allows(cls: object, end: Outcome, again: bool) -> None:
+def test_a_client_retries_only_as_the_class_allows(cls: object, end: Outcome, again: bool) -> None:
     operation = Operation(cls, Clients(), 0.0, (1.0,) * 4)  # type: ignore[arg-type]
     operation.begin(0.0)
     assert (operation.ended(100.0, 0.0, end, 0.0) is not None) == again
 
 
-def test_tries_end_and_a_client_that_honours_advice_waits_for_it() -> None:
+def test_retries_end_and_a_client_that_follows_retry_after_waits_for_it() -> None:
     operation = Operation(
         BROWSE, Clients(retries=1, backoff_ms=10.0, retry_after_share=1.0), 0.0, (1.0, 0.0, 0.0, 0.5)
     )
     assert operation.begin(0.0).deadline == 400.0
-    assert operation.ended(100.0, 0.0, Outcome.REFUSED, 300.0) == 400.0
+    assert operation.ended(100.0, 0.0, Outcome.REJECTED, 300.0) == 400.0
     assert operation.begin(400.0).deadline == 800.0
-    assert operation.ended(500.0, 400.0, Outcome.REFUSED, 10.0) is None
+    assert operation.ended(500.0, 400.0, Outcome.REJECTED, 10.0) is None
 
 
 # --- discovery
@@ -160,19 +162,19 @@
         core.advance(float(now))
         for entry in (sent_revision[watcher].pending(core) or ((), False))[0]:
             views[watcher].pop(entry.name, None)
-            if entry.phase is not Phase.GONE:
+            if entry.phase is not Phase.REMOVED:
                 views[watcher][entry.name] = entry
         assert views[watcher] == core.entries and sent_revision[watcher].pending(core) is None
 
 
-def test_an_unknown_version_gets_the_whole_list() -> None:
+def test_an_unknown_revision_gets_a_snapshot() -> None:
     core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
     assert core.since(8) is None and core.since(3) is None and core.since(7) == []
     whole = ([Listed("s0", "a", 0)], True)
     assert Watch(3).pending(core) == whole and Watch(7).pending(core) == ([], False)
 
 
-def test_a_watch_that_fell_silent_is_told_nothing_and_the_next_one_what_was_missed() -> None:
+def test_a_silent_watch_gets_no_event_and_the_next_one_gets_what_was_missed() -> None:
     core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
     watch = Watch(7, first=False, silent=True)
     core.plan(1.0, "s0", Phase.DRAINING)
@@ -181,7 +183,7 @@
     assert Watch(watch.sent_revision).pending(core) == (drained, False)
 
 
-def test_a_brief_watch_ends_at_the_first_change_behind_its_first_object() -> None:
+def test_a_brief_watch_ends_at_the_first_change_after_its_first_event() -> None:
     core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
     watch = Watch(5, brief=True)
     assert not watch.ends(core)
@@ -194,7 +196,7 @@
 
 
 @pytest.mark.parametrize("share", [0.05, 0.2, 0.45])
-def test_connections_come_up_late_in_the_stated_share_and_never_twice(share: float) -> None:
+def test_connections_are_delayed_in_the_stated_share_and_never_twice(share: float) -> None:
     """A second try, a second after the first, finds the way open."""
     drawn = [connect_delays(stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
     assert drawn[0] == connect_delays(stream(0, "late"), share, 10.0, 110.0) != drawn[1]
@@ -224,7 +226,7 @@
     assert a.work.mean() == pytest.approx(20.0, rel=0.05)
 
 
-def test_the_weather_is_by_direction_and_ends() -> None:
+def test_network_conditions_are_by_direction_and_end_with_their_fault() -> None:
     fault = LinkFault(
         at=1.0,
         duration_s=1.0,
@@ -280,21 +282,23 @@
         ('faults=[{kind="late-connect", at=1.0, for=1.0, what="backends", share=0.5}]', "faults[0].share"),
     ],
 )  # fmt: skip
-def test_what_makes_no_sense_is_refused_by_its_field(tmp_path: Path, assignment: str, field: str) -> None:
+def test_an_invalid_experiment_is_rejected_by_the_name_of_its_field(
+    tmp_path: Path, assignment: str, field: str
+) -> None:
     path = tmp_path / "x.toml"
     path.write_text(
         'name = "x"\n[[faults]]\nkind = "kill"\nat = 1.0\nwhat = "nodes:0"\nrestart-after = 1.0\n'
     )
     assert [(m.at, m.step) for m in timeline(load_experiment(path), 1)] == [
         (1.0, Step.BEGIN),
-        (2.0, Step.BACK),
+        (2.0, Step.RESTART),
     ]
     with pytest.raises(ExperimentError) as caught:
         load_experiment(path, [assignment])
     assert str(caught.value).startswith(field) and "\n" not in str(caught.value)
 
 
-def test_every_experiment_of_the_repository_is_sound() -> None:
+def test_every_experiment_of_the_repository_is_valid() -> None:
     paths = list((Path(__file__).parents[1] / "lab" / "experiments").glob("*.toml"))
     assert len(paths) >= 8 and all(load_experiment(path).name == path.stem for path in paths)
 
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -212,14 +212,16 @@
         (["--out", "/dev/null/x"], "Not a directory"),
     ],
 )  # fmt: skip
-def test_the_impossible_is_said_and_what_to_do(tmp_path: Path, args: list[str], word: str) -> None:
+def test_a_run_that_is_not_possible_is_reported_with_its_remedy(
+    tmp_path: Path, args: list[str], word: str
+) -> None:
     done = lab("run", file(tmp_path, CALM), "--out", str(tmp_path / "out"), *args)
     assert done.returncode == 2 and word in done.stderr and done.stdout == ""
     happened, remedy = done.stderr.splitlines()
     assert happened.startswith("balancer: LAB") and remedy.startswith("what to do: "), done.stderr
 
 
-def test_a_disk_that_fills_up_under_the_results_is_said(tmp_path: Path) -> None:
+def test_a_disk_that_fills_up_under_the_results_is_reported(tmp_path: Path) -> None:
     def full() -> None:
         resource.setrlimit(resource.RLIMIT_FSIZE, (4096, 4096))
 
@@ -231,7 +233,7 @@
     assert not (tmp_path / "out" / "records.msgpack").exists()
 
 
-def test_a_node_that_dies_during_its_start_is_said(tmp_path: Path) -> None:
+def test_a_node_that_dies_during_its_start_is_reported(tmp_path: Path) -> None:
     spec = load_experiment(Path(file(tmp_path, CALM)), ["seconds=2.0"])
     with pytest.raises(LabError, match="no node started"):
         uvloop.run(play(spec, 1, Program("dead", ROOT, "exit 3"), tmp_path / "out"))
@@ -244,7 +246,7 @@
 )  # fmt: skip
 
 
-def test_run_imports_none_of_the_lab_and_none_of_the_rooms() -> None:
+def test_run_imports_none_of_the_lab_and_none_of_the_fleet_subsystems() -> None:
     text = "import sys, balancer.__main__; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True)
     loaded = done.stdout.split()
--- a/tests/test_scale_parallel_parts.py
+++ b/tests/test_scale_parallel_parts.py
@@ -83,7 +83,7 @@
         assert all(part.cost > 0 for play in plays for part in play.parts)
 
 
-def test_what_is_not_through_in_time_is_ended_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_parts_that_do_not_end_in_time_are_killed_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [0.0]
     monkeypatch.setattr(parallel_parts, "time", SimpleNamespace(monotonic=lambda: clock[0]))
     parts = [Part("b", forever, 1.0), Part("c", forever, 1.0), Part("a", one, 2.0)]
@@ -97,7 +97,7 @@
     assert not multiprocessing.active_children()
 
 
-def test_who_asks_no_further_leaves_no_process_behind() -> None:
+def test_an_abandoned_run_leaves_no_process_behind() -> None:
     found = parallel_parts.played(
         [Part("a", one, 2.0), Part("b", forever, 1.0)], 7, 2, time.monotonic() + 600.0, left
     )
--- a/tests/test_scale_runner.py
+++ b/tests/test_scale_runner.py
@@ -106,7 +106,7 @@
     assert ("list", "decode", 800) in figures(small)
 
 
-def test_a_real_node_serves_before_a_stand_in() -> None:
+def test_a_real_node_serves_with_stubs() -> None:
     found = figures(uvloop.run(endpoint_list.play_node(60, 0.6, 3.0)))
     assert [name for _, name, _ in found] == [
         "ready", "in_force", "p50", "p99", "memory", "core_per_request", "served", "p99_lists", "worst_lists",
@@ -115,7 +115,7 @@
     assert found["node", "served", 60] == found["node", "served_lists", 60] == 1.0
 
 
-async def test_the_stand_in_keeps_a_quiet_watch_alive(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_discovery_stub_keeps_a_quiet_watch_alive(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against watches that count as dead and take the whole list while a change is measured."""
     monkeypatch.setattr(endpoint_list, "HEARTBEAT_INTERVAL_S", 0.02)
     stand_in = endpoint_list.DiscoveryStub(b"{}\n")
@@ -130,12 +130,12 @@
     server.close()
 
 
-def test_real_processes_take_one_list() -> None:
+def test_many_real_processes_on_one_host_take_a_list() -> None:
     found = uvloop.run(dense_hosting.play_processes(2, 60, 2))
     assert list(figures(found)) == [("processes", figure, 60) for figure in ("ready", "memory", "change")]
 
 
-def test_nothing_goes_to_a_lost_rack_while_discovery_is_cut_off() -> None:
+def test_nothing_goes_to_a_failed_rack_during_an_outage_of_discovery() -> None:
     """Real processes; the counts are the rule's, whatever the machine's speed."""
     points = uvloop.run(rack_failure.play_rack(2, 600, before=1.5, after=2.5))
     found = {p.figure: p.value for p in points if isinstance(p, Point)}
@@ -143,9 +143,9 @@
     assert found["asked_after"] == pytest.approx(2 * 2.5 * size.PEAK_PER_S / size.NODES, abs=4)
 
 
-def test_what_the_racks_clients_could_not_offer_is_said() -> None:
+def test_load_that_clients_could_not_offer_is_reported() -> None:
     whole = concurrent_callers.PartResult(
-        0.0, due=1930, sent=1930, statuses={200: 1900, 503: 28, 0: 2}, late_ms=[0.5] * 1930
+        0.0, scheduled=1930, sent=1930, statuses={200: 1900, 503: 28, 0: 2}, late_ms=[0.5] * 1930
     )
     found = list(rack_failure.seen_by_clients(600, 20.0, whole, whole, [1.0]))
     values = {item.figure: item.value for item in found if isinstance(item, Point)}
@@ -156,7 +156,9 @@
         assert isinstance(last, NotPlayed) and "at 193 requests" in last.what
 
 
-async def test_a_crowd_asks_at_its_rate_and_counts_each_request_once(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_concurrent_callers_send_at_their_rate_and_count_each_request_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Also before a node that breaks connections, one that is gone and one that never answers."""
 
     class Breaks(endpoint_list.BackendStub):
@@ -178,10 +180,10 @@
         monkeypatch.setattr(
             concurrent_callers, "ANSWER_TIMEOUT_S", wait
         )  # s; only the silent one needs all of it
-        first, second = await concurrent_callers.ask(
+        first, second = await concurrent_callers.send_all(
             concurrent_callers.Plan([port], 500.0, 0.1, 0.2), time.monotonic()
         )
-        assert (first.due, second.due) == (50, 100)
+        assert (first.scheduled, second.scheduled) == (50, 100)
         assert first.statuses.get(status) == 50 and second.statuses.get(status) == 100
         assert len(first.late_ms) == 50 and len(first.took_ms) == (50 if status else 0)
     for server in servers:
@@ -203,7 +205,7 @@
     assert held == sorted(held) and len(sizes) >= 3
 
 
-def test_hollow_watchers_get_all_that_is_told() -> None:
+def test_hollow_watchers_get_all_events() -> None:
     found = figures(uvloop.run(discovery.play_watchers(12)))
     assert found["discovery", "join_calls", 12] == 12
     assert found["discovery", "join_failed", 12] == 0
--- a/tests/test_scale_shared_state.py
+++ b/tests/test_scale_shared_state.py
@@ -102,15 +102,15 @@
     assert 0 < found["restart_full"] < found["restart_told"] < 0.1  # s: two that agree are enough
 
 
-def test_a_returning_tier_begins_with_what_its_disks_kept() -> None:
+def test_a_recovering_tier_begins_with_the_content_of_its_disks() -> None:
     tier = power_recovery.RecoveringTier(5, 1, Config())
     tier.finish()
-    assert len(tier.full) == len(tier.told) == 5
+    assert len(tier.full) == len(tier.listed_at) == 5
     for process in tier.processes:
         assert process is not None and process.banned == {LISTED[0]}
 
 
-def test_a_start_reads_the_list_that_was_kept() -> None:
+def test_a_start_reads_the_list_that_was_written() -> None:
     disk, rows = SimulatedDisk(), durable_state.listed(50, 1)
     node = durable_state.Node(disk)
     size = node.append(EndpointListReceived(7, True, 0.0, rows))
--- a/tests/virtual_run.py
+++ b/tests/virtual_run.py
@@ -175,7 +175,7 @@
     def crash(self) -> None:
         """The node's process ends by itself."""
         self.end_node()
-        self.process_record.ended, self.process_record.code, self.process_record.why = (
+        self.process_record.ended, self.process_record.code, self.process_record.failure = (
             self.clock.now(),
             CRASHED,
             "ended by itself",
