--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -25,17 +25,19 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.loading import decode_experiment, load_experiment
 from balancer.lab import records
-from balancer.lab.figures import JUDGED, MIN_SEEDS, summary
+from balancer.lab.figures import JUDGED, MIN_SEEDS
 from balancer.lab.judge import RULES, Judge
 from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, obtain
 from balancer.lab.run import Live, ResultsError, Run, play
+from balancer.lab.summary import Summary, summarize
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
+MAX_SHOWN_VIOLATIONS = 5
 
 app = typer.Typer(help="A fleet of load-balancing nodes: try it, measure it, break it.", no_args_is_help=True,
                   add_completion=False, pretty_exceptions_enable=False)  # fmt: skip
 lab = typer.Typer(
-    help="Experiments: real nodes, stand-ins round them, faults between them.", no_args_is_help=True
+    help="Experiments: real nodes, stubs round them, faults between them.", no_args_is_help=True
 )
 app.add_typer(lab, name="lab")
 fleet.app.command()(returning.recovery)
@@ -67,7 +69,7 @@
 
 
 class LateError(BalancerError):
-    """The rig of a comparison was late itself, so it cannot tell."""
+    """The harness of a comparison was late itself, so it cannot tell."""
 
     code = "LAB08"
     remedy = "compare again on a machine at rest, or with a lower rate and fewer nodes"
@@ -114,55 +116,52 @@
 
 
 def run_once(spec: Experiment, seed: int, what: Program, out: Path, human: bool = False,
-             live: Live | None = None) -> tuple[records.RunRecords, dict[str, Any]]:  # fmt: skip
+             live: Live | None = None) -> tuple[records.RunRecords, Summary]:  # fmt: skip
     """Play, judge and write `summary.json` and `experiment.json`; raises what `play` does, and OSError."""
     seen = uvloop.run(play(spec, seed, what, out, human, live))
     (out / "experiment.json").write_bytes(msgspec.json.encode(spec))
     return seen, judged(spec, seed, what.label, seen, out)
 
 
-def judged(spec: Experiment, seed: int, label: str, seen: records.RunRecords, out: Path) -> dict[str, Any]:
+def judged(spec: Experiment, seed: int, label: str, seen: records.RunRecords, out: Path) -> Summary:
     """Judge the records and write `summary.json`; raises OSError."""
-    table = summary(spec, seed, label, seen, Judge(spec, seen).judge())
-    (out / "summary.json").write_text(json.dumps(table, indent=1) + "\n", "utf-8")
-    return table
+    summary = summarize(spec, seed, label, seen, Judge(spec, seen).judge())
+    (out / "summary.json").write_text(summary.encode(indent=1) + "\n", "utf-8")
+    return summary
 
 
-def verdict(table: dict[str, Any]) -> Exit:
+def verdict(summary: Summary) -> Exit:
     """Return the exit code of a run."""
-    if table["void"]:
+    if summary.void:
         return Exit.NOT_RUN
-    good = all(e["held"] for e in table["expectations"]) and not table["figures"]["broken_rules"]
+    good = all(each.held for each in summary.expectations) and not summary.figures["broken_rules"]
     return Exit.HELD if good else Exit.SHORT
 
 
-def finish(table: dict[str, Any], as_json: bool, *lines: str) -> typer.Exit:
+def finish(summary: Summary, as_json: bool, *lines: str) -> typer.Exit:
     """Print a run's outcome, with further lines for people."""
     if as_json:
-        print(json.dumps(table))
+        print(summary.encode())
     else:
-        show(table)
+        show(summary)
         for line in lines:
             print(line)
-    return typer.Exit(verdict(table))
+    return typer.Exit(verdict(summary))
 
 
-def show(table: dict[str, Any]) -> None:
+def show(summary: Summary) -> None:
     """Show the outcome of a run to people."""
     screen = Console()
-    values = table["figures"]
-    rows = Table(
-        title=f"{table['experiment']}, seed {table['seed']}, {table['program']}", title_justify="left"
-    )
+    values = summary.figures
+    rows = Table(title=f"{summary.experiment}, seed {summary.seed}, {summary.program}", title_justify="left")
     for name in ("figure", "measured", "bound", ""):
         rows.add_column(name, justify="right" if name == "measured" else "left")
-    for e in table["expectations"]:
-        parts = [
-            f"{sign} {e[side]:g}" for side, sign in (("min", ">="), ("max", "<=")) if e[side] is not None
-        ]
-        shown = "-" if e["measured"] is None else f"{e['measured']:.4g}"
-        rows.add_row(e["figure"], shown, " ".join(parts), "held" if e["held"] else "[red]short[/red]")
-    named = {e["figure"] for e in table["expectations"]}
+    for each in summary.expectations:
+        bounds = ((each.min, ">="), (each.max, "<="))
+        parts = [f"{sign} {bound:g}" for bound, sign in bounds if bound is not None]
+        shown = "-" if each.measured is None else f"{each.measured:.4g}"
+        rows.add_row(each.figure, shown, " ".join(parts), "held" if each.held else "[red]short[/red]")
+    named = {each.figure for each in summary.expectations}
     for name in ("goodput", "latency_p50_ms", "latency_p99_ms", "refused", "failed", "broken_rules",
                  "rig_late_p99_ms"):  # fmt: skip
         if name not in named:
@@ -171,10 +170,12 @@
     for rule, text in RULES.items():
         if count := values[f"broken_{rule}"]:
             screen.print(f"[red]broken {count:.0f} times[/red]: {text}")
-    for item in table["breaks"][:5]:
-        screen.print(f"  {item['rule']} at {item['at_ms'] / 1000:.2f} s, n{item['node']}: {item['text']}")
-    if table["void"]:
-        screen.print(f"[red]void[/red]: the rig's own lateness is {values['rig_late_p99_ms']:.1f} ms at p99")
+    for item in summary.breaks[:MAX_SHOWN_VIOLATIONS]:
+        screen.print(f"  {item.rule} at {item.at_ms / 1000:.2f} s, n{item.node}: {item.text}")
+    if summary.void:
+        screen.print(
+            f"[red]void[/red]: the harness's own lateness is {values['rig_late_p99_ms']:.1f} ms at p99"
+        )
 
 
 @app.command()
@@ -194,12 +195,12 @@
         with stopping():
             with rich.live.Live(console=console, transient=True, refresh_per_second=4) as picture:
                 picture.update("starting three nodes")
-                seen, table = run_once(spec, seed, what, folder, False, Screen(picture))
+                seen, summary = run_once(spec, seed, what, folder, False, Screen(picture))
             if out is not None:
-                write_report(spec, seen, table, out)
-    ends = table["figures"]
+                write_report(spec, seen, summary, out)
+    ends = summary.figures
     served = f"{ends['served']:.2%} of {ends['offered_per_s']:.0f} requests a second were served"
-    raise finish(table, as_json, f"{served}; {'RULES BROKE' if ends['broken_rules'] else 'no rule broke'}")
+    raise finish(summary, as_json, f"{served}; {'RULES BROKE' if ends['broken_rules'] else 'no rule broke'}")
 
 
 @lab.command("run")
@@ -224,16 +225,16 @@
             at = max(0.0, run.fleet.now() / 1000)
             status.update(f"{spec.name}: {at:.0f} of {spec.seconds:g} s")
 
-        seen, table = run_once(spec, seed, what, out, verbose, None if verbose else live)
-        write_report(spec, seen, table, out)
-    raise finish(table, as_json, str(out / "report.html"))
+        seen, summary = run_once(spec, seed, what, out, verbose, None if verbose else live)
+        write_report(spec, seen, summary, out)
+    raise finish(summary, as_json, str(out / "report.html"))
 
 
-def write_report(spec: Experiment, seen: records.RunRecords, table: dict[str, Any], out: Path) -> None:
+def write_report(spec: Experiment, seen: records.RunRecords, summary: Summary, out: Path) -> None:
     """Write `report.html` beside the records."""
     from balancer.lab.report import run_page  # draws with matplotlib, which is slow to import
 
-    (out / "report.html").write_text(run_page(spec, seen, table), "utf-8")
+    (out / "report.html").write_text(run_page(spec, seen, summary), "utf-8")
 
 
 @lab.command("report")
@@ -245,11 +246,11 @@
         spec = decode_experiment((folder / "experiment.json").read_bytes())
         seen = records.read(folder / "records.msgpack")
         old = json.loads((folder / "summary.json").read_text("utf-8"))
-        table = judged(spec, old["seed"], old["program"], seen, folder)
-        write_report(spec, seen, table, folder)
+        summary = judged(spec, old["seed"], old["program"], seen, folder)
+        write_report(spec, seen, summary, folder)
     except (OSError, ValueError, KeyError, msgspec.MsgspecError) as err:
         raise stop(RunFolderError(f"{folder} holds no whole run: {err}")) from None
-    raise finish(table, as_json)
+    raise finish(summary, as_json)
 
 
 @lab.command("list")
@@ -337,9 +338,11 @@
             for side in ((0, 1), (1, 0))[seed % 2]:
                 folder = out / f"{'ab'[side]}-{seed}"
                 _, done = run_once(specs[side], seed, programs[side], folder)
-                if done["void"]:
-                    raise LateError(f"seed {seed}, {programs[side].label}: the rig was late; see {folder}")
-                values[side].append(done["figures"])
+                if done.void:
+                    raise LateError(
+                        f"seed {seed}, {programs[side].label}: the harness was late; see {folder}"
+                    )
+                values[side].append(done.figures)
                 progress.advance(bar)
     return values
 
--- a/balancer/lab/__init__.py
+++ b/balancer/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet lab: real nodes, stand-ins for all they meet, faults between them, and a judge."""
+"""The fleet lab: real nodes, stubs for all they meet, faults between them, and a judge."""
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -6,7 +6,6 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from itertools import pairwise
-from typing import Any
 
 import numpy as np
 from hdrh.histogram import HdrHistogram
@@ -408,33 +407,3 @@
     if value is None:
         return False
     return (expect.min is None or value >= expect.min) and (expect.max is None or value <= expect.max)
-
-
-def summary(
-    spec: Experiment, seed: int, program: str, seen: records.RunRecords, judged: Judgement
-) -> dict[str, Any]:
-    """Return the content of `summary.json`."""
-    values = figures(spec, seed, seen, judged)
-    return {
-        "version": 1,
-        "experiment": spec.name,
-        "seed": seed,
-        "program": program,
-        "seconds": spec.seconds,
-        "void": values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_MS
-        or values["node_waited_s_max"] > MAX_CPU_WAIT_S,
-        "figures": values,
-        "expectations": [
-            {
-                "figure": e.figure,
-                "min": e.min,
-                "max": e.max,
-                "measured": values.get(e.figure),
-                "held": expectation_holds(e, values),
-            }
-            for e in spec.expect
-        ],
-        "breaks": [
-            {"rule": b.rule, "at_ms": round(b.at, 1), "node": b.node, "text": b.text} for b in judged.first
-        ],
-    }
--- a/balancer/lab/impaired_sockets.py
+++ b/balancer/lab/impaired_sockets.py
@@ -2,8 +2,8 @@
 
 Each pair of parties has an address of its own, so a stub knows from which node a connection comes, and
 holds back at its own end what the network would hold back. Not taken: a relay process between each pair,
-which costs every byte two more trips through an event loop and with that two thirds of the load the rig can
-offer.
+which costs every byte two more trips through an event loop and with that two thirds of the load that the
+harness can offer.
 """
 
 from __future__ import annotations
--- a/balancer/lab/records.py
+++ b/balancer/lab/records.py
@@ -163,8 +163,10 @@
     datagram_counts: list[DatagramCountRecord] = msgspec.field(name="datagrams", default_factory=list)
     samples: list[ProcessSample] = msgspec.field(default_factory=list)
     member_views: list[MemberViewRecord] = msgspec.field(name="views", default_factory=list)
-    lateness: list[float] = msgspec.field(default_factory=list)  # ms, of each send of the rig
-    loop_lag: list[float] = msgspec.field(default_factory=list)  # ms, of each process of the rig every 20 ms
+    lateness: list[float] = msgspec.field(default_factory=list)  # ms, of each send of the harness
+    loop_lag: list[float] = msgspec.field(
+        default_factory=list
+    )  # ms, of each process of the harness every 20 ms
     unknown: list[str] = msgspec.field(default_factory=list)  # requests in a form no client sent
 
     def add(self, other: RunRecords) -> None:
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -7,7 +7,6 @@
 import io
 from collections.abc import Iterable, Sequence
 from itertools import pairwise
-from typing import Any
 
 import matplotlib
 
@@ -22,6 +21,7 @@
 from balancer.experiments.faults import LinkFault, PowerLoss, fault_kind
 from balancer.lab import records
 from balancer.lab.figures import WINDOW_S, Series, backend_loads, member_counts, operations, series
+from balancer.lab.summary import Summary
 from balancer.lab.timeline import last_step_at
 
 INK, GOOD, BAD, QUIET = "#1f2a37", "#1b7f5c", "#b3261e", "#8a94a3"
@@ -228,29 +228,29 @@
     )
 
 
-def run_page(spec: Experiment, seen: records.RunRecords, table: dict[str, Any]) -> str:
+def run_page(spec: Experiment, seen: records.RunRecords, summary: Summary) -> str:
     """Return the report of one run."""
     expected = [
-        (e["figure"], e["min"], e["max"], e["measured"], "held" if e["held"] else "short")
-        for e in table["expectations"]
+        (each.figure, each.min, each.max, each.measured, "held" if each.held else "short")
+        for each in summary.expectations
     ]
     parts = [
-        f"<p>{html.escape(spec.about)}</p><p><small>seed {table['seed']}, program "
-        f"{html.escape(table['program'])}, {spec.fleet.nodes} nodes, {spec.backends.count} backends, "
+        f"<p>{html.escape(spec.about)}</p><p><small>seed {summary.seed}, program "
+        f"{html.escape(summary.program)}, {spec.fleet.nodes} nodes, {spec.backends.count} backends, "
         f"{spec.rate:.0f} first tries a second for {spec.seconds:g} s; a request's time counts "
         f"from when it was meant to be sent</small></p>"
     ]
-    if table["void"]:
-        parts.append('<p class="short">Void: the rig itself was late, its figures tell nothing.</p>')
+    if summary.void:
+        parts.append('<p class="short">Void: the harness itself was late, its figures tell nothing.</p>')
     if expected:
         parts.append(table_html(expected, ("expected", "at least", "at most", "measured", "")))
     parts.append(png(plots(spec, seen)))
-    if table["breaks"]:
-        rows = [(b["rule"], b["at_ms"], f"n{b['node']}", b["text"]) for b in table["breaks"]]
+    if summary.breaks:
+        rows = [(each.rule, each.at_ms, f"n{each.node}", each.text) for each in summary.breaks]
         parts += ["<h2>Broken rules</h2>", table_html(rows, ("rule", "at, ms", "node", "what"))]
     parts += [
         "<h2>All figures</h2><div class='columns'>",
-        table_html(table["figures"].items(), ("figure", "")),
+        table_html(summary.figures.items(), ("figure", "")),
         "</div>",
     ]
     return page(f"{spec.name}: lab report", *parts)
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -153,7 +153,7 @@
         code = await harness_process.process.wait()
         if not harness_process.written.is_set() and not self.failed.done():
             failure = harness_process.error or LabError(
-                f"the rig's {harness_process.role} ended with code {code}"
+                f"the harness's {harness_process.role} ended with code {code}"
             )
             self.failed.set_exception(failure)
 
@@ -176,7 +176,9 @@
         for role, of in worker_counts(self.spec).items():
             for part in range(of):
                 await self._start_harness(role, part, of)
-        await self._or_failed(_all_set([r.ready for r in self.harness]), WORKER_READY_TIMEOUT_S, "the rig")
+        await self._or_failed(
+            _all_set([r.ready for r in self.harness]), WORKER_READY_TIMEOUT_S, "the harness"
+        )
         await asyncio.gather(*(node.start() for node in self.fleet.nodes))
         await self._nodes_ready()
         zero = time.monotonic() + LEAD_S
--- a/balancer/lab/scale/concurrent_callers.py
+++ b/balancer/lab/scale/concurrent_callers.py
@@ -46,7 +46,7 @@
     sent: int = 0  # of them, before the part was over
     statuses: dict[int, int] = msgspec.field(default_factory=dict)  # of the answers; 0: none came
     took_ms: list[float] = msgspec.field(default_factory=list)  # of each answer, since its request was due
-    late_ms: list[float] = msgspec.field(default_factory=list)  # the rig's own lateness with each request
+    late_ms: list[float] = msgspec.field(default_factory=list)  # the harness's own lateness with each request
 
     def answered(self, status: int, count: int = 1) -> None:
         """Count requests that have ended."""
--- a/balancer/lab/scale/decision_module.py
+++ b/balancer/lab/scale/decision_module.py
@@ -192,7 +192,7 @@
             old.phase = api.EndpointPhase.REMOVED
             begin = time.process_time_ns()
             balancer.handle(now, api.ListUpdate(api.ListUpdateKind.DELTA, [old, new], number + 2))
-            if unit == "us":  # else the rig's own list would be counted with the module's memory
+            if unit == "us":  # else the harness's own list would be counted with the module's memory
                 took.append(time.process_time_ns() - begin)
             if number + 1 in marks:
                 if unit == "bytes":
--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -42,8 +42,8 @@
 
 LIMITS = (
     "A watcher is the very Discovery and Call of a node with nothing behind it: no module, no pool, no "
-    "clients. All of them and the stand-in are one process, so the processor time of a delivery holds both "
-    "ends. The stand-in takes calls in turn, 4 ms each, and fails what waits over 1 s; its list has 200 "
+    "clients. All of them and the stub are one process, so the processor time of a delivery holds both "
+    "ends. The stub takes calls in turn, 4 ms each, and fails what waits over 1 s; its list has 200 "
     "entries. A change of the configuration is played as a line with one entry, as today's protocol has no "
     "other word for it."
 )
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -63,13 +63,14 @@
 )
 MEMORY_MB = 192.0  # of a node, as the platform's larger ones have
 NODE_LIMITS = (
-    "One process by `python -m balancer`, as built, without the fleet's rooms. Discovery and one backend "
-    "address under all ids are one process of the rig beside it, clients another: they ask 193 times a "
-    "second, however long answers take, timed from when a request was due: the latencies hold the rig's own "
-    "time, too (`rig_late` is what 99 in 100 of its requests and looks were late by at most, `rig_worst` the "
-    "latest of them). Once the list is in force, one entry changes each 0.5 s; `_lists` are figures of the "
-    "time behind that, in which a whole list without the node's own zone, one with it and the same but for "
-    "one are told, each once the one before is in force."
+    "One process by `python -m balancer`, as built, without the fleet's rooms. Discovery and one "
+    "backend address under all ids are one process of the harness beside it, clients another: they ask "
+    "193 times a second, however long answers take, timed from when a request was due: the latencies "
+    "hold the harness's own time, too (`rig_late` is what 99 in 100 of its requests and looks were "
+    "late by at most, `rig_worst` the latest of them). Once the list is in force, one entry changes "
+    "each 0.5 s; `_lists` are figures of the time behind that, in which a whole list without the "
+    "node's own zone, one with it and the same but for one are told, each once the one before is in "
+    "force."
 )
 
 
--- a/balancer/lab/scale/points.py
+++ b/balancer/lab/scale/points.py
@@ -79,7 +79,7 @@
     name: str
     run: Callable[[int], Iterable[Point | NotPlayed]]  # from a seed; points come as they are measured
     target: int  # the size of two years of what it grows by
-    limits: str  # what of it is hollow, what the stand-in or the world leaves out
+    limits: str  # what of it is hollow, what the stub or the world leaves out
     parts: tuple[Part, ...] = ()  # the same in the same order, where parts can be had beside one another
 
 
--- a/balancer/lab/scale/rack_failure.py
+++ b/balancer/lab/scale/rack_failure.py
@@ -29,20 +29,20 @@
 
 LIST_ENTRIES = 20_000
 MIN_RATE_SHARE = 0.98  # of the rate, else it counts as not played
-MAX_LATENESS_MS = 25.0  # that 99 in 100 of the rig's own requests and looks may be late, else likewise
+MAX_LATENESS_MS = 25.0  # that 99 in 100 of the harness's own requests and looks may be late, else likewise
 CALLER_PROCESSES = 2  # processes of clients, beside the one of the backends and of discovery
 BEFORE_S = 4.0  # of load before the failure
 AFTER_S = 5.0  # of load after it
 DRAIN_GRACE_S = 1.05  # after which nothing may go to a removed backend, with the slack of sockets
 
 LIMITS = (
-    f"{COUNT} processes by `python -m balancer`, without the fleet's rooms, before {LIST_ENTRIES:,} listed. "
-    "Each backend has an address of its own, all of them one listener of the rig. The rack is 40 backends "
-    "that the nodes were using; they are told as gone, their connections are reset, and all watches end with "
-    "discovery in the same moment. Clients ask each node 193 times a second, however long answers take, from "
-    f"{CALLER_PROCESSES} processes; backends and discovery are one more, and all share the cores with the "
-    "nodes. Sends are counted as the backends saw them; `rig_late` is what 99 in 100 of the rig's own "
-    "requests and looks were late by at most."
+    f"{COUNT} processes by `python -m balancer`, without the fleet's rooms, before {LIST_ENTRIES:,} "
+    "listed. Each backend has an address of its own, all of them one listener of the harness. The rack "
+    "is 40 backends that the nodes were using; they are told as gone, their connections are reset, and "
+    "all watches end with discovery in the same moment. Clients ask each node 193 times a second, "
+    f"however long answers take, from {CALLER_PROCESSES} processes; backends and discovery are one "
+    "more, and all share the cores with the nodes. Sends are counted as the backends saw them; "
+    "`rig_late` is what 99 in 100 of the harness's own requests and looks were late by at most."
 )
 
 
@@ -177,7 +177,7 @@
     for name, unit, value in figures:
         yield Point("rack", name, unit, backends, value, False)
     if sent_per_s < MIN_RATE_SHARE * RATE_PER_S or late_ms > MAX_LATENESS_MS:
-        why = f"{sent_per_s:.0f} were reached, and the rig itself was up to {late_ms:.0f} ms late"
+        why = f"{sent_per_s:.0f} were reached, and the harness itself was up to {late_ms:.0f} ms late"
         yield NotPlayed(f"rack at {RATE_PER_S:.0f} requests a second a node", why)
 
 
--- a/balancer/lab/scale/size.py
+++ b/balancer/lab/scale/size.py
@@ -32,7 +32,7 @@
 FEEDERS = 5  # nodes that feed one backend, see policy.FEEDERS
 PAGES_PER_S, PAGE_MEMBERS = 8, 25  # that the whole tier sends in a cold start, see docs/membership.md
 TURN_S = 0.025  # a node's slot at discovery as a tier returns, see docs/fleet-recovery.md
-CALL_S = 0.004  # work of one call at the stand-in of discovery
+CALL_S = 0.004  # work of one call at the stub of discovery
 
 REPLACED = 50_000  # restarts that a process may live to see: five days of them
 GROUP = BACKENDS / NODES  # backends that fall to a node
