--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -1,4 +1,4 @@
-"""The `balancer` command: parsing, exit codes, output. What it does is done in the rooms it calls."""
+"""The `balancer` command: parsing, exit codes, output."""
 
 from __future__ import annotations
 
@@ -21,19 +21,23 @@
 from balancer.cli import fleet, recovery, state
 from balancer.cli.output import Exit, stop
 from balancer.errors import BalancerError
+from balancer.experiments.errors import ExperimentError
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.loading import decode_experiment, load_experiment
 from balancer.lab import records
-from balancer.lab.figures import FEWEST, JUDGED, summary
+from balancer.lab.figures import JUDGED, MIN_SEEDS
 from balancer.lab.judge import RULES, Judge
-from balancer.lab.programs import HERE, ROOT, Program, ProgramError, obtain
+from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, obtain
 from balancer.lab.run import Live, ResultsError, Run, play
-from balancer.lab.spec import Experiment, SpecError, load
+from balancer.lab.summary import Summary, summarize
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
+MAX_SHOWN_VIOLATIONS = 5
 
 app = typer.Typer(help="A fleet of load-balancing nodes: try it, measure it, break it.", no_args_is_help=True,
                   add_completion=False, pretty_exceptions_enable=False)  # fmt: skip
 lab = typer.Typer(
-    help="Experiments: real nodes, stand-ins round them, faults between them.", no_args_is_help=True
+    help="Experiments: real nodes, stubs round them, faults between them.", no_args_is_help=True
 )
 app.add_typer(lab, name="lab")
 fleet.app.command()(recovery.recovery)
@@ -42,6 +46,7 @@
 console = Console(stderr=True)
 
 
+Values = dict[str, float]  # figures of a run by name
 Out = Annotated[Path, typer.Option("--out", help="Folder for the results; made if it is missing.")]
 Sets = Annotated[
     list[str] | None, typer.Option("--set", help="KEY=VALUE overrides a field, dotted. Repeatable.")
@@ -64,7 +69,7 @@
 
 
 class LateError(BalancerError):
-    """The rig of a comparison was late itself, so it cannot tell."""
+    """The harness of a comparison was late itself, so it cannot tell."""
 
     code = "LAB08"
     remedy = "compare again on a machine at rest, or with a lower rate and fewer nodes"
@@ -79,7 +84,7 @@
 
 @contextlib.contextmanager
 def stopping() -> Iterator[None]:
-    """What can go wrong while something is played ends the command with two lines."""
+    """End the command with two lines where a run cannot be played to its end."""
     try:
         yield
     except BalancerError as err:
@@ -91,18 +96,18 @@
 
 
 def experiment_of(name: str, sets: list[str] | None) -> Experiment:
-    """An experiment by its path, or by its name among those of the repository, with fields overridden."""
+    """Read an experiment by its path, or by its name in the repository, with fields overridden."""
     path = Path(name)
     try:
-        return load(path if path.suffix == ".toml" else EXPERIMENTS / f"{name}.toml", sets or ())
-    except SpecError as err:
+        return load_experiment(path if path.suffix == ".toml" else EXPERIMENTS / f"{name}.toml", sets or ())
+    except ExperimentError as err:
         raise stop(err) from None
 
 
 def program(what: str) -> Program:
-    """The program that is played, built if need be."""
+    """Return the program of a run, built if need be."""
     try:
-        with console.status(f"building {what}" if what != HERE else "building the node"):
+        with console.status(f"building {what}" if what != WORKING_TREE else "building the node"):
             return obtain(what)
     except ProgramError as err:
         raise stop(err) from None
@@ -111,55 +116,52 @@
 
 
 def run_once(spec: Experiment, seed: int, what: Program, out: Path, human: bool = False,
-             live: Live | None = None) -> tuple[records.Seen, dict[str, Any]]:  # fmt: skip
+             live: Live | None = None) -> tuple[records.RunRecords, Summary]:  # fmt: skip
     """Play, judge and write `summary.json` and `experiment.json`; raises what `play` does, and OSError."""
     seen = uvloop.run(play(spec, seed, what, out, human, live))
     (out / "experiment.json").write_bytes(msgspec.json.encode(spec))
     return seen, judged(spec, seed, what.label, seen, out)
 
 
-def judged(spec: Experiment, seed: int, label: str, seen: records.Seen, out: Path) -> dict[str, Any]:
+def judged(spec: Experiment, seed: int, label: str, seen: records.RunRecords, out: Path) -> Summary:
     """Judge the records and write `summary.json`; raises OSError."""
-    table = summary(spec, seed, label, seen, Judge(spec, seen).judge())
-    (out / "summary.json").write_text(json.dumps(table, indent=1) + "\n", "utf-8")
-    return table
+    summary = summarize(spec, seed, label, seen, Judge(spec, seen).judge())
+    (out / "summary.json").write_text(summary.encode(indent=1) + "\n", "utf-8")
+    return summary
 
 
-def verdict(table: dict[str, Any]) -> Exit:
-    """The exit code of a run."""
-    if table["void"]:
+def verdict(summary: Summary) -> Exit:
+    """Return the exit code of a run."""
+    if summary.void:
         return Exit.NOT_RUN
-    good = all(e["held"] for e in table["expectations"]) and not table["figures"]["broken_rules"]
+    good = all(each.held for each in summary.expectations) and not summary.figures["broken_rules"]
     return Exit.HELD if good else Exit.SHORT
 
 
-def finish(table: dict[str, Any], as_json: bool, *lines: str) -> typer.Exit:
+def finish(summary: Summary, as_json: bool, *lines: str) -> typer.Exit:
     """Print a run's outcome, with further lines for people."""
     if as_json:
-        print(json.dumps(table))
+        print(summary.encode())
     else:
-        show(table)
+        show(summary)
         for line in lines:
             print(line)
-    return typer.Exit(verdict(table))
+    return typer.Exit(verdict(summary))
 
 
-def show(table: dict[str, Any]) -> None:
-    """A run's outcome for people."""
+def show(summary: Summary) -> None:
+    """Show the outcome of a run to people."""
     screen = Console()
-    values = table["figures"]
-    rows = Table(
-        title=f"{table['experiment']}, seed {table['seed']}, {table['program']}", title_justify="left"
-    )
+    values = summary.figures
+    rows = Table(title=f"{summary.experiment}, seed {summary.seed}, {summary.program}", title_justify="left")
     for name in ("figure", "measured", "bound", ""):
         rows.add_column(name, justify="right" if name == "measured" else "left")
-    for e in table["expectations"]:
-        parts = [
-            f"{sign} {e[side]:g}" for side, sign in (("min", ">="), ("max", "<=")) if e[side] is not None
-        ]
-        shown = "-" if e["measured"] is None else f"{e['measured']:.4g}"
-        rows.add_row(e["figure"], shown, " ".join(parts), "held" if e["held"] else "[red]short[/red]")
-    named = {e["figure"] for e in table["expectations"]}
+    for each in summary.expectations:
+        bounds = ((each.min, ">="), (each.max, "<="))
+        parts = [f"{sign} {bound:g}" for bound, sign in bounds if bound is not None]
+        shown = "-" if each.measured is None else f"{each.measured:.4g}"
+        rows.add_row(each.figure, shown, " ".join(parts), "held" if each.held else "[red]short[/red]")
+    named = {each.figure for each in summary.expectations}
     for name in ("goodput", "latency_p50_ms", "latency_p99_ms", "refused", "failed", "broken_rules",
                  "rig_late_p99_ms"):  # fmt: skip
         if name not in named:
@@ -168,10 +170,12 @@
     for rule, text in RULES.items():
         if count := values[f"broken_{rule}"]:
             screen.print(f"[red]broken {count:.0f} times[/red]: {text}")
-    for item in table["breaks"][:5]:
-        screen.print(f"  {item['rule']} at {item['at_ms'] / 1000:.2f} s, n{item['node']}: {item['text']}")
-    if table["void"]:
-        screen.print(f"[red]void[/red]: the rig's own lateness is {values['rig_late_p99_ms']:.1f} ms at p99")
+    for item in summary.breaks[:MAX_SHOWN_VIOLATIONS]:
+        screen.print(f"  {item.rule} at {item.at_ms / 1000:.2f} s, n{item.node}: {item.text}")
+    if summary.void:
+        screen.print(
+            f"[red]void[/red]: the harness's own lateness is {values['rig_late_p99_ms']:.1f} ms at p99"
+        )
 
 
 @app.command()
@@ -185,18 +189,18 @@
     from balancer.cli.demo import Screen, experiment
 
     spec = experiment(seconds)
-    what = program(HERE)
+    what = program(WORKING_TREE)
     with tempfile.TemporaryDirectory(prefix="balancer-demo-") as temporary:
         folder = out or Path(temporary)
         with stopping():
             with rich.live.Live(console=console, transient=True, refresh_per_second=4) as picture:
                 picture.update("starting three nodes")
-                seen, table = run_once(spec, seed, what, folder, False, Screen(picture))
+                seen, summary = run_once(spec, seed, what, folder, False, Screen(picture))
             if out is not None:
-                write_report(spec, seen, table, out)
-    ends = table["figures"]
+                write_report(spec, seen, summary, out)
+    ends = summary.figures
     served = f"{ends['served']:.2%} of {ends['offered_per_s']:.0f} requests a second were served"
-    raise finish(table, as_json, f"{served}; {'RULES BROKE' if ends['broken_rules'] else 'no rule broke'}")
+    raise finish(summary, as_json, f"{served}; {'RULES BROKE' if ends['broken_rules'] else 'no rule broke'}")
 
 
 @lab.command("run")
@@ -205,7 +209,9 @@
     out: Out,
     seed: Annotated[int, typer.Option(min=0, help="Draws arrivals, sizes, speeds and faults.")] = 1,
     sets: Sets = None,
-    revision: Annotated[str, typer.Option(help="Plays REVISION[+VARIANT] of this repository.")] = HERE,
+    revision: Annotated[
+        str, typer.Option(help="Plays REVISION[+VARIANT] of this repository.")
+    ] = WORKING_TREE,
     as_json: AsJson = False,
     verbose: Annotated[bool, typer.Option("--verbose", "-v", help="Show the lab's log as it goes.")] = False,
 ) -> None:
@@ -219,16 +225,16 @@
             at = max(0.0, run.fleet.now() / 1000)
             status.update(f"{spec.name}: {at:.0f} of {spec.seconds:g} s")
 
-        seen, table = run_once(spec, seed, what, out, verbose, None if verbose else live)
-        write_report(spec, seen, table, out)
-    raise finish(table, as_json, str(out / "report.html"))
+        seen, summary = run_once(spec, seed, what, out, verbose, None if verbose else live)
+        write_report(spec, seen, summary, out)
+    raise finish(summary, as_json, str(out / "report.html"))
 
 
-def write_report(spec: Experiment, seen: records.Seen, table: dict[str, Any], out: Path) -> None:
-    """`report.html` beside the records."""
+def write_report(spec: Experiment, seen: records.RunRecords, summary: Summary, out: Path) -> None:
+    """Write `report.html` beside the records."""
     from balancer.lab.report import run_page  # draws with matplotlib, which is slow to import
 
-    (out / "report.html").write_text(run_page(spec, seen, table), "utf-8")
+    (out / "report.html").write_text(run_page(spec, seen, summary), "utf-8")
 
 
 @lab.command("report")
@@ -237,25 +243,25 @@
 ) -> None:
     """Judge a run's records anew and write its summary and report once more."""
     try:
-        spec = msgspec.json.decode((folder / "experiment.json").read_bytes(), type=Experiment)
+        spec = decode_experiment((folder / "experiment.json").read_bytes())
         seen = records.read(folder / "records.msgpack")
         old = json.loads((folder / "summary.json").read_text("utf-8"))
-        table = judged(spec, old["seed"], old["program"], seen, folder)
-        write_report(spec, seen, table, folder)
+        summary = judged(spec, old["seed"], old["program"], seen, folder)
+        write_report(spec, seen, summary, folder)
     except (OSError, ValueError, KeyError, msgspec.MsgspecError) as err:
         raise stop(RunFolderError(f"{folder} holds no whole run: {err}")) from None
-    raise finish(table, as_json)
+    raise finish(summary, as_json)
 
 
 @lab.command("list")
 def lab_list(as_json: AsJson = False) -> None:
-    """The experiments of the repository."""
+    """List the experiments of the repository."""
     rows = []
     for path in sorted(EXPERIMENTS.glob("*.toml")):
         try:
-            spec = load(path)
-        except SpecError as err:
-            raise stop(SpecError(f"{path.name}: {err}")) from None
+            spec = load_experiment(path)
+        except ExperimentError as err:
+            raise stop(ExperimentError(f"{path.name}: {err}")) from None
         rows.append(
             {
                 "name": spec.name,
@@ -285,7 +291,7 @@
     b: Annotated[str, typer.Argument(help="The other one. Variants: alone, random, delay-MS, burn-US.")],
     out: Out,
     experiment: Annotated[str, typer.Option("--experiment", "-e", help="File or name.")] = "calm",
-    seeds: Annotated[int, typer.Option(min=2, max=100, help="Each is played by both.")] = FEWEST,
+    seeds: Annotated[int, typer.Option(min=2, max=100, help="Each is played by both.")] = MIN_SEEDS,
     first_seed: Annotated[int, typer.Option(min=0)] = 1,
     sets: Sets = None,
     sets_b: Annotated[
@@ -301,22 +307,9 @@
     specs = (experiment_of(experiment, sets), experiment_of(experiment, [*(sets or ()), *(sets_b or ())]))
     spec = specs[0]
     programs = (program(a), program(b))
-    values: tuple[list[dict[str, float]], list[dict[str, float]]] = ([], [])
+    judged = tuple(dict.fromkeys([*JUDGED, *(more or ())]))
     with stopping():
-        with Progress(console=console, transient=True) as progress:
-            bar = progress.add_task(spec.name, total=2 * seeds)
-            for seed in range(first_seed, first_seed + seeds):
-                # Who plays first changes from seed to seed: a machine that drifts favours neither.
-                for side in ((0, 1), (1, 0))[seed % 2]:
-                    folder = out / f"{'ab'[side]}-{seed}"
-                    _, done = run_once(specs[side], seed, programs[side], folder)
-                    if done["void"]:
-                        raise LateError(
-                            f"seed {seed}, {programs[side].label}: the rig was late; see {folder}"
-                        )
-                    values[side].append(done["figures"])
-                    progress.advance(bar)
-        judged = tuple(dict.fromkeys([*JUDGED, *(more or ())]))
+        values = _paired_figures(specs, programs, range(first_seed, first_seed + seeds), out)
         for name in judged:
             if not all(name in figures for side in values for figures in side):
                 raise FigureError(f"--figure {name}: not all runs have that figure; see {out}")
@@ -329,13 +322,31 @@
     if as_json:
         print(json.dumps(result))
     else:
-        _show_differences(result)
-        if seeds < FEWEST:
-            print(f"fewer than {FEWEST} seeds: {len(judged)} figures cannot differ at this level")
-        print(out / "compare.html")
+        _show_differences(result, len(judged), out)
     raise typer.Exit(Exit.SHORT if any(d.differs for d in found) else Exit.HELD)
 
 
+def _paired_figures(
+    specs: tuple[Experiment, Experiment], programs: tuple[Program, Program], seeds: range, out: Path
+) -> tuple[list[Values], list[Values]]:
+    """Play both programs on each seed and return the figures of each; raises LateError."""
+    values: tuple[list[Values], list[Values]] = ([], [])
+    with Progress(console=console, transient=True) as progress:
+        bar = progress.add_task(specs[0].name, total=2 * len(seeds))
+        for seed in seeds:
+            # Who plays first changes from seed to seed: a machine that drifts favours neither.
+            for side in ((0, 1), (1, 0))[seed % 2]:
+                folder = out / f"{'ab'[side]}-{seed}"
+                _, done = run_once(specs[side], seed, programs[side], folder)
+                if done.void:
+                    raise LateError(
+                        f"seed {seed}, {programs[side].label}: the harness was late; see {folder}"
+                    )
+                values[side].append(done.figures)
+                progress.advance(bar)
+    return values
+
+
 @lab.command("scale")
 def lab_scale(
     out: Out,
@@ -343,9 +354,9 @@
     seed: Annotated[int, typer.Option(min=0, help="Draws what is drawn; counted figures go by it.")] = 1,
     as_json: AsJson = False,
 ) -> None:
-    """What each role costs at growing sizes, and its slope to the size of two years. Within 15 minutes."""
+    """Measure the cost of each role at growing sizes, and its slope up to two years. Within 15 minutes."""
     from balancer.cli.scale import play_all, show_slopes
-    from balancer.lab.scale.rig import encode, write
+    from balancer.lab.scale.runner import encode, write
 
     with stopping():
         result = play_all(quick, seed, console)
@@ -357,7 +368,7 @@
         print(out / "scale.html")
 
 
-def _show_differences(result: dict[str, Any]) -> None:
+def _show_differences(result: dict[str, Any], judged: int, out: Path) -> None:
     rows = Table(title=f"{result['experiment']}: A {result['a']}, B {result['b']}, {result['seeds']} seeds",
                  title_justify="left")  # fmt: skip
     for name in ("figure", "A", "B", "B less A", "95%", "p", "differs"):
@@ -369,6 +380,9 @@
             "[red]yes[/red]" if d["differs"] else "no",
         )  # fmt: skip
     Console().print(rows)
+    if result["seeds"] < MIN_SEEDS:
+        print(f"fewer than {MIN_SEEDS} seeds: {judged} figures cannot differ at this level")
+    print(out / "compare.html")
 
 
 def main() -> None:
--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -10,16 +10,18 @@
 from rich.table import Table
 from rich.text import Text
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Kill
+from balancer.experiments.tables import Expect, Load
 from balancer.lab.figures import percentiles
 from balancer.lab.run import Run
-from balancer.lab.spec import Expect, Experiment, Kill, Load
 from balancer.lab.timeline import Step, timeline
 
 BARS = " ▁▂▃▄▅▆▇█"
 
 
 def experiment(seconds: float) -> Experiment:
-    """What the demo plays; its faults come at the same parts of any length."""
+    """Return the experiment of the demo; its faults come at the same shares of any length."""
     back = 0.2 * seconds
     return Experiment(
         name="demo",
@@ -27,8 +29,8 @@
         seconds=seconds,
         load=Load(utilisation=0.45),
         faults=(
-            Kill(at=round(0.25 * seconds, 2), what="backends:4", restart_after=back),
-            Kill(at=round(0.5 * seconds, 2), what="nodes:1", restart_after=back),
+            Kill(at=round(0.25 * seconds, 2), targets="backends:4", restart_after=back),
+            Kill(at=round(0.5 * seconds, 2), targets="nodes:1", restart_after=back),
         ),
         expect=(Expect(figure="broken_rules", max=0.0),),
     )
@@ -50,9 +52,9 @@
         ends: dict[str, int] = {}
         up: set[int] = set()
         backends: dict[str, dict[str, Any]] = {}
-        for rig in run.rigs:
-            backends |= rig.live.get("backends", {})
-            for zone in rig.live.get("clients", {}).values():
+        for harness_process in run.harness:
+            backends |= harness_process.live.get("backends", {})
+            for zone in harness_process.live.get("clients", {}).values():
                 up.update(zone["up"])
                 for name, count in zone["ends"].items():
                     ends[name] = ends.get(name, 0) + count
--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -10,6 +10,7 @@
 import time
 from collections import Counter
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Annotated, Any, TypeVar
 
 import msgspec
@@ -45,8 +46,10 @@
     remedy = "give it a PROXY_FLEET file with [membership]; where it has one, its log says MEM01 and why"
 
 
-PATIENCE = 2.0  # s for a console to answer
-EVERY = 1.0  # s between two looks of --watch
+CONSOLE_TIMEOUT_S = 2.0
+WATCH_INTERVAL_S = 1.0
+MAX_LISTED_NODES = 20
+DAY_MS = 86_400_000
 COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim", "unknown": "dim"}
 
 Shown = TypeVar("Shown")
@@ -68,7 +71,7 @@
     me: int = 0
     nodes: int = 0
     present_nodes: int = 0
-    life: int = 0
+    generation: int = msgspec.field(name="life", default=0)
     incarnation: int = 0
     view: str = ""
     view_for_ms: int = 0
@@ -81,11 +84,11 @@
     counts: dict[str, int] = {}
 
     def rows(self) -> list[dict[str, Any]]:
-        """The members, each with its number and named fields."""
+        """Return the members, each with its number and named fields."""
         return [{"node": n} | dict(zip(self.columns, m, strict=False)) for n, m in enumerate(self.members)]
 
 
-class Rooms(msgspec.Struct):
+class FleetStats(msgspec.Struct):
     """The `fleet` object."""
 
     membership: Membership | None = None
@@ -95,11 +98,11 @@
 class Stats(msgspec.Struct):
     """`GET /stats`, as far as it is read here."""
 
-    fleet: Rooms | None = None
+    fleet: FleetStats | None = None
 
 
-def rooms(console: str) -> Rooms:
-    """What the console says now; raises typer.Exit, said why, where it says nothing of use."""
+def read_fleet_stats(console: str) -> FleetStats:
+    """Read the `fleet` object of a console; raises typer.Exit where there is none."""
     import httpx  # some 50 ms that the other commands need not wait
 
     try:
@@ -108,21 +111,21 @@
         raise stop(ArgumentError(f"--console makes no sense: {err}")) from None
     url = httpx.URL(scheme="http", host=host, port=port, path="/stats")
     try:
-        answer = httpx.get(url, timeout=PATIENCE, trust_env=False)  # no proxy of the shell
+        answer = httpx.get(url, timeout=CONSOLE_TIMEOUT_S, trust_env=False)  # no proxy of the shell
     except httpx.HTTPError as err:
         raise stop(SilentError(f"{console} does not answer: {err}")) from None
-    if answer.status_code != 200:
+    if answer.status_code != HTTPStatus.OK:
         raise stop(SilentError(f"{console} answers {answer.status_code} to GET /stats"))
     try:
         stats = msgspec.json.decode(answer.content, type=Stats)
     except msgspec.MsgspecError as err:
         raise stop(SilentError(f"{console} gives no figures of a node: {err}")) from None
-    return stats.fleet or Rooms()
+    return stats.fleet or FleetStats()
 
 
-def look(console: str) -> Membership:
-    """The membership; raises typer.Exit, said why, where there is none."""
-    found = rooms(console).membership
+def read_membership(console: str) -> Membership:
+    """Read the membership of a console; raises typer.Exit where there is none."""
+    found = read_fleet_stats(console).membership
     if found is None:
         raise stop(AbsentError(
             f"{console}: membership is off there (PROXY_FLEET names no file with [membership])"
@@ -135,15 +138,15 @@
 
 
 def ago(ms: float) -> str:
-    """A time span for people."""
-    for unit, size in (("d", 86_400_000), ("h", 3_600_000), ("min", 60_000), ("s", 1000)):
+    """Return a time span for people."""
+    for unit, size in (("d", DAY_MS), ("h", 3_600_000), ("min", 60_000), ("s", 1000)):
         if ms >= size:
             return f"{ms / size:.0f} {unit}"
     return f"{ms:.0f} ms"
 
 
 def table_of(seen: Membership) -> RenderableType:
-    """The members for people."""
+    """Return the members for people."""
     table = Table(title=f"{seen.present_nodes} of {seen.nodes} present, as node {seen.me} sees it",
                   title_justify="left")  # fmt: skip
     for name in ("node", "state", "for", "life", "incarnation", "its view"):
@@ -158,13 +161,13 @@
     return table
 
 
-def members_held(seen: Membership) -> bool:
-    """Whether every member is present and none is suspected."""
+def all_members_alive(seen: Membership) -> bool:
+    """Return whether every member is present and none is suspected."""
     return all(row["state"] == "alive" for row in seen.rows())
 
 
 def summary(seen: Membership) -> dict[str, Any]:
-    """The view in few fields."""
+    """Return the view in few fields."""
     states = Counter(row["state"] for row in seen.rows())
     others = [r["node"] for r in seen.rows()
               if r["state"] in ("alive", "suspect") and r["view"] not in (None, seen.view)
@@ -173,22 +176,22 @@
         "node": seen.me, "view": seen.view, "for_ms": seen.view_for_ms, "reason": seen.view_reason,
         "nodes": seen.nodes, "present": seen.present_nodes, "states": dict(states), "quorum": seen.quorum,
         "agreement": seen.agreement, "last_said_otherwise": others, "health": seen.health,
-        "life": seen.life, "incarnation": seen.incarnation, "counts": seen.counts,
+        "life": seen.generation, "incarnation": seen.incarnation, "counts": seen.counts,
     }  # fmt: skip
 
 
 def view_of(seen: Membership) -> RenderableType:
-    """The view for people."""
+    """Return the view for people."""
     row = summary(seen)
     quorum = "more than half" if seen.quorum else "[red]a minority[/red]"
     agree = f"{seen.agreement:.0%}" if seen.agreement == 1 else f"[yellow]{seen.agreement:.0%}[/yellow]"
     states = ", ".join(f"{count} {state}" for state, count in sorted(row["states"].items()))
     named = row["last_said_otherwise"]
-    more = f" and {len(named) - 20} more" if len(named) > 20 else ""
-    others = ", ".join(map(str, named[:20])) + more if named else "none"
+    more = f" and {len(named) - MAX_LISTED_NODES} more" if len(named) > MAX_LISTED_NODES else ""
+    others = ", ".join(map(str, named[:MAX_LISTED_NODES])) + more if named else "none"
     counts = ", ".join(f"{name} {count}" for name, count in sorted(seen.counts.items()))
     lines = [
-        f"node {seen.me}, life {seen.life}, incarnation {seen.incarnation}, late by {seen.health} of 8",
+        f"node {seen.me}, life {seen.generation}, incarnation {seen.incarnation}, late by {seen.health} of 8",
         f"view {seen.view} for {ago(seen.view_for_ms)} ({seen.view_reason})",
         f"{seen.present_nodes} of {seen.nodes} present, {quorum}: {states}",
         f"{agree} of the peers heard lately agree; last said otherwise: {others}",
@@ -197,44 +200,44 @@
     return Group(*(Text.from_markup(line) for line in lines))
 
 
-def view_held(seen: Membership) -> bool:
+def is_agreed_majority(seen: Membership) -> bool:
     """Whether this node is of a majority whose views agree."""
     return seen.quorum and seen.agreement == 1.0
 
 
 def show(
-    at: str, as_json: bool, watch: bool, look: Callable[[str], Shown], data: Callable[[Shown], Any],
-    draw: Callable[[Shown], RenderableType], held: Callable[[Shown], bool],
+    at: str, as_json: bool, watch: bool, read: Callable[[str], Shown], data: Callable[[Shown], Any],
+    draw: Callable[[Shown], RenderableType], is_well: Callable[[Shown], bool],
 ) -> typer.Exit:  # fmt: skip
     """Look once, or again and again; the exit code is that of the last look."""
-    seen = look(at)
+    seen = read(at)
     try:
         if watch and not as_json:
             with rich.live.Live(draw(seen), console=Console(), refresh_per_second=2) as picture:
                 while True:
-                    time.sleep(EVERY)
-                    seen = look(at)
+                    time.sleep(WATCH_INTERVAL_S)
+                    seen = read(at)
                     picture.update(draw(seen))
         while watch:
             print(json.dumps(data(seen)), flush=True)
-            time.sleep(EVERY)
-            seen = look(at)
+            time.sleep(WATCH_INTERVAL_S)
+            seen = read(at)
     except KeyboardInterrupt:
-        return typer.Exit(Exit.HELD if held(seen) else Exit.SHORT)
+        return typer.Exit(Exit.HELD if is_well(seen) else Exit.SHORT)
     if as_json:
         print(json.dumps(data(seen)))
     else:
         Console().print(draw(seen))
-    return typer.Exit(Exit.HELD if held(seen) else Exit.SHORT)
+    return typer.Exit(Exit.HELD if is_well(seen) else Exit.SHORT)
 
 
 @app.command()
 def members(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
     """Every member, its state and life. Exit code 0: all present; 1: some are not; 2: no answer."""
-    raise show(console, as_json, watch, look, Membership.rows, table_of, members_held)
+    raise show(console, as_json, watch, read_membership, Membership.rows, table_of, all_members_alive)
 
 
 @app.command()
 def view(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
     """Whether the tier agrees. Exit code 0: a majority that agrees; 1: not; 2: no answer."""
-    raise show(console, as_json, watch, look, summary, view_of, view_held)
+    raise show(console, as_json, watch, read_membership, summary, view_of, is_agreed_majority)
--- a/balancer/cli/recovery.py
+++ b/balancer/cli/recovery.py
@@ -6,7 +6,7 @@
 from rich.console import Group, RenderableType
 from rich.text import Text
 
-from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, rooms, show
+from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, read_fleet_stats, show
 from balancer.cli.output import stop
 from balancer.recovery.stats import NOT_TRUSTED, RecoveryStats
 
@@ -20,7 +20,7 @@
     Raises:
         typer.Exit: With one line if there is no valid answer.
     """
-    found = rooms(console).recovery
+    found = read_fleet_stats(console).recovery
     if found is None:
         why = f"{console}: recovery is off there (PROXY_FLEET names no file with [recovery])"
         raise stop(AbsentError(why))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,10 +12,12 @@
 from hypothesis import strategies as st
 
 from balancer import interface as api
-from balancer.lab.spec import Backends, Clients, Experiment, Fleet, Load, Rules, Surge
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.faults import Surge
+from balancer.experiments.tables import Backends, Clients, Fleet, Load, Rules
 from balancer.policy import Balancer
 from balancer.policy.recovery_admission import USABLE_CAPACITY_FRACTION, RecoveryAdmission
-from balancer.sim.service import Cut, World
+from balancer.sim.service import PowerCut, World
 from tests.helpers import BASE, answers, entry
 
 NAMES = "ABCDEFGH"
@@ -139,16 +141,17 @@
 
 STRESS = Experiment(
     name="many nodes on few backends", seconds=9.0, fleet=Fleet(nodes=40), clients=Clients(retries=2),
-    backends=Backends(count=4, cold_from=0.2), load=Load(utilisation=0.7), rules=Rules(cold_share=0.2),
-    faults=(Surge(at=2.5, for_=4.0, times=4.0),),
+    backends=Backends(count=4, cold_capacity_share=0.2), load=Load(utilisation=0.7),
+    rules=Rules(cold_share=0.2),
+    faults=(Surge(at=2.5, duration_s=4.0, factor=4.0),),
 )  # fmt: skip
 
 
 def test_a_tier_that_recovers_into_a_surge_serves_more() -> None:
     """Forty nodes with a floor of two sends each would swamp four cold backends."""
-    figures = [World(STRESS, 3, Cut(2.0, over=1.0), room).play() for room in (False, True)]
+    figures = [World(STRESS, 3, PowerCut(2.0, over=1.0), room).play() for room in (False, True)]
     without, with_room = (f.goodput(4.5, 8.5) for f in figures)
-    assert figures[1].toppled == 0
+    assert figures[1].collapsed == 0
     assert with_room > 1.1 * without
 
 
@@ -160,8 +163,8 @@
     served: dict[bool, list[float]] = {False: [], True: []}
     for seed in range(1, 9):
         for room in served:
-            figures = World(spec, seed, Cut(2.0, over=1.0), room).play()
+            figures = World(spec, seed, PowerCut(2.0, over=1.0), room).play()
             served[room].append(figures.goodput(4.5, 8.5))
-            assert not room or figures.toppled == 0
+            assert not room or figures.collapsed == 0
     assert min(served[True]) >= 0.85
     assert sum(served[True]) >= sum(served[False])
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -14,12 +14,13 @@
 import pytest
 from msgspec import structs
 
+from balancer.experiments.experiment import Experiment
+from balancer.experiments.loading import load_experiment
 from balancer.lab.figures import figures
 from balancer.lab.judge import RULES, Judge
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import play
-from balancer.lab.spec import Experiment, load
-from tests import virtual
+from tests import virtual_run
 
 # A drain, a ban and a cold backend: room to break every rule.
 SPEC = """
@@ -31,8 +32,8 @@
 [backends]
 count = 4
 cores = 1
-cold-from = 0.1
-cold-s = 20.0
+cold-capacity-share = 0.1
+warm-up-s = 20.0
 [discovery]
 add-s = 0.1
 notice-s = 0.1
@@ -68,12 +69,12 @@
 def spec(tmp_path: Path) -> Experiment:
     """The play."""
     (tmp_path / "spec.toml").write_text(SPEC)
-    return load(tmp_path / "spec.toml")
+    return load_experiment(tmp_path / "spec.toml")
 
 
 def broken(spec: Experiment, seed: int, defect: str) -> dict[str, int]:
     """The rules that a defect broke, by the judge."""
-    seen = virtual.play(spec, seed, defect)
+    seen = virtual_run.play(spec, seed, defect)
     judged = Judge(spec, seen).judge()
     assert figures(spec, seed, seen, judged)["served"] > 0.1
     assert max(seen.lateness) < 0.001  # ms
@@ -97,8 +98,10 @@
 
 
 def test_a_play_by_the_virtual_clock_is_the_same_each_time(spec: Experiment) -> None:
-    one, other = (virtual.play(spec, 1, "twice") for _ in range(2))
-    assert (one.tries, one.attempts, one.lateness) == (other.tries, other.attempts, other.lateness)
+    one, other = (virtual_run.play(spec, 1, "twice") for _ in range(2))
+    assert one.client_attempts == other.client_attempts
+    assert one.backend_attempts == other.backend_attempts
+    assert one.lateness == other.lateness
 
 
 def test_answers_that_a_process_made_up_are_all_caught(spec: Experiment, tmp_path: Path) -> None:
@@ -107,6 +110,6 @@
     spec = structs.replace(spec, seconds=1.0, faults=())
     for number in range(VOID):
         seen = asyncio.run(play(spec, 1, program, tmp_path / str(number)))
-        if made_up := sum(one.status == 200 and one.body == MADE_UP for one in seen.tries):
+        if made_up := sum(one.status == 200 and one.body == MADE_UP for one in seen.client_attempts):
             break
     assert 0 < made_up == Judge(spec, seen).judge().broken["made-up"]
