--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -21,20 +21,20 @@
     remedy: ClassVar[str]  # what an operator can do, one line
 
     def __str__(self) -> str:
-        """What happened, in one line."""
+        """Return what happened, in one line."""
         return " ".join(super().__str__().split())
 
     @property
     def line(self) -> str:
-        """The code and what happened: for the log."""
+        """Return the code and what happened, for the log."""
         return f"{self.code}: {self}"
 
     @property
     def report(self) -> tuple[str, str]:
-        """Two lines for a person: the code and what happened, and what to do."""
+        """Return two lines for a person: the code and what happened, and what to do."""
         return self.line, f"what to do: {self.remedy}"
 
     @property
     def sentence(self) -> str:
-        """The report in one line, for a process that does not run."""
+        """Return the report in one line, for a process that does not run."""
         return "; ".join(self.report)
--- a/balancer/net/counts_log.py
+++ b/balancer/net/counts_log.py
@@ -32,7 +32,7 @@
         self._lag_s = max(self._lag_s, now - due)
         self._pulses += 1
         if node.fleet is not None:
-            node.fleet.learned(node.balancer.learned_state, node.now())
+            node.fleet.save_learned(node.balancer.learned_state, node.now())
         if self._pulses >= PULSES_PER_LINE and node.counts:
             self._write_line(now)
         node.loop.call_at(now + PULSE_INTERVAL_S, self._pulse, now + PULSE_INTERVAL_S)
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -188,7 +188,7 @@
             self._schedule_retry(call)
         has_other_call = self.slow_call is not None or bool(self.former_calls)
         if self.node.fleet is not None and not (call.has_delivered_list or has_other_call):
-            self.node.fleet.list_failed()
+            self.node.fleet.list_request_failed()
 
     def _schedule_retry(self, call: DiscoveryCall) -> None:
         is_slow = call is self.slow_call
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -152,7 +152,7 @@
             return "stopping"
         if self.is_listening:
             return "" if self.is_up else "no backends are known"
-        return (self.fleet.waiting() if self.fleet is not None else "") or "starting"
+        return (self.fleet.startup_status() if self.fleet is not None else "") or "starting"
 
     async def set_maintenance(self, backend: str, is_out: bool) -> bool:
         """Take a backend out or put it back; False if it was never listed. Raises BalancerError."""
@@ -161,13 +161,13 @@
         now = self.now()
         is_change = is_out != (backend in self.maintenance.record.out)
         if self.fleet is not None:
-            await self.fleet.banned(backend, is_out, now, is_change)
+            await self.fleet.record_maintenance(backend, is_out, now, is_change)
         try:
             await self.maintenance.change(backend, is_out, now, self.settings.slow_start_ms)
         except BalancerError:
             if self.fleet is not None and is_change:  # the call fails: no later process may take it as done
                 with contextlib.suppress(BalancerError):
-                    await self.fleet.banned(backend, not is_out, now, is_change)
+                    await self.fleet.record_maintenance(backend, not is_out, now, is_change)
             raise
         return True
 
@@ -211,13 +211,13 @@
                 self._is_failure_reported = False
                 self.event(api.ListUpdate(api.ListUpdateKind.DELTA, []))
             if not self.endpoints_received.is_set() and self.fleet is not None:
-                self.fleet.unchanged()
+                self.fleet.list_confirmed()
             self.endpoints_received.set()
             return
         if kind is not api.ListUpdateKind.CACHED:
             self.endpoints_received.set()
             if self.fleet is not None:
-                self.fleet.listed(news, kind)
+                self.fleet.list_received(news, kind)
         self.has_endpoints = self.has_endpoints or self.pool.in_service_count > 0
 
     def discovery_failed(self, reached: bool = False, queued: bool = False) -> None:
--- a/balancer/net/node_ports.py
+++ b/balancer/net/node_ports.py
@@ -42,25 +42,25 @@
     def stats(self) -> dict[str, object]:
         """Return their part of the statistics."""
 
-    def listed(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
+    def list_received(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Take an update of the endpoint list."""
 
-    def unchanged(self) -> None:
+    def list_confirmed(self) -> None:
         """Take note that the list in force is discovery's, before any update of it."""
 
-    def learned(self, what: Callable[[float], api.LearnedState], now: float) -> None:
-        """Save the learned state, which `what` returns, if that is due at `now` (ms)."""
+    def save_learned(self, export: Callable[[float], api.LearnedState], now: float) -> None:
+        """Save the learned state, which `export` returns, if that is due at `now` (ms)."""
 
-    async def banned(self, backend: str, out: bool, at: float, changes: bool) -> None:
+    async def record_maintenance(self, backend: str, is_out: bool, at: float, is_change: bool) -> None:
         """Record a maintenance change, durably where that is configured.
 
-        `changes` tells whether it differs from what is in force. Raises BalancerError.
+        `is_change` tells whether it differs from what is in force. Raises BalancerError.
         """
 
-    def list_failed(self) -> None:
+    def list_request_failed(self) -> None:
         """Take note that a call of discovery has ended or failed."""
 
-    def waiting(self) -> str:
+    def startup_status(self) -> str:
         """Return what the node's start waits for, empty if that is none of these services."""
 
 
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -52,12 +52,12 @@
         self.recovered: LearnedStateRestored | None = None  # learned state that an earlier process has saved
         self.node.fleet = self.fleet
         if self.fleet is not None:
-            self.known = self.fleet.known(config.known)
-            self.recovered = self.fleet.recovered()
+            self.known = self.fleet.newest_list(config.known)
+            self.recovered = self.fleet.recovered_learned()
         self.discovery = DiscoveryClient(self.node, config.discovery, self.known.revision)
         self.node.discovery = self.discovery
         if self.fleet is not None:
-            self.node.discovery = self.fleet.steer(self.node, self.discovery, self.known)
+            self.node.discovery = self.fleet.wrap_watcher(self.node, self.discovery, self.known)
         self.listener = Listener(self.node, config.limits_per_process(1)[0])
         self.console = Console(self.node)
         self.slots = ProcessSlots(self.node.shared_path, partial(handle_peer_change, self.node, self.fleet))
@@ -94,7 +94,7 @@
         log.info("console on %s:%d", *self.console.address)
         has_peer = self.slots.acquire()
         self.shares.apply()
-        saved = self.fleet.bans() if self.fleet is not None else ()
+        saved = self.fleet.recovered_bans() if self.fleet is not None else ()
         self.node.maintenance.start(has_peer, *saved)
         return has_peer
 
@@ -110,12 +110,12 @@
     async def _become_ready(self, has_peer: bool) -> bool:
         """Recover state and take over from another process; returns whether the process is to listen."""
         fleet = self.fleet
-        returns_to_fleet = fleet is not None and fleet.returning is not None
+        returns_to_fleet = fleet is not None and fleet.recovery is not None
         if self.recovered is not None and not returns_to_fleet:
             self.node.event(self.recovered)
         is_ready = True
         if fleet is not None and returns_to_fleet:
-            is_ready = await self._unless_stopped(fleet.returned(has_peer))
+            is_ready = await self._unless_stopped(fleet.wait_until_serving(has_peer))
         if is_ready and has_peer:
             takeover = prepare_takeover(self.node, self.shares, self.recovered is None)
             is_ready = await self._unless_stopped(takeover)
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -21,7 +21,7 @@
     """Apply the configuration file; one that makes no sense changes nothing."""
     try:
         config = config_file.reload(os.environ, node.config)
-        apply_to_fleet = fleet.checked(os.environ, config) if fleet is not None else None
+        apply_to_fleet = fleet.prepare_reload(os.environ, config) if fleet is not None else None
     except ConfigError as err:
         node.statistics.reload_errors += 1
         log.warning("reload: %s; nothing is taken", err.line)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,7 +31,8 @@
 from balancer.net import config
 from balancer.net.config_errors import ConfigError
 from balancer.net.endpoints import Address
-from balancer.net.fleet import Fleet, read
+from balancer.net.fleet import Fleet
+from balancer.net.fleet_file import read_fleet_file
 from tests.sockets import happens
 
 NODE = Program("tests", ROOT, f"exec {sys.executable} -B -m balancer")
@@ -172,7 +173,7 @@
 
 def test_a_fleet_file_that_is_not_there_is_said(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="PROXY_FLEET cannot be read"):
-        read(tmp_path / "none")
+        read_fleet_file(tmp_path / "none")
 
 
 def test_the_console_tells_who_is_present(played: tuple[records.RunRecords, command.Membership]) -> None:
@@ -298,7 +299,7 @@
     async def body() -> None:
         held = config.load(env)
         rooms = Fleet(env, held)
-        assert rooms.port is not None
+        assert rooms.peer_socket is not None
         for over, line in (
             ({"peer_listen": "127.0.0.1:9"}, "peer_listen cannot change"),
             ({"peers": []}, "peers is missing"),
@@ -306,9 +307,9 @@
         ):
             path.write_text(json.dumps(table | over))
             with pytest.raises(ConfigError, match=line):
-                rooms.checked(env, config.load(env))
+                rooms.prepare_reload(env, config.load(env))
         path.write_text(json.dumps(table | {"peers": table["peers"][:3]}))
-        rooms.checked(env, config.load(env))()
-        assert len(rooms.port.peers) == 3
+        rooms.prepare_reload(env, config.load(env))()
+        assert len(rooms.peer_socket.peers) == 3
 
     uvloop.run(body())
