--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -1,6 +1,7 @@
 """The types shared by the decisions and their callers: settings, events, actions, outcomes.
 
 Times are milliseconds; points in time are on the caller's clock. Nothing here decides or knows a wire format.
+The file is longer than others, as both sides of the interface are read together.
 """
 
 from __future__ import annotations
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -41,7 +41,8 @@
     """Membership, durable state and recovery of one process of a node, as far as they are switched on.
 
     The fleet file itself is read once. At SIGHUP the platform's file may bring other peers; this node's
-    number and `peer_listen` stay for the life of its process.
+    number and `peer_listen` stay for the life of its process. There are more than 20 methods, as each call
+    of the node is passed on to those subsystems that are on.
     """
 
     def __init__(self, env: Mapping[str, str], node_config: config.Config) -> None:
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -29,10 +29,7 @@
 
 
 class Node:
-    """One load-balancer node around one `Balancer`. It carries out decisions and makes none.
-
-    It has more than 20 methods, as it is what clients, discovery, console and fleet each call.
-    """
+    """One load-balancer node around one `Balancer`. It carries out decisions and makes none."""
 
     def __init__(self, config: Config) -> None:
         """Make a node that does not listen yet."""
