--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -117,12 +117,13 @@
         out = tmp_path / f"out{number}"
         done = lab("run", spec, "--out", str(out), "--seed", "3", "--json")
         table = json.loads(done.stdout)
-        if not table["void"] or all(e["held"] for e in table["expectations"]):
+        seen = records.read(out / "records.msgpack")
+        is_complete = all(e["held"] for e in table["expectations"]) and all(x.ready for x in seen.processes)
+        if not table["void"] or is_complete:
             break
     assert done.returncode == (2 if table["void"] else 0), done.stdout + done.stderr
     assert table == json.loads((out / "summary.json").read_text())
     assert [e["held"] for e in table["expectations"]] == [True, True]
-    seen = records.read(out / "records.msgpack")
     lives = {(life.node, life.process): life for life in seen.processes}
     assert sorted(lives) == [(0, 0), (0, 1), (1, 0), (1, 1), (2, 0), (2, 1)]
     assert (
