--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -134,7 +134,7 @@
     """What a watch of the list needs of a node."""
 
     settings: api.Settings
-    turns: CooperativeScheduler
+    scheduler: CooperativeScheduler
     config: HollowConfig = HollowConfig()
     fleet: None = None
     snapshots: int = 0  # lists
@@ -145,11 +145,11 @@
     def member(self, name: str) -> None:
         """Accept that a list is in force."""
 
-    def update_endpoints(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
+    def update_endpoints(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Count a snapshot or a change."""
         self.snapshots += kind is api.ListUpdateKind.SNAPSHOT
         self.lines += kind is api.ListUpdateKind.DELTA
-        self.entries += len(news.members)
+        self.entries += len(update.members)
 
     def endpoints_unchanged(self) -> None:
         """Accept an empty line."""
--- a/balancer/net/discovery_dialer.py
+++ b/balancer/net/discovery_dialer.py
@@ -89,7 +89,7 @@
 
     def _dial(self, request: CallRequest, reason: CallReason) -> DiscoveryCall:
         object_limit = max_object_bytes(self._node.config.memory_mb)
-        call = DiscoveryCall(request, self._owner, self._sink, self._node.turns, self._log, object_limit)
+        call = DiscoveryCall(request, self._owner, self._sink, self._node.scheduler, self._log, object_limit)
         host, port = request.address
         self._log.call(f"call {request.number} to {host}:{port} for {request.target}: {reason.value}")
         task = self._loop.create_task(self._connect(call))
--- a/balancer/net/discovery_receiver.py
+++ b/balancer/net/discovery_receiver.py
@@ -65,7 +65,7 @@
         if self._current is None:
             work = self._process_queue()
             if next(work, DONE) is not DONE:
-                self._node.turns.add(work)
+                self._node.scheduler.add(work)
         call.update_flow_control()
 
     def has_messages_of(self, call: DiscoveryCall) -> bool:
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -47,8 +47,10 @@
             config.settings, config.limits_per_process(1)[1], self.statistics, self.memory
         )
         self.requests = RequestLifecycle(self.pool, self.statistics, self.counts, self.now, self.event)
-        self.turns = CooperativeScheduler(self.loop)
-        self.listing = EndpointUpdater(self.pool, self.event, self._endpoints_updated, self.turns)
+        self.scheduler = CooperativeScheduler(self.loop)
+        self.endpoint_updater = EndpointUpdater(
+            self.pool, self.event, self._endpoints_updated, self.scheduler
+        )
         self.discovery: EndpointWatcher | None = None
         self.fleet: FleetServices | None = None
         self.has_endpoints = False  # an endpoint has been in service
@@ -189,21 +191,21 @@
         """Return what is in force of a backend."""
         return self.pool.members.get(name)
 
-    def update_endpoints(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
+    def update_endpoints(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Apply the endpoint list, or a change of it; long ones come into force later."""
         if kind is not api.ListUpdateKind.CACHED:
-            self.endpoint_revision = news.revision
+            self.endpoint_revision = update.revision
             self.last_discovery_at = self.loop.time()
-        self.listing.put(news, kind)
+        self.endpoint_updater.put(update, kind)
 
     def endpoints_unchanged(self) -> None:
         """Take note that discovery says that nothing has changed."""
         self.last_discovery_at = self.loop.time()
-        self.listing.put(None, api.ListUpdateKind.DELTA)
+        self.endpoint_updater.put(None, api.ListUpdateKind.DELTA)
 
-    def _endpoints_updated(self, news: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
+    def _endpoints_updated(self, update: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
         """Tell of an update that is in force; None for one without a change."""
-        if news is None:
+        if update is None:
             if self._is_failure_reported:  # the module is to know that discovery answers
                 self._is_failure_reported = False
                 self.event(api.ListUpdate(api.ListUpdateKind.DELTA, []))
@@ -214,7 +216,7 @@
         if kind is not api.ListUpdateKind.CACHED:
             self.endpoints_received.set()
             if self.fleet is not None:
-                self.fleet.list_received(news, kind)
+                self.fleet.list_received(update, kind)
         self.has_endpoints = self.has_endpoints or self.pool.in_service_count > 0
 
     def discovery_failed(self, reached: bool = False, queued: bool = False) -> None:
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -104,8 +104,9 @@
         node.update_endpoints(self.known, ListUpdateKind.CACHED)
         if not self.config.settings.must_subscribe and node.discovery is not None:
             node.discovery.watch(True)
-        if node.listing.pending:  # what was learned is of backends in a long list: it has to be in force
-            await self._unless_stopped(node.listing.wait_idle())
+        # What was learned is of backends in a long list: it has to be in force.
+        if node.endpoint_updater.pending:
+            await self._unless_stopped(node.endpoint_updater.wait_idle())
 
     async def _become_ready(self, has_peer: bool) -> bool:
         """Recover state and take over from another process; returns whether the process is to listen."""
@@ -127,7 +128,7 @@
         node = self.node
         await self.listener.listen(node.config.listen, shared=node.config.console is not None)
         node.is_listening = True
-        node.turns.skips_pauses = False
+        node.scheduler.skips_pauses = False
         if self.listener.socket is not None and node.config.console is not None:
             stop_steering(self.listener.socket)
         CountsLog(node).start()
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -191,20 +191,20 @@
             self.watcher.watch(False)
             self.shell.handle(events.ListRequestFailed())
 
-    def list_received(self, news: EndpointUpdate, kind: api.ListUpdateKind) -> None:
+    def list_received(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         """Record the list that discovery has sent, or a change of it."""
         if kind is api.ListUpdateKind.SNAPSHOT:
             self._list = {}
             self._restricted = frozenset()
         is_first = not self._has_fresh_list
         self._has_fresh_list = True
-        self._saved = replace(self._saved, revision=news.revision)
-        self._list |= {m.backend: _copy(m) for m in news.members}
-        self._restricted -= {m.backend for m in news.members}
+        self._saved = replace(self._saved, revision=update.revision)
+        self._list |= {m.backend: _copy(m) for m in update.members}
+        self._restricted -= {m.backend for m in update.members}
         up = [m for m in self._list.values() if m.phase is api.EndpointPhase.IN_SERVICE]
         starts = tuple(member.started_at for member in up)
         ids = tuple(member.backend for member in up)
-        self.shell.handle(events.ListReceived(news.revision, starts, ids))
+        self.shell.handle(events.ListReceived(update.revision, starts, ids))
         if is_first and self._phase is Phase.WARMING:  # it may have been so while discovery was silent
             self.set_admission(self._phase, self._capacity)
 
--- a/tests/contended_discovery.py
+++ b/tests/contended_discovery.py
@@ -224,9 +224,9 @@
         node = self.node(replace(self.config, seed=seed, settings=settings))
         apply = node.update_endpoints
 
-        def record(news: EndpointUpdate, kind: ListUpdateKind) -> None:
-            self.applied.append(RevisionAt(self.now, number, news.revision))
-            apply(news, kind)
+        def record(update: EndpointUpdate, kind: ListUpdateKind) -> None:
+            self.applied.append(RevisionAt(self.now, number, update.revision))
+            apply(update, kind)
 
         node.update_endpoints = record  # type: ignore[method-assign]
         return node
--- a/tests/long_lists.py
+++ b/tests/long_lists.py
@@ -113,8 +113,8 @@
         node.balancer = cast(Balancer, self.module)
         self.module.updates.clear()
         fleet = SimpleNamespace(
-            list_failed=lambda: None, unchanged=lambda: self.applied.append(-1),
-            listed=lambda update, kind: self.applied.append(update.revision),
+            list_request_failed=lambda: None, list_confirmed=lambda: self.applied.append(-1),
+            list_received=lambda update, kind: self.applied.append(update.revision),
         )  # fmt: skip
         node.fleet = cast(FleetServices, fleet)
         return node
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -198,7 +198,9 @@
             if self.world.now < 25:
                 self.world.loop.call_later(1.0, client.watch, True)
 
-        fleet = SimpleNamespace(list_failed=list_failed, listed=lambda *_: None, unchanged=lambda: None)
+        fleet = SimpleNamespace(
+            list_request_failed=list_failed, list_received=lambda *_: None, list_confirmed=lambda: None
+        )
         client.node.fleet = cast(FleetServices, fleet)
         # The decision module controls the watch until the first failure.
         watcher = SimpleNamespace(watch=lambda on: None if self.failed_at else client.watch(on))
@@ -238,7 +240,9 @@
                 client.watch(False)
                 client.watch(True)
 
-        fleet = SimpleNamespace(list_failed=lambda: None, listed=listed, unchanged=lambda: None)
+        fleet = SimpleNamespace(
+            list_request_failed=lambda: None, list_received=listed, list_confirmed=lambda: None
+        )
         client.node.fleet = cast(FleetServices, fleet)
 
     world.run(60, restart_at_first_list)
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -100,7 +100,7 @@
         node = Node(world.config)
         node.balancer = cast(Balancer, world.module)
         node.update_endpoints(cached, ListUpdateKind.CACHED)
-        await node.listing.wait_idle()
+        await node.endpoint_updater.wait_idle()
         fresh.extend((node.endpoints_received.is_set(), node.has_endpoints))
 
     world.loop.run_until_complete(run_node())
@@ -219,8 +219,8 @@
     world.module.on_update = lambda _: at.append(world.now)
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
-        node.turns.skips_pauses = False
-        node.turns.clock = Clock(0.003)
+        node.scheduler.skips_pauses = False
+        node.scheduler.clock = Clock(0.003)
         assert discovery.watch_call is not None
         discovery.receiver.apply(discovery.watch_call, complete_list(8, 30))
 
@@ -261,14 +261,14 @@
     world = LongListWorld(tmp_path)
 
     def send(node: Node, _: DiscoveryClient) -> None:
-        def listed(update: EndpointUpdate, kind: ListUpdateKind) -> None:
+        def list_received(update: EndpointUpdate, kind: ListUpdateKind) -> None:
             world.applied.append(update.revision)
             if update.revision == 8:
                 node.update_endpoints(delta(9, b0=REMOVED), ListUpdateKind.DELTA)
                 node.update_endpoints(complete_list(10, 20), ListUpdateKind.SNAPSHOT)
                 node.update_endpoints(delta(11, b1=REMOVED), ListUpdateKind.DELTA)
 
-        cast(Any, node.fleet).listed = listed
+        cast(Any, node.fleet).list_received = list_received
         world.send(complete_list(8, 30))(node, _)
 
     world.run_steps(send)
@@ -281,10 +281,10 @@
 
     def fail_once(node: Node, _: DiscoveryClient) -> None:
         def fails(*_: object) -> None:
-            cast(Any, node.fleet).listed = lambda update, kind: world.applied.append(update.revision)
+            cast(Any, node.fleet).list_received = lambda update, kind: world.applied.append(update.revision)
             raise RuntimeError
 
-        cast(Any, node.fleet).listed = fails
+        cast(Any, node.fleet).list_received = fails
         world.loop.set_exception_handler(lambda loop, context: None)
         world.send(complete_list(8, 30))(node, _)
 
@@ -329,7 +329,7 @@
             expected.update(phases)
             for _ in range(slices):
                 await asyncio.sleep(0)
-        while node.listing.pending:
+        while node.endpoint_updater.pending:
             await asyncio.sleep(0)
         in_force = {name: phase for name, phase in expected.items() if phase is not REMOVED}
         assert world.module.in_force == in_force
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -87,8 +87,8 @@
     world = LongListWorld(tmp_path)
 
     def slow(node: Node, _: DiscoveryClient) -> None:
-        node.turns.skips_pauses = False
-        node.turns.clock = Clock(0.2)  # each slice takes so long, and a pause as well
+        node.scheduler.skips_pauses = False
+        node.scheduler.clock = Clock(0.2)  # each slice takes so long, and a pause as well
         world.send(complete_list(8, 60))(node, _)
         world.connections[0].send_empty_lines(world.now, 40)
 
--- a/tests/virtual_discovery.py
+++ b/tests/virtual_discovery.py
@@ -288,9 +288,9 @@
         node.discovery = client
         apply = node.update_endpoints
 
-        def record(news: EndpointUpdate, kind: ListUpdateKind) -> None:
-            self.updates.append(AppliedUpdate(self.now, news.revision))
-            apply(news, kind)
+        def record(update: EndpointUpdate, kind: ListUpdateKind) -> None:
+            self.updates.append(AppliedUpdate(self.now, update.revision))
+            apply(update, kind)
 
         node.update_endpoints = record  # type: ignore[method-assign]
         node.update_endpoints(node_config.known, ListUpdateKind.CACHED)
