--- a/balancer/recovery/messages.py
+++ b/balancer/recovery/messages.py
@@ -27,7 +27,6 @@
 VERSION = 1
 MAX_DATAGRAM_BYTES = 256
 FIRST_MESSAGE_KIND = 16  # of this protocol, on a port that it shares
-LAST_MESSAGE_KIND = 31
 MAX_U32 = 0xFFFFFFFF
 UNKNOWN = MAX_U32  # an age (ms) or a demand that is unknown, or too large
 HEADER = struct.Struct(">IBBHQ")
