--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -22,7 +22,7 @@
 from balancer.net.statistics import RequestOutcome
 from balancer.recovery import events
 from balancer.recovery.actions import CapacityGranted
-from balancer.recovery.ban_requests import BanCallError
+from balancer.recovery.ban_requests import BanRequestError
 from balancer.recovery.config import RecoveryConfig
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.shell import RecoveryHandover, RecoveryShell
@@ -139,7 +139,9 @@
             self.node.event(api.RecoveryProgressed(PHASES[phase], 1.0))
         else:
             cold_since = 0.0 if self._has_fresh_list else capacity.cold_since
-            self.node.event(api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.rate))
+            self.node.event(
+                api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.tier_rate)
+            )
 
     def allow_polling(self) -> None:
         """Let polls of discovery through, as the schedule has spread them."""
@@ -221,7 +223,7 @@
             BalancerError: If it is not.
         """
         if await self.shell.request_ban(backend, banned) != banned:
-            raise BanCallError("another node banned it at the same time")
+            raise BanRequestError("another node banned it at the same time")
 
     def startup_status(self) -> str:
         """Return why the node does not listen yet."""
--- a/balancer/recovery/actions.py
+++ b/balancer/recovery/actions.py
@@ -60,7 +60,7 @@
 
     share: float  # of what all nodes together may use
     cold_since: float  # node clock: a listed backend of unknown start counts as started then
-    rate: float  # requests a second that the whole tier carried when warm; 0: unknown
+    tier_rate: float  # requests a second that the whole tier carried when warm; 0: unknown
 
 
 Action = (
--- a/balancer/recovery/ban_controller.py
+++ b/balancer/recovery/ban_controller.py
@@ -90,7 +90,7 @@
             self._write(PendingRequest(pending.request, reissued))
             return
         self.exchange.send_urgently(committed, now)
-        self.announce(pending.request.backend)
+        self.apply_current_state(pending.request.backend)
 
     def apply_changes(self, changed: Iterable[BanEntry], now: float) -> None:
         """Apply what differs from the last state; a recent lift counts, as that backend is cold."""
@@ -100,9 +100,9 @@
             former = self._applied.get(backend, NEVER_APPLIED)
             is_recent_lift = not banned and since > max(former.since, now - self.ramp_time_ms)
             if banned != former.banned or is_recent_lift:
-                self.announce(backend)
+                self.apply_current_state(backend)
 
-    def announce(self, backend: str) -> None:
+    def apply_current_state(self, backend: str) -> None:
         """Apply the register's state of a backend."""
         state = AppliedState(self.register.is_banned(backend), self.register.since(backend))
         self._applied[backend] = state
--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -240,7 +240,7 @@
             changed[entry.key] = entry
         return list(changed.values())
 
-    def outbid(self, entry: BanEntry) -> list[BanEntry]:
+    def reissue_above(self, entry: BanEntry) -> list[BanEntry]:
         """Issue own bans anew above an entry of a former incarnation, which must not cover them."""
         self.counter.advance_past(entry)
         self.counts["outbid"] += 1
@@ -276,7 +276,7 @@
             self._issued.add(entry.backend)  # the same, though this process has a greater one already
         if not is_ahead and entry.backend not in self._issued:
             return []
-        return self.outbid(entry)
+        return self.reissue_above(entry)
 
     def _is_valid(self, entry: BanEntry) -> bool:
         """Return whether a greater counter exists: else its sender could keep this node from its bans."""
--- a/balancer/recovery/ban_requests.py
+++ b/balancer/recovery/ban_requests.py
@@ -18,7 +18,7 @@
 SYNC_TIMEOUT_S = 0.6  # for which a request waits for the disk, of the 1 s that its caller waits
 
 
-class BanCallError(BalancerError):
+class BanRequestError(BalancerError):
     """A request could not be recorded in the tier's register, so nothing is changed."""
 
     code = "RCV01"
@@ -87,7 +87,7 @@
         request = BanRequest(self._last_token, backend, self._loop.create_future())
         request.done.add_done_callback(lambda done: done.exception())  # not every request is waited for
         if self._has_failed:
-            request.done.set_exception(BanCallError(FAILED))
+            request.done.set_exception(BanRequestError(FAILED))
         else:
             self._pending[request.token] = request
             self._handle_event(events.BanRequested(backend, banned, now, request.token), None)
@@ -104,7 +104,7 @@
                 return await asyncio.shield(request.done)
         except TimeoutError:
             if request.awaits_disk:
-                self._write_completed(request.token, BanCallError("the disk takes too long"))
+                self._write_completed(request.token, BanRequestError("the disk takes too long"))
         return await request.done
 
     async def applied(self) -> None:
@@ -145,7 +145,7 @@
         """Fail all requests, later ones too."""
         self._has_failed = True
         for token in list(self._pending):
-            self._pending.pop(token).done.set_exception(BanCallError(FAILED))
+            self._pending.pop(token).done.set_exception(BanRequestError(FAILED))
 
     def close(self) -> None:
         """Stop to apply changes; later requests fail."""
@@ -184,7 +184,7 @@
     async def _apply_changes(self) -> None:
         while True:
             change = await self._changes.get()
-            failure: BalancerError | None = BanCallError("the node is ending")
+            failure: BalancerError | None = BanRequestError("the node is ending")
             try:
                 failure = await self._applied_or_failure(change.action)
             finally:
@@ -209,7 +209,7 @@
             return error
         except Exception as error:  # the changes after it are to be applied all the same
             self._defects.record("a change of a ban", error)
-            return BanCallError(f"the node could not apply it: {type(error).__name__}")
+            return BanRequestError(f"the node could not apply it: {type(error).__name__}")
         return None
 
 
--- a/balancer/recovery/config.py
+++ b/balancer/recovery/config.py
@@ -16,7 +16,7 @@
     established_after_ms: float = 60_000.0  # uptime from which a peer did not restart with this node
     poll_slot_ms: float = 25.0  # of the discovery service, for each node
     datagrams_per_s: float = 3.0  # of the recovery protocol
-    burst: float = 3.0  # datagrams
+    burst_datagrams: float = 3.0  # datagrams
 
     @property
     def max_listed_ms(self) -> float:
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RecoveryParts:
+class RecoveryComponents:
     """Classes of the parts; the simulation plants faults in them."""
 
     register: type[BanRegister] = BanRegister
@@ -65,7 +65,7 @@
     phases: type[PhaseMachine] = PhaseMachine
 
 
-DEFAULT_PARTS = RecoveryParts()
+DEFAULT_COMPONENTS = RecoveryComponents()
 
 
 class Recovery:
@@ -80,7 +80,7 @@
         seed: int,
         now: float,
         table: Mapping[StateKind, TrustRule] = TRUST_TABLE,
-        parts: RecoveryParts = DEFAULT_PARTS,
+        components: RecoveryComponents = DEFAULT_COMPONENTS,
     ) -> None:
         """Create the recovery of a process that starts at `now` (node clock, ms)."""
         generator = random.Random(seed)
@@ -95,15 +95,15 @@
             cold_since=now,
             phase_since=now,
         )
-        self.register = parts.register(node, incarnation, generator.randrange(1 << TAG_BITS))
-        limits = ExchangeLimits(config.datagrams_per_s, config.burst, config.survey_interval_ms)
-        self.exchange = parts.exchange(self.register, generator, limits, now)
-        self.schedule = parts.schedule(node, config.poll_slot_ms)
-        self.bans = parts.bans(self.register, self.exchange, config.ramp_time_ms, context.actions)
+        self.register = components.register(node, incarnation, generator.randrange(1 << TAG_BITS))
+        limits = ExchangeLimits(config.datagrams_per_s, config.burst_datagrams, config.survey_interval_ms)
+        self.exchange = components.exchange(self.register, generator, limits, now)
+        self.schedule = components.schedule(node, config.poll_slot_ms)
+        self.bans = components.bans(self.register, self.exchange, config.ramp_time_ms, context.actions)
         self.survey = PeerSurvey(context)
-        self.saved_list = parts.saved_list(context)
-        self.quota = parts.quota(context, self.survey)
-        self.phases = parts.phases(
+        self.saved_list = components.saved_list(context)
+        self.quota = components.quota(context, self.survey)
+        self.phases = components.phases(
             context, self.survey, self.saved_list, self.quota, self.bans, self.exchange, self.schedule
         )
         self._receiver = DatagramReceiver(context, self.survey, self.saved_list, self.bans, self.exchange)
@@ -186,7 +186,7 @@
         context = self.context
         match event:
             case DiskRead():
-                self.read_disk(event)
+                self.restore_saved_state(event)
             case StateInherited():
                 self._inherit(event)
             case ListReceived():
@@ -217,7 +217,7 @@
             case PeersChanged():
                 self._change_peers(event)
 
-    def read_disk(self, event: DiskRead) -> None:
+    def restore_saved_state(self, event: DiskRead) -> None:
         """Take what the disk has, as far as the trust table allows."""
         context = self.context
         context.disk = DiskState(event.sound, event.fresh_disk, event.age_ms)
--- a/balancer/recovery/events.py
+++ b/balancer/recovery/events.py
@@ -58,7 +58,7 @@
     """Discovery itself has sent the endpoint list in this process."""
 
     revision: int
-    starts: tuple[float, ...]  # of the listed backends, node clock
+    start_times: tuple[float, ...]  # of the listed backends, node clock
     ids: tuple[str, ...] = ()  # of those in service; peers without such a list may avoid the others
 
 
--- a/balancer/recovery/phase_machine.py
+++ b/balancer/recovery/phase_machine.py
@@ -75,7 +75,7 @@
             return self.serving_since + config.max_listed_ms
         if self.saved_list.fresh is None:
             return latest
-        return min(latest, max(self.saved_list.fresh.starts, default=-math.inf) + config.ramp_time_ms)
+        return min(latest, max(self.saved_list.fresh.start_times, default=-math.inf) + config.ramp_time_ms)
 
     def deadline(self) -> float:
         """Return when the present phase ends at the latest; infinite for VERIFY and FULL."""
@@ -145,7 +145,7 @@
         if self.survey.reports and is_first_round and not self.survey.has_established_peers:
             return  # too early for anything but a crash
         found = self.survey.classify()
-        result = self.survey_result(found.path)
+        result = self.survey_end_reason(found.path)
         if result is None:
             return
         self.next_survey_at = math.inf
@@ -155,7 +155,7 @@
             result += f", {ahead} peers have newer entries"
         self.start_serving(f"{found.reason}; {result}")
 
-    def survey_result(self, path: RecoveryPath) -> str | None:
+    def survey_end_reason(self, path: RecoveryPath) -> str | None:
         """Return why the survey is over; None while it is not."""
         config = self.context.config
         elapsed = self.context.now - self.survey_started_at
@@ -236,7 +236,7 @@
     def _await_list(self) -> None:
         now = self.context.now
         if self.saved_list.fresh is not None:
-            starts = self.saved_list.fresh.starts
+            starts = self.saved_list.fresh.start_times
             last = f", the last started {now - max(starts):.0f} ms ago" if starts else ""
             self.enter(Phase.WARMING, f"discovery sent {len(starts)} backends{last}")
         elif now >= self.serving_since + self.context.config.max_listed_ms:
--- a/balancer/recovery/quota.py
+++ b/balancer/recovery/quota.py
@@ -76,7 +76,7 @@
     return (
         granted.cold_since != current.cold_since
         or _is_noticeable(granted.share, current.share)
-        or _is_noticeable(granted.rate, current.rate)
+        or _is_noticeable(granted.tier_rate, current.tier_rate)
     )
 
 
--- a/balancer/recovery/saved_list.py
+++ b/balancer/recovery/saved_list.py
@@ -19,7 +19,7 @@
 class FreshList:
     """What discovery has sent in this process."""
 
-    starts: tuple[float, ...]  # of the backends, node clock, none ahead of it
+    start_times: tuple[float, ...]  # of the backends, node clock, none ahead of it
 
 
 class SavedList:
@@ -43,7 +43,7 @@
     def receive(self, event: ListReceived) -> None:
         """Replace the saved list by discovery's."""
         is_first = self.fresh is None
-        self.fresh = FreshList(self._clamped(event.starts))
+        self.fresh = FreshList(self._clamped(event.start_times))
         self.context.has_fresh_list = True
         self.revision = event.revision
         if is_first:
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -13,7 +13,7 @@
 from balancer.recovery.actions import Action, RestrictSavedList
 from balancer.recovery.ban_controller import BanController
 from balancer.recovery.ban_register import BanEntry, BanRegister
-from balancer.recovery.core import Recovery, RecoveryParts
+from balancer.recovery.core import Recovery, RecoveryComponents
 from balancer.recovery.events import BanRequested, DiskRead, Event, ListReceived, MembershipChanged
 from balancer.recovery.exchange import Exchange
 from balancer.recovery.messages import Digest
@@ -82,7 +82,7 @@
 class NeverReissues(BanRegister):
     """After a lost disk a node's bans are not issued anew above those of its former incarnations."""
 
-    def outbid(self, entry: BanEntry) -> list[BanEntry]:
+    def reissue_above(self, entry: BanEntry) -> list[BanEntry]:
         """Issue nothing."""
         return []
 
@@ -90,15 +90,15 @@
 class DropsLifted(Recovery):
     """Lifted entries are not taken from the disk: nothing is left that stops older disks."""
 
-    def read_disk(self, event: DiskRead) -> None:
+    def restore_saved_state(self, event: DiskRead) -> None:
         """Take bans alone."""
-        super().read_disk(replace(event, entries=tuple(e for e in event.entries if e.active)))
+        super().restore_saved_state(replace(event, entries=tuple(e for e in event.entries if e.active)))
 
 
 class ServesAtOnce(PhaseMachine):
     """It serves before it has asked anybody."""
 
-    def survey_result(self, path: RecoveryPath) -> str | None:
+    def survey_end_reason(self, path: RecoveryPath) -> str | None:
         """End the survey."""
         return "no wait"
 
@@ -106,7 +106,7 @@
 class AwaitsAll(PhaseMachine):
     """It does not serve before everybody has answered."""
 
-    def survey_result(self, path: RecoveryPath) -> str | None:
+    def survey_end_reason(self, path: RecoveryPath) -> str | None:
         """End the survey once all were heard."""
         return "all are there" if len(self.survey.reports) == self.context.node_count - 1 else None
 
@@ -148,7 +148,7 @@
         """Enter WARMING for a cold backend."""
         super().receive_list(event)
         context = self.context
-        age = context.now - max(event.starts, default=0.0)
+        age = context.now - max(event.start_times, default=0.0)
         if self.phase is Phase.FULL and age < context.config.ramp_time_ms:
             self.phases.enter(Phase.WARMING, "a backend is cold")
 
@@ -178,7 +178,7 @@
         """Answer at once."""
         super().request(event, now)
         self.register.commit(self.pending[event.token].entries)
-        self.announce(event.backend)
+        self.apply_current_state(event.backend)
 
 
 class NeverRepairs(Exchange):
@@ -229,54 +229,54 @@
     draw_schedule: Callable[[int, Iterable[int]], Schedule] = draw
 
 
-def _planted(parts: RecoveryParts, core: type[Recovery] = Recovery) -> MakeCore:
-    return partial(core, parts=parts)
+def _planted(components: RecoveryComponents, core: type[Recovery] = Recovery) -> MakeCore:
+    return partial(core, components=components)
 
 
 FAULTS = {
     "entries are merged by wall time": Fault(
-        _planted(RecoveryParts(register=MergesByTime)), frozenset({"known", "ban", "applied", "agree"})
+        _planted(RecoveryComponents(register=MergesByTime)), frozenset({"known", "ban", "applied", "agree"})
     ),
     "a lift wins over a concurrent ban": Fault(
-        _planted(RecoveryParts(register=LiftWins)), frozenset({"applied", "ban"})
+        _planted(RecoveryComponents(register=LiftWins)), frozenset({"applied", "ban"})
     ),
     "a lift covers a ban that came while it was written": Fault(
-        _planted(RecoveryParts(register=CommitsLiftsBlindly)),
+        _planted(RecoveryComponents(register=CommitsLiftsBlindly)),
         frozenset({"known", "ban", "agree"}),
         draw_schedule=draw_crossings,
     ),
     "a ban wins over the lift that saw it": Fault(
-        _planted(RecoveryParts(register=ActiveWins)), frozenset({"known", "agree"})
+        _planted(RecoveryComponents(register=ActiveWins)), frozenset({"known", "agree"})
     ),
     "own bans are not issued anew after a lost disk": Fault(
-        _planted(RecoveryParts(register=NeverReissues)), frozenset({"ban", "known"})
+        _planted(RecoveryComponents(register=NeverReissues)), frozenset({"ban", "known"})
     ),
     "lifted bans are dropped at a restart": Fault(DropsLifted, frozenset({"known"})),
-    "serves before asking": Fault(_planted(RecoveryParts(phases=ServesAtOnce)), frozenset({"ban"})),
+    "serves before asking": Fault(_planted(RecoveryComponents(phases=ServesAtOnce)), frozenset({"ban"})),
     "waits for all peers": Fault(
-        _planted(RecoveryParts(phases=AwaitsAll), AwaitingRecovery), frozenset({"full"})
+        _planted(RecoveryComponents(phases=AwaitsAll), AwaitingRecovery), frozenset({"full"})
     ),
     "a minority shares the whole budget": Fault(
-        _planted(RecoveryParts(quota=ShareOfPresent)), frozenset({"budget"}), (5, 6, 8)
+        _planted(RecoveryComponents(quota=ShareOfPresent)), frozenset({"budget"}), (5, 6, 8)
     ),
     "saved starts are trusted after a power loss": Fault(
-        _planted(RecoveryParts(phases=TrustsSavedStarts)), frozenset({"budget"})
+        _planted(RecoveryComponents(phases=TrustsSavedStarts)), frozenset({"budget"})
     ),
     "a phase is entered again": Fault(WarmsAgain, frozenset({"phase"})),
     "a lost majority begins anew": Fault(FullByMembers, frozenset({"phase"})),
     "discovery is polled without slots": Fault(  # or by `mass_return`
-        _planted(RecoveryParts(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
+        _planted(RecoveryComponents(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
     ),
     "a peer's filter restricts everything": Fault(
-        _planted(RecoveryParts(saved_list=RestrictsAll)), frozenset({"list"})
+        _planted(RecoveryComponents(saved_list=RestrictsAll)), frozenset({"list"})
     ),
     "a request is answered before the sync": Fault(
-        _planted(RecoveryParts(bans=AnswersFirst)), frozenset({"ban"})
+        _planted(RecoveryComponents(bans=AnswersFirst)), frozenset({"ban"})
     ),
     "digests are not answered": Fault(
-        _planted(RecoveryParts(exchange=NeverRepairs)), frozenset({"ban", "agree"})
+        _planted(RecoveryComponents(exchange=NeverRepairs)), frozenset({"ban", "agree"})
     ),
     "bans received while serving are not applied": Fault(
-        _planted(RecoveryParts(bans=IgnoresLateBans, phases=MarksServing)), frozenset({"applied", "ban"})
+        _planted(RecoveryComponents(bans=IgnoresLateBans, phases=MarksServing)), frozenset({"applied", "ban"})
     ),
 }
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -15,7 +15,7 @@
 from balancer.net.endpoints import EndpointUpdate
 from balancer.net.node import Node
 from balancer.net.recovery_adapter import RecoveryAdapter
-from balancer.recovery.ban_requests import BanCallError
+from balancer.recovery.ban_requests import BanRequestError
 from balancer.recovery.phases import Phase
 from tests.helpers import BASE, entry, member
 
@@ -140,5 +140,5 @@
     await adapter.shell.wait_until_serving()
     assert adapter.shell.has_failed
     assert setup.watcher.calls == ["watch True"]
-    with pytest.raises(BanCallError, match="failed"):
+    with pytest.raises(BanRequestError, match="failed"):
         await adapter.request_ban("a", True)
--- a/tests/test_recovery_bans.py
+++ b/tests/test_recovery_bans.py
@@ -88,7 +88,7 @@
     for node, acts in tier.acts.items():
         sent = [at for at, act in acts if isinstance(act, SendDatagram)]
         worst = max(sum(at <= other < at + 1000 for other in sent) for at in sent)
-        assert worst <= RecoveryConfig().burst + RecoveryConfig().datagrams_per_s, node
+        assert worst <= RecoveryConfig().burst_datagrams + RecoveryConfig().datagrams_per_s, node
 
 
 def test_changed_peers_are_forgotten_but_no_bans() -> None:
