--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -102,13 +102,13 @@
     name: str
     idempotency: Idempotency
     latency_objective_ms: float
-    deadline: float
+    deadline_ms: float
     priority_weight: float = 1.0
     late_weight_fraction: float = 0.0
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ms: float = 0.0
     streamed: bool = False
-    objective_per_work: float = 0.0
+    objective_ms_per_work_unit: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -162,7 +162,7 @@
     clock_granularity_ms: float = 1.0
     tenants: tuple[Tenant, ...] = ()
     charges: Charges = field(default_factory=Charges)
-    blend: ScoreWeights = field(default_factory=ScoreWeights)
+    score_weights: ScoreWeights = field(default_factory=ScoreWeights)
     over_quota_weight: float = 1.0
     weight_by_work: bool = False
     must_subscribe: bool = False
@@ -180,17 +180,17 @@
     slow_start_ms: float = 60_000.0
     overload_window_ms: float = 1_000.0
     overload_multiple: float = 1.0
-    weighted: bool = False
-    connect_timeout: float = 250.0
+    has_endpoint_weights: bool = False
+    connect_timeout_ms: float = 250.0
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    retries_marked: bool = False
+    clients_mark_retries: bool = False
     warm_keys: bool = False
-    passes_deadline: bool = True
-    peers: bool = False
+    propagates_deadline: bool = True
+    peer_messages_allowed: bool = False
     connection_idle_ms: float = 60_000.0
-    streams_per_conn: int = 1
-    max_open: int = 20_000
+    streams_per_connection: int = 1
+    max_open_requests: int = 20_000
     cpu_us_per_s: float = 0.0
     cpu_us_per_request: float = 0.0
 
@@ -201,10 +201,10 @@
 
     in_flight: float | None = None
     queue: float | None = None
-    cpu: float | None = None
-    mean_time: float | None = None
-    rate: float | None = None
-    error_rate: float | None = None
+    cpu_utilization: float | None = None
+    mean_duration_ms: float | None = None
+    requests_per_s: float | None = None
+    errors_per_s: float | None = None
 
 
 @dataclass(slots=True)
@@ -228,8 +228,8 @@
     """How a call of discovery failed."""
 
     silent_ms: float = math.inf  # ms since the last complete message of discovery
-    reached: bool = False  # discovery itself ended the call: it may be up, and only overloaded
-    queued: bool = False  # and it did so after a wait, without any message
+    ended_by_discovery: bool = False  # discovery itself ended the call: it may be up, and only overloaded
+    ended_after_wait: bool = False  # and it did so after a wait, without any message
 
 
 @dataclass(slots=True)
@@ -242,7 +242,7 @@
     kind: ListUpdateKind
     entries: list[Endpoint]
     revision: int = 0
-    more: bool = False  # further pieces of the same list follow
+    more_follows: bool = False  # further pieces of the same list follow
     failure: DiscoveryFailure | None = None  # of `FAILED`, where it is known
 
 
@@ -258,8 +258,8 @@
     tenant: str | None = None
     work_hint: float | None = None
     writes: bool = False
-    arriving: bool = False  # its body is still arriving, see `RequestBodyReceived`
-    under: Settings | None = None  # settings in force when its head arrived; None: the present ones
+    body_pending: bool = False  # its body is still arriving, see `RequestBodyReceived`
+    settings: Settings | None = None  # settings in force when its head arrived; None: the present ones
 
 
 @dataclass(slots=True)
@@ -277,7 +277,7 @@
     request: str
     attempt: int
     backend: str = ""
-    duration: float = 0.0
+    duration_ms: float = 0.0
 
 
 @dataclass(slots=True)
@@ -291,10 +291,10 @@
     attempt: int
     backend: str
     status: AttemptStatus
-    duration: float
-    closed: bool
+    duration_ms: float
+    is_answered: bool
     report: LoadReport | None = None
-    spent: bool = False
+    not_replayable: bool = False
 
 
 @dataclass(slots=True)
@@ -317,7 +317,7 @@
 
     backend: str
     status: AttemptStatus
-    duration: float
+    duration_ms: float
     report: LoadReport | None = None
 
 
@@ -344,8 +344,8 @@
     """
 
     backend: str
-    out: bool
-    since: float = 0.0
+    banned: bool
+    lifted_at: float = 0.0
 
 
 @dataclass(slots=True)
@@ -386,9 +386,9 @@
     """
 
     phase: RecoveryPhase
-    share: float
+    capacity_share: float
     cold_since: float = 0.0
-    rate: float = 0.0
+    tier_requests_per_s: float = 0.0
 
 
 @dataclass(slots=True)
@@ -396,7 +396,7 @@
     """What an earlier process of this node learned, `age` ms ago; comes after the list."""
 
     learned: LearnedState
-    age: float
+    age_ms: float
 
 
 Event = (
@@ -428,8 +428,8 @@
 
     request: str
     backend: str
-    timeout: float
-    before: float = 0.0
+    timeout_ms: float
+    latest_start: float = 0.0
 
 
 @dataclass(slots=True)
@@ -437,7 +437,7 @@
     """Final answer: the request is rejected, and a retry does no harm."""
 
     request: str
-    retry_after: float = 0.0
+    retry_after_ms: float = 0.0
     reason: str = ""  # a `GiveUpReason`, for the log
 
 
@@ -461,7 +461,7 @@
 class SetTimer:
     """Ask for a `TimerFired` event at the clock time `when`."""
 
-    when: float
+    fires_at: float
     token: int
 
 
@@ -476,7 +476,7 @@
 class WatchEndpoints:
     """Watch the endpoint list from now on, or no longer."""
 
-    on: bool = True
+    enabled: bool = True
 
 
 @dataclass(slots=True)
--- a/balancer/net/client_connection.py
+++ b/balancer/net/client_connection.py
@@ -258,7 +258,7 @@
                 upload.discard()
             return
         event.deadline = node.now() + self._head.timeout_ms
-        event.arriving = upload is not None
+        event.body_pending = upload is not None
         self.request_id = event.request
         parser = self.parser
         body = bytes(self.body)
--- a/balancer/net/connection_pool.py
+++ b/balancer/net/connection_pool.py
@@ -78,7 +78,7 @@
 
     def configure(self, settings: api.Settings) -> None:
         """Apply settings to what is connected and swept from now on."""
-        self.connect_timeout_s = settings.connect_timeout / 1000
+        self.connect_timeout_s = settings.connect_timeout_ms / 1000
         self.idle_timeout_s = settings.connection_idle_ms / 1000
 
     # --- endpoints
--- a/balancer/net/liveness.py
+++ b/balancer/net/liveness.py
@@ -44,7 +44,7 @@
 RETRY_PERIOD_S = polling.MAX_CALL_INTERVAL_MS / 1000
 MIN_RETRY_DELAY_S = polling.WAIT_AFTER_LONG_CALL_MS / 1000
 REJECTED_RETRY_PERIOD_S = polling.MAX_CALL_INTERVAL_WHEN_REJECTED_MS / 1000
-CONTENDED_RETRY_DELAY_S = polling.MAX_WAIT_WHEN_CROWDED_MS / 1000
+CONTENDED_RETRY_DELAY_S = polling.MAX_WAIT_WHEN_OVERLOADED_MS / 1000
 QUEUED_AFTER_S = 0.5  # a call that was rejected, or answered, after so long has waited in discovery's queue
 SILENCE_TIMEOUT_S = (2.75, 3.25)  # bounds, drawn for each call
 RECHECK_DELAY_S = 0.05
--- a/balancer/net/load_report.py
+++ b/balancer/net/load_report.py
@@ -12,14 +12,14 @@
     "active": "in_flight",
     "queue": "queue",
     "waiting": "queue",
-    "util": "cpu",
-    "cpu": "cpu",
-    "latency_ms": "mean_time",
-    "avg_ms": "mean_time",
-    "qps": "rate",
-    "rps": "rate",
-    "eps": "error_rate",
-    "err_rps": "error_rate",
+    "util": "cpu_utilization",
+    "cpu": "cpu_utilization",
+    "latency_ms": "mean_duration_ms",
+    "avg_ms": "mean_duration_ms",
+    "qps": "requests_per_s",
+    "rps": "requests_per_s",
+    "eps": "errors_per_s",
+    "err_rps": "errors_per_s",
 }
 
 
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -114,7 +114,7 @@
             case api.StartAttempt():
                 self.requests.start_attempt(action)
             case api.SetTimer():
-                delay_s = max(0.0, action.when - self.now()) / 1000
+                delay_s = max(0.0, action.fires_at - self.now()) / 1000
                 self.loop.call_later(delay_s, self.event, api.TimerFired(action.token))
             case api.RejectRequest():
                 self.requests.reject(action)
@@ -125,7 +125,7 @@
             case api.CloseIdleConnections():
                 self.pool.close_idle(action.backend)
             case api.WatchEndpoints() if self.discovery is not None:
-                self.discovery.watch(action.on)
+                self.discovery.watch(action.enabled)
             case api.FetchEndpoints() if self.discovery is not None:
                 self.discovery.fetch()
             case api.WriteLog():
@@ -138,7 +138,7 @@
     @property
     def is_full(self) -> bool:
         """Whether the node holds as many requests as it may."""
-        return len(self.requests.open) >= self.settings.max_open
+        return len(self.requests.open) >= self.settings.max_open_requests
 
     def count_over_limit(self, class_name: str) -> None:
         """Count a request rejected before it was accepted, as the node or its listener is full."""
--- a/balancer/net/request_head.py
+++ b/balancer/net/request_head.py
@@ -59,7 +59,7 @@
     if request_class is None:
         raise BadRequestError(404, "unknown class")
     _check_class(request_class, parser)
-    timeout_ms = request_class.deadline
+    timeout_ms = request_class.deadline_ms
     event = _arrival(request_class, query, headers, settings)
     if b"request-timeout" in headers:
         timeout_ms = min(timeout_ms, parse_timeout(headers[b"request-timeout"]))
@@ -83,7 +83,7 @@
         tenant=headers[b"tenant"].decode("latin-1") if b"tenant" in headers else None,
         work_hint=_work_hint(headers),
         writes=request_class.idempotency is not Idempotency.IDEMPOTENT,
-        under=settings,
+        settings=settings,
     )
 
 
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -121,7 +121,9 @@
         self._counts["refused"] += 1
         request = self._log_unserved(action.request, "refused", action.reason)
         if request is not None:
-            self._answer(request, RequestOutcome.REJECTED, lambda client: client.reject(action.retry_after))
+            self._answer(
+                request, RequestOutcome.REJECTED, lambda client: client.reject(action.retry_after_ms)
+            )
 
     def fail(self, action: api.FailRequest) -> None:
         """Fail a request."""
@@ -142,13 +144,13 @@
         if request.attempts and (status := request.attempts[-1].status) is not None:
             self._log.retried(action.request, number, action.backend, status)
         request.attempts.append(attempt)
-        attempt.timeout_ms = action.timeout
+        attempt.timeout_ms = action.timeout_ms
         timeout_ms = self._start_timeout(attempt, request)
         if (
             request.is_upload_spent
             or action.backend not in self._pool.members
             or timeout_ms <= 0
-            or 0 < action.before <= now
+            or 0 < action.latest_start <= now
             or not self._is_wanted(request)
         ):
             if not attempt.is_over:  # else it was cancelled with its request
@@ -164,8 +166,8 @@
         )
         if attempt.is_over:
             attempt.attempt = None
-        elif action.before:
-            self._loop.call_later((action.before - now) / 1000, self._cancel_unsent, attempt)
+        elif action.latest_start:
+            self._loop.call_later((action.latest_start - now) / 1000, self._cancel_unsent, attempt)
 
     def cancel_attempt(self, action: api.CancelAttempt) -> None:
         """Cancel an attempt, if it is under way."""
--- a/balancer/net/shutdown.py
+++ b/balancer/net/shutdown.py
@@ -25,7 +25,7 @@
 
 def seconds_until_kill(settings: Settings) -> float:
     """Return the least time from SIGTERM to SIGKILL."""
-    longest_s = max(request_class.deadline for request_class in settings.classes) / 1000
+    longest_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000
     return min(longest_s, MAX_DEADLINE_S) + KILL_DELAY_S
 
 
--- a/balancer/policy/attempt_timeouts.py
+++ b/balancer/policy/attempt_timeouts.py
@@ -8,10 +8,10 @@
 from balancer.policy.constants import EWMA_WEIGHT
 from balancer.policy.records import Attempt, Request
 
-LOSSY_RATE = 0.05  # of attempts without a response, from which responses are taken to get lost
-CUT_DEVIATIONS = 4  # beyond the expected duration, after which a response is taken for lost
-CUT_OBJECTIVE_FRACTION = 1 / 2  # but no sooner than this part of the objective
-MARGIN_TICKS = 2  # so that a failure does not come late
+LOSSY_RATE_THRESHOLD = 0.05  # of attempts without a response, from which responses are taken to get lost
+REDUCED_TIMEOUT_DEVIATIONS = 4  # beyond the expected duration, after which a response is taken for lost
+MIN_REDUCED_TIMEOUT_OBJECTIVE_FRACTION = 1 / 2  # but no sooner than this part of the objective
+TIMEOUT_MARGIN_TICKS = 2  # so that a failure does not come late
 
 
 @dataclass(slots=True, eq=False)
@@ -41,18 +41,18 @@
         time_left_ms = request.useful_until - now
         timeout_ms = 0.0
         if request.useful_until < request.deadline:
-            timeout_ms = max(tick_ms, time_left_ms - MARGIN_TICKS * tick_ms)
+            timeout_ms = max(tick_ms, time_left_ms - TIMEOUT_MARGIN_TICKS * tick_ms)
         cut_ms = max(
-            config.latency_objective_ms * CUT_OBJECTIVE_FRACTION,
-            statistics.expected_ms + CUT_DEVIATIONS * statistics.deviation_ms,
+            config.latency_objective_ms * MIN_REDUCED_TIMEOUT_OBJECTIVE_FRACTION,
+            statistics.expected_ms + REDUCED_TIMEOUT_DEVIATIONS * statistics.deviation_ms,
         )
         if (
-            self.loss_rate > LOSSY_RATE
+            self.loss_rate > LOSSY_RATE_THRESHOLD
             and config.late_weight_fraction > 0
             and config.idempotency is not api.Idempotency.NOT_IDEMPOTENT
             and cut_ms + statistics.expected_ms < time_left_ms
         ):
             timeout_ms = cut_ms
-            attempt.is_cut_short = True
-        attempt.is_hasty = (timeout_ms or request.deadline - now) < cut_ms
+            attempt.has_reduced_timeout = True
+        attempt.has_short_timeout = (timeout_ms or request.deadline - now) < cut_ms
         return timeout_ms
--- a/balancer/policy/attempts.py
+++ b/balancer/policy/attempts.py
@@ -6,7 +6,7 @@
 
 from balancer import interface as api
 from balancer.policy.attempt_timeouts import AttemptTimeouts
-from balancer.policy.charges import checks_before_sending
+from balancer.policy.charges import checks_health_before_sending
 from balancer.policy.concurrency_limit import ConcurrencyLimit
 from balancer.policy.eligibility import Eligibility
 from balancer.policy.endpoint_list import EndpointList
@@ -31,7 +31,7 @@
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
-        self._checks_first = checks_before_sending(settings)
+        self._checks_first = checks_health_before_sending(settings)
 
     def start(self, request: Request, endpoint: EndpointRecord, now: float) -> None:
         """Send a request to an endpoint, or give it up where a rule forbids that."""
@@ -55,7 +55,7 @@
             api.StartAttempt(request.id, endpoint.entry.backend, timeout_ms, latest_start)
         )
 
-    def begin_work(self, request: Request, now: float) -> None:
+    def on_body_received(self, request: Request, now: float) -> None:
         """Count the attempt in flight of a request whose body is complete now."""
         if request.in_flight:
             attempt = request.attempts[-1]
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -15,7 +15,7 @@
 from balancer.policy.endpoint_index import EndpointIndex
 from balancer.policy.endpoint_list import EndpointList
 from balancer.policy.health_checks import HealthChecks
-from balancer.policy.load_shedding import LoadShedding, can_be_in_time
+from balancer.policy.load_shedding import LoadShedding, can_finish_in_time
 from balancer.policy.maintenance import Maintenance
 from balancer.policy.outbox import OperatorLog, Outbox
 from balancer.policy.outcomes import OutcomeLearning
@@ -82,7 +82,7 @@
 
     def is_listed(self, name: str) -> bool:
         """Return whether the list names this endpoint, or did so until lately."""
-        return name in self.index.records or name in self.index.former
+        return name in self.index.records or name in self.index.forgotten_names
 
     def count_unavailable(self, now: float) -> int:
         """Return how many listed endpoints get no requests now, or none but in a panic."""
@@ -175,12 +175,12 @@
             useful_until,
             is_high_value,
             max_attempts,
-            is_arriving=event.arriving,
+            is_arriving=event.body_pending,
         )
         self.requests.by_id[event.request] = request
         self.slow_start.count_arrival(now, self.limit, self.classes.mean_expected_ms)
         # What cannot meet its objective is shed at once: cheaper for all than a failure after it.
-        if can_be_in_time(request, now):
+        if can_finish_in_time(request, now):
             self.router.route(request, now)
         else:
             self.requests.give_up(request, api.GiveUpReason.TOO_LATE, now)
@@ -195,7 +195,7 @@
         request.useful_until = self.classes.useful_until(
             request.statistics, event.deadline, request.work_hint, now
         )
-        self.attempts.begin_work(request, now)
+        self.attempts.on_body_received(request, now)
 
     def _on_attempt_ended(self, now: float, event: api.AttemptEnded) -> None:
         request = self.requests.by_id.get(event.request)
@@ -210,10 +210,10 @@
             return
         self.attempts.end(request, attempt, event.status)
         self.selection.apply_report(attempt.endpoint, event.report, is_fresh=False)
-        self.outcomes.learn(request.statistics, attempt, event.status, event.duration, now)
-        if event.closed or request.is_closed:
+        self.outcomes.learn(request.statistics, attempt, event.status, event.duration_ms, now)
+        if event.is_answered or request.is_closed:
             self.requests.close(request)
-        elif event.spent:
+        elif event.not_replayable:
             self.requests.give_up(request, api.GiveUpReason.NO_RETRY, now)
         else:
             self.router.retry(request, now)
@@ -228,7 +228,7 @@
             return
         attempt = request.attempts[event.attempt]
         self.attempts.end(request, attempt, api.AttemptStatus.OK)
-        self.outcomes.learn(request.statistics, attempt, api.AttemptStatus.OK, event.duration, now)
+        self.outcomes.learn(request.statistics, attempt, api.AttemptStatus.OK, event.duration_ms, now)
         self.router.release(now)
 
     def _on_client_disconnected(self, now: float, event: api.ClientDisconnected) -> None:
@@ -253,13 +253,13 @@
     def _on_maintenance_changed(self, now: float, event: api.MaintenanceChanged) -> None:
         """Ban an endpoint by id, or lift the ban, which the list cannot."""
         name = event.backend
-        if event.out:
+        if event.banned:
             order = self.index.order
             self.maintenance.ban(name, order.index(name) if name in order else None)
             self.endpoints.refresh([name])
             return
-        self.maintenance.lift(name, event.since, now)
-        is_recent = now - event.since < self.settings.slow_start_ms
+        self.maintenance.lift(name, event.lifted_at, now)
+        is_recent = now - event.lifted_at < self.settings.slow_start_ms
         if is_recent and self.slow_start.is_first_sender(name, self.classes.mean_expected_ms):
             self.maintenance.awaiting_first_request.add(name)
         if (endpoint := self.index.records.get(name)) is not None:
@@ -269,9 +269,9 @@
 
     def _on_learned_state(self, now: float, event: api.LearnedStateRestored) -> None:
         self.selection.candidates.clear()
-        self.warm_start.restore(event.learned, event.age, now)
+        self.warm_start.restore(event.learned, event.age_ms, now)
 
     def _on_recovery_progressed(self, now: float, event: api.RecoveryProgressed) -> None:
         self.selection.candidates.clear()
-        self.slow_start.take_progress(event, now)
+        self.slow_start.update_recovery(event, now)
         self.router.release(now)
--- a/balancer/policy/class_table.py
+++ b/balancer/policy/class_table.py
@@ -9,7 +9,7 @@
 from balancer.policy.records import ClassStatistics
 
 INITIAL_OBJECTIVE_FRACTION = 1 / 4  # of the latency objective: what a response is first expected to take
-ALLOWANCE_TOLERANCE_TICKS = 2
+TIME_LEFT_TOLERANCE_TICKS = 2
 
 
 @dataclass(slots=True, eq=False)
@@ -42,7 +42,7 @@
 
         Raises CallError where these settings have no such class.
         """
-        settings = event.under or self._settings
+        settings = event.settings or self._settings
         statistics = self.by_name.get(event.class_name)
         if settings is not self._settings:
             config = next((c for c in settings.classes if c.name == event.class_name), None)
@@ -71,10 +71,10 @@
         time_left = deadline - now
         # Where late responses have some worth they are useful up to the deadline of the class.
         objective_ms = (
-            config.deadline
+            config.deadline_ms
             if config.late_weight_fraction > 0
             else config.latency_objective_ms
-            + config.objective_per_work * (work_hint or 0.0)
+            + config.objective_ms_per_work_unit * (work_hint or 0.0)
             - self._age_ms(statistics, time_left)
         )
         return min(deadline, now + objective_ms)
@@ -86,13 +86,13 @@
         single retry with more time does not make all first attempts look old.
         """
         difference_ms = abs(time_left_ms - statistics.first_attempt_ms)
-        is_first = difference_ms <= ALLOWANCE_TOLERANCE_TICKS * self._clock_granularity_ms
+        is_first = difference_ms <= TIME_LEFT_TOLERANCE_TICKS * self._clock_granularity_ms
         statistics.first_attempt_votes += 1 if is_first else -1
         if statistics.first_attempt_votes < 0:
             statistics.first_attempt_ms = time_left_ms
             statistics.first_attempt_votes = 1
             is_first = True
-        return 0.0 if is_first else max(0.0, statistics.config.deadline - time_left_ms)
+        return 0.0 if is_first else max(0.0, statistics.config.deadline_ms - time_left_ms)
 
 
 def bounded_expected_ms(config: api.RequestClass, expected_ms: float) -> float:
@@ -101,7 +101,7 @@
     Without the bound a class whose objective got shorter would be shed and never learn that it can be met.
     """
     return min(
-        expected_ms, config.deadline if config.late_weight_fraction > 0 else config.latency_objective_ms
+        expected_ms, config.deadline_ms if config.late_weight_fraction > 0 else config.latency_objective_ms
     )
 
 
--- a/balancer/policy/concurrency_limit.py
+++ b/balancer/policy/concurrency_limit.py
@@ -11,7 +11,7 @@
 from balancer.policy.records import ClassStatistics, EndpointRecord
 
 TARGET_OBJECTIVE_FRACTION = 1 / 3  # of the tightest latency objective that responses are to take
-STEP = 0.015  # relative change per response and unit of error: small, as all nodes act alike
+LIMIT_GAIN = 0.015  # relative change per response and unit of error: small, as all nodes act alike
 MIN_LIMIT = 2.0  # lowest and first limit, for each endpoint that falls to this node if that is over one
 MIN_RESPONSE_DRIFT = 1.005  # growth of an endpoint's lowest duration with each response: routes change
 OVERLOAD_EWMA_WEIGHT = EWMA_WEIGHT / 2
@@ -28,13 +28,13 @@
     would flood the endpoints when a burst comes.
     """
 
-    __slots__ = ("_classes", "_index", "_overloads", "floor", "in_flight", "limit")
+    __slots__ = ("_classes", "_index", "_overloads", "in_flight", "limit", "min_limit")
 
     def __init__(self, index: EndpointIndex) -> None:
         """Start at the lowest limit."""
         self._index = index
         self.limit = MIN_LIMIT
-        self.floor = MIN_LIMIT
+        self.min_limit = MIN_LIMIT
         self.in_flight = 0  # own attempts
 
     def configure(self, classes: dict[str, ClassStatistics]) -> None:
@@ -46,8 +46,8 @@
 
     def resize(self, endpoint_count: int, node_count: int) -> None:
         """Set the lowest limit by how many endpoints fall to each node."""
-        self.floor = MIN_LIMIT * max(1.0, endpoint_count / node_count)
-        self.limit = max(self.limit, self.floor)
+        self.min_limit = MIN_LIMIT * max(1.0, endpoint_count / node_count)
+        self.limit = max(self.limit, self.min_limit)
 
     @property
     def highest_overload(self) -> float:
@@ -65,7 +65,7 @@
         objective_ms = statistics.config.latency_objective_ms
         if status is api.AttemptStatus.OK:
             endpoint.min_response_ms = min(endpoint.min_response_ms * MIN_RESPONSE_DRIFT, duration_ms)
-            self._index.note_change(endpoint)
+            self._index.mark_changed(endpoint)
             zone_min_ms = self._index.min_response_ms(endpoint.entry.zone)
             served_ms = duration_ms - min(endpoint.min_response_ms, zone_min_ms)
         else:
@@ -77,15 +77,15 @@
         self._overloads.update(statistics.config.name)
         self._adjust()
 
-    def note_overload(self, class_name: str) -> None:
+    def refresh_overload(self, class_name: str) -> None:
         """Take note that the overload of a class was set from outside."""
         self._overloads.update(class_name)
 
     def _adjust(self) -> None:
         excess = self.highest_overload
         if excess > 0 or self.in_flight >= self.limit - 1.0:
-            self.limit *= 1 - STEP * max(-1.0, min(1.0, excess))
-        self.limit = max(self.limit, self.floor)
+            self.limit *= 1 - LIMIT_GAIN * max(-1.0, min(1.0, excess))
+        self.limit = max(self.limit, self.min_limit)
 
     def _heap_key(self, class_name: str) -> float:
         """Return the heap key of a class: the most overloaded class sorts first."""
--- a/balancer/policy/eligibility.py
+++ b/balancer/policy/eligibility.py
@@ -9,7 +9,7 @@
 from balancer.policy.maintenance import Maintenance
 from balancer.policy.records import EndpointRecord, Request
 
-NO_PLACES: frozenset[idempotency.Place] = frozenset()
+NO_DOMAINS: frozenset[idempotency.DeduplicationDomain] = frozenset()
 
 
 class Eligibility:
@@ -32,29 +32,29 @@
         entry = endpoint.entry
         return entry.phase is api.EndpointPhase.IN_SERVICE and entry.backend not in self._banned
 
-    def required_places(self, request: Request, now: float) -> set[idempotency.Place] | None:
-        """Return all places that the next attempt has to be in, or None if no attempt may be made."""
-        return idempotency.required_places(request, now, self._clock_granularity_ms)
+    def required_domains(self, request: Request, now: float) -> set[idempotency.DeduplicationDomain] | None:
+        """Return all domains that the next attempt has to be in, or None if no attempt may be made."""
+        return idempotency.required_domains(request, now, self._clock_granularity_ms)
 
     def permits_attempt(self, request: Request, endpoint: EndpointRecord, now: float) -> bool:
         """Return whether an attempt at this endpoint cannot make the request take effect twice."""
         if not request.attempts:
             return True
-        places = self.required_places(request, now)
-        return places is not None and all(
-            place == idempotency.place_of(request, endpoint) for place in places
+        domains = self.required_domains(request, now)
+        return domains is not None and all(
+            domain == idempotency.deduplication_domain(request, endpoint) for domain in domains
         )
 
     def permits_retry(self, request: Request, now: float) -> bool:
         """Return whether any endpoint in service may have the next attempt."""
-        places = self.required_places(request, now)
-        if places is None or len(places) > 1:
+        domains = self.required_domains(request, now)
+        if domains is None or len(domains) > 1:
             return False
-        if not places:
+        if not domains:
             return len(self._index.order) > 0
         scope = request.statistics.config.deduplication_scope
         present = self._index.zones if scope is api.DeduplicationScope.ZONE else self._index.cells
-        return all(place in present for place in places)
+        return all(domain in present for domain in domains)
 
     def latest_start(self, request: Request) -> float:
         """Return the clock time until which the next attempt may leave; 0 means no limit."""
@@ -70,8 +70,8 @@
         Endpoints with more than `max_in_flight` attempts of this node are too crowded.
         """
         checked = request.checked
-        places = self.required_places(request, now) if request.attempts else NO_PLACES
-        if places is None:
+        domains = self.required_domains(request, now) if request.attempts else NO_DOMAINS
+        if domains is None:
             return _reject
 
         def is_eligible(endpoint: EndpointRecord) -> bool:
@@ -82,11 +82,11 @@
                 and endpoint not in checked
             )
 
-        if not places:
+        if not domains:
             return is_eligible
         return lambda endpoint: (
             is_eligible(endpoint)
-            and all(place == idempotency.place_of(request, endpoint) for place in places)
+            and all(domain == idempotency.deduplication_domain(request, endpoint) for domain in domains)
         )
 
 
--- a/balancer/policy/endpoint_index.py
+++ b/balancer/policy/endpoint_index.py
@@ -14,7 +14,7 @@
 from balancer.policy.ordered_names import EndpointOrder, Insertion
 from balancer.policy.records import EndpointRecord
 
-MAX_FORMER_NAMES = 1024  # removed endpoints that are still known by name, for operators who name one
+MAX_FORGOTTEN_NAMES = 1024  # removed endpoints that are still known by name, for operators who name one
 
 
 class ZoneSummary:
@@ -25,7 +25,7 @@
 
         def min_response_ms(name: str) -> float:
             endpoint = records.get(name)
-            if endpoint is None or endpoint.block is None or endpoint.entry.zone != zone:
+            if endpoint is None or endpoint.order_block is None or endpoint.entry.zone != zone:
                 return math.inf
             return endpoint.min_response_ms
 
@@ -43,11 +43,11 @@
         self.listed_count = 0  # of the records, those that were not removed
         self.zones: dict[str, ZoneSummary] = {}  # of those in the order
         self.cells: Counter[int] = Counter()  # of those in the order
-        self.avoided: dict[str, None] = {}  # ejected or busy, perhaps no more
-        self.learned: dict[str, None] = {}  # those of which something is known, perhaps no more
-        self.former: dict[str, None] = {}  # the latest that were forgotten
+        self.maybe_avoided: dict[str, None] = {}  # ejected or busy, perhaps no more
+        self.maybe_observed: dict[str, None] = {}  # those of which something is known, perhaps no more
+        self.forgotten_names: dict[str, None] = {}  # the latest that were forgotten
 
-    def take(self, entry: api.Endpoint) -> None:
+    def apply_entry(self, entry: api.Endpoint) -> None:
         """Take an entry of the list. An endpoint that returns or has restarted is treated as a new one."""
         endpoint = self.records.get(entry.backend)
         if endpoint is None:
@@ -59,7 +59,7 @@
         self.listed_count += _is_listed(entry) - _is_listed(former)
         if entry.started_at > former.started_at or (_is_listed(entry) and not _is_listed(former)):
             endpoint.reset()
-        if endpoint.block is None or (former.zone, former.cell) == (entry.zone, entry.cell):
+        if endpoint.order_block is None or (former.zone, former.cell) == (entry.zone, entry.cell):
             endpoint.entry = entry
         else:
             self._uncount(endpoint)
@@ -88,12 +88,12 @@
         ):
             return False
         del self.records[name]
-        self.avoided.pop(name, None)
-        self.learned.pop(name, None)
-        self.former.pop(name, None)
-        self.former[name] = None
-        if len(self.former) > MAX_FORMER_NAMES:
-            del self.former[next(iter(self.former))]
+        self.maybe_avoided.pop(name, None)
+        self.maybe_observed.pop(name, None)
+        self.forgotten_names.pop(name, None)
+        self.forgotten_names[name] = None
+        if len(self.forgotten_names) > MAX_FORGOTTEN_NAMES:
+            del self.forgotten_names[next(iter(self.forgotten_names))]
         return True
 
     def window(self, first: int, last: int, remote_first: bool = False) -> list[EndpointRecord]:
@@ -105,23 +105,23 @@
         """Return the lowest recent duration of a response of the endpoints in a zone."""
         return self.zones[zone].response_times.minimum() if zone in self.zones else math.inf
 
-    def note_change(self, endpoint: EndpointRecord) -> None:
+    def mark_changed(self, endpoint: EndpointRecord) -> None:
         """Take note that something was learned of an endpoint, or that it was ejected or is busy."""
         name = endpoint.entry.backend
         if self.records.get(name) is endpoint:
-            self.learned[name] = None
+            self.maybe_observed[name] = None
             if max(endpoint.ejected_until, endpoint.busy_until) > 0.0:
-                self.avoided[name] = None
-            if endpoint.block is not None:
+                self.maybe_avoided[name] = None
+            if endpoint.order_block is not None:
                 self.zones[endpoint.entry.zone].response_times.update(name)
 
-    def avoided_now(self, now: float) -> Iterator[EndpointRecord]:
+    def iter_avoided(self, now: float) -> Iterator[EndpointRecord]:
         """Yield the endpoints that may have new work but are ejected or busy at the clock time `now`."""
-        for name in list(self.avoided):
+        for name in list(self.maybe_avoided):
             endpoint = self.records[name]
             if max(endpoint.busy_until, endpoint.ejected_until) <= now:
-                del self.avoided[name]
-            elif endpoint.block is not None:
+                del self.maybe_avoided[name]
+            elif endpoint.order_block is not None:
                 yield endpoint
 
     def _count(self, endpoint: EndpointRecord) -> None:
--- a/balancer/policy/endpoint_list.py
+++ b/balancer/policy/endpoint_list.py
@@ -50,8 +50,8 @@
                 replace(records[name].entry, phase=api.EndpointPhase.REMOVED) for name in missing
             ] + entries
         for entry in entries:
-            self.index.take(entry)
-        self.refresh({entry.backend: None for entry in entries}, update.more)
+            self.index.apply_entry(entry)
+        self.refresh({entry.backend: None for entry in entries}, update.more_follows)
 
     def refresh(self, names: Iterable[str], more_follows: bool = False) -> None:
         """Bring the order in line with endpoints whose eligibility for new work may have changed."""
@@ -81,7 +81,7 @@
         moved = list[str]()
         for endpoint in changed:
             name = endpoint.entry.backend
-            if endpoint.block is None:
+            if endpoint.order_block is None:
                 if self.eligibility.is_in_service(endpoint):
                     added.append(endpoint)
             elif not self.eligibility.is_in_service(endpoint):
@@ -103,7 +103,7 @@
     def _lay_out(self, names: list[str]) -> None:
         records = self.index.records
         local_names = {name for name in names if self.zones.is_local(records[name])}
-        order = self.subsetting.first_layout(names, local_names, self.rng)
+        order = self.subsetting.initial_order(names, local_names, self.rng)
         for is_local in (True, False):
             side = [(0, name) for name in order if (name in local_names) is is_local]
             self.index.insert(side, is_local)
--- a/balancer/policy/health_checks.py
+++ b/balancer/policy/health_checks.py
@@ -9,12 +9,12 @@
 from balancer import interface as api
 from balancer.policy import join_up_to_m
 from balancer.policy.attempts import Attempts
-from balancer.policy.charges import HEALTH_CHECK_SAMPLE, MAX_HEALTH_CHECK_ROUNDS
+from balancer.policy.charges import HEALTH_CHECK_SAMPLE_SIZE, MAX_HEALTH_CHECK_ROUNDS
 from balancer.policy.constants import EWMA_WEIGHT
 from balancer.policy.eligibility import Eligibility
 from balancer.policy.endpoint_index import EndpointIndex
 from balancer.policy.endpoint_list import EndpointList
-from balancer.policy.load_shedding import LoadShedding, can_be_in_time
+from balancer.policy.load_shedding import LoadShedding, can_finish_in_time
 from balancer.policy.outbox import Outbox
 from balancer.policy.outlier_ejection import OutlierEjection
 from balancer.policy.records import Request
@@ -22,9 +22,9 @@
 from balancer.policy.selection import Selection
 from balancer.policy.subsetting import Subsetting
 
-OVERDUE_ROUND_TRIPS = 3.0  # after which an endpoint counts as stalled
-FIRST_ROUND_TRIP_TICKS = 2.0  # expected round trip before the first result
-IN_SERVICE_REQUESTS = 0.5  # mean remaining part of the request that an endpoint works on
+HEALTH_CHECK_TIMEOUT_ROUND_TRIPS = 3.0  # after which an endpoint counts as stalled
+INITIAL_ROUND_TRIP_TICKS = 2.0  # expected round trip before the first result
+MEAN_RESIDUAL_REQUESTS = 0.5  # mean remaining part of the request that an endpoint works on
 
 
 @dataclass(slots=True, eq=False)
@@ -47,7 +47,7 @@
 
     def __post_init__(self) -> None:
         """Expect a round trip of a few clock ticks before the first result."""
-        self._round_trip_ms = FIRST_ROUND_TRIP_TICKS * self.clock_granularity_ms
+        self._round_trip_ms = INITIAL_ROUND_TRIP_TICKS * self.clock_granularity_ms
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
@@ -66,7 +66,7 @@
         endpoint.health_check_waiters = None
         is_ok = event.status is api.AttemptStatus.OK
         if is_ok:
-            self._round_trip_ms += EWMA_WEIGHT * (event.duration - self._round_trip_ms)
+            self._round_trip_ms += EWMA_WEIGHT * (event.duration_ms - self._round_trip_ms)
             self.selection.apply_report(endpoint, event.report, is_fresh=True)
             endpoint.ejected_until = min(endpoint.ejected_until, now)
         else:
@@ -87,13 +87,13 @@
     def _check(self, request: Request, now: float) -> None:
         request.check_rounds += 1
         request.total_check_rounds += 1
-        width = self.subsetting.width
+        width = self.subsetting.subset_size
         view = self.index.window(0, 2 * width)
-        draw = self.selection.draw
+        draw = self.selection.sample
         sample = (
-            draw(request, HEALTH_CHECK_SAMPLE, view[:width], now)
-            or draw(request, HEALTH_CHECK_SAMPLE, view[width:], now)
-            or self.selection.draw_in_panic(request, HEALTH_CHECK_SAMPLE, view, now)
+            draw(request, HEALTH_CHECK_SAMPLE_SIZE, view[:width], now)
+            or draw(request, HEALTH_CHECK_SAMPLE_SIZE, view[width:], now)
+            or self.selection.sample_in_panic(request, HEALTH_CHECK_SAMPLE_SIZE, view, now)
         )
         for endpoint in sample:
             request.pending_checks.add(endpoint.entry.backend)
@@ -101,7 +101,7 @@
                 endpoint.health_check_waiters = []
                 self.outbox.actions.append(api.CheckHealth(endpoint.entry.backend))
             endpoint.health_check_waiters.append(request)
-        overdue_at = now + OVERDUE_ROUND_TRIPS * self._round_trip_ms + self.clock_granularity_ms
+        overdue_at = now + HEALTH_CHECK_TIMEOUT_ROUND_TRIPS * self._round_trip_ms + self.clock_granularity_ms
         self.outbox.set_timer(overdue_at, self._on_overdue, (request, request.total_check_rounds))
         if not request.pending_checks:
             self._settle(request, now)
@@ -125,10 +125,10 @@
         ]
         lowest = min((endpoint.estimate for endpoint in pool), default=math.inf)
         m = join_up_to_m.cap(request.statistics)
-        wait_ms = max(0.0, lowest - IN_SERVICE_REQUESTS) * request.statistics.expected_ms
+        wait_ms = max(0.0, lowest - MEAN_RESIDUAL_REQUESTS) * request.statistics.expected_ms
         if lowest > 0 and request.check_rounds < MAX_HEALTH_CHECK_ROUNDS:
             self._check(request, now)
-        elif lowest < m and can_be_in_time(request, now, wait_ms):
+        elif lowest < m and can_finish_in_time(request, now, wait_ms):
             self.attempts.start(request, join_up_to_m.pick(self.rng, pool, m), now)
         else:
             self.requests.give_up(request, api.GiveUpReason.NO_ENDPOINT, now)
--- a/balancer/policy/idempotency.py
+++ b/balancer/policy/idempotency.py
@@ -5,23 +5,25 @@
 from balancer import interface as api
 from balancer.policy.records import Attempt, EndpointRecord, Request
 
-Place = str | int
+DeduplicationDomain = str | int
 """What bounds a retry: a zone, or a cell."""
 
 CLOCK_ERROR_TICKS = 2
 
 
-def place_of(request: Request, endpoint: EndpointRecord) -> Place:
+def deduplication_domain(request: Request, endpoint: EndpointRecord) -> DeduplicationDomain:
     """Return the zone or the cell of an endpoint, whichever shares the request's idempotency keys."""
     if request.statistics.config.deduplication_scope is api.DeduplicationScope.ZONE:
         return endpoint.entry.zone
     return endpoint.entry.cell
 
 
-def required_places(request: Request, now: float, clock_granularity_ms: float) -> set[Place] | None:
-    """Return all places that the next attempt has to be in, or None if no attempt may be made."""
+def required_domains(
+    request: Request, now: float, clock_granularity_ms: float
+) -> set[DeduplicationDomain] | None:
+    """Return all domains that the next attempt has to be in, or None if no attempt may be made."""
     config = request.statistics.config
-    places = set[Place]()
+    domains = set[DeduplicationDomain]()
     for attempt in request.attempts:
         if attempt.status is None:  # one attempt is in flight at a time
             return None
@@ -32,8 +34,8 @@
         if now > _window_end(request, attempt, clock_granularity_ms):
             return None
         if config.deduplication_scope is not api.DeduplicationScope.ALL:
-            places.add(place_of(request, attempt.endpoint))
-    return places
+            domains.add(deduplication_domain(request, attempt.endpoint))
+    return domains
 
 
 def latest_start(request: Request, clock_granularity_ms: float) -> float:
@@ -51,7 +53,7 @@
 
 
 def is_safe_to_repeat(request: Request) -> bool:
-    """Return whether a client may send the request again without any limit of time or place."""
+    """Return whether a client may send the request again without any limit of time or domain."""
     config = request.statistics.config
     return (
         config.idempotency is api.Idempotency.IDEMPOTENT
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -5,15 +5,15 @@
 import random
 
 from balancer import interface as api
-from balancer.policy.charges import checks_before_sending
+from balancer.policy.charges import checks_health_before_sending
 from balancer.policy.constants import EWMA_WEIGHT
 from balancer.policy.records import ClassStatistics, Request
 from balancer.policy.retries import RETRIES_PER_REQUEST
 
 REQUIRED_TIME_FRACTION = 0.9  # of the expected duration that must be left before a response loses its worth
-THROTTLE_FACTOR = 1.4  # shedding begins once the cubed success rate is below one in this
+ADMISSION_FACTOR = 1.4  # shedding begins once the cubed success rate is below one in this
 HIGH_VALUE_FACTOR = 3.0  # worth for its time, over the mean, from which a request passes the limits
-INITIAL_RATES_PER_OBJECTIVE = 4
+INITIAL_DENSITY_FACTOR = 4
 MIN_ADMITTED_FRACTION = RETRIES_PER_REQUEST  # so that the end of an outage is noticed
 
 
@@ -33,13 +33,13 @@
         self.success_rate = 1.0
         self._mean_density = (
             sum(c.priority_weight / c.latency_objective_ms for c in settings.classes)
-            * INITIAL_RATES_PER_OBJECTIVE
+            * INITIAL_DENSITY_FACTOR
             / len(settings.classes)
         )
 
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
-        self._checks_first = checks_before_sending(settings)
+        self._checks_first = checks_health_before_sending(settings)
 
     def is_high_value(self, statistics: ClassStatistics) -> bool:
         """Count a request of a class and return whether it is worth far more for its time than the mean."""
@@ -47,9 +47,9 @@
         self._mean_density += EWMA_WEIGHT / 2 * (density - self._mean_density)
         return density > HIGH_VALUE_FACTOR * self._mean_density
 
-    def draw_admitted_fraction(self) -> bool:
+    def draw_admission(self) -> bool:
         """Draw whether a first attempt is admitted: quiet nodes shed in fractions, by their success rate."""
-        return self._rng.random() <= max(MIN_ADMITTED_FRACTION, THROTTLE_FACTOR * self.success_rate**3)
+        return self._rng.random() <= max(MIN_ADMITTED_FRACTION, ADMISSION_FACTOR * self.success_rate**3)
 
     def observe(self, is_good: bool, is_no_sign_of_load: bool) -> None:
         """Learn from the end of an attempt.
@@ -61,7 +61,7 @@
             self.success_rate += EWMA_WEIGHT * (1 + self._checks_first) * (is_good - self.success_rate)
 
 
-def can_be_in_time(request: Request, now: float, wait_ms: float = 0.0) -> bool:
+def can_finish_in_time(request: Request, now: float, wait_ms: float = 0.0) -> bool:
     """Return whether a request can be served while that has worth, after waiting for `wait_ms`."""
     if request.is_arriving:
         return True
--- a/balancer/policy/ordered_names.py
+++ b/balancer/policy/ordered_names.py
@@ -14,7 +14,7 @@
 
 BLOCK_SIZE = 512  # names in a block, twice as many at most: about the square root of a long list
 
-MAX_LOOKED_UP = 64  # names whose positions are looked up; for more of them all names are walked through
+MAX_POSITION_LOOKUPS = 64  # For more names, one pass over all names is cheaper than a look-up for each.
 
 Insertion = tuple[int, str]
 """A position, before whose present name a new name goes, and that name."""
@@ -52,7 +52,7 @@
 
     def index(self, name: str) -> int:
         """Return the position of a name that is here."""
-        own_block = self.records[name].block
+        own_block = self.records[name].order_block
         begin = 0
         for block in self.blocks:
             if block is own_block:
@@ -83,9 +83,9 @@
 
     def remove(self, name: str) -> None:
         """Remove a name that is here."""
-        block = self.records[name].block or []
+        block = self.records[name].order_block or []
         block.remove(name)
-        self.records[name].block = None
+        self.records[name].order_block = None
         self.size -= 1
         if not block:
             del self.blocks[next(i for i, one in enumerate(self.blocks) if one is block)]
@@ -98,12 +98,12 @@
         self.blocks[number + 1 : number + 1] = added
         for new_block in added:
             for name in new_block:
-                self.records[name].block = new_block
+                self.records[name].order_block = new_block
         return len(added)
 
     def _insert_into(self, block: list[str], begin: int, insertions: Sequence[Insertion]) -> None:
         for _, name in insertions:
-            self.records[name].block = block
+            self.records[name].order_block = block
         self.size += len(insertions)
         if (size := len(block)) > len(insertions):
             for position, name in reversed(insertions):  # an insertion moves nothing before it
@@ -138,7 +138,7 @@
 
     def __contains__(self, name: str) -> bool:
         """Return whether an endpoint may get new work."""
-        return (endpoint := self.records.get(name)) is not None and endpoint.block is not None
+        return (endpoint := self.records.get(name)) is not None and endpoint.order_block is not None
 
     def window(self, first: int, last: int, remote_first: bool = False) -> list[str]:
         """Return the names at these positions, counted from the first local or the first remote one."""
@@ -175,7 +175,7 @@
 
     def _in_order(self, names: Sequence[str]) -> list[str]:
         """Return names of both sides in the order of each side."""
-        if len(names) <= MAX_LOOKED_UP:
+        if len(names) <= MAX_POSITION_LOOKUPS:
             return sorted(names, key=self.index)
         wanted = set(names)
         return [name for name in self if name in wanted]
--- a/balancer/policy/outbox.py
+++ b/balancer/policy/outbox.py
@@ -8,8 +8,8 @@
 from balancer import interface as api
 
 MIN_LOG_INTERVAL_MS = 10_000.0
-MIN_ARRIVALS_FOR_SHEDDING_LINE = 50
-SHED_FRACTION_FOR_LINE = 1 / 4
+MIN_ARRIVALS_FOR_SHEDDING_LOG = 50
+MIN_SHED_FRACTION_FOR_LOG = 1 / 4
 
 TimerCallback = Callable[[float, Any], None]
 """Called with the clock time and the argument that was given with the timer."""
@@ -68,7 +68,7 @@
         """Count a request that was rejected or failed, and write a line when these are many."""
         self.rejections += 1
         if (
-            self.arrivals >= MIN_ARRIVALS_FOR_SHEDDING_LINE
-            and self.rejections > self.arrivals * SHED_FRACTION_FOR_LINE
+            self.arrivals >= MIN_ARRIVALS_FOR_SHEDDING_LOG
+            and self.rejections > self.arrivals * MIN_SHED_FRACTION_FOR_LOG
         ):
             self.write(now, f"shedding: {self.rejections} of {self.arrivals} requests refused or failed")
--- a/balancer/policy/outcomes.py
+++ b/balancer/policy/outcomes.py
@@ -15,8 +15,8 @@
 from balancer.policy.selection import Selection
 from balancer.policy.zone_routing import ZoneRouting
 
-NEUTRAL_STATUSES = frozenset({api.AttemptStatus.CANCELLED, api.AttemptStatus.NOT_STARTED})
-LOAD_STATUSES = frozenset(
+UNINFORMATIVE_STATUSES = frozenset({api.AttemptStatus.CANCELLED, api.AttemptStatus.NOT_STARTED})
+LOAD_DEPENDENT_STATUSES = frozenset(
     {api.AttemptStatus.OK, api.AttemptStatus.REJECTED, api.AttemptStatus.TIMEOUT}
 )  # that depend on the load; other failures are faults
 TIMED_STATUSES = frozenset({api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT})
@@ -43,14 +43,16 @@
         now: float,
     ) -> None:
         """Learn from the end of an attempt of a class."""
-        if status in NEUTRAL_STATUSES or (attempt.is_hasty and status is api.AttemptStatus.TIMEOUT):
+        if status in UNINFORMATIVE_STATUSES or (
+            attempt.has_short_timeout and status is api.AttemptStatus.TIMEOUT
+        ):
             return
-        if attempt.is_representative and status in LOAD_STATUSES:
+        if attempt.reflects_load and status in LOAD_DEPENDENT_STATUSES:
             self._learn_load(statistics, attempt, status, duration_ms)
         endpoint = attempt.endpoint
         if status is api.AttemptStatus.OK:
             endpoint.consecutive_failures = 0
-            if attempt.is_representative:
+            if attempt.reflects_load:
                 self.classes.observe_duration(statistics, duration_ms)
         elif status is api.AttemptStatus.REJECTED:
             self.ejection.avoid_busy(endpoint, now, statistics.expected_ms)
@@ -68,9 +70,9 @@
         objective_ms = statistics.config.latency_objective_ms
         is_good = status is api.AttemptStatus.OK and duration_ms <= objective_ms
         self.timeouts.observe(status is api.AttemptStatus.TIMEOUT)
-        is_no_sign_of_load = attempt.is_cut_short or status is api.AttemptStatus.REJECTED
+        is_no_sign_of_load = attempt.has_reduced_timeout or status is api.AttemptStatus.REJECTED
         self.shedding.observe(is_good, is_no_sign_of_load)
         relative_ms = (duration_ms if is_good else objective_ms) / statistics.expected_ms
         endpoint.slowness += EWMA_WEIGHT * (relative_ms - endpoint.slowness)
-        self.selection.note_weight(endpoint)
+        self.selection.refresh_max_weight(endpoint)
         self.zones.observe(endpoint, is_good)
--- a/balancer/policy/outlier_ejection.py
+++ b/balancer/policy/outlier_ejection.py
@@ -32,25 +32,25 @@
         endpoint.consecutive_failures = min(endpoint.consecutive_failures + 1, MAX_CONSECUTIVE_FAILURES)
         backoff_ms = self.longest_objective_ms * 2 ** (endpoint.consecutive_failures - 1)
         endpoint.ejected_until = now + backoff_ms * self.rng.uniform(*JITTER)
-        self.index.note_change(endpoint)
+        self.index.mark_changed(endpoint)
 
     def avoid_busy(self, endpoint: EndpointRecord, now: float, expected_ms: float) -> None:
         """Avoid an endpoint that rejected a request, for about the time that a response takes."""
         _note_unavailable(endpoint, now)
         endpoint.busy_until = now + expected_ms * self.rng.uniform(*JITTER)
-        self.index.note_change(endpoint)
+        self.index.mark_changed(endpoint)
 
     def avoid_stalled(self, endpoint: EndpointRecord, now: float, expected_ms: float) -> None:
         """Avoid an endpoint that does not answer a health check, whatever the cause."""
         until = now + expected_ms * self.rng.uniform(*JITTER)
         endpoint.ejected_until = max(endpoint.ejected_until, until)
-        self.index.note_change(endpoint)
+        self.index.mark_changed(endpoint)
 
     def count_unavailable(self, now: float) -> int:
         """Return how many listed endpoints get no requests now, or none but in a panic."""
         index = self.index
         avoided = sum(
-            now - endpoint.unavailable_since >= MIN_UNAVAILABLE_MS for endpoint in index.avoided_now(now)
+            now - endpoint.unavailable_since >= MIN_UNAVAILABLE_MS for endpoint in index.iter_avoided(now)
         )
         return index.listed_count - len(index.order) + avoided
 
--- a/balancer/policy/polling.py
+++ b/balancer/policy/polling.py
@@ -11,10 +11,10 @@
 
 MAX_CALL_INTERVAL_MS = 3_950.0  # from one call to the next
 WAIT_AFTER_LONG_CALL_MS = 900.0  # of it, what is left for the wait after a call that took as long as one may
-KNOWN_AFTER_MS = 6_000.0  # after which a change that discovery has counts as known
-MAX_WAIT_WHEN_CROWDED_MS = 1_200.0  # where discovery itself ends calls until then: it may be crowded
-CALLS_IN_TIME_LEFT = 4.0  # a wait is at most such a part of what is left until then
-MIN_WAIT_IN_TIME_LEFT_MS = 800.0
+CHANGE_KNOWN_AFTER_MS = 6_000.0  # after which a change that discovery has counts as known
+MAX_WAIT_WHEN_OVERLOADED_MS = 1_200.0  # where discovery itself ends calls until then: it may be crowded
+MIN_CALLS_IN_TIME_LEFT = 4.0  # a wait is at most such a part of what is left until then
+MIN_WAIT_MS = 800.0
 MAX_CALL_INTERVAL_WHEN_REJECTED_MS = 2_800.0  # where discovery itself rejects calls
 MAX_DOUBLINGS = 5
 BACKOFF_BASE_DIVISOR = 32  # of the greatest age of the list
@@ -73,16 +73,16 @@
 
     def _bounded_wait_ms(self, max_wait_ms: float, failure: api.DiscoveryFailure, now: float) -> float:
         """Bound the wait so that several calls can fail before a change counts as known."""
-        if not failure.reached:
+        if not failure.ended_by_discovery:
             return max_wait_ms
-        time_left_ms = KNOWN_AFTER_MS - failure.silent_ms
+        time_left_ms = CHANGE_KNOWN_AFTER_MS - failure.silent_ms
         if time_left_ms <= 0:
             next_call = self._called_at + MAX_CALL_INTERVAL_WHEN_REJECTED_MS
             return min(max_wait_ms, max(WAIT_AFTER_LONG_CALL_MS, next_call - now))
-        if failure.queued:
-            return min(max_wait_ms, MAX_WAIT_WHEN_CROWDED_MS)
-        wait_ms = max(MIN_WAIT_IN_TIME_LEFT_MS, time_left_ms / CALLS_IN_TIME_LEFT)
-        return min(max_wait_ms, MAX_WAIT_WHEN_CROWDED_MS, wait_ms)
+        if failure.ended_after_wait:
+            return min(max_wait_ms, MAX_WAIT_WHEN_OVERLOADED_MS)
+        wait_ms = max(MIN_WAIT_MS, time_left_ms / MIN_CALLS_IN_TIME_LEFT)
+        return min(max_wait_ms, MAX_WAIT_WHEN_OVERLOADED_MS, wait_ms)
 
     def _call_in(self, wait_ms: float, now: float) -> None:
         self._schedule += 1
--- a/balancer/policy/records.py
+++ b/balancer/policy/records.py
@@ -22,7 +22,7 @@
     busy_until: float = 0.0  # it rejected a request or a connection: avoided even in a panic
     unavailable_since: float = 0.0  # since when it has been ejected or busy without interruption
     health_check_waiters: list[Request] | None = None  # None: no check is under way
-    block: list[str] | None = None  # block of the node's order that holds it; None: gets no new work
+    order_block: list[str] | None = None  # block of the node's order that holds it; None: gets no new work
     is_local: bool = False  # whether it stands there among the endpoints of the own zone
 
     @property
@@ -61,11 +61,11 @@
 
     endpoint: EndpointRecord
     sent_at: float
-    is_representative: bool  # its outcome is a sign of the endpoint's load: it was idle, or none was checked
+    reflects_load: bool  # its outcome is a sign of the endpoint's load: it was idle, or none was checked
     status: api.AttemptStatus | None = None
-    is_hasty: bool = False  # got less time than a response may take: a timeout is the client's fault
+    has_short_timeout: bool = False  # got less time than a response may take: a timeout is the client's fault
     counts_in_flight: bool = True  # its request has arrived with its whole body
-    is_cut_short: bool = False  # got less time than would be useful, because responses get lost
+    has_reduced_timeout: bool = False  # got less time than would be useful, because responses get lost
 
 
 @dataclass(slots=True, eq=False)
--- a/balancer/policy/recovery_admission.py
+++ b/balancer/policy/recovery_admission.py
@@ -14,7 +14,7 @@
 from balancer import interface as api
 
 USABLE_CAPACITY_FRACTION = 0.8  # of what warming endpoints take before they become overloaded
-BURST_WINDOW_FRACTION = 4  # the overload window is so many times what may be saved up
+BURST_WINDOW_DIVISOR = 4  # the overload window is so many times what may be saved up
 MIN_BURST_ATTEMPTS = 2.0
 FILL_INTERVAL_MS = 50.0  # warmth moves slowly, and a filling looks at all endpoints
 MIN_SUCCESS_RATE_TO_RELAX = 0.8
@@ -29,7 +29,7 @@
         self.progress = progress
         self.filled_at = now
         self.tokens = 0.0  # attempts at warming endpoints
-        self.overdraft = 0.0  # what valuable requests may overdraw
+        self.max_overdraft = 0.0  # what valuable requests may overdraw
         self.mean_warmth = 1.0
 
     def is_due(self, now: float) -> bool:
@@ -45,15 +45,19 @@
         self.mean_warmth = sum(warmth) / max(1, len(warmth))
         warming = sum(one for one in warmth if one < 1.0)
         tier_rate_per_ms = (
-            settings.overload_multiple * warming / max(1, largest_count) * self.progress.rate / MS_PER_S
+            settings.overload_multiple
+            * warming
+            / max(1, largest_count)
+            * self.progress.tier_requests_per_s
+            / MS_PER_S
         )
-        own_rate_per_ms = USABLE_CAPACITY_FRACTION * self.progress.share * tier_rate_per_ms
+        own_rate_per_ms = USABLE_CAPACITY_FRACTION * self.progress.capacity_share * tier_rate_per_ms
         max_tokens = max(
-            MIN_BURST_ATTEMPTS, own_rate_per_ms * settings.overload_window_ms / BURST_WINDOW_FRACTION
+            MIN_BURST_ATTEMPTS, own_rate_per_ms * settings.overload_window_ms / BURST_WINDOW_DIVISOR
         )
         self.tokens = min(max_tokens, self.tokens + own_rate_per_ms * (now - self.filled_at))
         self.filled_at = now
-        self.overdraft = max_tokens / 2
+        self.max_overdraft = max_tokens / 2
 
     def allows(self, is_high_value: bool) -> bool:
         """Return whether a warming endpoint may be sent one more request.
@@ -61,13 +65,17 @@
         Nothing is bounded while nobody knows the tier's rate. The most valuable requests may use tokens that
         are yet to be filled in: they are the last to be rejected.
         """
-        return self.progress.rate <= 0 or self.tokens >= (-self.overdraft if is_high_value else 1.0)
+        return self.progress.tier_requests_per_s <= 0 or self.tokens >= (
+            -self.max_overdraft if is_high_value else 1.0
+        )
 
     def spend(self) -> None:
         """Count an attempt at a warming endpoint."""
         self.tokens -= 1.0
 
-    def relax(self, chance: float, drawn: float, warmth: float, success_rate: float) -> tuple[float, float]:
+    def relaxed_chance(
+        self, chance: float, drawn: float, warmth: float, success_rate: float
+    ) -> tuple[float, float]:
         """Return the chance of a warming endpoint, one of `drawn`, raised by how well attempts go.
 
         An endpoint colder than the mean keeps its own chance: it restarted later than the others.
--- a/balancer/policy/routing.py
+++ b/balancer/policy/routing.py
@@ -9,12 +9,12 @@
 from balancer import interface as api
 from balancer.policy import join_up_to_m
 from balancer.policy.attempts import Attempts
-from balancer.policy.charges import checks_before_sending
+from balancer.policy.charges import checks_health_before_sending
 from balancer.policy.concurrency_limit import ConcurrencyLimit
 from balancer.policy.eligibility import Eligibility
 from balancer.policy.endpoint_index import EndpointIndex
 from balancer.policy.health_checks import HealthChecks
-from balancer.policy.load_shedding import REQUIRED_TIME_FRACTION, LoadShedding, can_be_in_time
+from balancer.policy.load_shedding import REQUIRED_TIME_FRACTION, LoadShedding, can_finish_in_time
 from balancer.policy.maintenance import Maintenance
 from balancer.policy.outbox import Outbox
 from balancer.policy.records import EndpointRecord, Request
@@ -53,13 +53,13 @@
     def configure(self, settings: api.Settings) -> None:
         """Take new settings."""
         self._node_count = settings.node_count
-        self._checks_first = checks_before_sending(settings)
+        self._checks_first = checks_health_before_sending(settings)
 
     def route(self, request: Request, now: float) -> None:
         """Send a request, let it wait, or shed it."""
         if self._checks_first:
             self.health_checks.start(request, now)
-        elif not (request.attempts or request.is_high_value) and not self.shedding.draw_admitted_fraction():
+        elif not (request.attempts or request.is_high_value) and not self.shedding.draw_admission():
             self.requests.give_up(request, api.GiveUpReason.LOW_SUCCESS_RATE, now)
         elif self.limit.in_flight < self.limit.limit or request.is_high_value or request.is_arriving:
             self.dispatch(request, now)
@@ -70,11 +70,11 @@
 
     def retry(self, request: Request, now: float) -> None:
         """Retry a request whose attempt failed while that can be in time and the budget lasts."""
-        cost = 0.0 if request.attempts[-1].is_cut_short else 1.0  # a lost response is no sign of load
+        cost = 0.0 if request.attempts[-1].has_reduced_timeout else 1.0  # a lost response is no sign of load
         if (
             self.retry_budget.allows(cost)
             and len(request.attempts) < request.max_attempts
-            and can_be_in_time(request, now)
+            and can_finish_in_time(request, now)
             and self.eligibility.permits_retry(request, now)  # else it would wait in vain
         ):
             self.retry_budget.spend(cost)
@@ -89,7 +89,7 @@
             request = self.queue.pop()
             if request.is_closed:  # its client has disconnected
                 continue
-            if can_be_in_time(request, now):
+            if can_finish_in_time(request, now):
                 self.dispatch(request, now)
             else:
                 self.requests.give_up(request, api.GiveUpReason.QUEUE_TIMEOUT, now)
@@ -120,7 +120,7 @@
         local_count = self.subsetting.local_count
         # The subset is wider for a node that carries far more than its part, lest it crowd the few endpoints
         # that fall to it, but no wider than there are endpoints: the limit is shared over them.
-        width = max(1, min(max(self.subsetting.width, self.limit.in_flight), count))
+        width = max(1, min(max(self.subsetting.subset_size, self.limit.in_flight), count))
         max_in_flight = math.inf if request.is_high_value else self.limit.limit / width
         # Other zones come first as far as they are better by more than their price.
         remote_first = self.rng.random() < self.zones.spill_fraction
@@ -129,24 +129,24 @@
         remote_first = remote_first and local_count < count
         # A subset that is wider than its side would mix both.
         side_count = count - local_count if remote_first else local_count
-        candidates = self.selection.candidates_of(min(width, side_count), remote_first, now)
+        candidates = self.selection.candidates_for(min(width, side_count), remote_first, now)
         # Every node takes its part of what an endpoint may be given after it reported idle.
         m = max(1, join_up_to_m.cap(request.statistics) // self._node_count)
         endpoint = self.selection.choose(request, candidates, m, max_in_flight, now)
         if endpoint is None:
             view = self.index.window(0, 2 * width, remote_first)
             reserve = view[len(candidates.endpoints) :]
-            pool = self.selection.draw(
+            pool = self.selection.sample(
                 request, width, reserve, now, max_in_flight
-            ) or self.selection.draw_in_panic(request, width, view, now, max_in_flight)
+            ) or self.selection.sample_in_panic(request, width, view, now, max_in_flight)
             if pool:
                 endpoint = join_up_to_m.pick(self.rng, pool, m)
         if endpoint is None or self.slow_start.warmth(endpoint.entry, now) < 1.0:
-            self.slow_start.tries.spend()
+            self.slow_start.warming_budget.spend()
         if endpoint is None and not remote_first:
             overflow = self.zones.overflow_fraction(candidates, local_count < count)
             if self.rng.random() < overflow:
-                remote = self.selection.candidates_of(min(width, count - local_count), True, now)
+                remote = self.selection.candidates_for(min(width, count - local_count), True, now)
                 endpoint = self.selection.choose(request, remote, m, max_in_flight, now)
         return endpoint
 
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -14,7 +14,7 @@
 from balancer.policy.records import Candidates, EndpointRecord, Request
 from balancer.policy.slow_start import SlowStart
 
-MAX_DRAWN_PER_WANTED = 3  # endpoints drawn for each that is wanted, as some are not eligible
+MAX_SAMPLED_PER_WANTED = 3  # endpoints drawn for each that is wanted, as some are not eligible
 
 
 @dataclass(slots=True, eq=False)
@@ -29,7 +29,7 @@
     # By whether remote endpoints come first.
     candidates: dict[bool, Candidates] = field(default_factory=dict, init=False)
 
-    def candidates_of(self, size: int, remote_first: bool, now: float) -> Candidates:
+    def candidates_for(self, size: int, remote_first: bool, now: float) -> Candidates:
         """Return the first so many endpoints of the order, as `EndpointOrder.window` counts."""
         cached = self.candidates.get(remote_first)
         if cached is None or len(cached.endpoints) != size or cached.valid_until <= now:
@@ -69,7 +69,7 @@
         request.may_try_warming = False
         return join_up_to_m.choose(self.rng, candidates, warming, m, is_eligible)
 
-    def draw(
+    def sample(
         self,
         request: Request,
         wanted: int,
@@ -82,7 +82,7 @@
         is_eligible = self.eligibility.filter_for(request, now, max_in_flight, ignore_ejection)
         size = len(pool)
         drawn: list[EndpointRecord] = []
-        sample = self.rng.sample(pool, min(size, MAX_DRAWN_PER_WANTED * wanted))
+        sample = self.rng.sample(pool, min(size, MAX_SAMPLED_PER_WANTED * wanted))
         for position, endpoint in enumerate(sample):
             if not is_eligible(endpoint):
                 continue
@@ -95,7 +95,7 @@
         request.may_try_warming = False
         return drawn
 
-    def draw_in_panic(
+    def sample_in_panic(
         self,
         request: Request,
         wanted: int,
@@ -105,7 +105,7 @@
     ) -> list[EndpointRecord]:
         """Draw without regard to ejections: none is eligible, and the node's own view may be the culprit."""
         self.log.write(now, f"panic: {len(pool)} backends in view, none eligible, ignoring ejections")
-        return self.draw(request, wanted, pool, now, max_in_flight, ignore_ejection=True)
+        return self.sample(request, wanted, pool, now, max_in_flight, ignore_ejection=True)
 
     def apply_report(self, endpoint: EndpointRecord, report: api.LoadReport | None, is_fresh: bool) -> None:
         """Update the estimate of an endpoint by a load report, and the bounds of cached candidates."""
@@ -113,7 +113,7 @@
             for cached in self.candidates.values():
                 cached.min_estimate = min(cached.min_estimate, endpoint.estimate)
 
-    def note_weight(self, endpoint: EndpointRecord) -> None:
+    def refresh_max_weight(self, endpoint: EndpointRecord) -> None:
         """Keep the bounds of cached candidates after the weight of an endpoint has changed."""
         weight = endpoint.weight
         for cached in self.candidates.values():
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -23,11 +23,11 @@
 from balancer.policy.zone_routing import ZoneRouting
 
 WARMING_BUDGET_FRACTION = 0.5  # of a warming endpoint's overload budget that all nodes together may use
-SAVED_TRIES_WINDOW_FRACTION = 8  # the overload window is so many times what tries may be saved up for
+WARMING_BURST_WINDOW_DIVISOR = 8  # the overload window is so many times what tries may be saved up for
 MIN_FIRST_SENDERS = 2.0  # nodes that send at once to an endpoint that was put back: one may be idle or gone
 
 
-class WarmingTries:
+class WarmingBudget:
     """A token bucket of requests that may try warming endpoints.
 
     It is filled at the mean rate of arrivals over the time of a ramp, or at what the concurrency limit lets
@@ -56,7 +56,7 @@
         self._interval_ms = self._interval_ms * decay + elapsed_ms
         tick_ms = max(settings.clock_granularity_ms, MIN_DIVISOR_MS)
         rate_per_ms = max(limit / max(expected_ms, tick_ms), self._arrivals / max(self._interval_ms, tick_ms))
-        max_tokens = max(1.0, rate_per_ms * settings.overload_window_ms / SAVED_TRIES_WINDOW_FRACTION)
+        max_tokens = max(1.0, rate_per_ms * settings.overload_window_ms / WARMING_BURST_WINDOW_DIVISOR)
         self.tokens = min(max_tokens, self.tokens + rate_per_ms * elapsed_ms)
 
     def spend(self) -> None:
@@ -74,7 +74,7 @@
     zones: ZoneRouting
     maintenance: Maintenance
     shedding: LoadShedding
-    tries: WarmingTries = field(default_factory=WarmingTries, init=False)
+    warming_budget: WarmingBudget = field(default_factory=WarmingBudget, init=False)
     # While the tier recovers from a loss of power.
     recovery: RecoveryAdmission | None = field(default=None, init=False)
     ramp_ms: float = field(default=MIN_DIVISOR_MS, init=False)
@@ -115,21 +115,23 @@
         """
         drawn: float = min(wanted, pool)
         subsetting = self.subsetting
-        chance = self._budget * warmth * len(self.index.order) / subsetting.largest_count
+        chance = self._budget * warmth * len(self.index.order) / subsetting.peak_endpoint_count
         if self.zones.is_local(endpoint):
             # All nodes of a zone feed the first of its endpoints to return: no more than in a full zone.
             chance *= min(1.0, max(subsetting.local_count, pool) / subsetting.endpoints_per_zone)
         if self.recovery is not None:
             if not self.recovery.allows(request.is_high_value):
                 return False
-            chance, drawn = self.recovery.relax(chance, drawn, warmth, self.shedding.success_rate)
-        elif position >= wanted or self.tries.tokens < 1.0:  # beyond `wanted` it got the chance of several
+            chance, drawn = self.recovery.relaxed_chance(chance, drawn, warmth, self.shedding.success_rate)
+        elif (
+            position >= wanted or self.warming_budget.tokens < 1.0
+        ):  # beyond `wanted` it got the chance of several
             return False
         return request.may_try_warming and self.rng.random() * drawn <= chance
 
     def count_arrival(self, now: float, limit: ConcurrencyLimit, expected_ms: float) -> None:
         """Earn tries by an arrival, and fill the bucket of a recovery."""
-        self.tries.earn(now, self.ramp_ms, limit.limit, expected_ms, self._settings)
+        self.warming_budget.earn(now, self.ramp_ms, limit.limit, expected_ms, self._settings)
         if self.recovery is not None and self.recovery.is_due(now):
             self._fill(self.recovery, now)
 
@@ -138,7 +140,7 @@
         if self.recovery is not None and self.warmth(endpoint.entry, now) < 1.0:
             self.recovery.spend()
 
-    def take_progress(self, progress: api.RecoveryProgressed, now: float) -> None:
+    def update_recovery(self, progress: api.RecoveryProgressed, now: float) -> None:
         """Take the progress of the tier's recovery."""
         self._cold_since = progress.cold_since
         if progress.phase is api.RecoveryPhase.FULL:
@@ -168,4 +170,4 @@
     def _fill(self, recovery: RecoveryAdmission, now: float) -> None:
         records = self.index.records
         warmth = [self.warmth(records[name].entry, now) for name in self.index.order]
-        recovery.fill(now, warmth, self.subsetting.largest_count, self._settings)
+        recovery.fill(now, warmth, self.subsetting.peak_endpoint_count, self._settings)
--- a/balancer/policy/subsetting.py
+++ b/balancer/policy/subsetting.py
@@ -12,12 +12,16 @@
 from dataclasses import dataclass, field
 
 from balancer import interface as api
-from balancer.policy.charges import HEALTH_CHECK_SAMPLE, MAX_HEALTH_CHECK_ROUNDS, checks_before_sending
+from balancer.policy.charges import (
+    HEALTH_CHECK_SAMPLE_SIZE,
+    MAX_HEALTH_CHECK_ROUNDS,
+    checks_health_before_sending,
+)
 from balancer.policy.endpoint_index import EndpointIndex
 from balancer.policy.ordered_names import Insertion
 
 NODES_PER_ENDPOINT = 5  # that feed it
-MIN_SUBSET = 3
+MIN_SUBSET_SIZE = 3
 GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2  # its multiples lie evenly on a ring, for any set of nodes
 HASH_BYTES = 6
 HASH_RANGE = 2**48
@@ -28,11 +32,11 @@
     """The node's position among all nodes, and the sizes that follow from the list."""
 
     index: EndpointIndex
-    width: int = field(default=0, init=False)  # endpoints in the subset
+    subset_size: int = field(default=0, init=False)  # endpoints in the subset
     # Endpoints of the own zone; all of them where it has none.
     local_count: int = field(default=0, init=False)
     # Most endpoints that ever had work: what the share of a warm one is measured by.
-    largest_count: int = field(default=0, init=False)
+    peak_endpoint_count: int = field(default=0, init=False)
     # If they were spread evenly.
     endpoints_per_zone: float = field(default=0.0, init=False)
     _node_index: int = field(default=0, init=False)
@@ -43,13 +47,13 @@
         """Take new settings."""
         self._node_index = settings.node_index
         self._node_count = settings.node_count
-        self._checks_first = checks_before_sending(settings)
+        self._checks_first = checks_health_before_sending(settings)
 
     def resize(self) -> None:
         """Compute the sizes anew after the list or the settings have changed."""
         count = len(self.index.order)
-        self.largest_count = max(self.largest_count, count)
-        self.width = self._width_of(count)
+        self.peak_endpoint_count = max(self.peak_endpoint_count, count)
+        self.subset_size = self._width_of(count)
         self.local_count = len(self.index.order.local) or count
         self.endpoints_per_zone = count / max(1, len(self.index.zones))
 
@@ -80,7 +84,7 @@
             taken[next(gaps)] = taken.pop(position)
         return [(position - number, name) for number, (position, name) in enumerate(sorted(taken.items()))]
 
-    def first_layout(self, names: list[str], local_names: set[str], rng: random.Random) -> list[str]:
+    def initial_order(self, names: list[str], local_names: set[str], rng: random.Random) -> list[str]:
         """Return the order of a first list: an evenly laid subset of the local endpoints, then the rest."""
         local = [name for name in names if name in local_names] or names
         count = len(local)
@@ -93,5 +97,5 @@
 
     def _width_of(self, count: int) -> int:
         if self._checks_first:  # others would only fill the endpoints' connection tables
-            return min(count, HEALTH_CHECK_SAMPLE * MAX_HEALTH_CHECK_ROUNDS)
-        return min(count, max(MIN_SUBSET, math.ceil(NODES_PER_ENDPOINT * count / self._node_count)))
+            return min(count, HEALTH_CHECK_SAMPLE_SIZE * MAX_HEALTH_CHECK_ROUNDS)
+        return min(count, max(MIN_SUBSET_SIZE, math.ceil(NODES_PER_ENDPOINT * count / self._node_count)))
--- a/balancer/policy/warm_start.py
+++ b/balancer/policy/warm_start.py
@@ -35,7 +35,7 @@
             name: (s.expected_ms, s.deviation_ms, s.overload) for name, s in self.classes.by_name.items()
         }
         backends = {}
-        for endpoint in [self.index.records[name] for name in self.index.learned]:
+        for endpoint in [self.index.records[name] for name in self.index.maybe_observed]:
             entry = endpoint.entry
             is_known = endpoint.consecutive_failures or endpoint.min_response_ms < math.inf
             if entry.phase is not api.EndpointPhase.REMOVED and is_known:
@@ -54,7 +54,7 @@
         """Take what a predecessor has learned, the less the older it is: it halves in the time of a ramp."""
         weight = HALF ** (age_ms / self.slow_start.ramp_ms)
         limit = self.limit
-        limit.limit = max(limit.limit, limit.floor + weight * (learned.limit - limit.floor))
+        limit.limit = max(limit.limit, limit.min_limit + weight * (learned.limit - limit.min_limit))
         self.shedding.success_rate = 1.0 - weight * (1.0 - learned.trust)
         self.timeouts.loss_rate = weight * learned.lost
         self._restore_classes(learned, weight)
@@ -69,7 +69,7 @@
             statistics.expected_ms = bounded_expected_ms(statistics.config, blended_ms)
             statistics.deviation_ms = weight * deviation_ms
             statistics.overload += weight * (overload - statistics.overload)
-            self.limit.note_overload(name)
+            self.limit.refresh_overload(name)
         self.classes.refresh_mean()
 
     def _restore_endpoints(self, learned: api.LearnedState, age_ms: float, weight: float, now: float) -> None:
@@ -86,4 +86,4 @@
                 endpoint.consecutive_failures = failures
                 endpoint.ejected_until = now + ejected_ms - age_ms
                 endpoint.unavailable_since = now
-            self.index.note_change(endpoint)
+            self.index.mark_changed(endpoint)
--- a/balancer/policy/zone_routing.py
+++ b/balancer/policy/zone_routing.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 
 from balancer import interface as api
-from balancer.policy.charges import has_cross_zone_price
+from balancer.policy.charges import is_cross_zone_costly
 from balancer.policy.constants import EWMA_WEIGHT
 from balancer.policy.records import Candidates, EndpointRecord
 
-SPILL_STEP = 0.1  # change of the spilled fraction per response and unit of the difference in failure rates
+SPILL_GAIN = 0.1  # change of the spilled fraction per response and unit of the difference in failure rates
 PROHIBITIVE_CHARGE = 1.0  # the way to another zone costs all that a request earns
 
 
@@ -28,7 +28,7 @@
         """Take new settings and return whether they change which endpoints are local."""
         former = (self._zone, self._is_priced)
         self._zone = settings.zone
-        self._is_priced = has_cross_zone_price(settings)
+        self._is_priced = is_cross_zone_costly(settings)
         self._cross_zone_charge = settings.charges.cross_zone
         return former != (self._zone, self._is_priced)
 
@@ -47,7 +47,7 @@
         else:
             self._remote_failure_rate += EWMA_WEIGHT * (1 - is_good - self._remote_failure_rate)
         advantage = self._local_failure_rate - self._remote_failure_rate - self._cross_zone_charge
-        self.spill_fraction = max(0.0, min(1.0, self.spill_fraction + SPILL_STEP * advantage))
+        self.spill_fraction = max(0.0, min(1.0, self.spill_fraction + SPILL_GAIN * advantage))
 
     def overflow_fraction(self, candidates: Candidates, has_remote: bool) -> float:
         """Return the part of requests without a local endpoint that other zones are to take.
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -45,7 +45,7 @@
     table: Table
     path: str = ""
 
-    def fault(self, name: str, value: object) -> api.SettingsError:
+    def invalid_value(self, name: str, value: object) -> api.SettingsError:
         """Return the error of a value that makes no sense."""
         return api.SettingsError(f"{self.path}{name} makes no sense: {value!r}")
 
@@ -55,21 +55,21 @@
         if value is None:
             raise api.SettingsError(f"{self.path}{name} is missing")
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value < math.inf:
-            raise self.fault(name, value)
+            raise self.invalid_value(name, value)
         return float(value)
 
     def integer(self, name: str, default: int, low: int) -> int:
         """Return a whole number of at least `low`."""
         value = self.number(name, default, low)
         if value != int(value):
-            raise self.fault(name, self.table[name])
+            raise self.invalid_value(name, self.table[name])
         return int(value)
 
     def flag(self, name: str, default: bool = False) -> bool:
         """Return a truth value."""
         value = self.table.get(name, default)
         if not isinstance(value, bool):
-            raise self.fault(name, value)
+            raise self.invalid_value(name, value)
         return value
 
     def text(self, name: str, default: str | None) -> str:
@@ -78,38 +78,38 @@
         if value is None or (value == "" and default is None):
             raise api.SettingsError(f"{self.path}{name} is missing")
         if not isinstance(value, str):
-            raise self.fault(name, value)
+            raise self.invalid_value(name, value)
         return value
 
     def texts(self, name: str) -> tuple[str, ...]:
         """Return a list of texts, empty by default."""
         value = self.table.get(name, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            raise self.fault(name, value)
+            raise self.invalid_value(name, value)
         return tuple(value)
 
     def choice(self, name: str, among: dict[str, Any], default: str | None) -> Any:
         """Return what a word stands for."""
         value = self.text(name, default)
         if value not in among:
-            raise self.fault(name, value)
+            raise self.invalid_value(name, value)
         return among[value]
 
     def section(self, name: str) -> Section:
         """Return a table within this one, empty by default."""
         value = self.table.get(name, {})
         if not isinstance(value, dict):
-            raise self.fault(name, value)
+            raise self.invalid_value(name, value)
         return Section(value, f"{self.path}{name}.")
 
     def sections(self, name: str) -> list[Section]:
         """Return a list of tables, empty by default."""
         value = self.table.get(name, [])
         if not isinstance(value, list):
-            raise self.fault(name, value)
+            raise self.invalid_value(name, value)
         for index, row in enumerate(value):
             if not isinstance(row, dict):
-                raise self.fault(f"{name}[{index}]", row)
+                raise self.invalid_value(f"{name}[{index}]", row)
         return [Section(row, f"{self.path}{name}[{index}].") for index, row in enumerate(value)]
 
 
@@ -146,7 +146,7 @@
         node_index=node_index,
         node_count=node_count,
         charges=_charges(charges),
-        blend=_score_weights(blend),
+        score_weights=_score_weights(blend),
         over_quota_weight=root.number("over-share-worth", 1.0),
         weight_by_work=root.choice("worth-by", WEIGHT_UNITS, "request"),
         must_subscribe=root.choice("discovery", DISCOVERY_MODES, "subscribe"),
@@ -163,7 +163,7 @@
     slow_start_ms = rules.number("ramp-time", 60_000.0)
     cold_capacity_fraction = rules.number("cold-share", 0.0)
     if cold_capacity_fraction > 1:
-        raise rules.fault("cold-share", cold_capacity_fraction)
+        raise rules.invalid_value("cold-share", cold_capacity_fraction)
     return api.Settings(
         classes=tuple(_request_class(section) for section in classes),
         slow_start_ms=slow_start_ms,
@@ -183,7 +183,7 @@
     for section in sections:
         name = section.table.get("name")
         if repr(name) in names:
-            raise section.fault("name", name)
+            raise section.invalid_value("name", name)
         names.add(repr(name))
     return sections
 
@@ -194,18 +194,18 @@
         name=section.text("name", None),
         idempotency=section.choice("effect", IDEMPOTENCY, None),
         latency_objective_ms=section.number("objective", deadline),
-        deadline=deadline,
+        deadline_ms=deadline,
         priority_weight=section.number("value", 1.0),
         late_weight_fraction=section.number("late-worth", 0.0),
         # The cautious default: only the smallest scope drops a repeat, and forgets it at once.
         deduplication_scope=section.choice("group", DEDUPLICATION_SCOPES, "cell"),
         deduplication_window_ms=section.number("memory-span", 0.0),
         streamed=section.flag("streamed"),
-        objective_per_work=section.number("aim-stretch", 0.0),
+        objective_ms_per_work_unit=section.number("aim-stretch", 0.0),
     )
-    for name, value in (("give-up", parsed.deadline), ("objective", parsed.latency_objective_ms)):
+    for name, value in (("give-up", parsed.deadline_ms), ("objective", parsed.latency_objective_ms)):
         if value <= 0:
-            raise section.fault(name, value)
+            raise section.invalid_value(name, value)
     return parsed
 
 
@@ -259,14 +259,14 @@
     """Read what is known of endpoints and clients."""
     return replace(
         settings,
-        weighted=root.choice("weight-source", WEIGHT_SOURCES, "off"),
-        connect_timeout=limits.number("connect-timeout", 250.0),
+        has_endpoint_weights=root.choice("weight-source", WEIGHT_SOURCES, "off"),
+        connect_timeout_ms=limits.number("connect-timeout", 250.0),
         zones=root.texts("failure-domains"),
         kinds=root.texts("kinds"),
-        retries_marked=root.section("client-habits").flag("marks-retry"),
+        clients_mark_retries=root.section("client-habits").flag("marks-retry"),
         warm_keys=family.flag("warm-keys"),
-        passes_deadline=family.flag("passes-deadline"),
-        peers=limits.flag("peers"),
+        propagates_deadline=family.flag("passes-deadline"),
+        peer_messages_allowed=limits.flag("peers"),
     )
 
 
@@ -275,8 +275,8 @@
     return replace(
         settings,
         connection_idle_ms=limits.number("conn-idle", 0.0),
-        streams_per_conn=limits.integer("streams-per-conn", 1, 1),
-        max_open=limits.integer("max-open", 20_000, 1),
+        streams_per_connection=limits.integer("streams-per-conn", 1, 1),
+        max_open_requests=limits.integer("max-open", 20_000, 1),
         cpu_us_per_s=limits.number("cpu-us-per-s", 0.0),
         cpu_us_per_request=limits.number("cpu-us-per-request", 0.0),
     )
--- a/balancer/sim/request_path.py
+++ b/balancer/sim/request_path.py
@@ -227,9 +227,9 @@
                 case api.StartAttempt():
                     self._send(node, action)
                 case api.SetTimer():
-                    self.at(action.when, partial(self.handle_event, node, api.TimerFired(action.token)))
+                    self.at(action.fires_at, partial(self.handle_event, node, api.TimerFired(action.token)))
                 case api.RejectRequest():
-                    self.answer(node, action.request, Outcome.REJECTED, action.retry_after)
+                    self.answer(node, action.request, Outcome.REJECTED, action.retry_after_ms)
                 case api.FailRequest():
                     self.answer(node, action.request, Outcome.FAILED, 0.0)
                 case api.CancelAttempt():
@@ -258,8 +258,10 @@
             node.idle[host.name] -= 1
         else:
             wait, work = 3 * wait, work + self.spec.backends.handshake_ms
-        if action.timeout:
-            self.at(self.now + action.timeout, partial(self._outcome, node, item, api.AttemptStatus.TIMEOUT))
+        if action.timeout_ms:
+            self.at(
+                self.now + action.timeout_ms, partial(self._outcome, node, item, api.AttemptStatus.TIMEOUT)
+            )
         cls = request.operation.cls
         job = Job(
             action.request,
--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -24,23 +24,23 @@
     def __init__(self) -> None:
         """Start without lines."""
         self.lines: list[str] = []
-        self._speaker = NO_INSTANCE
+        self._section_instance = NO_INSTANCE
 
-    def actions(self, instance: int, actions: list[Action]) -> None:
+    def add_actions(self, instance: int, actions: list[Action]) -> None:
         """Add what an instance does."""
-        if actions and instance != self._speaker:
-            self._name(instance)
+        if actions and instance != self._section_instance:
+            self._start_section(instance)
         self.lines.extend(map(wire.format_action, actions))
 
-    def exception(self, instance: int, err: Exception) -> None:
+    def add_exception(self, instance: int, err: Exception) -> None:
         """Add that the decisions of an instance are broken."""
-        self._name(instance)
+        self._start_section(instance)
         text = " ".join(str(err).split())[:MAX_EXCEPTION_CHARS]
         self.lines.append(f"EXCEPTION {type(err).__name__}: {text}")
 
-    def _name(self, instance: int) -> None:
+    def _start_section(self, instance: int) -> None:
         self.lines.append(f"SPEAKING {instance}")
-        self._speaker = instance
+        self._section_instance = instance
 
 
 class Host:
@@ -50,7 +50,7 @@
         """Start without instances."""
         self.instances: dict[int, tuple[Balancer, Settings]] = {}
 
-    def batch(self, now: float, lines: Iterator[str]) -> list[str]:
+    def handle_batch(self, now: float, lines: Iterator[str]) -> list[str]:
         """Return the reply to one batch, whose SYNC line has been read; raises WireError or CallError."""
         reply = Reply()
         instance = NO_INSTANCE
@@ -60,7 +60,7 @@
             word = line[: line.index(" ")] if " " in line else line
             match word:
                 case "CONTEXT":
-                    instance = self._context(line)
+                    instance = self._parse_instance(line)
                 case "START":
                     self._start(instance, line)
                 case "STOP":
@@ -76,18 +76,18 @@
                 f"event for instance {instance}, which was never started: {line[: wire.MAX_QUOTED_CHARS]!r}"
             )
         balancer, settings = self.instances[instance]
-        event = self._event(line, settings, lines)
+        event = self._parse_event(line, settings, lines)
         try:
             actions = balancer.handle(now, event)
         except CallError:
             raise
         except Exception as err:  # the wire wants a broken decision module named, not a dead process
-            reply.exception(instance, err)
+            reply.add_exception(instance, err)
         else:
-            reply.actions(instance, actions)
+            reply.add_actions(instance, actions)
 
     @staticmethod
-    def _context(line: str) -> int:
+    def _parse_instance(line: str) -> int:
         number = line[len(CONTEXT_PREFIX) :]
         if not number.isdecimal():
             raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}")
@@ -102,7 +102,7 @@
         self.instances[instance] = (Balancer(settings, int(seed)), settings)
 
     @staticmethod
-    def _event(line: str, settings: Settings, lines: Iterator[str]) -> Event:
+    def _parse_event(line: str, settings: Settings, lines: Iterator[str]) -> Event:
         if line.partition(" ")[0] != wire.LIST_UPDATE_WORD:
             return wire.parse_event(line, settings.load_report_fields)
         update, count = wire.parse_list_update(line)
@@ -122,7 +122,7 @@
             now = wire.parse_time(clock)
         except ValueError:
             raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}") from None
-        sink.write("\n".join(host.batch(now, lines)))
+        sink.write("\n".join(host.handle_batch(now, lines)))
         sink.write("\n")
         sink.flush()
 
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -45,10 +45,10 @@
 REPORT_FIELDS = {
     "active": "in_flight",
     "waiting": "queue",
-    "cpu": "cpu",
-    "avg_ms": "mean_time",
-    "rps": "rate",
-    "err_rps": "error_rate",
+    "cpu": "cpu_utilization",
+    "avg_ms": "mean_duration_ms",
+    "rps": "requests_per_s",
+    "err_rps": "errors_per_s",
 }
 
 
@@ -191,14 +191,14 @@
 
 _ACTIONS: dict[type, Callable[[Any], str]] = {
     api.CheckHealth: lambda a: f"INSPECT {a.backend}",
-    api.StartAttempt: lambda a: f"PLACE {a.request} {round(a.timeout, TIME_DECIMALS)} {a.backend}",
-    api.SetTimer: lambda a: f"NOTIFY_ME {round(a.when, TIME_DECIMALS)} {a.token}",
-    api.RejectRequest: lambda a: f"PUSH_BACK {a.request} {round(a.retry_after, TIME_DECIMALS)}",
+    api.StartAttempt: lambda a: f"PLACE {a.request} {round(a.timeout_ms, TIME_DECIMALS)} {a.backend}",
+    api.SetTimer: lambda a: f"NOTIFY_ME {round(a.fires_at, TIME_DECIMALS)} {a.token}",
+    api.RejectRequest: lambda a: f"PUSH_BACK {a.request} {round(a.retry_after_ms, TIME_DECIMALS)}",
     api.FailRequest: lambda a: f"SURRENDER {a.request}",
     api.CancelAttempt: lambda a: f"ABANDON {a.request} {a.attempt}",
     api.WriteLog: lambda a: "LOG " + " ".join(a.text.split()),
     api.CloseIdleConnections: lambda a: f"SHUT_IDLE {a.backend}",
     api.SendPeerMessage: _send_peer_message,
-    api.WatchEndpoints: lambda a: f"TAIL {int(a.on)}",
+    api.WatchEndpoints: lambda a: f"TAIL {int(a.enabled)}",
     api.FetchEndpoints: lambda a: "LIST_ALL",
 }
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -70,7 +70,7 @@
                 more = word == "X_LIST" and parts.pop() == "1"
                 update, count = wire.parse_list_update(" ".join(["DIRECTORY_UPDATE", *parts]))
                 update.entries.extend(wire.parse_entry(next(following)) for _ in range(count))
-                update.more = more
+                update.more_follows = more
                 return update
             case "X_LIST_FAILED":
                 failure = api.DiscoveryFailure(float(parts[0]), parts[1] == "1", parts[2] == "1")
@@ -91,13 +91,15 @@
             case "X_ARRIVAL":
                 name, deadline, kind, arriving, before = parts
                 under = self.before if before == "1" else None
-                return api.RequestArrived(name, kind, float(deadline), arriving=arriving == "1", under=under)
+                return api.RequestArrived(
+                    name, kind, float(deadline), body_pending=arriving == "1", settings=under
+                )
             case "X_ARRIVED":
                 return api.RequestBodyReceived(parts[0], float(parts[1]))
             case "X_RESOLVED":
                 event = wire.parse_event(line[2 : line.rindex(" ")], self.settings.load_report_fields)
                 assert isinstance(event, api.AttemptEnded)
-                event.spent = parts[-1] == "1"
+                event.not_replayable = parts[-1] == "1"
                 return event
         return wire.parse_event(line, self.settings.load_report_fields)
 
@@ -106,7 +108,7 @@
     """Return an action's line on the wire and what the wire leaves out."""
     text = wire.format_action(action)
     if isinstance(action, api.StartAttempt):
-        return f"{text} before={action.before!r}"
+        return f"{text} before={action.latest_start!r}"
     if isinstance(action, api.RejectRequest | api.FailRequest):
         return f"{text} {REASONS.get(action.reason, action.reason)}"
     return text
@@ -234,7 +236,7 @@
         yield f"{sorted(record.out)} {sorted(record.returned_at.items())}"
         recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
         assert recovered is not None
-        yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
+        yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age_ms:.3f}"
         left = recovery_handover.read_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), 150.0)
         assert left is not None
         yield f"{left.phase.name} {left.path.value} {left.cold_since} {[tuple(row) for row in left.entries]}"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,17 +10,19 @@
 from balancer.policy import Balancer
 
 SAFE = api.RequestClass(
-    "read", api.Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0, priority_weight=1.0
+    "read", api.Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0, priority_weight=1.0
 )
 KEYED = api.RequestClass(
     "pay",
     api.Idempotency.WITH_KEY,
     latency_objective_ms=400.0,
-    deadline=1000.0,
+    deadline_ms=1000.0,
     deduplication_scope=api.DeduplicationScope.ZONE,
     deduplication_window_ms=600.0,
 )
-UNSAFE = api.RequestClass("once", api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0)
+UNSAFE = api.RequestClass(
+    "once", api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0
+)
 BASE = api.Settings(
     classes=(SAFE, KEYED, UNSAFE),
     zone="a",
@@ -103,7 +105,7 @@
             r = self.seen[ev.request]
             backend, sent, _ = r.attempts[ev.attempt]
             r.attempts[ev.attempt] = (backend, sent, ev.status)
-            r.ended = r.ended or ev.closed
+            r.ended = r.ended or ev.is_answered
         elif isinstance(ev, api.ClientDisconnected) and ev.request in self.seen:
             self.seen[ev.request].ended = True
         elif isinstance(ev, api.ListUpdate) and ev.kind is not api.ListUpdateKind.FAILED:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -21,7 +21,9 @@
 from tests.helpers import BASE, answers, entry
 
 NAMES = "ABCDEFGH"
-BACK = api.RecoveryProgressed(api.RecoveryPhase.LISTED, share=0.25, cold_since=900.0, rate=400.0)
+BACK = api.RecoveryProgressed(
+    api.RecoveryPhase.LISTED, capacity_share=0.25, cold_since=900.0, tier_requests_per_s=400.0
+)
 
 
 def returned(word: api.RecoveryProgressed | None = BACK, seed: int = 1) -> Balancer:
@@ -51,7 +53,7 @@
                 done = api.AttemptEnded(act.request, 0, act.backend, api.AttemptStatus.OK, 20.0, True)
                 heapq.heappush(queue, (now + 20, count, done))
             elif isinstance(act, api.SetTimer):
-                heapq.heappush(queue, (act.when, count, api.TimerFired(act.token)))
+                heapq.heappush(queue, (act.fires_at, count, api.TimerFired(act.token)))
             refused += isinstance(act, (api.RejectRequest, api.FailRequest))
     return out, refused
 
@@ -66,7 +68,7 @@
 ) -> None:
     """Whoever asks as often as he can gets the share, and what may be saved up, in any window."""
     dice, now, taken = random.Random(seed), 0.0, []
-    admission = RecoveryAdmission(replace(BACK, share=share, rate=rate), now)
+    admission = RecoveryAdmission(replace(BACK, capacity_share=share, tier_requests_per_s=rate), now)
     for _ in range(60):
         now += dice.uniform(0, 60)
         if admission.is_due(now):
@@ -97,7 +99,7 @@
 def test_a_tier_that_warms_up_as_a_whole_serves_its_capacity() -> None:
     """The rule for a single cold backend refuses half of what all can bear together."""
     cold = [entry(n, started_at=900.0) for n in NAMES]
-    alone, together = returned(None), returned(replace(BACK, cold_since=0.0, share=1.0))
+    alone, together = returned(None), returned(replace(BACK, cold_since=0.0, capacity_share=1.0))
     for node in (alone, together):
         node.handle(1000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, cold, 2))
     by_rule, by_share = flood(alone, 1.0, 100), flood(together, 1.0, 100)
@@ -114,19 +116,19 @@
     while admission.allows(True):
         admission.spend()
         more += 1
-    assert more >= 1 and admission.tokens >= -admission.overdraft - 1
+    assert more >= 1 and admission.tokens >= -admission.max_overdraft - 1
 
 
 def test_rejected_clients_retry_spread_over_time() -> None:
     """They are told to stay away for times that differ far more than at other times."""
     usual, spread = BASE.classes[0].latency_objective_ms / 4, []
-    for word in (None, replace(BACK, rate=0.001)):
+    for word in (None, replace(BACK, tier_requests_per_s=0.001)):
         node = Balancer(replace(BASE, max_retry_after_ms=5000.0), 1)
         node.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, []))
         if word is not None:
             node.handle(1000.0, word)
         done = [node.handle(1000.0, api.RequestArrived(f"r{i}", "read", 2000.0)) for i in range(60)]
-        away = [a.retry_after for acts in done for a in answers(acts) if isinstance(a, api.RejectRequest)]
+        away = [a.retry_after_ms for acts in done for a in answers(acts) if isinstance(a, api.RejectRequest)]
         assert len(away) == 60 and min(away) >= usual
         spread.append(max(away) - min(away))
     assert spread[0] <= usual and spread[1] > 8 * usual
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -68,7 +68,7 @@
     got: Counter[str] = Counter()
     was = [(x, x.estimate, x.in_flight) for x in b.index.records.values()]
     for number in range(DRAWS):
-        req, b.outbox.actions, b.slow_start.tries.tokens = _request(b, kind, number), [], 1.0
+        req, b.outbox.actions, b.slow_start.warming_budget.tokens = _request(b, kind, number), [], 1.0
         if first is not None:
             req.attempts.append(Attempt(first, NOW - 10.0, True, api.AttemptStatus.RESET))
         b.router.dispatch(req, b.now)
@@ -187,7 +187,7 @@
 
 def test_reserve_and_then_ejected_endpoints_stand_in_for_the_subset() -> None:
     b = _node(node_count=25)
-    assert b.subsetting.width == 3
+    assert b.subsetting.subset_size == 3
     view = b.index.window(0, 6)
     for x in view[:3]:
         x.ejected_until = NOW + 50.0
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -198,7 +198,7 @@
             if isinstance(act, api.StartAttempt):
                 self.serve(b, act)
             elif isinstance(act, api.SetTimer):
-                self.at(act.when, partial(self.tell, b, api.TimerFired(act.token)))
+                self.at(act.fires_at, partial(self.tell, b, api.TimerFired(act.token)))
             elif isinstance(act, api.CheckHealth):
                 load = sum(f > self.now for f in self.servers[act.backend].free)
                 done = api.HealthCheckEnded(
@@ -215,7 +215,7 @@
         self.attempts[act.request] = number
         if (cold := self.cold.get(act.backend)) is not None:
             cold.sent.append(self.now)
-        server, stop = self.servers[act.backend], act.timeout or 1000.0
+        server, stop = self.servers[act.backend], act.timeout_ms or 1000.0
         slot = min(range(2), key=server.free.__getitem__)
         wait = max(0.0, server.free[slot] - self.now)
         roll = self.rng.random()
@@ -362,7 +362,7 @@
         b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, old))
         fresh = [*old[len(new) :], *(entry(name, started_at=1000.0) for name in new)]
         b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, fresh))
-    return [sum(name in b.index.order.window(0, b.subsetting.width) for b in bank) for name in new]
+    return [sum(name in b.index.order.window(0, b.subsetting.subset_size) for b in bank) for name in new]
 
 
 def test_new_endpoints_are_in_as_many_subsets_as_others() -> None:
--- a/tests/test_files_of_former_version.py
+++ b/tests/test_files_of_former_version.py
@@ -254,7 +254,7 @@
 def test_the_learned_state_of_a_predecessor_is_read(stem: Path) -> None:
     recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
     assert recovered is not None
-    assert (recovered.learned, recovered.age) == (LEARNED, 1_000.0)
+    assert (recovered.learned, recovered.age_ms) == (LEARNED, 1_000.0)
 
 
 @pytest.mark.usefixtures("_write_time")
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -18,7 +18,7 @@
 
 from balancer import interface as api
 from balancer.policy import Balancer
-from balancer.policy.endpoint_index import MAX_FORMER_NAMES
+from balancer.policy.endpoint_index import MAX_FORGOTTEN_NAMES
 from balancer.policy.minimum import MinimumTracker
 from balancer.policy.ordered_names import BLOCK_SIZE, OrderedNames
 from balancer.policy.outlier_ejection import MIN_UNAVAILABLE_MS
@@ -146,7 +146,9 @@
         if b.index.records[x].consecutive_failures or b.index.records[x].min_response_ms < math.inf
     }
     assert b.learned_state(now).backends.keys() == known
-    assert b.subsetting.endpoints_per_zone == len(up) / max(1, len(zones)) and b.subsetting.width <= len(up)
+    assert b.subsetting.endpoints_per_zone == len(up) / max(
+        1, len(zones)
+    ) and b.subsetting.subset_size <= len(up)
     kept = [x for name, x in b.index.records.items() if name not in listed]
     assert all(
         x.in_flight or x.health_check_waiters is not None for x in kept
@@ -235,7 +237,7 @@
                 plain.maintained(str(one), bool(two))
                 tell(api.MaintenanceChanged(str(one), bool(two), now))
             case "request":
-                tell(api.RequestArrived(f"r{number}", str(one), now + 400.0, arriving=bool(two)))
+                tell(api.RequestArrived(f"r{number}", str(one), now + 400.0, body_pending=bool(two)))
             case "outcome" if out:
                 request, attempt = sorted(out)[int(str(two)) % len(out)]
                 name = out.pop((request, attempt))
@@ -328,18 +330,26 @@
                     now, api.AttemptEnded(send.request, 0, send.backend, api.AttemptStatus.OK, 20.0, True)
                 )
 
-    replaced(0, 2 * MAX_FORMER_NAMES)
-    calls = calls_of(lambda: replaced(2 * MAX_FORMER_NAMES, 2 * MAX_FORMER_NAMES + 200, 10**6))
+    replaced(0, 2 * MAX_FORGOTTEN_NAMES)
+    calls = calls_of(lambda: replaced(2 * MAX_FORGOTTEN_NAMES, 2 * MAX_FORGOTTEN_NAMES + 200, 10**6))
     tracemalloc.start()
-    replaced(2 * MAX_FORMER_NAMES + 200, 4 * MAX_FORMER_NAMES)
+    replaced(2 * MAX_FORGOTTEN_NAMES + 200, 4 * MAX_FORGOTTEN_NAMES)
     before = tracemalloc.get_traced_memory()[0]
-    replaced(4 * MAX_FORMER_NAMES, 5 * MAX_FORMER_NAMES)
+    replaced(4 * MAX_FORGOTTEN_NAMES, 5 * MAX_FORGOTTEN_NAMES)
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    replaced(5 * MAX_FORMER_NAMES, 50_000)
+    replaced(5 * MAX_FORGOTTEN_NAMES, 50_000)
     assert len(b.index.records) == b.index.listed_count == len(b.index.order) == 200 and not b.requests.by_id
-    assert len(b.index.former) == MAX_FORMER_NAMES and b.is_listed("s49999") and not b.is_listed("s1")
-    assert len(b.index.learned) <= 200 and len(b.index.avoided) <= 200 and not b.maintenance.positions
+    assert (
+        len(b.index.forgotten_names) == MAX_FORGOTTEN_NAMES
+        and b.is_listed("s49999")
+        and not b.is_listed("s1")
+    )
+    assert (
+        len(b.index.maybe_observed) <= 200
+        and len(b.index.maybe_avoided) <= 200
+        and not b.maintenance.positions
+    )
     assert sum(len(zone.response_times.heap) for zone in b.index.zones.values()) <= 2 * (64 + 2 * 200)
     assert after - before < 100_000  # bytes
     assert calls_of(lambda: replaced(50_000, 50_200, 10**6)) <= 1.2 * calls
@@ -427,10 +437,10 @@
         b = Balancer(replace(BASE, charges=charges, zone="abc"[me % 3], node_index=me, node_count=60), me)
         for first in range(0, 540, piece):
             some = [entry(x, zone=zones[x]) for x in list(zones)[first : first + piece]]
-            b.handle(1000.0, api.ListUpdate(CHANGES, some, more=first + piece < 540))
+            b.handle(1000.0, api.ListUpdate(CHANGES, some, more_follows=first + piece < 540))
         gone = [entry(x, phase=api.EndpointPhase.REMOVED) for x in zones if x.startswith("old")]
         b.handle(1000.0, api.ListUpdate(CHANGES, gone))
-        fed.update(b.index.order.window(0, b.subsetting.width))
+        fed.update(b.index.order.window(0, b.subsetting.subset_size))
         assert b.zones.spill_fraction == pytest.approx(2 / 3 if price else 0.0)
     counts = [fed[x] for x in zones if x.startswith("new")]
     assert 4.5 < sum(counts) / len(counts) < 5.5
@@ -569,7 +579,7 @@
     def cost(size: int) -> int:
         b = fleet_of(size)
         piece = [entry(f"new{i}", zone="abcdefghi"[i % 9], cell=i % 50) for i in range(64)]
-        return calls_of(lambda: b.handle(1000.0, api.ListUpdate(CHANGES, piece, more=True)))
+        return calls_of(lambda: b.handle(1000.0, api.ListUpdate(CHANGES, piece, more_follows=True)))
 
     assert cost(16_000) <= min(30 * 64, 1.4 * cost(1_000))
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -79,11 +79,11 @@
     settings = replace(BASE, node_count=200, load_report_mode=api.LoadReportMode.NONE)
     for seed in range(20):
         balancer = node(settings, names, seed)
-        subset = balancer.index.order.window(0, balancer.subsetting.width)
+        subset = balancer.index.order.window(0, balancer.subsetting.subset_size)
         balancer.handle(1001.0, api.MaintenanceChanged(subset[1], True))
         assert subset[1] not in balancer.index.order
         balancer.handle(2000.0, api.MaintenanceChanged(subset[1], False, 2000.0))
-        assert balancer.index.order.window(0, balancer.subsetting.width) == subset
+        assert balancer.index.order.window(0, balancer.subsetting.subset_size) == subset
 
 
 async def test_what_waits_for_a_connection_is_moot_once_its_backend_is_out() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -100,8 +100,8 @@
     probes = [a.backend for a in acts if isinstance(a, api.CheckHealth)]
     timer = next(a for a in acts if isinstance(a, api.SetTimer))
     b.handle(1001.0, api.HealthCheckEnded(probes[0], api.AttemptStatus.OK, 1.0, api.LoadReport(1.0, 0.0)))
-    b.handle(timer.when, api.TimerFired(timer.token))
-    assert all(b.index.records[p].ejected_until > timer.when for p in probes[1:])
+    b.handle(timer.fires_at, api.TimerFired(timer.token))
+    assert all(b.index.records[p].ejected_until > timer.fires_at for p in probes[1:])
 
 
 def test_the_time_of_first_attempts_is_learned_by_majority() -> None:
@@ -135,7 +135,7 @@
     fed: Counter[str] = Counter()
     for me in range(40):
         b = node(replace(BASE, node_index=me, node_count=40), names)
-        fed.update(b.index.order.window(0, b.subsetting.width))
+        fed.update(b.index.order.window(0, b.subsetting.subset_size))
     assert set(fed) == set(names) and max(fed.values()) <= 2 * min(fed.values())
     assert max(fed.values()) < 40 / 3
 
@@ -194,7 +194,7 @@
     """Guards against far backends that look crowded: the way takes part of the aim, however idle."""
     b = node(replace(BASE, classes=(SAFE,)), NAMES)
     grown = _limit_after(120.0, 60, b)  # over NEAR of the aim, and all of it on the way
-    assert grown > 1.5 * b.limit.floor
+    assert grown > 1.5 * b.limit.min_limit
     assert _limit_after(380.0, 60, b) < grown / 1.5
 
 
@@ -238,7 +238,7 @@
     ):
         b = node(replace(BASE, classes=(SAFE,)), NAMES)
         grown = _limit_after(120.0, 60, b)
-        assert grown > b.limit.floor and _limit_after(1.0, 5, b, status) >= grown
+        assert grown > b.limit.min_limit and _limit_after(1.0, 5, b, status) >= grown
     b = node(replace(BASE, classes=(SAFE,)), NAMES)
     grown = _limit_after(120.0, 60, b)
     assert _limit_after(400.0, 60, b, api.AttemptStatus.TIMEOUT) < grown
@@ -398,7 +398,7 @@
         while out := sends(acts):
             repeats += n > 0
             lost = n == 0 and i % every == 0
-            took = (out[0].timeout or start + 1000.0 - now) if lost else 40.0
+            took = (out[0].timeout_ms or start + 1000.0 - now) if lost else 40.0
             now += took
             status = api.AttemptStatus.TIMEOUT if lost else api.AttemptStatus.OK
             acts = b.handle(now, api.AttemptEnded(f"r{i}", n, out[0].backend, status, took, not lost))
@@ -410,12 +410,12 @@
     """Guards against waiting to the deadline for answers that get lost, and against cutting jobs short."""
     b, sent, repeats = _lossy(0.5, 3)
     assert sent == 300 and repeats >= 95  # all but the first few losses, none for want of budget or zone
-    assert 0 < sends(b.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout < 400
+    assert 0 < sends(b.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms < 400
     calm, _, _ = _lossy(0.5, 1000)
-    assert sends(calm.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout == 0.0
+    assert sends(calm.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms == 0.0
     worthless, _, _ = _lossy(0.0, 3)
     worthless.shedding.success_rate = 1.0
-    assert sends(worthless.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout > 390
+    assert sends(worthless.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms > 390
 
 
 def test_an_overload_is_shed_sharply_but_not_high_value_requests() -> None:
@@ -494,7 +494,7 @@
 def test_limit_does_not_float_up_while_it_does_not_bind() -> None:
     """Guards against quiet nodes that let their limit grow and flood the fleet when a burst comes."""
     b = node(replace(BASE, node_count=4), NAMES)
-    first = max(b.limit.limit, b.limit.floor)
+    first = max(b.limit.limit, b.limit.min_limit)
     for i in range(300):
         got = sends(_arrive(b, f"r{i}"))
         b.handle(1001.0, _done(f"r{i}", got[0].backend))
@@ -578,7 +578,7 @@
     b.limit.in_flight = 5  # other requests keep the node at its limit
     again = b.handle(1001.0, api.AttemptEnded("a", 0, "x", api.AttemptStatus.REJECTED, 1.0, False))
     timers = [a for a in [*acts, *again] if isinstance(a, api.SetTimer)]
-    ended = [x.request for t in timers for x in answers(b.handle(t.when, api.TimerFired(t.token)))]
+    ended = [x.request for t in timers for x in answers(b.handle(t.fires_at, api.TimerFired(t.token)))]
     assert sorted(ended + [x.request for x in answers(again)]) == ["a", "b"]
 
 
@@ -624,7 +624,7 @@
         b = node(replace(BASE, max_retry_after_ms=longest), ["b0"])
         b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, []))
         got = [answers(_arrive(b, f"r{i}", 1000.0))[0] for i in range(20)]
-        told = [a.retry_after for a in got if isinstance(a, api.RejectRequest)]
+        told = [a.retry_after_ms for a in got if isinstance(a, api.RejectRequest)]
         assert len(told) == 20 and all(0.0 <= t <= longest for t in told)
         assert longest == 0.0 or min(told) > 0.0
     assert len(set(told)) == 20
@@ -648,7 +648,7 @@
     for i in range(50):
         acts = _arrive(b, f"r{i}", 1000.0 + 1000.0 * i)
         for t in [a for a in acts if isinstance(a, api.SetTimer)]:
-            assert answers(b.handle(t.when, api.TimerFired(t.token)))
+            assert answers(b.handle(t.fires_at, api.TimerFired(t.token)))
     assert not b.router.queue and not b.requests.by_id
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -126,7 +126,7 @@
         sock.setblocking(False)
         sock.connect_ex(mute.getsockname())
     pool = ConnectionPool(
-        Settings(classes=(READ,), connect_timeout=100.0), 10, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ,), connect_timeout_ms=100.0), 10, RequestStatistics(), StreamMemory(64.0)
     )
     pool.update(_list("b0", mute.getsockname()[1]), True)
     assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
@@ -135,7 +135,7 @@
         sock.close()
 
 
-READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0)
+READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
 
 
 def _list(name: str, port: int, **over: Any) -> Any:
@@ -295,7 +295,7 @@
 
 def test_load_reports() -> None:
     report = parse_load_report("TEXT inflight=7, queue=2, util=0.61, other=3")
-    assert (report.in_flight, report.queue, report.cpu) == (7.0, 2.0, 0.61)
+    assert (report.in_flight, report.queue, report.cpu_utilization) == (7.0, 2.0, 0.61)
     for bad in ("", "JSON {}", "TEXT inflight", "TEXT inflight=x", "TEXT inflight=nan", "TEXT queue=-1"):
         with pytest.raises(ValueError):
             parse_load_report(bad)
--- a/tests/test_policy_modules.py
+++ b/tests/test_policy_modules.py
@@ -78,7 +78,7 @@
     actions, fired = outbox.begin(), list[tuple[float, str]]()
     outbox.set_timer(NOW + 5.0, lambda now, argument: fired.append((now, argument)), "x")
     (timer,) = actions
-    assert isinstance(timer, api.SetTimer) and timer.when == NOW + 5.0
+    assert isinstance(timer, api.SetTimer) and timer.fires_at == NOW + 5.0
     for token in (timer.token, timer.token, 99):
         outbox.fire(NOW + 6.0, token)
     assert fired == [(NOW + 6.0, "x")]
@@ -125,7 +125,7 @@
 ) -> None:
     request = request_of(config)
     request.attempts.append(Attempt(records(1)[0], NOW, True, status))
-    assert idempotency.required_places(request, NOW + 10.0, 1.0) == places
+    assert idempotency.required_domains(request, NOW + 10.0, 1.0) == places
 
 
 def test_an_idempotency_key_bounds_a_retry_in_time() -> None:
@@ -133,8 +133,8 @@
     request.attempts.append(Attempt(records(1)[0], NOW, True, api.AttemptStatus.RESET))
     latest = idempotency.latest_start(request, 1.0)
     assert latest == NOW + KEYED.deduplication_window_ms - 2.0
-    assert idempotency.required_places(request, latest, 1.0) == {"a"}
-    assert idempotency.required_places(request, latest + 0.1, 1.0) is None
+    assert idempotency.required_domains(request, latest, 1.0) == {"a"}
+    assert idempotency.required_domains(request, latest + 0.1, 1.0) is None
 
 
 def test_ejections_double_up_to_a_bound() -> None:
@@ -151,7 +151,7 @@
     classes = ClassTable()
     classes.configure(BASE)
     index = EndpointIndex()
-    index.take(entry("b0"))
+    index.apply_entry(entry("b0"))
     index.insert([(0, "b0")], True)
     limit = ConcurrencyLimit(index)
     limit.configure(classes.by_name)
@@ -166,7 +166,7 @@
     for _ in range(500):
         limit.observe(read, endpoint, api.AttemptStatus.TIMEOUT, 400.0)
         read.overload = 1.0
-        limit.note_overload("read")
+        limit.refresh_overload("read")
     assert limit.limit == MIN_LIMIT
 
 
@@ -206,10 +206,10 @@
     for _ in range(3):
         polling.on_failure(NOW, api.DiscoveryFailure())
     timers = [action for action in outbox.actions if isinstance(action, api.SetTimer)]
-    assert all(0.0 < timer.when - NOW <= MAX_CALL_INTERVAL_MS for timer in timers)
+    assert all(0.0 < timer.fires_at - NOW <= MAX_CALL_INTERVAL_MS for timer in timers)
     outbox.begin()
     for timer in timers:
-        outbox.fire(timer.when, timer.token)
+        outbox.fire(timer.fires_at, timer.token)
     assert outbox.actions == [api.WatchEndpoints()]
 
 
@@ -220,11 +220,11 @@
     request = request_of(config)
     request.useful_until = request.deadline
     calm = Attempt(records(1)[0], NOW, True)
-    assert timeouts.set_timeout(request, calm, NOW) == 0.0 and not calm.is_cut_short
+    assert timeouts.set_timeout(request, calm, NOW) == 0.0 and not calm.has_reduced_timeout
     for _ in range(10):
         timeouts.observe(True)
     lossy = Attempt(records(1)[0], NOW, True)
-    assert timeouts.set_timeout(request, lossy, NOW) == 200.0 and lossy.is_cut_short
+    assert timeouts.set_timeout(request, lossy, NOW) == 200.0 and lossy.has_reduced_timeout
 
 
 def test_first_layouts_of_all_nodes_feed_endpoints_about_equally() -> None:
@@ -232,7 +232,7 @@
     for node_index in range(40):
         subsetting = Subsetting(EndpointIndex())
         subsetting.configure(api.Settings(classes=(SAFE,), node_index=node_index, node_count=40))
-        layout = subsetting.first_layout(sorted(fed), set(fed), random.Random(node_index))
+        layout = subsetting.initial_order(sorted(fed), set(fed), random.Random(node_index))
         assert sorted(layout) == sorted(fed)
         for name in layout[:5]:
             fed[name] += 1
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -155,11 +155,13 @@
 def test_a_class_with_shorter_objectives_is_still_sent(late_weight_fraction: float) -> None:
     """Guards against a class that is shed whole, and so never learns that its new aim can be met."""
     read = replace(SAFE, late_weight_fraction=late_weight_fraction)
-    shorter = replace(read, latency_objective_ms=read.latency_objective_ms / 8, deadline=read.deadline / 16)
+    shorter = replace(
+        read, latency_objective_ms=read.latency_objective_ms / 8, deadline_ms=read.deadline_ms / 16
+    )
     balancer = node(replace(BASE, classes=(read,)), ["b0"])
     learned = balancer.learned_state(1005.0)
     balancer.handle(1010.0, api.Reconfigured(replace(BASE, classes=(shorter,))))
     heir = node(replace(BASE, classes=(shorter,)), ["b0"])
     heir.handle(1010.0, api.LearnedStateRestored(learned, 0.0))
     for one in (balancer, heir):
-        assert sends(one.handle(1020.0, api.RequestArrived("r", "read", 1020.0 + shorter.deadline)))
+        assert sends(one.handle(1020.0, api.RequestArrived("r", "read", 1020.0 + shorter.deadline_ms)))
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -64,14 +64,14 @@
     """It counts from the first copy that may have run; one that never ran starts no window."""
     balancer = node(BASE, ["b0", "b1", "b2"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("r", "pay", 2001.0)))[0]
-    assert first.before == 0.0
+    assert first.latest_start == 0.0
     second = sends(balancer.handle(1011.0, failed("r", 0, first.backend, status)))[0]
     begun = 1011.0 if status is api.AttemptStatus.CONNECT_FAILED else 1001.0
-    assert second.before == (
+    assert second.latest_start == (
         0.0 if begun > 1001.0 else begun + KEYED.deduplication_window_ms - 2 * BASE.clock_granularity_ms
     )
     third = sends(balancer.handle(1021.0, failed("r", 1, second.backend, api.AttemptStatus.RESET)))[0]
-    assert third.before == begun + KEYED.deduplication_window_ms - 2 * BASE.clock_granularity_ms
+    assert third.latest_start == begun + KEYED.deduplication_window_ms - 2 * BASE.clock_granularity_ms
 
 
 @pytest.mark.parametrize(("name", "again"), [("read", 1), ("once", 0)])
@@ -79,7 +79,7 @@
     balancer = node(BASE, ["b0", "b1"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("r", name, 2001.0)))[0]
     more = sends(balancer.handle(1011.0, failed("r", 0, first.backend, api.AttemptStatus.RESET)))
-    assert [one.before for one in more] == [0.0] * again
+    assert [one.latest_start for one in more] == [0.0] * again
 
 
 KEYED_ONLY = [CLASSES[1] | {"memory-span": SPAN, "give-up": HOUR, "objective": HOUR}]
@@ -261,7 +261,7 @@
         ("old", BASE, api.Idempotency.WITH_KEY),
         ("new", stricter, api.Idempotency.NOT_IDEMPOTENT),
     ):
-        balancer.handle(1020.0, api.RequestArrived(name, "pay", 2020.0, under=under))
+        balancer.handle(1020.0, api.RequestArrived(name, "pay", 2020.0, settings=under))
         cls = balancer.requests.by_id[name].statistics
         assert (cls.config.idempotency, cls.expected_ms) == (effect, 33.0)
     assert balancer.requests.by_id["new"].statistics is balancer.classes.by_name["pay"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -47,14 +47,14 @@
         acts = b.handle(now, ev)
         for act in acts:
             if isinstance(act, api.SetTimer):
-                timers.append((act.when, act.token))
+                timers.append((act.fires_at, act.token))
             elif isinstance(act, api.CheckHealth):
                 probes.append(act.backend)
             elif isinstance(act, api.StartAttempt):
                 count = len(check.seen[act.request].attempts)
                 until = check.seen[act.request].deadline
-                if act.timeout > 0:
-                    until = min(until, now + act.timeout)
+                if act.timeout_ms > 0:
+                    until = min(until, now + act.timeout_ms)
                 live.append((act.request, count, act.backend, until))
         check.actions(now, acts)
 
@@ -70,7 +70,7 @@
         if roll < 0.35:
             kind = rng.choice(cfg.classes)
             hint = rng.choice([None, rng.uniform(1, 900)])
-            left = kind.deadline * rng.uniform(0.1, 1.0)
+            left = kind.deadline_ms * rng.uniform(0.1, 1.0)
             tell(api.RequestArrived(f"r{step}", kind.name, now + left, rng.random() < 0.3, work_hint=hint))
         elif roll < 0.6 and live:
             resolve(rng.randrange(len(live)), rng.choice([*ENDS, api.AttemptStatus.OK]))
@@ -122,7 +122,7 @@
             replace(SAFE, late_weight_fraction=0.5),
         ),
     ),
-    replace(BASE, node_count=300, weighted=True, load_report_mode=api.LoadReportMode.NONE),
+    replace(BASE, node_count=300, has_endpoint_weights=True, load_report_mode=api.LoadReportMode.NONE),
 ]
 
 
@@ -139,7 +139,7 @@
 
 
 def test_the_checker_catches_a_missing_retry_guard(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Eligibility, "required_places", lambda self, request, now: set())
+    monkeypatch.setattr(Eligibility, "required_domains", lambda self, request, now: set())
     _breaks(BASE, "rule 2")
 
 
@@ -329,7 +329,7 @@
 def _asks_after(acts: list[api.Action], now: float) -> float:
     """How long until the timer that they set."""
     (timer,) = (a for a in acts if isinstance(a, api.SetTimer))
-    return timer.when - now
+    return timer.fires_at - now
 
 
 @pytest.mark.parametrize("took", [0.0, 2000.0, 3050.0])
@@ -383,19 +383,19 @@
         now, waits = 1000.0, list[tuple[float, float]]()
         for _ in range(20):
             b.handle(now, api.TakeoverStarted())
-            failure = api.DiscoveryFailure(silent_ms=now - 1000.0, reached=True)
+            failure = api.DiscoveryFailure(silent_ms=now - 1000.0, ended_by_discovery=True)
             wait = _asks_after(
                 b.handle(now, api.ListUpdate(api.ListUpdateKind.FAILED, [], failure=failure)), now
             )
             waits.append((now - 1000.0, wait))
             now += wait
-        soon = [(silent, wait) for silent, wait in waits if silent < polling.KNOWN_AFTER_MS]
+        soon = [(silent, wait) for silent, wait in waits if silent < polling.CHANGE_KNOWN_AFTER_MS]
         assert all(
-            wait <= max(polling.MIN_WAIT_IN_TIME_LEFT_MS, (polling.KNOWN_AFTER_MS - silent) / 4)
+            wait <= max(polling.MIN_WAIT_MS, (polling.CHANGE_KNOWN_AFTER_MS - silent) / 4)
             for silent, wait in soon
         )
-        assert max(wait for _, wait in soon) <= polling.MAX_WAIT_WHEN_CROWDED_MS and 5 <= len(soon) <= 15
-        late = [wait for silent, wait in waits if silent >= polling.KNOWN_AFTER_MS]
+        assert max(wait for _, wait in soon) <= polling.MAX_WAIT_WHEN_OVERLOADED_MS and 5 <= len(soon) <= 15
+        late = [wait for silent, wait in waits if silent >= polling.CHANGE_KNOWN_AFTER_MS]
         assert (
             max(late) <= polling.MAX_CALL_INTERVAL_WHEN_REJECTED_MS
             and min(late) >= polling.WAIT_AFTER_LONG_CALL_MS / 3
@@ -408,11 +408,12 @@
     for seed in range(40):
         b = Balancer(replace(BASE, must_subscribe=True, list_max_age_ms=60_000.0), seed)
         b.handle(1000.0, api.TakeoverStarted())
-        failure = api.DiscoveryFailure(silent_ms=5_900.0, reached=True, queued=True)
+        failure = api.DiscoveryFailure(silent_ms=5_900.0, ended_by_discovery=True, ended_after_wait=True)
         acts = b.handle(2000.0, api.ListUpdate(api.ListUpdateKind.FAILED, [], failure=failure))
         drawn.append(_asks_after(acts, 2000.0))
     assert (
-        min(drawn) >= polling.MAX_WAIT_WHEN_CROWDED_MS / 3 and max(drawn) <= polling.MAX_WAIT_WHEN_CROWDED_MS
+        min(drawn) >= polling.MAX_WAIT_WHEN_OVERLOADED_MS / 3
+        and max(drawn) <= polling.MAX_WAIT_WHEN_OVERLOADED_MS
     )
     assert len({round(wait) for wait in drawn}) > 30
 
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -119,7 +119,7 @@
                 case api.StartAttempt():
                     self.sent(act)
                 case api.SetTimer():
-                    self.at(act.when, partial(self.tell, api.TimerFired(act.token)))
+                    self.at(act.fires_at, partial(self.tell, api.TimerFired(act.token)))
                 case api.RejectRequest() | api.FailRequest():
                     self.refused += 1
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -65,7 +65,7 @@
 def test_a_body_that_comes_in_keeps_no_place_and_its_time_starts_with_its_last_byte() -> None:
     balancer = node(BASE, ["b0", "b1"])
     balancer.limit.limit = 1.0
-    acts = balancer.handle(1001.0, api.RequestArrived("long", "read", 2001.0, arriving=True))
+    acts = balancer.handle(1001.0, api.RequestArrived("long", "read", 2001.0, body_pending=True))
     assert len(sends(acts)) == 1 and balancer.limit.in_flight == 0
     assert len(sends(balancer.handle(1002.0, api.RequestArrived("short", "read", 2002.0)))) == 1
     balancer.handle(9000.0, api.RequestBodyReceived("long", 10_000.0))
@@ -83,8 +83,8 @@
         (api.AttemptStatus.RESET, api.FailRequest),
     ):
         balancer = node(BASE, ["b0", "b1"])
-        acts = balancer.handle(1001.0, api.RequestArrived("r", "once", 2001.0, arriving=True))
-        ended = api.AttemptEnded("r", 0, sends(acts)[0].backend, status, 1.0, False, spent=True)
+        acts = balancer.handle(1001.0, api.RequestArrived("r", "once", 2001.0, body_pending=True))
+        ended = api.AttemptEnded("r", 0, sends(acts)[0].backend, status, 1.0, False, not_replayable=True)
         got = balancer.handle(1002.0, ended)
         assert [type(a) for a in answers(got)] == [kind] and not sends(got)
 
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -35,7 +35,7 @@
 HELLO = answer(b"hello")
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3;a=b\r\nyou\r\n0\r\nEnd: x\r\n\r\n"
 UNKNOWN = HEAD + b"Server-Load: TEXT inflight=1\r\n\r\nhello"
-READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0)
+READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize(("deadline", "seconds"), [(400.0, 1.1), (1200.0, 1.9), (9000.0, 3.7)])
 def test_the_time_to_the_kill_follows_from_the_longest_deadline(deadline: float, seconds: float) -> None:
-    classes = (replace(SAFE, deadline=100.0), replace(SAFE, name="long", deadline=deadline))
+    classes = (replace(SAFE, deadline_ms=100.0), replace(SAFE, name="long", deadline_ms=deadline))
     assert seconds_until_kill(replace(BASE, classes=classes)) == pytest.approx(seconds)
 
 
@@ -285,7 +285,7 @@
     path = tmp_path / "x.learned"
     write_learned(path, LEARNED)
     left = take_learned(path)
-    assert left is not None and left.learned == LEARNED and 0 <= left.age < 10_000
+    assert left is not None and left.learned == LEARNED and 0 <= left.age_ms < 10_000
     assert take_learned(path) is None
     write_learned(tmp_path / "no" / "x.learned", LEARNED)  # nowhere to write: no exception
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -92,14 +92,20 @@
         "cpu-us-per-request": 2.5, "peers": True, "retry-after": True, "max-retry-after": 250.0,
     }  # fmt: skip
     got = parse_settings_text(json.dumps(told))
-    assert (got.blend.nines, got.blend.top_nines, got.blend.slow_end, got.blend.miss_allowed) == (
-        0.2, 4.0, 0.3, 0.02)  # fmt: skip
+    assert (
+        got.score_weights.nines,
+        got.score_weights.top_nines,
+        got.score_weights.slow_end,
+        got.score_weights.miss_allowed,
+    ) == (0.2, 4.0, 0.3, 0.02)
     charges = got.charges
     assert (charges.peer, charges.moves, charges.origin, charges.fleet, charges.discovery) == (
         0.01, 0.02, 0.03, 0.04, 0.05)  # fmt: skip
-    assert got.retries_marked and got.warm_keys and got.passes_deadline and got.peers
+    assert (
+        got.clients_mark_retries and got.warm_keys and got.propagates_deadline and got.peer_messages_allowed
+    )
     assert got.kinds == ("k",) and got.zones == ("a", "b")
-    assert (got.connection_idle_ms, got.streams_per_conn, got.max_open) == (5000.0, 7, 9)
+    assert (got.connection_idle_ms, got.streams_per_connection, got.max_open_requests) == (5000.0, 7, 9)
     assert (got.cpu_us_per_s, got.cpu_us_per_request, got.max_retry_after_ms) == (8000.0, 2.5, 250.0)
 
 
@@ -110,14 +116,21 @@
         bare.classes[0].deduplication_scope is api.DeduplicationScope.CELL
         and bare.classes[0].deduplication_window_ms == 0
     )
-    assert not (bare.health_checks_allowed or bare.cancellation_allowed or bare.hedging_allowed or bare.peers)
+    assert not (
+        bare.health_checks_allowed
+        or bare.cancellation_allowed
+        or bare.hedging_allowed
+        or bare.peer_messages_allowed
+    )
     assert bare.max_attempts == 1 and bare.must_subscribe
 
 
 def test_every_report_value_and_the_entry_fields() -> None:
     names = ("active", "waiting", "cpu", "avg_ms")
     assert wire.parse_report("1,2,0.5,7.5", names) == api.LoadReport(1.0, 2.0, 0.5, 7.5)
-    assert wire.parse_report("3,4", ("rps", "err_rps")) == api.LoadReport(rate=3.0, error_rate=4.0)
+    assert wire.parse_report("3,4", ("rps", "err_rps")) == api.LoadReport(
+        requests_per_s=3.0, errors_per_s=4.0
+    )
     assert wire.parse_report("9,1", ("new-value", "active")) == api.LoadReport(1.0)
     got = wire.parse_entry("ENTRY 3 big 1.1.1.1:1 1.5 draining 61.5 b")
     assert got == api.Endpoint("1.1.1.1:1", "b", 3, 1.5, api.EndpointPhase.DRAINING, 61.5, "big")
