--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -40,8 +40,8 @@
     discovery: Address
     seed: int
     settings: api.Settings
-    known: EndpointUpdate
-    sockets: int
+    initial_list: EndpointUpdate
+    max_fds: int
     memory_mb: float
     console: Address | None = None
     keys: frozenset[str] = frozenset()  # of the file: the one that replaces it must have them
@@ -53,17 +53,17 @@
 
         Without a console there is no second one.
         """
-        is_reserved = self.console is not None and self.sockets >= SMALL_NODE_RESERVES * RESERVED_FDS
-        return self.sockets - (MIN_FDS if is_reserved else 0)
+        is_reserved = self.console is not None and self.max_fds >= SMALL_NODE_RESERVES * RESERVED_FDS
+        return self.max_fds - (MIN_FDS if is_reserved else 0)
 
     @property
     def predecessor_fds(self) -> int:
         """Descriptors of all processes beside a newer one."""
-        return int(self.sockets * PREDECESSOR_FRACTION)
+        return int(self.max_fds * PREDECESSOR_FRACTION)
 
     def limits_per_process(self, processes: int) -> ConnectionLimits:
         """Return the limits of each of so many processes that do not know of each other."""
-        return self.connection_limits(self.sole_process_fds if processes == 1 else self.sockets // processes)
+        return self.connection_limits(self.sole_process_fds if processes == 1 else self.max_fds // processes)
 
     def connection_limits(self, descriptors: int) -> ConnectionLimits:
         """Return the limits of a process that may hold so many descriptors."""
@@ -71,7 +71,7 @@
 
     def predecessor_limits(self, descriptors: int) -> ConnectionLimits:
         """Return the limits of a process beside a newer one."""
-        return connection_limits.predecessor_limits(descriptors, self.sockets)
+        return connection_limits.predecessor_limits(descriptors, self.max_fds)
 
 
 def load(env: Mapping[str, str]) -> Config:
@@ -108,8 +108,8 @@
         discovery=address_at(raw, env, "discovery"),
         seed=seed,
         settings=settings,
-        known=known,
-        sockets=file.limits.sockets,
+        initial_list=known,
+        max_fds=file.limits.sockets,
         memory_mb=file.limits.memory_mb,
         console=None if console is None else address_at(raw, env, "console"),
         keys=frozenset(dotted_keys(raw)),
--- a/balancer/net/descriptor_shares.py
+++ b/balancer/net/descriptor_shares.py
@@ -72,7 +72,7 @@
     @property
     def has_enough(self) -> bool:
         """Whether the others have freed what a new process may count on."""
-        return self.share >= self.node.config.sockets - self.node.config.predecessor_fds
+        return self.share >= self.node.config.max_fds - self.node.config.predecessor_fds
 
     def apply(self) -> None:
         """Put the limits of this process in force, and claim what it holds."""
@@ -98,9 +98,9 @@
             return self._limits_beside_later(claims)
         claimed = self._claimed_by_earlier(claims)
         if claimed is None:
-            self.share = config.sockets // 2
+            self.share = config.max_fds // 2
             return None
-        share = max(MIN_FDS, config.sockets - claimed) if claims else config.sole_process_fds
+        share = max(MIN_FDS, config.max_fds - claimed) if claims else config.sole_process_fds
         limits = ConnectionLimits(*config.connection_limits(share))
         max_held = self._max_held(limits)
         if max_held > self.claimed:
@@ -168,7 +168,7 @@
         """Return the limits beside a later process: never higher, and once draining what is still in use."""
         config = self.node.config
         claimed = self._claimed_by_earlier(claims)
-        remaining = config.predecessor_fds - (claimed if claimed is not None else config.sockets // 2)
+        remaining = config.predecessor_fds - (claimed if claimed is not None else config.max_fds // 2)
         self.share = max(MIN_FDS, remaining)
         clients, backends = config.predecessor_limits(self.share)
         if self.is_draining:
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -70,7 +70,7 @@
         """Call for the complete list once."""
         self._dialer.dial_list(self.address, self.receiver.revision, CallReason.REQUESTED)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Go to another address: the old one accepts no calls, and soon sends nothing more."""
         self.address = address
         self._backoff.reset()
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -135,7 +135,7 @@
         self.first_message_at: float | None = None
         self.has_delivered_list = False  # and has nothing else to deliver
         self.transport: asyncio.Transport | None = None
-        self.objects = JsonSplitter(object_limit)
+        self.splitter = JsonSplitter(object_limit)
         self._loop = asyncio.get_running_loop()
         self.owner = owner
         self._sink = sink
@@ -257,7 +257,7 @@
         now = self._loop.time()
         self._timeout.bytes_received(now)
         try:
-            for message in self.objects.feed(body):
+            for message in self.splitter.feed(body):
                 self._timeout.message_received(now)
                 self._sink.put(self, message)
                 if self.is_ended:  # because of that message
@@ -269,7 +269,7 @@
     def on_message_complete(self) -> None:
         """Handle the end of the response."""
         is_cut_off = not (
-            self.request.is_watch or self.is_ended or self._is_discarding or self.objects.is_between_objects
+            self.request.is_watch or self.is_ended or self._is_discarding or self.splitter.is_between_objects
         )
         if is_cut_off:
             self._sink.put(self, JsonStreamError("the answer ends before its JSON does"))
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -44,12 +44,12 @@
 class MaintenanceRecord:
     """The backends that are out, and when others were put back (ms, Unix time)."""
 
-    out: frozenset[str] = frozenset()
-    returned_at: Mapping[str, float] = field(default_factory=dict)
+    banned: frozenset[str] = frozenset()
+    lifted_at_ms: Mapping[str, float] = field(default_factory=dict)
 
     def encode(self) -> str:
         """Return the text of the file."""
-        return json.dumps({"out": sorted(self.out), "back": dict(self.returned_at)})
+        return json.dumps({"out": sorted(self.banned), "back": dict(self.lifted_at_ms)})
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,14 +70,14 @@
     table: Any = json.loads(text)
     if not isinstance(table, dict) or not isinstance(table.get("out"), list):
         raise ValueError("not a table of bans")
-    returned_at = table.get("back")
-    if not isinstance(returned_at, dict) or not all(isinstance(name, str) for name in table["out"]):
+    lifted_at_ms = table.get("back")
+    if not isinstance(lifted_at_ms, dict) or not all(isinstance(name, str) for name in table["out"]):
         raise ValueError("not a table of bans")
-    for time in returned_at.values():
+    for time in lifted_at_ms.values():
         is_number = isinstance(time, (int, float)) and not isinstance(time, bool)
         if not is_number or not 0 <= time <= sys.float_info.max:
             raise ValueError("not a time")
-    times = {name: float(time) for name, time in returned_at.items()}
+    times = {name: float(time) for name, time in lifted_at_ms.items()}
     return MaintenanceRecord(frozenset(table["out"]), times)
 
 
@@ -99,20 +99,20 @@
     def start(
         self,
         has_peer: bool,
-        saved_out: Mapping[str, float] | None = None,
-        saved_returns: Mapping[str, float] | None = None,
+        saved_bans: Mapping[str, float] | None = None,
+        saved_lifts: Mapping[str, float] | None = None,
     ) -> None:
         """Read the file from now on, which another running process of the node (`has_peer`) keeps up to date.
 
-        `saved_out` and `saved_returns` were saved elsewhere, with their times (ms, Unix time): a backend that
+        `saved_bans` and `saved_lifts` were saved elsewhere, with their times (ms, Unix time): a backend that
         was saved as out is, unless the file has a later return.
         """
-        saved_out = saved_out or {}
-        saved_returns = saved_returns or {}
-        if not has_peer and (saved_out or saved_returns or not self.path.exists()):
+        saved_bans = saved_bans or {}
+        saved_lifts = saved_lifts or {}
+        if not has_peer and (saved_bans or saved_lifts or not self.path.exists()):
             if self.path.exists():
                 self.refresh()
-            record = self._merged(saved_out, saved_returns)
+            record = self._merged(saved_bans, saved_lifts)
             try:
                 self._write(record)
             except OSError as err:
@@ -120,14 +120,14 @@
             self._apply(record)
         self._refresh_periodically()
 
-    def _merged(
-        self, saved_out: Mapping[str, float], saved_returns: Mapping[str, float]
-    ) -> MaintenanceRecord:
+    def _merged(self, saved_bans: Mapping[str, float], saved_lifts: Mapping[str, float]) -> MaintenanceRecord:
         current = self.record
-        added = {name for name, time in saved_out.items() if current.returned_at.get(name, -math.inf) <= time}
-        out = current.out | added
-        returned_at = {**saved_returns, **current.returned_at}
-        return MaintenanceRecord(out, {name: time for name, time in returned_at.items() if name not in out})
+        added = {
+            name for name, time in saved_bans.items() if current.lifted_at_ms.get(name, -math.inf) <= time
+        }
+        out = current.banned | added
+        lifted_at_ms = {**saved_lifts, **current.lifted_at_ms}
+        return MaintenanceRecord(out, {name: time for name, time in lifted_at_ms.items() if name not in out})
 
     def stop(self) -> None:
         """Read the file no more."""
@@ -136,12 +136,12 @@
 
     def is_known(self, backend: str) -> bool:
         """Return whether a backend is out, or was."""
-        return backend in self.record.out or backend in self.record.returned_at
+        return backend in self.record.banned or backend in self.record.lifted_at_ms
 
-    async def change(
+    async def set_ban(
         self,
         backend: str,
-        is_out: bool,
+        is_banned: bool,
         now: float,
         retention_ms: float,
         is_current: Callable[[], bool] = lambda: True,
@@ -150,7 +150,7 @@
 
         Args:
             backend: its id.
-            is_out: whether it is taken out.
+            is_banned: whether it is taken out.
             now: Unix time in ms.
             retention_ms: how long times of return are kept.
             is_current: is asked once the file is locked; where it returns False nothing is changed.
@@ -161,32 +161,34 @@
         try:
             async with self._locked():
                 self.refresh()  # the other process may have written meanwhile
-                if is_out == (backend in self.record.out) or not is_current():
+                if is_banned == (backend in self.record.banned) or not is_current():
                     return
-                record = self._changed(backend, is_out, now, retention_ms)
+                record = self._changed(backend, is_banned, now, retention_ms)
                 self._write(record)
                 self._apply(record)
         except OSError as err:
             raise MaintenanceError(str(err)) from None
 
-    async def follow(self, backend: str, is_out: bool, since: float, retention_ms: float) -> None:
+    async def apply_fleet_change(
+        self, backend: str, is_banned: bool, since: float, retention_ms: float
+    ) -> None:
         """Apply a change that the fleet tells; if the file cannot be written it holds in this process."""
         try:
-            await self.change(backend, is_out, since, retention_ms)
+            await self.set_ban(backend, is_banned, since, retention_ms)
         except MaintenanceError as err:
             self._log_fault(f"cannot be written: {err}")
-            self._apply(self._changed(backend, is_out, since, retention_ms))
+            self._apply(self._changed(backend, is_banned, since, retention_ms))
 
-    def _changed(self, backend: str, is_out: bool, now: float, retention_ms: float) -> MaintenanceRecord:
+    def _changed(self, backend: str, is_banned: bool, now: float, retention_ms: float) -> MaintenanceRecord:
         current = self.record
-        returned_at = {
+        lifted_at_ms = {
             name: time
-            for name, time in current.returned_at.items()
+            for name, time in current.lifted_at_ms.items()
             if now - time < retention_ms and name != backend
         }
-        if is_out:
-            return MaintenanceRecord(current.out | {backend}, returned_at)
-        return MaintenanceRecord(current.out - {backend}, returned_at | {backend: now})
+        if is_banned:
+            return MaintenanceRecord(current.banned | {backend}, lifted_at_ms)
+        return MaintenanceRecord(current.banned - {backend}, lifted_at_ms | {backend: now})
 
     @contextlib.asynccontextmanager
     async def _locked(self) -> AsyncIterator[None]:
@@ -248,16 +250,16 @@
         """Put a record in force and tell of its changes."""
         former = self.record
         self.record = record
-        for name in sorted(record.out - former.out):
+        for name in sorted(record.banned - former.banned):
             self._tell(name, True, 0.0)
-        for name, time in sorted(record.returned_at.items()):
-            if name not in record.out and former.returned_at.get(name) != time:
+        for name, time in sorted(record.lifted_at_ms.items()):
+            if name not in record.banned and former.lifted_at_ms.get(name) != time:
                 self._tell(name, False, time)
         # A backend that is out no more without a time of return: the file was made anew by hand.
-        for name in sorted(former.out - record.out - record.returned_at.keys()):
+        for name in sorted(former.banned - record.banned - record.lifted_at_ms.keys()):
             self._tell(name, False, 0.0)
 
-    def _tell(self, name: str, is_out: bool, since: float) -> None:
+    def _tell(self, name: str, is_banned: bool, since: float) -> None:
         """Tell of a change; where that fails those of other backends are told all the same."""
         with self._defects.contain("a change of a ban"):
-            self._on_change(name, is_out, since)
+            self._on_change(name, is_banned, since)
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -58,7 +58,7 @@
         self.is_stopping = False
         self.has_successor = False  # another process of this node takes over
         self.endpoints_received = asyncio.Event()  # from discovery
-        self.endpoint_revision = config.known.revision
+        self.endpoint_revision = config.initial_list.revision
         self.last_discovery_at = -math.inf  # loop time of discovery's last response
         self._is_failure_reported = False  # to the module, since discovery last said that nothing has changed
         self._events: deque[api.Event] = deque()
@@ -165,11 +165,11 @@
         if not self.balancer.is_listed(backend) and not self.maintenance.is_known(backend):
             return False
         now = self.now()
-        is_change = is_out != (backend in self.maintenance.record.out)
+        is_change = is_out != (backend in self.maintenance.record.banned)
         if self.fleet is not None:
             await self.fleet.record_maintenance(backend, is_out, now, is_change)
         try:
-            await self.maintenance.change(
+            await self.maintenance.set_ban(
                 backend,
                 is_out,
                 now,
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -48,11 +48,11 @@
         self.config = config
         self.node = Node(config)
         self.fleet = fleet_of(config)
-        self.known = config.known  # the endpoint list to begin with
+        self.known = config.initial_list  # the endpoint list to begin with
         self.recovered: LearnedStateRestored | None = None  # learned state that an earlier process has saved
         self.node.fleet = self.fleet
         if self.fleet is not None:
-            self.known = self.fleet.newest_list(config.known)
+            self.known = self.fleet.newest_list(config.initial_list)
             self.recovered = self.fleet.recovered_learned()
         self.discovery = DiscoveryClient(self.node, config.discovery, self.known.revision)
         self.node.discovery = self.discovery
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -112,7 +112,7 @@
         is_authoritative = (
             disk is not None and disk.disabled_by is None and not (disk.has_lost_records or disk.is_new)
         )
-        for backend in sorted(self.node.maintenance.record.out):
+        for backend in sorted(self.node.maintenance.record.banned):
             if self.shell.is_banned(backend):
                 continue
             if is_authoritative or self.shell.has_entries(backend):
@@ -129,7 +129,9 @@
 
     async def apply_ban(self, backend: str, banned: bool, since: float) -> None:
         """Follow the register, in both processes of an upgrade."""
-        await self.node.maintenance.follow(backend, banned, since, self.node.settings.slow_start_ms)
+        await self.node.maintenance.apply_fleet_change(
+            backend, banned, since, self.node.settings.slow_start_ms
+        )
 
     def set_admission(self, phase: Phase, capacity: CapacityGranted | None) -> None:
         """Tell the balancer. The list's start times of backends count once discovery has sent one."""
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -36,4 +36,4 @@
         *config.discovery,
     )
     if config.discovery != discovery.address:
-        discovery.move(config.discovery)
+        discovery.change_address(config.discovery)
--- a/tests/contended_discovery.py
+++ b/tests/contended_discovery.py
@@ -216,7 +216,7 @@
         self.current_address[number] = address
         self.loop.call_later(CLOSES_AFTER_S, self.close_other_addresses, number, address)
         node.reconfigure(replace(self.config, settings=replace(self.config.settings, node_index=number)))
-        cast(DiscoveryClient, node.discovery).move(address)
+        cast(DiscoveryClient, node.discovery).change_address(address)
 
     def start_node(self, number: int, seed: int) -> Node:
         """Return a node of the tier, which records what it applies."""
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -210,9 +210,9 @@
 async def _ban(stem: Path) -> None:
     table = maintenance_file.MaintenanceFile(stem, lambda name, out, since: None)
     table.start(False)
-    await table.change("b1", True, 1_000.0, 10_000.0)
-    await table.change("b2", True, 2_000.0, 10_000.0)
-    await table.change("b1", False, 3_000.0, 10_000.0)
+    await table.set_ban("b1", True, 1_000.0, 10_000.0)
+    await table.set_ban("b2", True, 2_000.0, 10_000.0)
+    await table.set_ban("b1", False, 3_000.0, 10_000.0)
     table.stop()
 
 
@@ -231,7 +231,7 @@
         yield kept.encode_snapshot().hex()
         stem = shared_path({"TMPDIR": str(folder)}, "n0")
         record = maintenance_file.parse_record(stem.with_suffix(".bans").read_text("utf-8"))
-        yield f"{sorted(record.out)} {sorted(record.returned_at.items())}"
+        yield f"{sorted(record.banned)} {sorted(record.lifted_at_ms.items())}"
         recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
         assert recovered is not None
         yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -161,7 +161,7 @@
     path.write_text(json.dumps(configuration([b.member() for b in backends], 1, **PATIENT)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
-    node.update_endpoints(config.known, ListUpdateKind.CACHED)
+    node.update_endpoints(config.initial_list, ListUpdateKind.CACHED)
     node.is_listening = node.has_endpoints = True
     listener = Listener(node, limit)
     await listener.listen(("127.0.0.1", 0), shared=False)
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -60,7 +60,7 @@
 
 def test_tables_that_fit_are_loaded(tmp_path: Path) -> None:
     config = load(write_config(tmp_path, tenants=20_000, classes=100, members=5000))
-    assert len(config.settings.tenants) == 20_000 and len(config.known.members) == 5000
+    assert len(config.settings.tenants) == 20_000 and len(config.initial_list.members) == 5000
 
 
 def test_the_planned_size_fits_the_default_memory(tmp_path: Path) -> None:
--- a/tests/test_defects.py
+++ b/tests/test_defects.py
@@ -255,9 +255,9 @@
     reader = MaintenanceFile(tmp_path / "node", change)
     writer = MaintenanceFile(tmp_path / "node", lambda *args: None)
     reader.start(has_peer=False)
-    await writer.change("a", True, 1.0, 1000.0)
+    await writer.set_ban("a", True, 1.0, 1000.0)
     await until(lambda: "a" in changes)
-    await writer.change("b", True, 1.0, 1000.0)
+    await writer.set_ban("b", True, 1.0, 1000.0)
     await until(lambda: "b" in changes)
     assert len(defect_lines(caplog)) == 1
     reader.stop()
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -95,7 +95,7 @@
         if moment.waits_for_call:
             due_at = world.dialled_at[1] + MAX_UNANSWERED_S
             assert at < due_at < at + MAX_UNANSWERED_S
-        client.move(NEW_ADDRESS)
+        client.change_address(NEW_ADDRESS)
         assert (client.watch_call is not None) is (due_at == at)
         assert (client.retry_timer is not None) is (due_at > at)
         assert client.slow_call is None
@@ -118,7 +118,7 @@
     world = DiscoveryWorld(tmp_path, must_subscribe, "connection_refused")
 
     def move_later(client: DiscoveryClient) -> None:
-        world.loop.call_at(15.0, client.move, NEW_ADDRESS)
+        world.loop.call_at(15.0, client.change_address, NEW_ADDRESS)
 
     world.run(60, move_later)
     moved = [t - 15.0 for t in world.dialled_at if t >= 15.0]
@@ -174,7 +174,7 @@
     def move(client: DiscoveryClient) -> None:
         world.behaviours = [*failures, "answers_late"]
         client.node.reconfigure(world.config)  # as SIGHUP does
-        client.move(NEW_ADDRESS)
+        client.change_address(NEW_ADDRESS)
 
     def move_later(client: DiscoveryClient) -> None:
         world.loop.call_at(30.0, move, client)
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -85,7 +85,7 @@
     world = DiscoveryWorld(tmp_path, must_subscribe, "healthy", "no_response")
 
     def move(discovery: DiscoveryClient) -> None:
-        discovery.move(NEW_ADDRESS)
+        discovery.change_address(NEW_ADDRESS)
         world.loop.call_later(
             0.2,
             lambda: world.connections[0].send_chunk(world.complete_list(revision=NEW_REVISION), first=False),
@@ -105,7 +105,7 @@
     world, most = DiscoveryWorld(tmp_path, False, "no_response"), list[int]()
 
     def move(discovery: DiscoveryClient, moves: int) -> None:
-        discovery.move(("127.0.0.2", moves))
+        discovery.change_address(("127.0.0.2", moves))
         most.append(sum(connection.is_open for connection in world.connections))
         if moves < 40:
             world.loop.call_later(0.45, move, discovery, moves + 1)
@@ -152,7 +152,7 @@
     world = DiscoveryWorld(tmp_path, False, "healthy", "no_response")
 
     def move(discovery: DiscoveryClient) -> None:
-        discovery.move(NEW_ADDRESS)
+        discovery.change_address(NEW_ADDRESS)
         world.connections[0].send_chunk(world.complete_list(revision=NEW_REVISION), first=False)
         world.loop.call_later(0.1, lambda: world.connections[1].send_chunk(world.complete_list(revision=3)))
         world.loop.call_later(0.5, lambda: world.connections[2].send_chunk(world.complete_list(revision=3)))
--- a/tests/test_files_of_former_version.py
+++ b/tests/test_files_of_former_version.py
@@ -243,9 +243,9 @@
 async def test_the_bans_file_is_written_to_the_same_bytes(tmp_path: Path, stem: Path) -> None:
     table = maintenance_file.MaintenanceFile(tmp_path / stem.name, lambda name, out, since: None)
     table.start(False)
-    await table.change("b1", True, 1_000.0, 10_000.0)
-    await table.change("b2", True, 2_000.0, 10_000.0)
-    await table.change("b1", False, 3_000.0, 10_000.0)
+    await table.set_ban("b1", True, 1_000.0, 10_000.0)
+    await table.set_ban("b2", True, 2_000.0, 10_000.0)
+    await table.set_ban("b1", False, 3_000.0, 10_000.0)
     table.stop()
     assert table.path.read_bytes() == stem.with_suffix(".bans").read_bytes()
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -104,7 +104,7 @@
     path.write_text(json.dumps(configuration(members, 1, limits=limits, **over)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
-    node.update_endpoints(config.known, ListUpdateKind.CACHED)
+    node.update_endpoints(config.initial_list, ListUpdateKind.CACHED)
     listener = Listener(node, 100)
     await listener.listen(("127.0.0.1", 0), shared=False)
     out = Scene(node, listener, backends)
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -102,10 +102,12 @@
     world = LongListWorld(tmp_path, "headers_only", "headers_only", "no_response")
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
-        world.module.on_update = lambda n: discovery.move(("127.0.0.2", 1)) if n == batch_number else None
+        world.module.on_update = lambda n: (
+            discovery.change_address(("127.0.0.2", 1)) if n == batch_number else None
+        )
         world.send(complete_list(8, 30))(node, discovery)
         if batch_number is None:
-            discovery.move(("127.0.0.2", 1))
+            discovery.change_address(("127.0.0.2", 1))
 
     world.run_steps(send, world.send(delta(9, b0=REMOVED), call=1))
     assert world.requests[1][1] == "/discovery/hosts?watch=1&from=8"
@@ -149,7 +151,7 @@
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
         assert discovery.watch_call is not None
-        discovery.watch_call.objects.max_bytes = 1000
+        discovery.watch_call.splitter.max_bytes = 1000
         world.send(complete_list(8, 30))(node, discovery)
 
     world.run_steps(send, seconds=5.0)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -110,15 +110,15 @@
     one = MaintenanceFile(where, lambda *_: None)
     two = MaintenanceFile(where, lambda *change: told.append(change))
     one.start(False)
-    await one.change("a/../b", True, 1000.0, 500.0)
-    await one.change("c", True, 1100.0, 500.0)
+    await one.set_ban("a/../b", True, 1000.0, 500.0)
+    await one.set_ban("c", True, 1100.0, 500.0)
     two.start(True)
     assert told == [("a/../b", True, 0.0), ("c", True, 0.0)]
-    await two.change("c", False, 1200.0, 500.0)
+    await two.set_ban("c", False, 1200.0, 500.0)
     assert told[2:] == [("c", False, 1200.0)]
     one.refresh()
     assert one.record == MaintenanceRecord(frozenset({"a/../b"}), {"c": 1200.0})
-    await one.change("a/../b", False, 1800.0, 500.0)
+    await one.set_ban("a/../b", False, 1800.0, 500.0)
     assert one.record == MaintenanceRecord(frozenset(), {"a/../b": 1800.0})  # c has been warm for long
     assert sorted(p.suffix for p in tmp_path.iterdir()) == [".bans", ".lock"]
     one.stop()
@@ -134,12 +134,12 @@
 ) -> None:
     bans = MaintenanceFile(shared_path({"TMPDIR": str(tmp_path)}, "x"), lambda *_: None)
     bans.start(False)
-    await bans.change("a", True, 1000.0, 500.0)
+    await bans.set_ban("a", True, 1000.0, 500.0)
     bans.path.write_text(text)
     bans.refresh()
     bans.refresh()
     assert len(caplog.records) == 1 and bans.is_known("a")
-    await bans.change("b", True, 1000.0, 500.0)
+    await bans.set_ban("b", True, 1000.0, 500.0)
     assert json.loads(bans.path.read_text())["out"] == ["a", "b"]
     bans.path.unlink()
     bans.refresh()
@@ -157,14 +157,14 @@
     )
     nowhere.start(False)
     with pytest.raises(MaintenanceError):
-        await nowhere.change("a", True, 1000.0, 500.0)
+        await nowhere.set_ban("a", True, 1000.0, 500.0)
     monkeypatch.setattr(maintenance_file, "LOCK_TIMEOUT_S", 0.0)
     locked = MaintenanceFile(shared_path({"TMPDIR": str(tmp_path)}, "x"), lambda *change: told.append(change))
     locked.start(False)
     fd = os.open(locked.lock_path, os.O_RDWR | os.O_CREAT)
     fcntl.flock(fd, fcntl.LOCK_EX)
     with pytest.raises(MaintenanceError):
-        await locked.change("a", True, 1000.0, 500.0)
+        await locked.set_ban("a", True, 1000.0, 500.0)
     os.close(fd)
     assert told == [] and not locked.is_known("a")
     nowhere.stop()
@@ -227,11 +227,13 @@
     changes: list[bool] = []
     file = MaintenanceFile(tmp_path / "node", lambda backend, is_out, since: changes.append(is_out))
     file.start(has_peer=False)
-    await file.change("a", not is_out, 1.0, 1000.0)
+    await file.set_ban("a", not is_out, 1.0, 1000.0)
 
     async def record_maintenance(backend: str, is_out: bool, at: float, is_change: bool) -> None:
-        await file.follow(backend, is_out, 2.0, 1000.0)  # the call's own entry, as the register has it
-        await file.follow(backend, not is_out, 3.0, 1000.0)  # a peer's entry that came behind it
+        await file.apply_fleet_change(
+            backend, is_out, 2.0, 1000.0
+        )  # the call's own entry, as the register has it
+        await file.apply_fleet_change(backend, not is_out, 3.0, 1000.0)  # a peer's entry that came behind it
 
     fleet = SimpleNamespace(
         record_maintenance=record_maintenance, confirms=lambda backend, wanted: wanted is not is_out
@@ -244,5 +246,5 @@
         fleet=fleet,
     )
     assert await Node.set_maintenance(cast(Node, parts), "a", is_out)
-    assert ("a" in file.record.out) is not is_out and changes[-1] is not is_out
+    assert ("a" in file.record.banned) is not is_out and changes[-1] is not is_out
     file.stop()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -604,7 +604,7 @@
     path.write_text(json.dumps(configuration([backend.member()], 1)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
-    node.update_endpoints(config.known, ListUpdateKind.CACHED)
+    node.update_endpoints(config.initial_list, ListUpdateKind.CACHED)
     listener = Listener(node, 2)
     await listener.listen(("127.0.0.1", 0), shared=False)
     clients = [Client(*await asyncio.open_connection(*listener.address)) for _ in range(2)]
--- a/tests/virtual_discovery.py
+++ b/tests/virtual_discovery.py
@@ -293,7 +293,7 @@
             apply(update, kind)
 
         node.update_endpoints = record  # type: ignore[method-assign]
-        node.update_endpoints(node_config.known, ListUpdateKind.CACHED)
+        node.update_endpoints(node_config.initial_list, ListUpdateKind.CACHED)
         if not node_config.settings.must_subscribe:
             client.watch(True)
         return node
