--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -42,7 +42,7 @@
         error = FleetLibrariesError(f"PROXY_FLEET needs requirements-fleet.txt: {err}")
     except OSError as err:
         error = ListenError(f"listen: {err}")
-    print(f"balancer: {error.sentence}", file=sys.stderr)
+    print(f"balancer: {error.one_line_report}", file=sys.stderr)
     return EXIT_FAILED
 
 
--- a/balancer/cli/output.py
+++ b/balancer/cli/output.py
@@ -20,6 +20,6 @@
 
 def stop(err: BalancerError) -> typer.Exit:
     """Print the code and the error, then the remedy, on standard error; return exit code 2."""
-    happened, remedy = err.report
+    happened, remedy = err.report_lines
     print(f"balancer: {happened}\n{remedy}", file=sys.stderr)
     return typer.Exit(Exit.NOT_RUN)
--- a/balancer/defects.py
+++ b/balancer/defects.py
@@ -53,7 +53,7 @@
             return
         self._logged.add(kind)
         defect = DefectError(f"{action} failed: {type(error).__name__}: {error}")
-        self._logger.error("%s: %s; it goes on without", self._part, defect.line, exc_info=error)
+        self._logger.error("%s: %s; it goes on without", self._part, defect.summary, exc_info=error)
 
 
 def _innermost_line(error: Exception) -> int:
--- a/balancer/durable/health.py
+++ b/balancer/durable/health.py
@@ -43,7 +43,7 @@
     def disable(self, reason: BalancerError) -> None:
         """Give up the directory for the rest of the process."""
         self.disabled_by = reason
-        log.warning("state: %s: %s; the node continues without durable state", self.location, reason.line)
+        log.warning("state: %s: %s; the node continues without durable state", self.location, reason.summary)
 
     def report_failure(self, err: OSError) -> NotPersistedError:
         """Count a failed operation and return the error for whoever asked for it."""
@@ -54,7 +54,7 @@
             log.warning(
                 "state: %s: %s; the node continues serving, calls that need durable state are rejected",
                 self.location,
-                reason.line,
+                reason.summary,
             )
         return reason
 
--- a/balancer/durable/store.py
+++ b/balancer/durable/store.py
@@ -163,7 +163,7 @@
         return {
             "directory": self.health.location,
             "writes": writer is not None and not writer.has_failed,
-            "off": "" if self.disabled_by is None else self.disabled_by.line,
+            "off": "" if self.disabled_by is None else self.disabled_by.summary,
             "fenced": self.committer.is_fenced,
             "fence": writer.fence if writer is not None else 0,
             "records": statistics.records,
--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -25,16 +25,16 @@
         return " ".join(super().__str__().split())
 
     @property
-    def line(self) -> str:
+    def summary(self) -> str:
         """Return the code and what happened, for the log."""
         return f"{self.code}: {self}"
 
     @property
-    def report(self) -> tuple[str, str]:
+    def report_lines(self) -> tuple[str, str]:
         """Return two lines for a person: the code and what happened, and what to do."""
-        return self.line, f"what to do: {self.remedy}"
+        return self.summary, f"what to do: {self.remedy}"
 
     @property
-    def sentence(self) -> str:
+    def one_line_report(self) -> str:
         """Return the report in one line, for a process that does not run."""
-        return "; ".join(self.report)
+        return "; ".join(self.report_lines)
--- a/balancer/lab/scale/durable_state.py
+++ b/balancer/lab/scale/durable_state.py
@@ -176,7 +176,7 @@
     try:
         frames.make_frame(1, 1, 0, data)
     except frames.RecordTooLongError as err:
-        return err.line
+        return err.summary
     return None
 
 
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -85,7 +85,7 @@
         try:
             decode(data)
         except JsonStreamError as err:
-            yield NotPlayed(f"list.decode at {backends}", f"refused whole: {err.line}")
+            yield NotPlayed(f"list.decode at {backends}", f"refused whole: {err.summary}")
             continue
         took = generated_inputs.spent_us(lambda data=data: decode(data), 1.0, 50)  # type: ignore[misc]
         yield Point("list", "decode", "us", backends, took, False)
--- a/balancer/lab/scale/membership_tiers.py
+++ b/balancer/lab/scale/membership_tiers.py
@@ -117,7 +117,7 @@
 
 def _agreed(count: int, generation: int) -> View:
     """Return the view of a node that knows all to be alive in one generation."""
-    view = View.of_unknown(count)
+    view = View.with_unknown_members(count)
     for member in range(count):
         view.put(Update(member, generation, 0, MemberState.ALIVE))
     return view
--- a/balancer/membership/local_node.py
+++ b/balancer/membership/local_node.py
@@ -27,7 +27,7 @@
         self.random = random.Random(seed)
         self.counts: Counter[str] = Counter()
         self.timers = TimerQueue(now_ms, self.counts)
-        self.view = View.of_unknown(node_count)
+        self.view = View.with_unknown_members(node_count)
         self.view_changed_ms = now_ms
         self._actions: list[Action] = []
         self._sequence = 0
--- a/balancer/membership/view.py
+++ b/balancer/membership/view.py
@@ -30,7 +30,7 @@
     bucket_hashes: list[int] = field(default_factory=lambda: [0] * DIGEST_BUCKETS)
 
     @classmethod
-    def of_unknown(cls, node_count: int) -> View:
+    def with_unknown_members(cls, node_count: int) -> View:
         """Return a view in which all members are unknown."""
         return cls([unknown(member) for member in range(node_count)])
 
--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -181,11 +181,11 @@
 
     def _reject(self, error: CallError) -> None:
         extra_headers = f"Allow: {error.allowed_method}\r\n" if error.allowed_method else ""
-        self._respond(CallResponse(error.status, _lines(*error.report), TEXT, extra_headers))
+        self._respond(CallResponse(error.status, _lines(*error.report_lines), TEXT, extra_headers))
 
     def _fail(self) -> None:
         error = InternalCallError(500, "internal error")
-        log.exception("console: %s", error.line)
+        log.exception("console: %s", error.summary)
         self._reject(error)
 
     def _respond(self, response: CallResponse) -> None:
@@ -270,7 +270,7 @@
         try:
             is_known = await self._target.set_maintenance(backend, is_out)
         except BalancerError as err:
-            happened, remedy = err.report
+            happened, remedy = err.report_lines
             return CallResponse(503, _lines(f"{happened}; nothing is changed", remedy))
         if not is_known:
             raise UnknownBackendError(404, "no such backend was ever listed")
--- a/balancer/net/discovery_receiver.py
+++ b/balancer/net/discovery_receiver.py
@@ -151,7 +151,7 @@
         """End the call: its events are lost and later ones do not repeat them; the next gets all."""
         if call.is_ended:
             return
-        self._log.warn("discovery: bad list", err.line)
+        self._log.warn("discovery: bad list", err.summary)
         self.revision = 0
         self._listener.events_lost()
         call.end(CallEnd.MALFORMED)
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -199,7 +199,7 @@
         try:
             await peer_socket.bind()
         except BalancerError as err:  # the node serves alone, as without the file
-            log.warning("membership: %s; the node goes on alone", err.line)
+            log.warning("membership: %s; the node goes on alone", err.summary)
             return
         if self.membership is not None:
             self.membership.start()
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -241,7 +241,7 @@
     def _log_fault(self, text: str) -> None:
         """Log one warning; what was known stays in force, and the next change writes the file anew."""
         if not self._is_fault_logged:
-            log.warning("bans: %s", MaintenanceFileError(f"{self.path.name} {text:.200}").line)
+            log.warning("bans: %s", MaintenanceFileError(f"{self.path.name} {text:.200}").summary)
         self._is_fault_logged = True
 
     def _apply(self, record: MaintenanceRecord) -> None:
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -24,7 +24,7 @@
         apply_to_fleet = fleet.prepare_reload(os.environ, config) if fleet is not None else None
     except ConfigError as err:
         node.statistics.reload_errors += 1
-        log.warning("reload: %s; nothing is taken", err.line)
+        log.warning("reload: %s; nothing is taken", err.summary)
         return
     node.reconfigure(config)
     if apply_to_fleet is not None:
--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -136,7 +136,7 @@
         reason = err
     except UnicodeDecodeError as err:
         reason = wire.WireError(f"a line is not UTF-8: {err}")
-    print(f"balancer: {reason.sentence}", file=sys.stderr)
+    print(f"balancer: {reason.one_line_report}", file=sys.stderr)
     return 2
 
 
--- a/tests/test_endpoint_decoder.py
+++ b/tests/test_endpoint_decoder.py
@@ -38,7 +38,7 @@
     try:
         return in_slices(data)[0] if sliced else decode_update(data)
     except BalancerError as err:
-        return err.line
+        return err.summary
     except (ValueError, RecursionError):
         return "no JSON"
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -57,8 +57,8 @@
         code = "ODD01"
         remedy = "nothing"
 
-    assert Odd("two\n  lines").report == ("ODD01: two lines", "what to do: nothing")
-    assert Odd("x").sentence == "ODD01: x; what to do: nothing"
+    assert Odd("two\n  lines").report_lines == ("ODD01: two lines", "what to do: nothing")
+    assert Odd("x").one_line_report == "ODD01: x; what to do: nothing"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -152,8 +152,8 @@
 
 
 def test_hashes_of_a_view_depend_on_its_records_alone() -> None:
-    one = View.of_unknown(4)
-    other = View.of_unknown(4)
+    one = View.with_unknown_members(4)
+    other = View.with_unknown_members(4)
     one.put(alive(1))
     one.put(alive(2))
     other.put(dead(2))
@@ -164,7 +164,7 @@
 
 
 def test_a_digest_differs_in_the_bucket_of_the_member_that_differs() -> None:
-    one = View.of_unknown(DIGEST_BUCKETS)
+    one = View.with_unknown_members(DIGEST_BUCKETS)
     other = one.copy()
     other.put(alive(7))
     pairs = zip(one.digest(3), other.digest(3), strict=True)
