--- a/balancer/net/backend_connection.py
+++ b/balancer/net/backend_connection.py
@@ -195,7 +195,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Take what was read."""
-        self.data_received(self.pool.memory.take_read(nbytes))
+        self.data_received(self.pool.memory.copy_read(nbytes))
 
     def data_received(self, data: bytes) -> None:
         """Parse the response; bytes that belong to none make the connection unusable."""
--- a/balancer/net/client_connection.py
+++ b/balancer/net/client_connection.py
@@ -111,7 +111,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Take what was read."""
-        self.data_received(self.node.memory.take_read(nbytes))
+        self.data_received(self.node.memory.copy_read(nbytes))
 
     def data_received(self, data: bytes) -> None:
         """Parse a request; one that cannot be parsed gets an error response and a close."""
@@ -208,7 +208,7 @@
             self.transport.pause_reading()
 
     @property
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed or reset the connection while it is not read from."""
         if not (self.receive_timer.is_paused or self.responses.is_reading_paused) or self.transport is None:
             return False
--- a/balancer/net/counts_log.py
+++ b/balancer/net/counts_log.py
@@ -10,8 +10,8 @@
 
 log = logging.getLogger(__name__)
 
-PULSE_INTERVAL_S = 1.0  # between two measurements of the event loop's lag
-PULSES_PER_LINE = 5
+LAG_SAMPLE_INTERVAL_S = 1.0  # between two measurements of the event loop's lag
+SAMPLES_PER_LINE = 5
 
 
 class CountsLog:
@@ -33,11 +33,11 @@
         now = node.loop.time()
         self._lag_s = max(self._lag_s, now - due)
         self._pulses += 1
-        node.loop.call_at(now + PULSE_INTERVAL_S, self._pulse, now + PULSE_INTERVAL_S)
+        node.loop.call_at(now + LAG_SAMPLE_INTERVAL_S, self._pulse, now + LAG_SAMPLE_INTERVAL_S)
         if node.fleet is not None:
             with self._defects.contain("the sample of learned state"):
                 node.fleet.save_learned(node.balancer.learned_state, node.now())
-        if self._pulses >= PULSES_PER_LINE and node.counts:
+        if self._pulses >= SAMPLES_PER_LINE and node.counts:
             with self._defects.contain("the counts line"):
                 self._write_line(now)
 
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -46,10 +46,10 @@
         self.pool = ConnectionPool(
             config.settings, config.limits_per_process(1)[1], self.statistics, self.memory
         )
-        self.requests = RequestLifecycle(self.pool, self.statistics, self.counts, self.now, self.event)
+        self.requests = RequestLifecycle(self.pool, self.statistics, self.counts, self.now, self.handle_event)
         self.scheduler = CooperativeScheduler(self.loop)
         self.endpoint_updater = EndpointUpdater(
-            self.pool, self.event, self._endpoints_updated, self.scheduler
+            self.pool, self.handle_event, self._endpoints_updated, self.scheduler
         )
         self.discovery: EndpointWatcher | None = None
         self.fleet: FleetServices | None = None
@@ -73,7 +73,7 @@
         """Apply a configuration that replaces the one in force."""
         self._apply_config(config)
         self.pool.configure(config.settings)
-        self.event(api.Reconfigured(config.settings))
+        self.handle_event(api.Reconfigured(config.settings))
         self.statistics.reloads += 1
 
     def now(self) -> float:
@@ -82,7 +82,7 @@
 
     # --- events and actions
 
-    def event(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         """Hand an event to the module and carry out its actions; events made meanwhile are queued."""
         self._events.append(event)
         if self._is_handling:
@@ -115,7 +115,7 @@
                 self.requests.start_attempt(action)
             case api.SetTimer():
                 delay_s = max(0.0, action.when - self.now()) / 1000
-                self.loop.call_later(delay_s, self.event, api.TimerFired(action.token))
+                self.loop.call_later(delay_s, self.handle_event, api.TimerFired(action.token))
             case api.RejectRequest():
                 self.requests.reject(action)
             case api.FailRequest():
@@ -187,7 +187,7 @@
         """Apply that a backend was taken out, or put back at `since` (ms)."""
         log.info("maintenance: %s %s", backend, "is out" if is_out else "is back")
         self.pool.set_maintenance(backend, is_out)
-        self.event(api.MaintenanceChanged(backend, is_out, since))
+        self.handle_event(api.MaintenanceChanged(backend, is_out, since))
 
     def stats(self) -> dict[str, object]:
         """Return the statistics, in the form of `GET /stats`."""
@@ -221,7 +221,7 @@
         if update is None:
             if self._is_failure_reported:  # the module is to know that discovery answers
                 self._is_failure_reported = False
-                self.event(api.ListUpdate(api.ListUpdateKind.DELTA, []))
+                self.handle_event(api.ListUpdate(api.ListUpdateKind.DELTA, []))
             if not self.endpoints_received.is_set() and self.fleet is not None:
                 self.fleet.list_confirmed()
             self.endpoints_received.set()
@@ -237,4 +237,4 @@
         self._is_failure_reported = True
         silent_ms = (self.loop.time() - self.last_discovery_at) * 1000
         failure = api.DiscoveryFailure(silent_ms, reached, queued)
-        self.event(api.ListUpdate(api.ListUpdateKind.FAILED, [], failure=failure))
+        self.handle_event(api.ListUpdate(api.ListUpdateKind.FAILED, [], failure=failure))
--- a/balancer/net/node_ports.py
+++ b/balancer/net/node_ports.py
@@ -14,7 +14,7 @@
     """Receiver of the response to one request."""
 
     @property
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has left unseen, as nothing is read from it now."""
 
     def send_response(self, body: bytes, content_type: bytes) -> None:
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -113,7 +113,7 @@
         fleet = self.fleet
         returns_to_fleet = fleet is not None and fleet.recovery is not None
         if self.recovered is not None and not returns_to_fleet:
-            self.node.event(self.recovered)
+            self.node.handle_event(self.recovered)
         is_ready = True
         if fleet is not None and returns_to_fleet:
             is_ready = await self._unless_stopped(fleet.wait_until_serving(has_peer))
--- a/balancer/net/open_request.py
+++ b/balancer/net/open_request.py
@@ -104,9 +104,9 @@
         return self.upload is not None and not self.upload.is_complete
 
     @property
-    def is_upload_spent(self) -> bool:
+    def is_upload_prefix_dropped(self) -> bool:
         """Whether the beginning of its body is no longer buffered for a retry."""
-        return self.upload is not None and self.upload.is_spent
+        return self.upload is not None and self.upload.is_prefix_dropped
 
     @property
     def has_no_attempt(self) -> bool:
--- a/balancer/net/process_slots.py
+++ b/balancer/net/process_slots.py
@@ -41,7 +41,7 @@
         self.peer_texts: dict[int, str] = {}  # the lines read last, by slot
         self.own_slot = NO_SLOT
         self.has_peer = False
-        self.peer_was_first = False
+        self.peer_started_first = False
         self._on_peer_change = on_peer_change
         self._lock_fd = NO_SLOT
         self._timer: asyncio.TimerHandle | None = None
@@ -60,7 +60,7 @@
             log.warning("no slot among the node's processes: %s", err)
             return False
         self.has_peer = self._peers_exist()
-        self.peer_was_first = self.has_peer
+        self.peer_started_first = self.has_peer
         self._schedule()
         return self.has_peer
 
@@ -108,7 +108,7 @@
         has_peer = self.has_slot and self._peers_exist()
         if has_peer != self.has_peer:
             self.has_peer = has_peer
-            self.peer_was_first = self.peer_was_first and has_peer
+            self.peer_started_first = self.peer_started_first and has_peer
             self._on_peer_change(has_peer)
 
     def read_peers(self) -> dict[int, str] | None:
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -95,7 +95,7 @@
         if not is_successor:
             await self._reconcile_bans()
         if recovered is not None and self.shell.is_trusted(StateKind.LEARNED):
-            self.node.event(recovered)
+            self.node.handle_event(recovered)
 
     def resume(self) -> None:
         """Go on after a successor has ended; what operators called there is on the disk."""
@@ -136,10 +136,12 @@
         self._phase = phase
         self._capacity = capacity
         if capacity is None:
-            self.node.event(api.RecoveryProgressed(PHASES[phase], 1.0))
+            self.node.handle_event(api.RecoveryProgressed(PHASES[phase], 1.0))
         else:
             cold_since = 0.0 if self._has_fresh_list else capacity.cold_since
-            self.node.event(api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.rate))
+            self.node.handle_event(
+                api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.rate)
+            )
 
     def allow_polling(self) -> None:
         """Let polls of discovery through, as the schedule has spread them."""
--- a/balancer/net/recovery_handover.py
+++ b/balancer/net/recovery_handover.py
@@ -75,7 +75,7 @@
             tuple(_parse_entry(row, shift) for row in table["rows"]),
         )
 
-    return state_handover.take_table(path, parse, LOG_NAME)
+    return state_handover.consume_table(path, parse, LOG_NAME)
 
 
 def _parse_entry(row: Any, shift: float) -> BanEntry:
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -145,7 +145,7 @@
         attempt.timeout_ms = action.timeout
         timeout_ms = self._start_timeout(attempt, request)
         if (
-            request.is_upload_spent
+            request.is_upload_prefix_dropped
             or action.backend not in self._pool.members
             or timeout_ms <= 0
             or 0 < action.before <= now
@@ -235,7 +235,7 @@
 
     def _is_wanted(self, request: OpenRequest) -> bool:
         """Return whether the response is still to be sent; detects a client that has left unseen."""
-        if not request.is_answered and request.client.has_left:
+        if not request.is_answered and request.client.has_disconnected:
             self.client_disconnected(request.request_id)
         return not request.is_answered
 
@@ -273,7 +273,7 @@
         if request is not None:
             self._answer_with_result(request, result)
         is_closed = request is None or request.is_answered
-        is_spent = request is not None and request.is_upload_spent
+        is_spent = request is not None and request.is_upload_prefix_dropped
         if request is not None and is_closed:
             self._forget(request)
         elapsed_ms = self._now() - attempt.started_at
--- a/balancer/net/response_writer.py
+++ b/balancer/net/response_writer.py
@@ -43,9 +43,9 @@
     # --- the node's client
 
     @property
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left unseen, as nothing is read from it now."""
-        return self.connection.has_left
+        return self.connection.has_disconnected
 
     def send_response(self, body: bytes, content_type: bytes) -> None:
         """Send a backend's buffered response."""
--- a/balancer/net/shutdown.py
+++ b/balancer/net/shutdown.py
@@ -43,7 +43,7 @@
         fleet.leave()
     idle_close_at = last_response_at - IDLE_CLOSE_MARGIN_S
     if node.has_successor and listener.socket is not None:
-        shares.is_draining = steer_connections(listener.socket, 0 if slots.peer_was_first else 1)
+        shares.is_draining = steer_connections(listener.socket, 0 if slots.peer_started_first else 1)
         await asyncio.sleep(idle_close_at - loop.time())  # a request may come on any open connection
     else:
         await asyncio.sleep(min(ACCEPT_S, idle_close_at - loop.time()))
--- a/balancer/net/state_handover.py
+++ b/balancer/net/state_handover.py
@@ -34,7 +34,7 @@
         log.info("%s: %s", subject, err)
 
 
-def take_table(path: Path, parse: Callable[[Any, float], State], subject: str) -> State | None:
+def consume_table(path: Path, parse: Callable[[Any, float], State], subject: str) -> State | None:
     """Read and remove what the other process has written; None if there is nothing of use.
 
     `parse` gets the table and its age in ms; what it raises on a table that makes no sense is logged.
@@ -58,9 +58,9 @@
     write_table(path, {"learned": asdict(learned)}, "handover")
 
 
-def take_learned(path: Path) -> LearnedStateRestored | None:
+def consume_learned(path: Path) -> LearnedStateRestored | None:
     """Read and remove what the other process had learned, if it has written that."""
-    return take_table(path, _parse_learned, "handover")
+    return consume_table(path, _parse_learned, "handover")
 
 
 def _parse_learned(table: Any, age_ms: float) -> LearnedStateRestored:
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -46,7 +46,7 @@
         """Return the buffer for the next read."""
         return self._view
 
-    def take_read(self, count: int) -> bytes:
+    def copy_read(self, count: int) -> bytes:
         """Return a copy of the `count` bytes that were just read into the buffer."""
         return bytes(_read_buffer[:count])
 
@@ -58,7 +58,7 @@
         """Begin a body of `size` bytes, if known; `set_reading` resumes or pauses reading from the client."""
         self.size = size
         self.is_complete = False  # all of it has been received
-        self.is_spent = False  # its beginning is no longer buffered, so no attempt may begin
+        self.is_prefix_dropped = False  # its beginning is no longer buffered, so no attempt may begin
         self._memory = memory
         self._set_reading = set_reading
         self._replay = bytearray()  # what an attempt has taken, for the next one
@@ -87,7 +87,7 @@
                 self._on_data()
 
     def attach(self, on_data: Callable[[], None]) -> None:
-        """Begin an attempt at the first byte, unless `is_spent`; `on_data` is called for more bytes."""
+        """Start an attempt at the first byte, unless it is dropped; `on_data` is called for more bytes."""
         self._pending[:0] = self._replay
         self._replay.clear()
         self._on_data = on_data
@@ -100,11 +100,11 @@
         """Return the bytes that the attempt may write next, and let the client go on."""
         data = bytes(self._pending)
         self._pending.clear()
-        if not self.is_spent:
+        if not self.is_prefix_dropped:
             self._replay += data
             if len(self._replay) > MAX_REPLAY_BYTES:
                 self._replay = bytearray()
-                self.is_spent = True
+                self.is_prefix_dropped = True
         self._resume()
         return data
 
--- a/balancer/net/takeover.py
+++ b/balancer/net/takeover.py
@@ -11,7 +11,7 @@
 from balancer.net.descriptor_shares import DescriptorShares
 from balancer.net.node import Node
 from balancer.net.process_slots import REFRESH_INTERVAL_S
-from balancer.net.state_handover import LEARNED_SUFFIX, READ_DELAY_S, take_learned, write_learned
+from balancer.net.state_handover import LEARNED_SUFFIX, READ_DELAY_S, consume_learned, write_learned
 
 if TYPE_CHECKING:
     from balancer.net.fleet import Fleet
@@ -27,7 +27,7 @@
     `inherits_learned`: whether it takes the other's learned state.
     """
     log.info("another process of this node runs: taking over")
-    node.event(TakeoverStarted())
+    node.handle_event(TakeoverStarted())
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(DISCOVERY_TIMEOUT_S):
             await node.endpoints_received.wait()
@@ -39,9 +39,9 @@
 
 def _inherit(node: Node) -> None:
     """Go on from what the other process has learned, if it has written that."""
-    restored = take_learned(node.shared_path.with_suffix(LEARNED_SUFFIX))
+    restored = consume_learned(node.shared_path.with_suffix(LEARNED_SUFFIX))
     if restored is not None:
-        node.event(restored)
+        node.handle_event(restored)
         log.info("handover: learned state taken over, limit %.1f", restored.learned.limit)
 
 
--- a/tests/broken_node.py
+++ b/tests/broken_node.py
@@ -20,7 +20,7 @@
 Address = tuple[str, int]
 
 
-async def message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
     """Start line, headers, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     start, *lines = head.rstrip("\r\n").split("\r\n")
@@ -28,7 +28,7 @@
     return start, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-def answer(code: int, body: bytes = b"") -> bytes:
+def http_response(code: int, body: bytes = b"") -> bytes:
     """An HTTP answer."""
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (code, len(body), body)
 
@@ -39,7 +39,7 @@
     return host, int(port)
 
 
-class StandIn:
+class DefectiveNode:
     """The node: its list, who is out, its connections. `die` ends all of it at once."""
 
     def __init__(self, defect: str, config: dict[str, Any], die: Callable[[], None]) -> None:
@@ -84,7 +84,7 @@
         self.writers.add(writer)
         try:
             writer.write("\r\n".join([*lines, "", ""]).encode() + body)
-            status, back, text = await message(reader)
+            status, back, text = await read_message(reader)
         except (OSError, asyncio.IncompleteReadError):
             return 0, False, b""
         finally:
@@ -98,7 +98,7 @@
         if defect == "answer" and hit:
             return None
         if defect == "made-up" and hit:
-            return answer(200, b"all is well")
+            return http_response(200, b"all is well")
         if defect == "changed" and method == "POST":
             body = body.replace(b"wish", b"fish")
         if defect == "one-out" and method == "GET" and hit:
@@ -109,21 +109,21 @@
         if defect == "twice" and "place-order" in start:
             status, never, text = await self.attempt(start, headers, body)
         if defect == "refuse" and "place-order" in start:
-            return answer(503)
+            return http_response(503)
         if status == 200:
-            return answer(200, text)
-        return answer(503 if never else 500)
+            return http_response(200, text)
+        return http_response(503 if never else 500)
 
     async def client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One client's connection."""
         self.writers.add(writer)
         try:
             while True:
-                start, headers, body = await message(reader)
+                start, headers, body = await read_message(reader)
                 if start.startswith("GET /up "):
-                    writer.write(answer(200))
+                    writer.write(http_response(200))
                     continue
-                out: bytes | None = answer(500)
+                out: bytes | None = http_response(500)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(float(headers["request-timeout"][:-1]) / 1000 - 0.03):
                         out = await self.serve(start, headers, body)
@@ -138,13 +138,13 @@
 
     async def operator(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One call to the console."""
-        start, _, _ = await message(reader)
+        start, _, _ = await read_message(reader)
         parts = start.split(" ")[1].split("/")
         if parts[-1] == "maint" and self.defect != "banned":
             self.banned.add(parts[-2])
         elif parts[-1] == "ready":
             self.banned.discard(parts[-2])
-        writer.write(answer(200))
+        writer.write(http_response(200))
         writer.close()
 
     async def run(self, listen: Address, console: Address) -> None:
@@ -160,7 +160,7 @@
 async def main() -> None:
     """Listen until killed."""
     with open(os.environ["PROXY_CONFIG"]) as file:
-        node = StandIn(sys.argv[1], json.load(file), lambda: os._exit(3))
+        node = DefectiveNode(sys.argv[1], json.load(file), lambda: os._exit(3))
     await node.run(address(os.environ["PROXY_LISTEN"]), address(os.environ["PROXY_CONSOLE"]))
     await asyncio.Event().wait()
 
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -232,7 +232,7 @@
         stem = shared_path({"TMPDIR": str(folder)}, "n0")
         record = maintenance_file.parse_record(stem.with_suffix(".bans").read_text("utf-8"))
         yield f"{sorted(record.out)} {sorted(record.returned_at.items())}"
-        recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
+        recovered = state_handover.consume_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
         assert recovered is not None
         yield f"{json.dumps(_learned_table(recovered.learned))} {recovered.age:.3f}"
         left = recovery_handover.read_handover(stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), 150.0)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -27,44 +27,44 @@
 from balancer.net.backend_connection import REUSE_DELAY_S
 
 ROOT = Path(__file__).parents[1]
-WAIT = 30.0  # s until a test that waits for something that does not come fails
-HOUR = 3_600_000  # ms: no time-out or idle limit comes to the help of a test that does not set its own
-IDS = itertools.count(1)
+WAIT_TIMEOUT_S = 30.0  # s until a test that waits for something that does not come fails
+HOUR_MS = 3_600_000  # ms: no time-out or idle limit comes to the help of a test that does not set its own
+REQUEST_NUMBERS = itertools.count(1)
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "retryable", "give-up": 4000, "objective": 3000},
     {"name": "pay", "effect": "dedup", "group": "zone", "memory-span": 3000, "give-up": 4000,
      "objective": 3000},
     {"name": "once", "effect": "fragile", "give-up": 4000, "objective": 3000},
 ]  # fmt: skip
-PATIENT = {"request-classes": [c | {"give-up": HOUR, "objective": HOUR} for c in CLASSES]}
+LONG_DEADLINES = {"request-classes": [c | {"give-up": HOUR_MS, "objective": HOUR_MS} for c in CLASSES]}
 LIMITS: dict[str, Any] = {
-    "cancel": True, "conn-idle": HOUR, "connect-timeout": 1000, "most-tries": 4, "streams-per-conn": 1,
+    "cancel": True, "conn-idle": HOUR_MS, "connect-timeout": 1000, "most-tries": 4, "streams-per-conn": 1,
 }  # fmt: skip
 
 Found = TypeVar("Found")
 
 
-def _gave_up(state: RetryCallState) -> NoReturn:
+def _raise_timeout(state: RetryCallState) -> NoReturn:
     assert state.outcome is not None
-    raise AssertionError(f"after {WAIT:g} s still {state.outcome.result()!r}")
+    raise AssertionError(f"after {WAIT_TIMEOUT_S:g} s still {state.outcome.result()!r}")
 
 
-def _patience(every: float) -> dict[str, Any]:
-    return {"stop": stop_after_delay(WAIT), "wait": wait_fixed(every), "retry": retry_if_not_result(bool),
-            "retry_error_callback": _gave_up}  # fmt: skip
+def _retry_options(every: float) -> dict[str, Any]:
+    return {"stop": stop_after_delay(WAIT_TIMEOUT_S), "wait": wait_fixed(every),
+            "retry": retry_if_not_result(bool), "retry_error_callback": _raise_timeout}  # fmt: skip
 
 
-def until(look: Callable[[], Found], every: float = 0.02) -> Found:
+def wait_until(look: Callable[[], Found], every: float = 0.02) -> Found:
     """What a look finds, as soon as that is something; looks every so many seconds."""
-    return Retrying(**_patience(every))(look)
+    return Retrying(**_retry_options(every))(look)
 
 
-async def happens(look: Callable[[], Awaitable[Found]], every: float = 0.02) -> Found:
+async def wait_until_async(look: Callable[[], Awaitable[Found]], every: float = 0.02) -> Found:
     """The same beside what the test does meanwhile."""
-    return await AsyncRetrying(**_patience(every))(look)
+    return await AsyncRetrying(**_retry_options(every))(look)
 
 
-async def rested() -> None:
+async def wait_until_reusable() -> None:
     """Returns once the connections that have just been given back may be used again."""
     await asyncio.sleep(2 * REUSE_DELAY_S)
 
@@ -73,14 +73,14 @@
 class Message:
     """A request or an answer as it came over a socket."""
 
-    start: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
     @property
-    def code(self) -> int:
+    def status(self) -> int:
         """An answer's status."""
-        return int(self.start.split(" ")[1])
+        return int(self.start_line.split(" ")[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -91,7 +91,7 @@
     return Message(start, headers, await reader.readexactly(int(headers.get("content-length", 0))))
 
 
-def answer(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
+def http_response(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
     """An HTTP answer."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -102,10 +102,10 @@
 
 async def echo(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
     """Serve with a body that names backend and request."""
-    writer.write(answer(f"{backend.name} {message.headers['request-id']}".encode()))
+    writer.write(http_response(f"{backend.name} {message.headers['request-id']}".encode()))
 
 
-def break_off(writer: asyncio.StreamWriter) -> None:
+def abort_connection(writer: asyncio.StreamWriter) -> None:
     """Break a connection unless it has closed: one that closed behind its last bytes cannot be aborted."""
     transport = writer.transport
     if not transport.is_closing() or transport.get_write_buffer_size():
@@ -114,13 +114,13 @@
 
 @dataclass
 class Backend:
-    """A fake backend; `respond` answers each request, `got` holds the requests in order."""
+    """A fake backend; `respond` answers each request, `requests` holds the requests in order."""
 
     name: str
     respond: Respond = echo
-    got: asyncio.Queue[Message] = field(default_factory=asyncio.Queue)
-    lost: asyncio.Queue[int] = field(default_factory=asyncio.Queue)
-    connections: int = 0
+    requests: asyncio.Queue[Message] = field(default_factory=asyncio.Queue)
+    closed_connections: asyncio.Queue[int] = field(default_factory=asyncio.Queue)
+    connection_count: int = 0
     port: int = 0
     readers: list[asyncio.StreamReader] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
@@ -136,23 +136,23 @@
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
-            break_off(writer)
+            abort_connection(writer)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        number = self.connections
+        self.connection_count += 1
+        number = self.connection_count
         self.readers.append(reader)
         self.writers.append(writer)
         try:
             while True:
                 message = await read_message(reader)
-                self.got.put_nowait(message)
+                self.requests.put_nowait(message)
                 await self.respond(self, message, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
-        self.lost.put_nowait(number)
+        self.closed_connections.put_nowait(number)
 
-    def member(self, **over: Any) -> dict[str, Any]:
+    def list_entry(self, **over: Any) -> dict[str, Any]:
         """Its entry in the list."""
         table = {"id": self.name, "host_port": f"127.0.0.1:{self.port}", "locality": "a", "flavor": "m",
                  "cell": 0, "phase": "in_service", "size": 1.0, "up_since_ms": 0}  # fmt: skip
@@ -161,9 +161,9 @@
 
 @dataclass
 class FakeDiscovery:
-    """Answers watches with the chunks it is told to send; `asked` holds their targets."""
+    """Answers watches with the chunks it is told to send; `watch_targets` holds their targets."""
 
-    asked: asyncio.Queue[str] = field(default_factory=asyncio.Queue)
+    watch_targets: asyncio.Queue[str] = field(default_factory=asyncio.Queue)
     writer: asyncio.StreamWriter | None = None
     port: int = 0
     server: asyncio.Server | None = None
@@ -178,18 +178,18 @@
             message = await read_message(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.writer = writer
-            self.asked.put_nowait(message.start.split(" ")[1])
+            self.watch_targets.put_nowait(message.start_line.split(" ")[1])
             await reader.read()
 
-    def send(self, text: bytes) -> None:
+    def send_chunk(self, text: bytes) -> None:
         """One chunk of the watch."""
         assert self.writer is not None
         self.writer.write(b"%x\r\n%b\r\n" % (len(text), text))
 
-    def news(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
+    def send_update(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
         """One line of the watch."""
         line = {"revision": revision, "complete": complete, "members": members}
-        self.send(json.dumps(line).encode() + b"\n")
+        self.send_chunk(json.dumps(line).encode() + b"\n")
 
 
 class Client:
@@ -200,29 +200,29 @@
 
     def send(self, target: str, *headers: str, method: str = "GET", body: bytes = b"") -> str:
         """Write a request; returns its id."""
-        name = f"{next(IDS):016x}"
+        name = f"{next(REQUEST_NUMBERS):016x}"
         lines = [f"{method} {target} HTTP/1.1", "Host: api.internal", f"Request-Id: {name}", *headers]
         if method == "POST":
             lines += [f"Content-Length: {len(body)}"]
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
         return name
 
-    async def answer(self) -> Message:
+    async def read_response(self) -> Message:
         """The next answer."""
-        return await asyncio.wait_for(read_message(self.reader), WAIT)
+        return await asyncio.wait_for(read_message(self.reader), WAIT_TIMEOUT_S)
 
-    async def ask(self, target: str, *headers: str, method: str = "GET", body: bytes = b"") -> Message:
+    async def request(self, target: str, *headers: str, method: str = "GET", body: bytes = b"") -> Message:
         """Send a request and wait for its answer."""
         self.send(target, *headers, method=method, body=body)
-        return await self.answer()
+        return await self.read_response()
 
-    async def pay(self) -> Message:
+    async def request_pay(self) -> Message:
         """A keyed request."""
-        return await self.ask("/pay", "Idempotency-Key: k1", method="POST", body=b"{}")
+        return await self.request("/pay", "Idempotency-Key: k1", method="POST", body=b"{}")
 
-    async def ended(self) -> bytes:
+    async def read_until_closed(self) -> bytes:
         """Whatever else comes until the node closes."""
-        return await asyncio.wait_for(self.reader.read(), WAIT)
+        return await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT_S)
 
 
 @dataclass
@@ -237,31 +237,31 @@
     console_port: int = 0
     clients: list[Client] = field(default_factory=list)
 
-    async def client(self) -> Client:
+    async def connect(self) -> Client:
         """A new connection to the node."""
         out = Client(*await asyncio.open_connection("127.0.0.1", self.port))
         self.clients.append(out)
         return out
 
-    async def call(self, target: str, method: str = "GET") -> Message:
+    async def call_console(self, target: str, method: str = "GET") -> Message:
         """One call to the console."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.console_port)
         writer.write(f"{method} {target} HTTP/1.1\r\nHost: node\r\n\r\n".encode())
-        got = await asyncio.wait_for(read_message(reader), WAIT)
-        assert await asyncio.wait_for(reader.read(), WAIT) == b""
+        got = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
+        assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
         writer.close()
         return got
 
     async def stats(self) -> dict[str, Any]:
         """The figures."""
-        got = await self.call("/stats")
-        assert got.code == 200
+        got = await self.call_console("/stats")
+        assert got.status == 200
         out: dict[str, Any] = json.loads(got.body)
         return out
 
-    async def logged(self, text: str) -> None:
+    async def wait_for_log(self, text: str) -> None:
         """Wait for a log line."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not any(text in line for line in self.log):
                 line = await self._line()
                 assert line, f"no {text!r} in {self.log}"
@@ -282,15 +282,15 @@
         self.config.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
-    async def end(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Wait for the node's end; its exit code."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while await self._line():
                 pass
             return await self.process.wait()
 
 
-def configuration(members: list[dict[str, Any]], discovery: int, **over: Any) -> dict[str, Any]:
+def node_config(members: list[dict[str, Any]], discovery: int, **over: Any) -> dict[str, Any]:
     """A node's configuration; `limits` and others replace the settings of that name."""
     top = {name: over.pop(name) for name in ("console", "listen") if name in over}
     settings = {
@@ -307,7 +307,7 @@
     } | top  # fmt: skip
 
 
-async def spawn(path: Path, **more: str) -> asyncio.subprocess.Process:
+async def spawn_node(path: Path, **more: str) -> asyncio.subprocess.Process:
     """Start the program on a configuration file, with `more` in its environment."""
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     env |= {"PROXY_CONFIG": str(path), "TMPDIR": str(path.parent)} | more
@@ -318,12 +318,12 @@
 
 
 @contextlib.asynccontextmanager
-async def started(path: Path, discovery: FakeDiscovery, **more: str) -> AsyncIterator[Rig]:
+async def started_node(path: Path, discovery: FakeDiscovery, **more: str) -> AsyncIterator[Rig]:
     """A process on this configuration, from when it serves."""
-    process = await spawn(path, **more)
+    process = await spawn_node(path, **more)
     rig = Rig(process, 0, discovery, [], path)
     try:
-        await rig.logged("serves on")
+        await rig.wait_for_log("serves on")
         found = re.search(r"serves on \S+:(\d+)", rig.log[-1])
         assert found
         rig.port = int(found[1])
@@ -336,20 +336,20 @@
             process.kill()
             await process.wait()
         for client in rig.clients:
-            break_off(client.writer)
+            abort_connection(client.writer)
 
 
 @contextlib.asynccontextmanager
-async def running(tmp: Path, *backends: Backend, **over: Any) -> AsyncIterator[Rig]:
+async def running_node(tmp: Path, *backends: Backend, **over: Any) -> AsyncIterator[Rig]:
     """A node that knows these backends and has its watch."""
     discovery = FakeDiscovery()
     await discovery.start()
     for backend in backends:
         await backend.start()
     path = tmp / "config.json"
-    path.write_text(json.dumps(configuration([b.member() for b in backends], discovery.port, **over)))
+    path.write_text(json.dumps(node_config([b.list_entry() for b in backends], discovery.port, **over)))
     try:
-        async with started(path, discovery) as rig:
+        async with started_node(path, discovery) as rig:
             yield rig
     finally:
         assert discovery.server is not None
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -30,7 +30,7 @@
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import StreamMemory
 from tests.helpers import BASE
-from tests.sockets import PATIENT, WAIT, Backend, Message, answer, configuration
+from tests.sockets import LONG_DEADLINES, WAIT_TIMEOUT_S, Backend, Message, http_response, node_config
 
 
 class Turns(uvloop.Loop):
@@ -51,7 +51,7 @@
 def run(loop: asyncio.AbstractEventLoop, what: Coroutine[Any, Any, None]) -> None:
     """To its end, or fail."""
     try:
-        loop.run_until_complete(asyncio.wait_for(what, WAIT))
+        loop.run_until_complete(asyncio.wait_for(what, WAIT_TIMEOUT_S))
     finally:
         loop.close()
 
@@ -63,7 +63,7 @@
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = ConnectionPool(
-            replace(BASE, connect_timeout=1000 * WAIT), 10, RequestStatistics(), StreamMemory(192)
+            replace(BASE, connect_timeout=1000 * WAIT_TIMEOUT_S), 10, RequestStatistics(), StreamMemory(192)
         )
         pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
         ended: list[AttemptResult] = []
@@ -83,7 +83,7 @@
         known = attempt.connection
         await called.wait()
         accepted = listener.accept()[0]
-        accepted.settimeout(WAIT)
+        accepted.settimeout(WAIT_TIMEOUT_S)
         assert accepted.recv(100) in (b"", b"GET / HTTP/1.1\r\n\r\n")
         await asyncio.wait([task])
         while (
@@ -133,7 +133,7 @@
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = ConnectionPool(
-            replace(BASE, connect_timeout=1000 * WAIT), 10, RequestStatistics(), StreamMemory(192)
+            replace(BASE, connect_timeout=1000 * WAIT_TIMEOUT_S), 10, RequestStatistics(), StreamMemory(192)
         )
         pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
         ended: asyncio.Queue[AttemptResult] = asyncio.Queue()
@@ -158,7 +158,7 @@
     for backend in backends:
         await backend.start()
     path = tmp / "config.json"
-    path.write_text(json.dumps(configuration([b.member() for b in backends], 1, **PATIENT)))
+    path.write_text(json.dumps(node_config([b.list_entry() for b in backends], 1, **LONG_DEADLINES)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
     node.update_endpoints(config.known, ListUpdateKind.CACHED)
@@ -231,7 +231,7 @@
         peer = Peer()
         accepted = await peer.reach(listener)
         peer.sock.send(READ % 1)
-        await backend.got.get()
+        await backend.requests.get()
         while not listener.node.pool.endpoints["b0"].idle:
             await asyncio.sleep(0)
         for connection in (accepted, listener.node.pool.endpoints["b0"].idle[0]):
@@ -260,7 +260,7 @@
             peer.sock.close()
             while listener.lingering:
                 await asyncio.sleep(0)
-        assert backend.got.empty()
+        assert backend.requests.empty()
         assert not listener.node.requests.open
 
 
@@ -272,7 +272,7 @@
     body = bytes(60_000)
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(body))
+        writer.write(http_response(body))
 
     async with listener_of(tmp, Backend("b0", respond)) as listener:
         peer = Peer(window=4096)
@@ -378,7 +378,7 @@
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         await go.wait()
-        writer.write(answer(b"done"))
+        writer.write(http_response(b"done"))
 
     backend = Backend("b0", respond)
     async with listener_of(tmp, backend) as listener:
@@ -387,7 +387,7 @@
             peer = Peer()
             connection = await peer.reach(listener)
             peer.sock.send(READ % 1)
-            await backend.got.get()
+            await backend.requests.get()
             await asyncio.get_running_loop().sock_sendall(peer.sock, rest)
             while connection.stage is client_file.Stage.OPEN:
                 await asyncio.sleep(0)
@@ -395,7 +395,7 @@
             got = await peer.read(1_000_000)
             assert got.count(b"HTTP/1.1 200 OK\r\nConnection: close\r\n") == 1 == got.count(b"HTTP/1.1")
             assert got.endswith(b"done")
-            assert backend.got.empty()
+            assert backend.requests.empty()
             assert len(connection.parser.headers) == 2
             assert not connection.body
             peer.sock.close()
@@ -443,7 +443,7 @@
             peer.sock.send(READ % number)
         listener.node.is_stopping = True
         listener.stop()
-        await listener.wait_until_drained(WAIT)
+        await listener.wait_until_drained(WAIT_TIMEOUT_S)
         for peer in peers:
             got = await peer.read(1000)
             assert got.startswith(b"HTTP/1.1 200 OK\r\nConnection: close")
@@ -489,7 +489,7 @@
             await asyncio.sleep(0)
         peers[2].sock.send(READ % 3)  # unread
         listener.node.is_stopping = True
-        ending = asyncio.ensure_future(listener.close(WAIT))
+        ending = asyncio.ensure_future(listener.close(WAIT_TIMEOUT_S))
         await asyncio.sleep(0)
         peers[0].sock.send(READ % 1)
         peers[1].sock.send(READ[20:] % 2)
@@ -499,7 +499,7 @@
         for peer in peers:
             peer.sock.close()
         await ending
-        assert backend.got.empty()
+        assert backend.requests.empty()
         assert not listener.node.requests.open
 
 
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -17,12 +17,12 @@
 from balancer.net.config_errors import ConfigSizeError
 from balancer.net.config_size import ENTRY_BYTES
 from balancer.policy import Balancer
-from tests.sockets import configuration
+from tests.sockets import node_config
 
 
 def write_config(path: Path, memory_mb: float = 64, **counts: int) -> dict[str, str]:
     """Write a file with so many tenants, classes and known members; returns the environment that names it."""
-    raw = configuration([], 1, rules={"drain-grace": 2000})
+    raw = node_config([], 1, rules={"drain-grace": 2000})
     table = raw["settings"]
     first = table["request-classes"][0]
     table["projects"] = [
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.sockets import PATIENT, WAIT, Backend, read_message, running
-from tests.test_node import never, says
+from tests.sockets import LONG_DEADLINES, WAIT_TIMEOUT_S, Backend, read_message, running_node
+from tests.test_node import never_respond, respond_with
 
 CONSOLE = "127.0.0.1:0"
 HEAD = "HTTP/1.1\r\nHost: node\r\n"
@@ -17,14 +17,14 @@
 
 async def test_figures_tell_what_clients_and_backends_saw(tmp_path: Path) -> None:
     broken = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
-    backend = Backend("b0", says(broken))
-    async with running(tmp_path, backend, console=CONSOLE) as rig:
-        client = await rig.client()
-        got = await client.ask("/once", method="POST", body=b"{}")
-        assert got.code == 502
+    backend = Backend("b0", respond_with(broken))
+    async with running_node(tmp_path, backend, console=CONSOLE) as rig:
+        client = await rig.connect()
+        got = await client.request("/once", method="POST", body=b"{}")
+        assert got.status == 502
         for _ in range(3):
-            assert (await client.ask("/read")).code == 200
-        assert (await client.ask("/nonsense")).code == 404
+            assert (await client.request("/read")).status == 200
+        assert (await client.request("/nonsense")).status == 404
         assert await rig.stats() == {
             "completed": {"read": 3, "pay": 0, "once": 0},
             "rejected": {"read": 0, "pay": 0, "once": 0},
@@ -35,32 +35,32 @@
 
 
 async def test_refusals_and_open_requests_are_counted_as_they_are(tmp_path: Path) -> None:
-    backend = Backend("b0", never)
+    backend = Backend("b0", never_respond)
     limits = {"max-open": 1}
-    async with running(tmp_path, backend, console=CONSOLE, **PATIENT, limits=limits) as rig:
-        first, second = await rig.client(), await rig.client()
+    async with running_node(tmp_path, backend, console=CONSOLE, **LONG_DEADLINES, limits=limits) as rig:
+        first, second = await rig.connect(), await rig.connect()
         first.send("/read")
-        await backend.got.get()
-        assert (await second.ask("/read")).code == 503
+        await backend.requests.get()
+        assert (await second.request("/read")).status == 503
         got = await rig.stats()
         assert (got["pending"], got["rejected"]["read"], got["upstream_requests"]) == (1, 1, 1)
         first.writer.transport.abort()
-        await backend.lost.get()
+        await backend.closed_connections.get()
         assert (await rig.stats())["pending"] == 0
 
 
 async def test_health_is_yes_once_backends_are_known_and_no_while_the_node_ends(tmp_path: Path) -> None:
-    backend = Backend("b0", never)
-    async with running(tmp_path, console=CONSOLE) as rig:
-        assert (await rig.call("/healthcheck")).code == 503
-    async with running(tmp_path, backend, console=CONSOLE, **PATIENT) as rig:
-        assert (await rig.call("/healthcheck")).code == 200
-        (await rig.client()).send("/read")
-        await backend.got.get()
+    backend = Backend("b0", never_respond)
+    async with running_node(tmp_path, console=CONSOLE) as rig:
+        assert (await rig.call_console("/healthcheck")).status == 503
+    async with running_node(tmp_path, backend, console=CONSOLE, **LONG_DEADLINES) as rig:
+        assert (await rig.call_console("/healthcheck")).status == 200
+        (await rig.connect()).send("/read")
+        await backend.requests.get()
         rig.terminate()
-        while (got := await rig.call("/healthcheck")).code == 200:
+        while (got := await rig.call_console("/healthcheck")).status == 200:
             pass
-        assert got.code == 503 and got.body == b"stopping\n"
+        assert got.status == 503 and got.body == b"stopping\n"
 
 
 NO_CALLS = (
@@ -76,36 +76,36 @@
 
 
 async def test_calls_that_make_no_sense_get_a_no(tmp_path: Path) -> None:
-    async with running(tmp_path, Backend("b0"), console=CONSOLE) as rig:
+    async with running_node(tmp_path, Backend("b0"), console=CONSOLE) as rig:
         callers = [await asyncio.open_connection("127.0.0.1", rig.console_port) for _ in NO_CALLS]
         for (_, writer), (text, _) in zip(callers, NO_CALLS, strict=True):
             writer.write(text.encode())
         for (reader, writer), (text, code) in zip(callers, NO_CALLS, strict=True):
-            got = await asyncio.wait_for(read_message(reader), WAIT)
-            assert got.code == code, text
+            got = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
+            assert got.status == code, text
             happened, remedy = got.body.decode().splitlines()
             assert happened.startswith("CON01: ") and remedy.startswith("what to do: "), text
-            assert (await rig.call("/stats")).code == 200, text
+            assert (await rig.call_console("/stats")).status == 200, text
             writer.close()
 
 
 async def test_callers_that_finish_no_call_are_in_nobodys_way(tmp_path: Path) -> None:
     """Guards against callers that hold connections: over the cap the longest waiting one goes."""
 
-    async with running(tmp_path, Backend("b0"), console=CONSOLE) as rig:
+    async with running_node(tmp_path, Backend("b0"), console=CONSOLE) as rig:
         stalled = [await asyncio.open_connection("127.0.0.1", rig.console_port) for _ in range(33)]
         for _, writer in stalled:
             writer.write(b"GET /st")
-        assert (await rig.call("/stats")).code == 200
+        assert (await rig.call_console("/stats")).status == 200
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-            await asyncio.wait_for(read_message(stalled[0][0]), WAIT)
-        assert (await asyncio.wait_for(read_message(stalled[-1][0]), WAIT)).code == 408
+            await asyncio.wait_for(read_message(stalled[0][0]), WAIT_TIMEOUT_S)
+        assert (await asyncio.wait_for(read_message(stalled[-1][0]), WAIT_TIMEOUT_S)).status == 408
         for _, writer in stalled:
             writer.close()
 
 
 async def test_without_the_setting_there_is_no_console(tmp_path: Path) -> None:
-    async with running(tmp_path, Backend("b0")) as rig:
-        assert (await (await rig.client()).ask("/stats")).code == 404
+    async with running_node(tmp_path, Backend("b0")) as rig:
+        assert (await (await rig.connect()).request("/stats")).status == 404
         assert json.loads(rig.config.read_text()).get("console") is None
         assert not any("console on" in line for line in rig.log)
--- a/tests/test_defects.py
+++ b/tests/test_defects.py
@@ -200,7 +200,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards the line and what hangs on its pulse: demand and learned state."""
-    monkeypatch.setattr(counts_log, "PULSE_INTERVAL_S", 0.01)
+    monkeypatch.setattr(counts_log, "LAG_SAMPLE_INTERVAL_S", 0.01)
     pulses: list[float] = []
 
     def save_learned(export: object, now: float) -> None:
--- a/tests/test_descriptor_shares.py
+++ b/tests/test_descriptor_shares.py
@@ -20,10 +20,10 @@
 from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.process_slots import ProcessSlots
-from tests.sockets import PATIENT, Backend, FakeDiscovery, started
+from tests.sockets import LONG_DEADLINES, Backend, FakeDiscovery, started_node
 from tests.test_console import CONSOLE
-from tests.test_descriptors import Crowd, FakeTransport, config_of, held
-from tests.test_upgrade import _news, reserved_port
+from tests.test_descriptors import ConnectionFlood, FakeTransport, count_open_descriptors, write_node_config
+from tests.test_upgrade import _send_endpoint_update, reserved_port
 
 SOCKETS = 256
 HEAD = b"GET /read HTTP/1.1\r\n"
@@ -105,7 +105,7 @@
 
     def __init__(self, folder: Path, sockets: int = SOCKETS) -> None:
         self.folder, self.sockets = folder, sockets
-        self.config = config_of(folder, [], 1, sockets=sockets, console="127.0.0.1:0")
+        self.config = write_node_config(folder, [], 1, sockets=sockets, console="127.0.0.1:0")
         self.all: list[Process] = []
 
     def start(self) -> Process:
@@ -368,7 +368,7 @@
 
 
 async def test_without_a_console_nothing_is_kept_free_and_nothing_said(tmp_path: Path) -> None:
-    config = config_of(tmp_path, [], 1, sockets=SOCKETS)
+    config = write_node_config(tmp_path, [], 1, sockets=SOCKETS)
     node = Node(config)
     listener = Listener(node, config.limits_per_process(1)[0])
     slots = ProcessSlots(tmp_path / "x", lambda beside: None)
@@ -383,40 +383,42 @@
     tmp_path: Path,
 ) -> None:
     """Real processes: an idle flood fills the first, and then whatever is to be had."""
-    crowd, discovery, backend = Crowd(), FakeDiscovery(), Backend("b0")
+    crowd, discovery, backend = ConnectionFlood(), FakeDiscovery(), Backend("b0")
     await discovery.start()
     await backend.start()
     worst = 0
     with reserved_port() as port, contextlib.ExitStack() as stack:
-        stack.callback(crowd.leave)
-        config_of(tmp_path, [backend.member()], discovery.port, sockets=SOCKETS, console=CONSOLE,
-                  listen=f"127.0.0.1:{port}", **PATIENT)  # fmt: skip
+        stack.callback(crowd.close)
+        write_node_config(tmp_path, [backend.list_entry()], discovery.port, sockets=SOCKETS, console=CONSOLE,
+                  listen=f"127.0.0.1:{port}", **LONG_DEADLINES)  # fmt: skip
         path = tmp_path / "config.json"
-        async with started(path, discovery) as old:
-            await discovery.asked.get()
-            crowd.join(old.port, SOCKETS)
+        async with started_node(path, discovery) as old:
+            await discovery.watch_targets.get()
+            crowd.connect(old.port, SOCKETS)
             await old.stats()
-            kept = await old.client()
-            assert (await kept.ask("/read")).code == 200
-            task = asyncio.create_task(_news(discovery))
-            async with started(path, discovery) as new:
+            kept = await old.connect()
+            assert (await kept.request("/read")).status == 200
+            task = asyncio.create_task(_send_endpoint_update(discovery))
+            async with started_node(path, discovery) as new:
                 await task
                 for _ in range(20):
-                    crowd.join(old.port, SOCKETS // 8)
+                    crowd.connect(old.port, SOCKETS // 8)
                     await old.stats()
                     await new.stats()
-                    worst = max(worst, held(new) + held(old))  # in this order: only the new one grows
-                    client = await new.client()
-                    assert (await client.ask("/read")).code == 200
+                    worst = max(
+                        worst, count_open_descriptors(new) + count_open_descriptors(old)
+                    )  # in this order: only the new one grows
+                    client = await new.connect()
+                    assert (await client.request("/read")).status == 200
                     client.writer.close()
                 old.terminate()
                 while old.process.returncode is None:
-                    crowd.join(new.port, SOCKETS // 8)
+                    crowd.connect(new.port, SOCKETS // 8)
                     await new.stats()
                     with contextlib.suppress(FileNotFoundError, PermissionError):
-                        worst = max(worst, held(new) + held(old))
-                    assert (await (await new.client()).ask("/read")).code == 200
-                assert await old.end() == 0
+                        worst = max(worst, count_open_descriptors(new) + count_open_descriptors(old))
+                    assert (await (await new.connect()).request("/read")).status == 200
+                assert await old.wait_for_exit() == 0
                 assert (await new.stats()) is not None
     backend.stop()
     assert discovery.server is not None
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -28,7 +28,7 @@
 
 from balancer.net.discovery import MAX_FORMER_CALLS, DiscoveryClient
 from tests.contended_discovery import Outage, QueueWorld, Rejection
-from tests.sockets import Backend, Client, FakeDiscovery, Rig, configuration, read_message, started
+from tests.sockets import Backend, Client, FakeDiscovery, Rig, node_config, read_message, started_node
 from tests.virtual_discovery import (
     NEW_ADDRESS,
     NEW_REVISION,
@@ -172,7 +172,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         message = await read_message(reader)
         self.writer = writer
-        self.asked.put_nowait(message.start.split(" ")[1])
+        self.watch_targets.put_nowait(message.start_line.split(" ")[1])
         with contextlib.suppress(ConnectionError):
             await reader.read()
         self.call_ended.set()
@@ -181,11 +181,11 @@
         """Answer the call, which may have been cancelled."""
         assert self.writer is not None
         self.writer.write(RESPONSE_HEAD)
-        self.news(revision, *members)
+        self.send_update(revision, *members)
 
 
 def _file(discovery: QueuingDiscovery, known: list[dict[str, object]]) -> str:
-    raw = configuration(known, discovery.port)
+    raw = node_config(known, discovery.port)
     raw["settings"]["discovery"] = "subscribe"
     return json.dumps(raw)
 
@@ -193,15 +193,15 @@
 async def _reload(rig: Rig, text: str, discovery: QueuingDiscovery) -> None:
     """A new configuration that names another address, until the node has it."""
     rig.reload(text)
-    await rig.logged(f"discovery at 127.0.0.1:{discovery.port}")
+    await rig.wait_for_log(f"discovery at 127.0.0.1:{discovery.port}")
 
 
 async def _drained(client: Client, backends: tuple[Backend, ...]) -> int:
     """Requests that the first backend still gets, of so many."""
-    before = backends[0].got.qsize()
+    before = backends[0].requests.qsize()
     for _ in range(20):
-        assert (await client.ask("/read", "Request-Timeout: 2000m")).code == 200
-    return backends[0].got.qsize() - before
+        assert (await client.request("/read", "Request-Timeout: 2000m")).status == 200
+    return backends[0].requests.qsize() - before
 
 
 async def test_an_event_of_a_call_under_way_is_applied_after_a_reload(tmp_path: Path) -> None:
@@ -215,20 +215,22 @@
         await backend.start()
     for address in addresses:
         await address.start()
-    known = [backend.member() for backend in backends]
+    known = [backend.list_entry() for backend in backends]
     path = tmp_path / "config.json"
     path.write_text(_file(addresses[0], known))
-    async with started(path, addresses[0]) as rig:
-        client = await rig.client()
-        await addresses[0].asked.get()
+    async with started_node(path, addresses[0]) as rig:
+        client = await rig.connect()
+        await addresses[0].watch_targets.get()
         addresses[0].answer(41)
-        await rig.logged("answered")
+        await rig.wait_for_log("answered")
         await _reload(rig, _file(addresses[1], known), addresses[1])
-        await addresses[1].asked.get()
+        await addresses[1].watch_targets.get()
         await _reload(rig, _file(addresses[2], known), addresses[2])
-        assert (await client.ask("/read", "Request-Timeout: 2000m")).code == 200  # the turn of SIGHUP is over
-        addresses[1].answer(42, backends[0].member(phase="terminating"))
-        drained = asyncio.create_task(rig.logged("revision 42: draining b0"))
+        assert (
+            await client.request("/read", "Request-Timeout: 2000m")
+        ).status == 200  # the turn of SIGHUP is over
+        addresses[1].answer(42, backends[0].list_entry(phase="terminating"))
+        drained = asyncio.create_task(rig.wait_for_log("revision 42: draining b0"))
         ended = asyncio.create_task(addresses[1].call_ended.wait())
         await asyncio.wait((drained, ended), return_when=asyncio.FIRST_COMPLETED)
         was_cancelled = not drained.done()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -17,7 +17,7 @@
 import balancer
 from balancer.cli.app import app
 from balancer.errors import BalancerError
-from tests.sockets import configuration
+from tests.sockets import node_config
 
 ROOT = Path(__file__).parents[1]
 CODE = re.compile(r"[A-Z]{3}[0-9]{2}")
@@ -82,7 +82,7 @@
 
 
 def test_libraries_that_are_not_there_are_said(tmp_path: Path) -> None:
-    (tmp_path / "config.json").write_text(json.dumps(configuration([], 1)))
+    (tmp_path / "config.json").write_text(json.dumps(node_config([], 1)))
     (tmp_path / "fleet.toml").write_text(f'[durable]\ndirectory = "{tmp_path}/state"\n')
     (tmp_path / "google_crc32c.py").write_text("raise ModuleNotFoundError('No module named google_crc32c')")
     more = {"PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_FLEET": str(tmp_path / "fleet.toml"),
--- a/tests/test_files_of_former_version.py
+++ b/tests/test_files_of_former_version.py
@@ -252,7 +252,7 @@
 
 @pytest.mark.usefixtures("_read_time")
 def test_the_learned_state_of_a_predecessor_is_read(stem: Path) -> None:
-    recovered = state_handover.take_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
+    recovered = state_handover.consume_learned(stem.with_suffix(state_handover.LEARNED_SUFFIX))
     assert recovered is not None
     assert (recovered.learned, recovered.age) == (LEARNED, 1_000.0)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,7 +33,7 @@
 from balancer.net.endpoints import Address
 from balancer.net.fleet import Fleet
 from balancer.net.fleet_file import read_fleet_file
-from tests.sockets import happens
+from tests.sockets import wait_until_async
 
 NODE = Program("tests", ROOT, f"exec {sys.executable} -B -m balancer")
 SPEC = """
@@ -197,7 +197,7 @@
     async def same() -> bool:
         return all(s.core is not None and s.core.present_members() == members for s in shells)
 
-    await happens(same)
+    await wait_until_async(same)
 
 
 Present = tuple[PeerSocket, MembershipShell]
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -17,7 +17,16 @@
 
 from balancer.cli.app import app
 from balancer.lab.addresses import AddressBlock, format_address
-from tests.sockets import WAIT, Backend, FakeDiscovery, Rig, configuration, happens, spawn, started
+from tests.sockets import (
+    WAIT_TIMEOUT_S,
+    Backend,
+    FakeDiscovery,
+    Rig,
+    node_config,
+    spawn_node,
+    started_node,
+    wait_until_async,
+)
 from tests.test_console import CONSOLE
 
 BACKENDS = ["b0", "b1", "b2", "b3"]
@@ -57,7 +66,7 @@
         places = self.block.places
         home = self.home(node)
         home.mkdir(exist_ok=True)
-        table = configuration([b.member() for b in self.backends], self.discovery[node].port,
+        table = node_config([b.list_entry() for b in self.backends], self.discovery[node].port,
                               console=CONSOLE, me=node)  # fmt: skip
         table["settings"]["rules"]["cold-share"] = 1.0  # what cold backends bear is not in question here
         table |= {"name": f"n{node}", "seed": f"{node + 1:016x}",
@@ -96,7 +105,7 @@
     def up(self, node: int, fresh_tmp: bool = True) -> contextlib.AbstractAsyncContextManager[Rig]:
         """Run a process of a node, from when it serves."""
         path = self.home(node) / "config.json"
-        return started(path, self.discovery[node], **self.env(node, fresh_tmp))
+        return started_node(path, self.discovery[node], **self.env(node, fresh_tmp))
 
     @contextlib.asynccontextmanager
     async def powered(self, *nodes: int) -> AsyncIterator[list[Rig]]:
@@ -111,8 +120,8 @@
 
     async def send_list(self, node: int) -> None:
         """Answer a node's request to discovery with the complete list."""
-        await asyncio.wait_for(self.discovery[node].asked.get(), WAIT)
-        self.discovery[node].news(50, *[b.member() for b in self.backends], complete=True)
+        await asyncio.wait_for(self.discovery[node].watch_targets.get(), WAIT_TIMEOUT_S)
+        self.discovery[node].send_update(50, *[b.list_entry() for b in self.backends], complete=True)
 
     def close(self) -> None:
         """Close everything but the nodes."""
@@ -154,13 +163,13 @@
 
 async def served(rig: Rig, requests: int = 24) -> set[str]:
     """Return the backends that answer a client of the node."""
-    client = await rig.client()
-    return {(await client.ask("/read")).body.split()[0].decode() for _ in range(requests)}
+    client = await rig.connect()
+    return {(await client.request("/read")).body.split()[0].decode() for _ in range(requests)}
 
 
 async def ban(rig: Rig, backend: str = "b1") -> None:
     """Ban a backend for an operator, acknowledged."""
-    assert (await rig.call(f"/backends/{backend}/maint", "POST")).code == 200
+    assert (await rig.call_console(f"/backends/{backend}/maint", "POST")).status == 200
 
 
 async def test_a_ban_outlasts_a_power_loss_and_a_lost_and_two_swapped_disks(tmp_path: Path) -> None:
@@ -168,14 +177,14 @@
         async with one.powered() as rigs:
             await ban(rigs[0])
             for rig in rigs[1:]:
-                await rig.logged("maintenance: b1 is out")
+                await rig.wait_for_log("maintenance: b1 is out")
             assert [(await recovery(rig))["bans"] for rig in rigs] == [1, 1, 1]
         shutil.rmtree(one.home(1) / "state")
         async with one.powered() as rigs:
             for rig in rigs:
                 assert "b1" not in await served(rig)
             assert "no saved state" in "".join(rigs[1].log)
-            await rigs[1].logged("path power")
+            await rigs[1].wait_for_log("path power")
         (one.home(0) / "state").rename(tmp_path / "moved")
         (one.home(1) / "state").rename(one.home(0) / "state")
         (tmp_path / "moved").rename(one.home(1) / "state")
@@ -183,8 +192,8 @@
             for rig in rigs:
                 assert "b1" not in await served(rig)
             assert "the disk is not sound" in "".join(rigs[0].log + rigs[1].log)
-            assert (await rigs[2].call("/backends/b1/ready", "POST")).code == 200
-            await rigs[0].logged("maintenance: b1 is back")
+            assert (await rigs[2].call_console("/backends/b1/ready", "POST")).status == 200
+            await rigs[0].wait_for_log("maintenance: b1 is back")
 
 
 async def test_a_ban_of_a_partitioned_node_comes_back_with_it_and_a_partition_heals(tmp_path: Path) -> None:
@@ -198,14 +207,14 @@
             async with one.up(0) as late:
                 assert "b1" not in await served(late)
                 for rig in rigs:
-                    await rig.logged("maintenance: b1 is out")
+                    await rig.wait_for_log("maintenance: b1 is out")
                 one.split(2)
-                assert (await late.call("/backends/b1/ready", "POST")).code == 200
-                await rigs[0].logged("maintenance: b1 is back")
+                assert (await late.call_console("/backends/b1/ready", "POST")).status == 200
+                await rigs[0].wait_for_log("maintenance: b1 is back")
                 await ban(rigs[1])  # on the other side: ends in the ban
                 one.cut = set()
-                await rigs[0].logged("maintenance: b1 is out")
-                await late.logged("maintenance: b1 is out")
+                await rigs[0].wait_for_log("maintenance: b1 is out")
+                await late.wait_for_log("maintenance: b1 is out")
 
 
 async def test_one_crash_among_live_peers_is_classified_and_needs_no_wait(tmp_path: Path) -> None:
@@ -213,10 +222,10 @@
         assert (await fleet_recovery(rigs[0]))[0] == 1
         await one.send_list(1)
         await one.send_list(2)
-        await asyncio.wait_for(one.discovery[0].asked.get(), WAIT)
-        one.discovery[0].send(b"\n")  # the list that it was started with holds
+        await asyncio.wait_for(one.discovery[0].watch_targets.get(), WAIT_TIMEOUT_S)
+        one.discovery[0].send_chunk(b"\n")  # the list that it was started with holds
         for rig in rigs:
-            await rig.logged("phase full")
+            await rig.wait_for_log("phase full")
         code, told = await fleet_recovery(rigs[0])
         assert code == 0 and told["list"]["fresh"] and told["heard"] == told["asked"] == 2
         await ban(rigs[0], "b2")
@@ -237,15 +246,15 @@
 
 async def test_a_shutdown_and_a_successor_during_a_recovery(tmp_path: Path) -> None:
     async with tier(tmp_path, 2) as one:
-        process = await spawn(one.home(0) / "config.json", **one.env(0))
+        process = await spawn_node(one.home(0) / "config.json", **one.env(0))
         rig = Rig(process, 0, one.discovery[0], [], one.home(0))
-        await rig.logged("phase ask")
+        await rig.wait_for_log("phase ask")
         rig.terminate()
-        assert await rig.end() == 0 and not any("serves on" in line for line in rig.log)
+        assert await rig.wait_for_exit() == 0 and not any("serves on" in line for line in rig.log)
         async with one.up(0) as old:
             await ban(old)
             assert (await recovery(old))["phase"] == "listed"
-            await one.discovery[0].asked.get()
+            await one.discovery[0].watch_targets.get()
             async with successor(one) as new:
                 await ban(new, "b2")
                 new.process.kill()
@@ -254,16 +263,16 @@
                 return bool((await recovery(old))["bans"] == 2)
 
             async def returned() -> bool:
-                return (await old.call("/backends/b2/ready", "POST")).code == 200
+                return (await old.call_console("/backends/b2/ready", "POST")).status == 200
 
-            await happens(learned)  # of a call that only the process that came to nothing had
-            await happens(returned)
+            await wait_until_async(learned)  # of a call that only the process that came to nothing had
+            await wait_until_async(returned)
             async with successor(one) as new:
                 assert "phase listed, path upgrade" in "".join(new.log)
                 assert (await recovery(new))["bans"] == 1
                 old.terminate()
-                assert await old.end() == 0
-                await new.logged("membership: node 0")
+                assert await old.wait_for_exit() == 0
+                await new.wait_for_log("membership: node 0")
 
 
 @pytest.mark.parametrize("name", ["peers", "disk"])
--- a/tests/test_handover_crossings.py
+++ b/tests/test_handover_crossings.py
@@ -16,7 +16,7 @@
 from balancer import interface as api
 from balancer.net import maintenance_file, process_slots, state_handover
 from balancer.net.process_slots import ProcessSlots
-from balancer.net.state_handover import take_learned, write_learned
+from balancer.net.state_handover import consume_learned, write_learned
 
 BACKEND = (0.0, 1.0, math.inf, 1, 90.0)
 LEARNED = api.LearnedState(21.5, 0.9, 0.0, {"read": (30.0, 4.0, 0.1)}, {"b0": BACKEND})
@@ -40,10 +40,10 @@
     write_learned(path, LEARNED)
     path.write_bytes((whole := path.read_bytes())[: len(whole) * cut // 100])
     with caplog.at_level(logging.INFO):
-        assert take_learned(path) is None and take_learned(path) is None
+        assert consume_learned(path) is None and consume_learned(path) is None
     assert not path.exists() and len(caplog.records) == 1
     write_learned(path, LEARNED)
-    assert take_learned(path) is not None
+    assert consume_learned(path) is not None
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
 def test_a_file_that_makes_no_sense_is_no_exception(tmp_path: Path, text: bytes) -> None:
     path = tmp_path / "x.learned"
     path.write_bytes(text)
-    assert take_learned(path) is None
+    assert consume_learned(path) is None
 
 
 @pytest.mark.parametrize("number", ["1e999", "1" + "0" * 400, "NaN", '"x"', "null", "[]"])
@@ -64,7 +64,7 @@
     table = json.loads(path.read_text())
     table["learned"]["backends"]["b0"][place] = "here"
     path.write_text(json.dumps(table).replace('"here"', number))
-    got = take_learned(path)
+    got = consume_learned(path)
     assert got is None or (place == 2 and got.learned == LEARNED)  # the one that may be infinite
 
 
@@ -79,9 +79,9 @@
 
     write_learned(path, LEARNED)
     monkeypatch.setattr(Path, "read_text", read_text)
-    got = take_learned(path)
+    got = consume_learned(path)
     monkeypatch.undo()
-    assert got is not None and got.learned == LEARNED and take_learned(path) is None
+    assert got is not None and got.learned == LEARNED and consume_learned(path) is None
 
 
 @pytest.mark.parametrize("at", ["write_text", "replace"])
@@ -98,14 +98,14 @@
         patch.setattr(*((os, at, dies) if at == "replace" else (Path, at, dies)))
         with pytest.raises(SystemExit):
             write_learned(path, api.LearnedState(1.0, 1.0, 0.0, {}, {}))
-    got = take_learned(path)
+    got = consume_learned(path)
     assert got is not None and got.learned == LEARNED
 
 
 def test_a_successor_that_comes_back_late_goes_on_from_nothing_old(tmp_path: Path) -> None:
     path = tmp_path / "x.learned"
     left(path, {"at": 1000.0})
-    assert take_learned(path) is None and not path.exists()
+    assert consume_learned(path) is None and not path.exists()
 
 
 @pytest.mark.parametrize("when", ["1" + "0" * 400, "1e999", "NaN", "-1", "true", '"x"'])
@@ -169,7 +169,7 @@
     old.acquire()
     for _ in range(2):  # it never listens, and dies
         new = ProcessSlots(tmp_path / "x", lambda beside: None)
-        assert new.acquire() and new.peer_was_first
+        assert new.acquire() and new.peer_started_first
         old.refresh()
         new.stop()
         new.release()
@@ -200,4 +200,4 @@
         write_learned(path, LEARNED)
         table = json.loads(path.read_text())
         path.write_text(json.dumps(table | {"at": table["at"] - at}))
-        assert (take_learned(path) is not None) == taken and not path.exists()
+        assert (consume_learned(path) is not None) == taken and not path.exists()
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -28,7 +28,7 @@
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.run import LabError, play
 from balancer.models.network import NetworkConditions
-from tests.sockets import WAIT, until
+from tests.sockets import WAIT_TIMEOUT_S, wait_until
 
 FAULTS = """
 name = "all-at-once"
@@ -182,7 +182,7 @@
         text = (out / "lab.jsonl").read_text() if (out / "lab.jsonl").exists() else ""
         return text if "clients come" in text else ""
 
-    return [row["pid"] for row in map(json.loads, until(told).splitlines()) if "pid" in row]
+    return [row["pid"] for row in map(json.loads, wait_until(told).splitlines()) if "pid" in row]
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
@@ -195,11 +195,11 @@
     children = started(out)
     assert len(children) == 5 and all(Path(f"/proc/{pid}").exists() for pid in children)
     process.send_signal(number)
-    _, said = process.communicate(timeout=WAIT)
+    _, said = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert process.returncode == (-number if number == signal.SIGKILL else 2)
     if number != signal.SIGKILL:
         assert said.decode().splitlines()[-2] == "balancer: CLI01: interrupted"
-    until(lambda: not any(Path(f"/proc/{pid}").exists() for pid in children))
+    wait_until(lambda: not any(Path(f"/proc/{pid}").exists() for pid in children))
 
 
 @pytest.mark.parametrize(
@@ -295,10 +295,10 @@
             await asyncio.wait_for(asyncio.open_connection(*address), 0.15)
         network.change(fault, False)
         listener.set_unresponsive(False)
-        assert await asyncio.wait_for(reader.readexactly(3), WAIT) == b"two"
-        other, again = await asyncio.wait_for(asyncio.open_connection(*address), WAIT)
+        assert await asyncio.wait_for(reader.readexactly(3), WAIT_TIMEOUT_S) == b"two"
+        other, again = await asyncio.wait_for(asyncio.open_connection(*address), WAIT_TIMEOUT_S)
         again.write(b"three")
-        assert await asyncio.wait_for(other.readexactly(5), WAIT) == b"three"
+        assert await asyncio.wait_for(other.readexactly(5), WAIT_TIMEOUT_S) == b"three"
         listener.close()
         with pytest.raises(ConnectionError):
             await asyncio.open_connection(*address)
@@ -321,7 +321,7 @@
             writer.write(piece)
             sent += piece
             await asyncio.sleep(0)
-        assert await asyncio.wait_for(reader.readexactly(len(sent)), WAIT) == sent
+        assert await asyncio.wait_for(reader.readexactly(len(sent)), WAIT_TIMEOUT_S) == sent
         listener.close()
         writer.transport.abort()
 
@@ -343,7 +343,7 @@
         loop = asyncio.get_running_loop()
 
         async def receive(node: int) -> Any:
-            return await asyncio.wait_for(loop.sock_recvfrom(sockets[node], 300), WAIT)
+            return await asyncio.wait_for(loop.sock_recvfrom(sockets[node], 300), WAIT_TIMEOUT_S)
 
         sockets[0].sendto(b"hello", block.places.relay(0, 2))
         assert await receive(2) == (b"hello", block.places.relay(2, 0))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -20,9 +20,9 @@
 from balancer.net.listener import Listener
 from balancer.net.node import Node
 from balancer.net.stream import MAX_BUFFERED_BODY_BYTES, MAX_REPLAY_BYTES
-from tests.sockets import HOUR, WAIT, Backend, Client, Message, answer, configuration, echo
+from tests.sockets import HOUR_MS, WAIT_TIMEOUT_S, Backend, Client, Message, echo, http_response, node_config
 
-FULL = answer(b"", "503 Service Unavailable", "Not-Started: 1")
+FULL = http_response(b"", "503 Service Unavailable", "Not-Started: 1")
 
 
 async def never(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -63,11 +63,11 @@
 
     async def dialled(self) -> asyncio.Event:
         """The next connection that waits to come up."""
-        return await asyncio.wait_for(self.dials.get(), WAIT)
+        return await asyncio.wait_for(self.dials.get(), WAIT_TIMEOUT_S)
 
     async def until(self, what: Callable[[], bool]) -> None:
         """Run the loop until this holds."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not what():
                 await asyncio.sleep(0)
 
@@ -99,9 +99,9 @@
     for backend in backends:
         await backend.start()
     path = tmp / "config.json"
-    limits = {"connect-timeout": HOUR} | over.pop("limits", {})
-    members = [backend.member() for backend in backends]
-    path.write_text(json.dumps(configuration(members, 1, limits=limits, **over)))
+    limits = {"connect-timeout": HOUR_MS} | over.pop("limits", {})
+    members = [backend.list_entry() for backend in backends]
+    path.write_text(json.dumps(node_config(members, 1, limits=limits, **over)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
     node.update_endpoints(config.known, ListUpdateKind.CACHED)
@@ -149,9 +149,9 @@
         on.freely = 1
         second = await on.client()
         name = send(second, path)
-        assert (await second.answer()).code == 200
-        assert (await backend.got.get()).headers["request-id"] == name and backend.got.empty()
-        assert backend.connections == 1 and on.nothing_left()
+        assert (await second.read_response()).status == 200
+        assert (await backend.requests.get()).headers["request-id"] == name and backend.requests.empty()
+        assert backend.connection_count == 1 and on.nothing_left()
 
 
 @pytest.mark.parametrize("cancel", [False, True])
@@ -171,7 +171,7 @@
         await on.leave(client, False)
         gate.set()
         assert on.nothing_left()
-        assert sum(backend.got.qsize() for backend in backends) == 1
+        assert sum(backend.requests.qsize() for backend in backends) == 1
 
 
 @pytest.mark.parametrize("cancel", [False, True])
@@ -190,7 +190,7 @@
         on.freely = 1
         client = await on.client()
         send(client, path)
-        await backend.got.get()
+        await backend.requests.get()
         await on.leave(client, False)
         if cancel:
             assert on.node.counts["attempt_cancelled"] == 1
@@ -198,7 +198,7 @@
             assert on.node.pool.connection_count == 1 and on.node.balancer.limit.in_flight == 1
             go.set()
             await on.until(lambda: on.node.counts["attempt_ok"] == 1)
-        assert on.nothing_left() and backend.got.empty()
+        assert on.nothing_left() and backend.requests.empty()
 
 
 @pytest.mark.parametrize("cancel", [False, True])
@@ -217,15 +217,15 @@
         clients = [await on.client() for _ in range(3)]
         for client in clients[:2]:
             send(client, "/read")
-            await backend.got.get()
+            await backend.requests.get()
         send(clients[2], "/read")
         await on.until(lambda: len(on.node.balancer.router.queue) == 1)
         await on.leave(clients[2], False)
         go.set()
         for client in clients[:2]:
-            assert (await client.answer()).code == 200
+            assert (await client.read_response()).status == 200
         assert on.nothing_left() and not on.node.balancer.router.queue
-        assert backend.got.empty() and on.node.counts["left_unsent"] == 1
+        assert backend.requests.empty() and on.node.counts["left_unsent"] == 1
 
 
 async def test_a_request_that_a_fault_ends_leaves_nothing_in_the_books(
@@ -252,7 +252,7 @@
         client.writer.write(b"x" * (MAX_REPLAY_BYTES - 1))
         await on.until(lambda: bool(on.node.requests.open) and on.node.pool.connection_count == 1)
         client.writer.write(b"x")
-        assert (await client.answer()).code == 502
+        assert (await client.read_response()).status == 502
         assert on.nothing_left() and on.node.pool.connection_count == 0
 
 
@@ -266,8 +266,8 @@
         gate = await on.dialled()
         on.node.requests.abandon(name)
         gate.set()
-        assert (await client.answer()).code == 502
-        assert on.nothing_left() and on.node.pool.connection_count == 0 and backend.got.empty()
+        assert (await client.read_response()).status == 502
+        assert on.nothing_left() and on.node.pool.connection_count == 0 and backend.requests.empty()
 
 
 # --- while nothing is read from it
@@ -280,7 +280,7 @@
     raw: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.connection_count += 1
         self.writers.append(writer)
         self.raw.put_nowait(await reader.read())
         writer.close()
@@ -314,7 +314,7 @@
         client, gate = await paused(on, rest)
         depart(client, reset)
         gate.set()
-        assert await asyncio.wait_for(backend.raw.get(), WAIT) == b""
+        assert await asyncio.wait_for(backend.raw.get(), WAIT_TIMEOUT_S) == b""
         await on.until(on.nothing_left)
         assert on.node.counts["left"] == on.node.counts["attempt_moot"] == 1
         assert on.node.pool.connection_count == 0
@@ -353,10 +353,10 @@
         text = b"GET /up HTTP/1.1\r\n\r\n" * 2500 + b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
         assert len(text) < MAX_BUFFERED_BODY_BYTES and sock.send(text) == len(text)  # one read
         gate = await on.dialled()
-        assert connection.responses.is_reading_paused and not connection.has_left
+        assert connection.responses.is_reading_paused and not connection.has_disconnected
         sock.shutdown(socket.SHUT_WR)
         gate.set()
-        assert await asyncio.wait_for(backend.raw.get(), WAIT) == b""
+        assert await asyncio.wait_for(backend.raw.get(), WAIT_TIMEOUT_S) == b""
         await on.until(on.nothing_left)
         assert on.node.counts["left"] == on.node.counts["attempt_moot"] == 1
         sock.close()
@@ -407,7 +407,7 @@
         assert connection.is_write_blocked
         await on.leave(client, False)
         backend.go.set()
-        got = await asyncio.wait_for(backend.raw.get(), WAIT)
+        got = await asyncio.wait_for(backend.raw.get(), WAIT_TIMEOUT_S)
         assert got and not got.endswith(b"0\r\n\r\n") and b"hello" not in got
         assert on.nothing_left()
 
@@ -419,8 +419,8 @@
     async with scene(tmp_path, monkeypatch, backend) as on:
         client, gate = await paused(on, b"x" * 10)
         gate.set()
-        assert (await client.answer()).code == 200
-        assert len((await backend.got.get()).body) == 2 * MAX_BUFFERED_BODY_BYTES
+        assert (await client.read_response()).status == 200
+        assert len((await backend.requests.get()).body) == 2 * MAX_BUFFERED_BODY_BYTES
 
 
 # --- the same id again
@@ -446,13 +446,13 @@
         first, again = await on.client(), await on.client()
         text = b"POST /once HTTP/1.1\r\nHost: n\r\nRequest-Id: same\r\nContent-Length: 0\r\n\r\n"
         first.writer.write(text)
-        await backend.got.get()
+        await backend.requests.get()
         await on.leave(first, False)
         again.writer.write(text)
-        assert (await again.answer()).code == 409
+        assert (await again.read_response()).status == 409
         go.set()
         await on.until(on.nothing_left)
-        assert backend.got.empty()
+        assert backend.requests.empty()
 
 
 @pytest.mark.parametrize("cancel", [False, True])
@@ -468,5 +468,5 @@
         await on.leave(first, True)
         on.freely = 1
         again.writer.write(text)
-        assert (await again.answer()).code == 200
-        assert backend.got.qsize() == 1 and on.nothing_left()
+        assert (await again.read_response()).status == 200
+        assert backend.requests.qsize() == 1 and on.nothing_left()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -23,9 +23,9 @@
 from balancer.net.stream import StreamMemory
 from balancer.policy import Balancer
 from tests.helpers import BASE, entry, node, sends
-from tests.sockets import Backend, running
+from tests.sockets import Backend, running_node
 from tests.test_console import CONSOLE
-from tests.test_node import READ, _attempt, _list
+from tests.test_node import READ_CLASS, _endpoint_update, _start_attempt
 
 OUT, BACK = api.MaintenanceChanged("b0", True), api.MaintenanceChanged("b0", False, 5000.0)
 
@@ -90,16 +90,21 @@
     backend = Backend("b0")
     await backend.start()
     pool = ConnectionPool(
-        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ_CLASS,), connection_idle_ms=1000.0),
+        10,
+        RequestStatistics(),
+        StreamMemory(64.0),
     )
-    pool.update(_list("b0", backend.port), True)
+    pool.update(_endpoint_update("b0", backend.port), True)
     assert (
-        await _attempt(pool, b"x", lambda: pool.set_maintenance("b0", True))
+        await _start_attempt(pool, b"x", lambda: pool.set_maintenance("b0", True))
     ).status is AttemptStatus.NOT_STARTED
-    pool.update(_list("b0", backend.port), False)
-    assert not pool.endpoints["b0"].accepts_requests and pool.connection_count == 0 and backend.got.empty()
-    pool.update(_list("b1", backend.port), True)
-    pool.update(_list("b0", backend.port), True)
+    pool.update(_endpoint_update("b0", backend.port), False)
+    assert (
+        not pool.endpoints["b0"].accepts_requests and pool.connection_count == 0 and backend.requests.empty()
+    )
+    pool.update(_endpoint_update("b1", backend.port), True)
+    pool.update(_endpoint_update("b0", backend.port), True)
     assert not pool.endpoint("b0").accepts_requests
     backend.stop()
 
@@ -174,31 +179,31 @@
 async def test_operators_take_a_backend_out_and_put_it_back(tmp_path: Path) -> None:
     first, second = Backend("b 0/x"), Backend("b1")
     rules = {"drain-grace": 0, "cold-share": 1.0, "ramp-time": 1}
-    async with running(tmp_path, first, second, console=CONSOLE, rules=rules) as rig:
-        client = await rig.client()
-        while first.got.empty():
-            assert (await client.ask("/read")).code == 200
+    async with running_node(tmp_path, first, second, console=CONSOLE, rules=rules) as rig:
+        client = await rig.connect()
+        while first.requests.empty():
+            assert (await client.request("/read")).status == 200
         for _ in range(2):
-            assert (await rig.call("/backends/b%200%2Fx/maint", "POST")).code == 200
-        while not first.got.empty():
-            first.got.get_nowait()
-        await rig.discovery.asked.get()
-        rig.discovery.news(42, first.member(), second.member())
+            assert (await rig.call_console("/backends/b%200%2Fx/maint", "POST")).status == 200
+        while not first.requests.empty():
+            first.requests.get_nowait()
+        await rig.discovery.watch_targets.get()
+        rig.discovery.send_update(42, first.list_entry(), second.list_entry())
         for _ in range(20):
-            assert (await client.ask("/read")).code == 200
-        assert first.got.empty() and (await rig.stats())["members_unavailable"] == 1
-        assert (await rig.call("/backends/b%200%2Fx/ready", "POST")).code == 200
-        while first.got.empty():
-            assert (await client.ask("/read")).code == 200
+            assert (await client.request("/read")).status == 200
+        assert first.requests.empty() and (await rig.stats())["members_unavailable"] == 1
+        assert (await rig.call_console("/backends/b%200%2Fx/ready", "POST")).status == 200
+        while first.requests.empty():
+            assert (await client.request("/read")).status == 200
         for path in ("/backends/none/maint", "/backends/none/ready", "/backends/b1", "/backends/b1/kill"):
-            assert (await rig.call(path, "POST")).code == 404
-        assert (await rig.call("/backends/b1/maint")).code == 405
+            assert (await rig.call_console(path, "POST")).status == 404
+        assert (await rig.call_console("/backends/b1/maint")).status == 405
 
 
 async def test_a_call_that_cannot_be_kept_gets_a_no(tmp_path: Path) -> None:
-    async with running(tmp_path, Backend("b0"), console=CONSOLE) as rig:
+    async with running_node(tmp_path, Backend("b0"), console=CONSOLE) as rig:
         next(tmp_path.glob("*.bans")).with_suffix(".lock").mkdir()  # root may write anywhere else
-        assert (await rig.call("/backends/b0/maint", "POST")).code == 503
+        assert (await rig.call_console("/backends/b0/maint", "POST")).status == 503
         assert (await rig.stats())["members_unavailable"] == 0
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -25,25 +25,25 @@
 from balancer.net.statistics import RequestStatistics
 from balancer.net.stream import MAX_BODY_BYTES, StreamMemory
 from tests.sockets import (
-    PATIENT,
-    WAIT,
+    LONG_DEADLINES,
+    WAIT_TIMEOUT_S,
     Backend,
     Client,
     FakeDiscovery,
     Message,
-    answer,
-    configuration,
     echo,
-    running,
-    spawn,
+    http_response,
+    node_config,
+    running_node,
+    spawn_node,
 )  # fmt: skip
 
 
-async def never(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+async def never_respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
     """Take the request and say nothing."""
 
 
-def says(*answers: bytes) -> Callable[[Backend, Message, asyncio.StreamWriter], Awaitable[None]]:
+def respond_with(*answers: bytes) -> Callable[[Backend, Message, asyncio.StreamWriter], Awaitable[None]]:
     """Give these answers in turn, over all backends that share them, then serve."""
     left = list(answers)
 
@@ -63,58 +63,58 @@
 
 async def test_serves_and_keeps_connections(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
-        assert (await client.ask("/up")).code == 200
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
+        assert (await client.request("/up")).status == 200
         for _ in range(5):
-            got = await client.ask("/read/x?obj=7f", "Request-Timeout: 2000m", "Tenant: t")
-            sent = await backend.got.get()
-            assert (got.code, got.body) == (200, f"b0 {sent.headers['request-id']}".encode())
-            assert sent.start == "GET /read/x?obj=7f HTTP/1.1"
+            got = await client.request("/read/x?obj=7f", "Request-Timeout: 2000m", "Tenant: t")
+            sent = await backend.requests.get()
+            assert (got.status, got.body) == (200, f"b0 {sent.headers['request-id']}".encode())
+            assert sent.start_line == "GET /read/x?obj=7f HTTP/1.1"
             assert 0 < int(sent.headers["request-timeout"].removesuffix("u")) <= 2_000_000
         body = b"x" * 65536
-        assert (await client.ask("/once", method="POST", body=body)).code == 200
-        assert (await backend.got.get()).body == body
-        assert (await client.pay()).code == 200
-        assert (await backend.got.get()).headers["idempotency-key"] == "k1"
-        assert backend.connections == 1  # each new one costs
+        assert (await client.request("/once", method="POST", body=body)).status == 200
+        assert (await backend.requests.get()).body == body
+        assert (await client.request_pay()).status == 200
+        assert (await backend.requests.get()).headers["idempotency-key"] == "k1"
+        assert backend.connection_count == 1  # each new one costs
 
 
-FULL = answer(b"", "503 Service Unavailable", "Not-Started: 1")
+FULL = http_response(b"", "503 Service Unavailable", "Not-Started: 1")
 
 
 @pytest.mark.parametrize(
     ("first", "path", "again"),
     [
         (FULL, "/once", True),
-        (answer(b"", "504 Gateway Timeout", "Not-Started: 1"), "/once", True),
-        (answer(b"", "503 Service Unavailable"), "/once", False),  # without the mark it may have run
-        (answer(b"", "500 Internal Server Error"), "/once", False),
-        (answer(b"", "500 Internal Server Error", "Not-Started: 1"), "/once", False),
+        (http_response(b"", "504 Gateway Timeout", "Not-Started: 1"), "/once", True),
+        (http_response(b"", "503 Service Unavailable"), "/once", False),  # without the mark it may have run
+        (http_response(b"", "500 Internal Server Error"), "/once", False),
+        (http_response(b"", "500 Internal Server Error", "Not-Started: 1"), "/once", False),
         (b"", "/once", False),  # a reset
         (b"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", "/once", False),
         (b"", "/read", True),
     ],
 )
 async def test_outcomes_decide_what_goes_again(tmp_path: Path, first: bytes, path: str, again: bool) -> None:
-    respond = says(first)
+    respond = respond_with(first)
     one, two = Backend("b0", respond), Backend("b1", respond)
-    async with running(tmp_path, one, two) as rig:
-        client = await rig.client()
-        got = await client.ask(path, method="GET" if path == "/read" else "POST")
-        assert got.code == (200 if again else 502)
-        assert one.got.qsize() + two.got.qsize() == 1 + again
+    async with running_node(tmp_path, one, two) as rig:
+        client = await rig.connect()
+        got = await client.request(path, method="GET" if path == "/read" else "POST")
+        assert got.status == (200 if again else 502)
+        assert one.requests.qsize() + two.requests.qsize() == 1 + again
 
 
 async def test_refused_connections_never_ran(tmp_path: Path) -> None:
     """An unsafe request may go on to another backend, and a refusal is allowed if there is none."""
 
     dead = [Backend(f"b{i}") for i in range(3)]
-    async with running(tmp_path, *dead) as rig:
+    async with running_node(tmp_path, *dead) as rig:
         for backend in dead:
             backend.stop()
-        client = await rig.client()
-        assert (await client.ask("/once", method="POST")).code == 503
+        client = await rig.connect()
+        assert (await client.request("/once", method="POST")).status == 503
 
 
 async def test_a_connection_that_never_comes_up_never_ran(tmp_path: Path) -> None:
@@ -126,24 +126,24 @@
         sock.setblocking(False)
         sock.connect_ex(mute.getsockname())
     pool = ConnectionPool(
-        Settings(classes=(READ,), connect_timeout=100.0), 10, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ_CLASS,), connect_timeout=100.0), 10, RequestStatistics(), StreamMemory(64.0)
     )
-    pool.update(_list("b0", mute.getsockname()[1]), True)
-    assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
+    pool.update(_endpoint_update("b0", mute.getsockname()[1]), True)
+    assert (await _start_attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
     assert pool.connection_count == 0
     for sock in [mute, *fill]:
         sock.close()
 
 
-READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0)
+READ_CLASS = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0)
 
 
-def _list(name: str, port: int, **over: Any) -> Any:
+def _endpoint_update(name: str, port: int, **over: Any) -> Any:
     row = {"id": name, "host_port": f"127.0.0.1:{port}", "phase": "in_service"} | over
     return update_from_json({"revision": 1, "complete": True, "members": [row]}).members
 
 
-async def _attempt(
+async def _start_attempt(
     pool: ConnectionPool, data: bytes, meanwhile: Callable[[], Any] = lambda: None
 ) -> AttemptResult:
     ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
@@ -162,12 +162,15 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     pool = ConnectionPool(
-        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ_CLASS,), connection_idle_ms=1000.0),
+        10,
+        RequestStatistics(),
+        StreamMemory(64.0),
     )
-    pool.update(_list("b0", server.sockets[0].getsockname()[1]), True)
-    assert (await _attempt(pool, b"x" * 64_000_000)).status is AttemptStatus.CONNECT_FAILED
+    pool.update(_endpoint_update("b0", server.sockets[0].getsockname()[1]), True)
+    assert (await _start_attempt(pool, b"x" * 64_000_000)).status is AttemptStatus.CONNECT_FAILED
     await met.wait()
-    assert (await _attempt(pool, b"x")).status is AttemptStatus.RESET
+    assert (await _start_attempt(pool, b"x")).status is AttemptStatus.RESET
     server.close()
 
 
@@ -175,15 +178,18 @@
     backend = Backend("b0")
     await backend.start()
     pool = ConnectionPool(
-        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ_CLASS,), connection_idle_ms=1000.0),
+        10,
+        RequestStatistics(),
+        StreamMemory(64.0),
     )
     for change in ({"phase": "terminating"}, {"phase": "terminated"}, {"host_port": "127.0.0.1:9"}):
-        pool.update(_list("b0", backend.port), True)
-        late = _list("b0", backend.port, **change)
-        got = await _attempt(pool, b"x", lambda late=late: pool.update(late, False))  # type: ignore[misc]
+        pool.update(_endpoint_update("b0", backend.port), True)
+        late = _endpoint_update("b0", backend.port, **change)
+        got = await _start_attempt(pool, b"x", lambda late=late: pool.update(late, False))  # type: ignore[misc]
         assert got.status is AttemptStatus.NOT_STARTED
         assert pool.connection_count == 0
-    assert backend.got.empty()
+    assert backend.requests.empty()
     backend.stop()
 
 
@@ -192,17 +198,20 @@
 
     listener = socket.create_server(("127.0.0.1", 0))
     pool = ConnectionPool(
-        Settings(classes=(READ,), connection_idle_ms=1000.0), 10, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ_CLASS,), connection_idle_ms=1000.0),
+        10,
+        RequestStatistics(),
+        StreamMemory(64.0),
     )
-    pool.update(_list("b0", listener.getsockname()[1]), True)
-    attempt = pool.start_attempt("b0", b"hello", lambda answer: None)
+    pool.update(_endpoint_update("b0", listener.getsockname()[1]), True)
+    attempt = pool.start_attempt("b0", b"hello", lambda http_response: None)
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     peer, _ = await loop.sock_accept(listener)
     assert await loop.sock_recv(peer, 10) == b"hello"
     attempt.cancel()
     peer.setblocking(True)
-    peer.settimeout(WAIT)
+    peer.settimeout(WAIT_TIMEOUT_S)
     assert peer.recv(1) == b""  # without a turn of the loop in between
     peer.close()
     listener.close()
@@ -211,22 +220,25 @@
 async def test_the_cap_on_upstream_connections_holds(tmp_path: Path) -> None:
     """The longest idle connection makes room; where none is idle the attempt was never sent."""
 
-    backends = [Backend("b0"), Backend("b1", never)]
+    backends = [Backend("b0"), Backend("b1", never_respond)]
     pool = ConnectionPool(
-        Settings(classes=(READ,), connection_idle_ms=60_000.0), 1, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ_CLASS,), connection_idle_ms=60_000.0),
+        1,
+        RequestStatistics(),
+        StreamMemory(64.0),
     )
     members = ()
     for backend in backends:
         await backend.start()
-        members += _list(backend.name, backend.port)
+        members += _endpoint_update(backend.name, backend.port)
     pool.update(members, True)
     request = b"GET / HTTP/1.1\r\nrequest-id: 1\r\n\r\n".replace(b"request-id:", b"Request-Id:")
-    assert (await _attempt(pool, request)).status is AttemptStatus.OK
-    attempt = pool.start_attempt("b1", request, lambda answer: None)
-    await backends[1].got.get()
-    await backends[0].lost.get()
+    assert (await _start_attempt(pool, request)).status is AttemptStatus.OK
+    attempt = pool.start_attempt("b1", request, lambda http_response: None)
+    await backends[1].requests.get()
+    await backends[0].closed_connections.get()
     assert pool.connection_count == 1
-    assert (await _attempt(pool, request)).status is AttemptStatus.NOT_STARTED
+    assert (await _start_attempt(pool, request)).status is AttemptStatus.NOT_STARTED
     attempt.cancel()
     for backend in backends:
         backend.stop()
@@ -235,59 +247,62 @@
 async def test_a_socket_that_cannot_be_made_is_not_counted() -> None:
     """Guards the pool against shrinking for good in a moment without descriptors."""
 
-    backend = Backend("b0", says(answer(b"x")))
+    backend = Backend("b0", respond_with(http_response(b"x")))
     await backend.start()
     pool = ConnectionPool(
-        Settings(classes=(READ,), connection_idle_ms=60_000.0), 1, RequestStatistics(), StreamMemory(64.0)
+        Settings(classes=(READ_CLASS,), connection_idle_ms=60_000.0),
+        1,
+        RequestStatistics(),
+        StreamMemory(64.0),
     )
-    pool.update(_list("b0", backend.port), True)
+    pool.update(_endpoint_update("b0", backend.port), True)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (0, hard))
     try:
-        got = await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")
+        got = await _start_attempt(pool, b"GET / HTTP/1.1\r\n\r\n")
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     assert got.status is AttemptStatus.NOT_STARTED and pool.connection_count == 0
-    assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.OK
+    assert (await _start_attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.OK
     backend.stop()
 
 
 async def test_an_idle_connection_is_closed_before_the_backend_would(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend, limits={"conn-idle": 300}) as rig:
-        client = await rig.client()
-        await client.ask("/read")
-        assert await backend.lost.get() == 1
-        assert (await client.ask("/read")).code == 200
-        assert backend.connections == 2
+    async with running_node(tmp_path, backend, limits={"conn-idle": 300}) as rig:
+        client = await rig.connect()
+        await client.request("/read")
+        assert await backend.closed_connections.get() == 1
+        assert (await client.request("/read")).status == 200
+        assert backend.connection_count == 2
 
 
 async def test_what_follows_an_answer_spoils_the_connection_only(tmp_path: Path) -> None:
     async def twice(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(b"mine") + answer(b"not mine"))
+        writer.write(http_response(b"mine") + http_response(b"not mine"))
 
     backend = Backend("b0", twice)
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
         for number in (1, 2, 3):
-            assert (await client.ask("/read")).body == b"mine"
-            assert await backend.lost.get() == number
+            assert (await client.request("/read")).body == b"mine"
+            assert await backend.closed_connections.get() == number
 
 
 async def test_an_answer_whose_head_does_not_end_is_given_up(tmp_path: Path) -> None:
-    backend = Backend("b0", says(b"HTTP/1.1 200 OK\r\nLong: " + b"x" * 20_000))
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
-        assert (await client.ask("/once", method="POST")).code == 502
-        await rig.logged("headers too long")
-        await backend.lost.get()
+    backend = Backend("b0", respond_with(b"HTTP/1.1 200 OK\r\nLong: " + b"x" * 20_000))
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
+        assert (await client.request("/once", method="POST")).status == 502
+        await rig.wait_for_log("headers too long")
+        await backend.closed_connections.get()
 
 
 async def test_interim_answers_are_passed_over(tmp_path: Path) -> None:
-    first = b"HTTP/1.1 103 Early Hints\r\nNot-Started: 1\r\n\r\n" + answer(b"late")
-    async with running(tmp_path, Backend("b0", says(first))) as rig:
-        client = await rig.client()
-        assert (await client.ask("/once", method="POST")).body == b"late"
+    first = b"HTTP/1.1 103 Early Hints\r\nNot-Started: 1\r\n\r\n" + http_response(b"late")
+    async with running_node(tmp_path, Backend("b0", respond_with(first))) as rig:
+        client = await rig.connect()
+        assert (await client.request("/once", method="POST")).body == b"late"
 
 
 # --- load reports
@@ -302,51 +317,51 @@
 
 
 async def test_a_broken_report_costs_one_log_line(tmp_path: Path) -> None:
-    first = answer(b"fine", "200 OK", "Server-Load: TEXT inflight=many")
-    async with running(tmp_path, Backend("b0", says(first))) as rig:
-        client = await rig.client()
-        assert (await client.ask("/read")).body == b"fine"
-        await rig.logged("not a load report")
-        assert (await client.ask("/read")).code == 200
+    first = http_response(b"fine", "200 OK", "Server-Load: TEXT inflight=many")
+    async with running_node(tmp_path, Backend("b0", respond_with(first))) as rig:
+        client = await rig.connect()
+        assert (await client.request("/read")).body == b"fine"
+        await rig.wait_for_log("not a load report")
+        assert (await client.request("/read")).status == 200
 
 
 # --- the one answer
 
 
 async def test_no_answer_in_time_fails_before_the_limit(tmp_path: Path) -> None:
-    backend = Backend("b0", never)
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
+    backend = Backend("b0", never_respond)
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
         loop = asyncio.get_running_loop()
         start = loop.time()
-        assert (await client.ask("/once", "Request-Timeout: 700m", method="POST")).code == 502
+        assert (await client.request("/once", "Request-Timeout: 700m", method="POST")).status == 502
         assert loop.time() - start >= 0.6
-        await backend.lost.get()  # it is waited for no longer
+        await backend.closed_connections.get()  # it is waited for no longer
         backend.respond = echo
-        assert (await client.ask("/up")).code == 200
+        assert (await client.request("/up")).status == 200
 
 
 async def test_a_client_that_leaves_calls_its_attempt_off(tmp_path: Path) -> None:
-    backend = Backend("b0", never)
-    async with running(tmp_path, backend, **PATIENT) as rig:
-        client = await rig.client()
+    backend = Backend("b0", never_respond)
+    async with running_node(tmp_path, backend, **LONG_DEADLINES) as rig:
+        client = await rig.connect()
         client.send("/read")
-        await backend.got.get()
+        await backend.requests.get()
         client.writer.close()
-        await backend.lost.get()
+        await backend.closed_connections.get()
 
 
 async def test_a_refusal_comes_at_once_and_says_when_to_return(tmp_path: Path) -> None:
     """Guards against clients that all come back at once after a refusal."""
 
-    backend = Backend("b0", never)
+    backend = Backend("b0", never_respond)
     limits = {"retry-after": True, "max-retry-after": 100}
-    async with running(tmp_path, backend, limits=limits) as rig:
-        client = await rig.client()
-        await rig.discovery.asked.get()
-        rig.discovery.news(42, backend.member(phase="terminating"))
-        rig.discovery.news(43, complete=True)
-        while (got := await client.ask("/read", "Request-Timeout: 50m")).code != 503:
+    async with running_node(tmp_path, backend, limits=limits) as rig:
+        client = await rig.connect()
+        await rig.discovery.watch_targets.get()
+        rig.discovery.send_update(42, backend.list_entry(phase="terminating"))
+        rig.discovery.send_update(43, complete=True)
+        while (got := await client.request("/read", "Request-Timeout: 50m")).status != 503:
             pass
         assert 0 < float(got.headers["retry-after"]) <= 0.1
 
@@ -356,60 +371,60 @@
 
 async def test_a_drain_is_kept_and_idle_connections_go(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
-        await client.ask("/read")
-        await backend.got.get()
-        await rig.discovery.asked.get()
-        rig.discovery.news(42, backend.member(phase="terminating"))
-        await backend.lost.get()
-        assert (await client.ask("/read")).code == 503
-        assert backend.got.empty()
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
+        await client.request("/read")
+        await backend.requests.get()
+        await rig.discovery.watch_targets.get()
+        rig.discovery.send_update(42, backend.list_entry(phase="terminating"))
+        await backend.closed_connections.get()
+        assert (await client.request("/read")).status == 503
+        assert backend.requests.empty()
 
 
 async def test_changes_come_across_packet_borders_and_a_full_list_drops_what_it_lacks(tmp_path: Path) -> None:
     old, new = Backend("b0"), Backend("b1")
     await new.start()
-    async with running(tmp_path, old) as rig:
-        client = await rig.client()
-        await client.ask("/read")
-        assert await rig.discovery.asked.get() == "/discovery/hosts?watch=1&from=41"
-        line = json.dumps({"revision": 50, "complete": True, "members": [new.member()]}).encode()
+    async with running_node(tmp_path, old) as rig:
+        client = await rig.connect()
+        await client.request("/read")
+        assert await rig.discovery.watch_targets.get() == "/discovery/hosts?watch=1&from=41"
+        line = json.dumps({"revision": 50, "complete": True, "members": [new.list_entry()]}).encode()
         for i in range(0, len(line), 7):
-            rig.discovery.send(line[i : i + 7])
+            rig.discovery.send_chunk(line[i : i + 7])
             await asyncio.sleep(0)
-        rig.discovery.send(b"\n\n")
-        await old.lost.get()
-        assert (await client.ask("/read")).body.startswith(b"b1 ")
+        rig.discovery.send_chunk(b"\n\n")
+        await old.closed_connections.get()
+        assert (await client.request("/read")).body.startswith(b"b1 ")
     new.stop()
 
 
 async def test_a_backend_may_return_elsewhere(tmp_path: Path) -> None:
     old, new = Backend("b0"), Backend("b0")
     await new.start()
-    async with running(tmp_path, old) as rig:
-        client = await rig.client()
-        await client.ask("/read")
-        await rig.discovery.asked.get()
-        rig.discovery.news(42, new.member())
-        await old.lost.get()
-        assert (await client.ask("/read")).code == 200
-        assert new.got.qsize() == 1
+    async with running_node(tmp_path, old) as rig:
+        client = await rig.connect()
+        await client.request("/read")
+        await rig.discovery.watch_targets.get()
+        rig.discovery.send_update(42, new.list_entry())
+        await old.closed_connections.get()
+        assert (await client.request("/read")).status == 200
+        assert new.requests.qsize() == 1
     new.stop()
 
 
 async def test_a_watch_that_ends_or_goes_silent_is_asked_for_again(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
-        await rig.discovery.asked.get()
-        rig.discovery.news(47, backend.member())
+    async with running_node(tmp_path, backend) as rig:
+        await rig.discovery.watch_targets.get()
+        rig.discovery.send_update(47, backend.list_entry())
         assert rig.discovery.writer is not None
         rig.discovery.writer.close()
-        assert await rig.discovery.asked.get() == "/discovery/hosts?watch=1&from=47"
+        assert await rig.discovery.watch_targets.get() == "/discovery/hosts?watch=1&from=47"
         # Nothing more comes now, and nothing closes: a node that waits for either waits for ever.
-        assert await rig.discovery.asked.get() == "/discovery/hosts?watch=1&from=47"
-        client = await rig.client()
-        assert (await client.ask("/read")).code == 200  # on the last list, all the while
+        assert await rig.discovery.watch_targets.get() == "/discovery/hosts?watch=1&from=47"
+        client = await rig.connect()
+        assert (await client.request("/read")).status == 200  # on the last list, all the while
 
 
 async def test_a_reload_moves_the_watch_at_once_and_survives_a_bad_file(tmp_path: Path) -> None:
@@ -417,22 +432,22 @@
 
     backend, moved = Backend("b0"), FakeDiscovery()
     await moved.start()
-    async with running(tmp_path, backend) as rig:
-        await rig.discovery.asked.get()
-        rig.discovery.news(43, backend.member())
-        client = await rig.client()
+    async with running_node(tmp_path, backend) as rig:
+        await rig.discovery.watch_targets.get()
+        rig.discovery.send_update(43, backend.list_entry())
+        client = await rig.connect()
         before = json.loads(rig.config.read_text())
         nowhere = json.dumps(before | {"discovery": "nowhere"})
         for text, why in (("{", "JSON"), ("[]", "object"), ("{}", "missing"), (nowhere, "no sense")):
             rig.reload(text)
-            await rig.logged(why)
+            await rig.wait_for_log(why)
         rig.reload(json.dumps(before | {"discovery": f"127.0.0.1:{moved.port}"}))
-        assert await moved.asked.get() == "/discovery/hosts?watch=1&from=43"
-        assert (await client.ask("/read")).code == 200
-        moved.news(44, backend.member(phase="terminating"))
-        await backend.lost.get()  # the idle connection goes: the news came through
-        assert (await client.ask("/read")).code == 503
-        assert rig.discovery.asked.empty()
+        assert await moved.watch_targets.get() == "/discovery/hosts?watch=1&from=43"
+        assert (await client.request("/read")).status == 200
+        moved.send_update(44, backend.list_entry(phase="terminating"))
+        await backend.closed_connections.get()  # the idle connection goes: the news came through
+        assert (await client.request("/read")).status == 503
+        assert rig.discovery.watch_targets.empty()
     assert moved.server is not None
     moved.server.close()
 
@@ -440,19 +455,19 @@
 async def test_a_reload_finds_discovery_again_while_the_old_address_is_away(tmp_path: Path) -> None:
     backend, moved = Backend("b0"), FakeDiscovery()
     await moved.start()
-    async with running(tmp_path, backend) as rig:
-        await rig.discovery.asked.get()
+    async with running_node(tmp_path, backend) as rig:
+        await rig.discovery.watch_targets.get()
         assert rig.discovery.server is not None and rig.discovery.writer is not None
         rig.discovery.server.close()
         rig.discovery.writer.transport.abort()
-        await rig.logged("discovery: no connection")
+        await rig.wait_for_log("discovery: no connection")
         before = json.loads(rig.config.read_text())
         rig.reload(json.dumps(before | {"discovery": f"127.0.0.1:{moved.port}"}))
-        assert await moved.asked.get() == "/discovery/hosts?watch=1&from=41"
-        moved.news(45, backend.member())
+        assert await moved.watch_targets.get() == "/discovery/hosts?watch=1&from=41"
+        moved.send_update(45, backend.list_entry())
         assert moved.writer is not None
         moved.writer.transport.abort()
-        assert await moved.asked.get() == "/discovery/hosts?watch=1&from=45"
+        assert await moved.watch_targets.get() == "/discovery/hosts?watch=1&from=45"
     assert moved.server is not None
     moved.server.close()
 
@@ -461,15 +476,15 @@
     """Guards also against a change behind it that is taken as if nothing were missing."""
 
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
-        await rig.discovery.asked.get()
-        gone = {"revision": 43, "complete": False, "members": [backend.member(phase="terminated")]}
+    async with running_node(tmp_path, backend) as rig:
+        await rig.discovery.watch_targets.get()
+        gone = {"revision": 43, "complete": False, "members": [backend.list_entry(phase="terminated")]}
         bad = b'{"revision": 42, "members": [{"id": "b9"}]}\n'
-        rig.discovery.send(bad + json.dumps(gone).encode() + b"\n")
-        await rig.logged("bad list")
-        assert await rig.discovery.asked.get() == "/discovery/hosts?watch=1&from=0"
-        client = await rig.client()
-        assert (await client.ask("/read")).code == 200
+        rig.discovery.send_chunk(bad + json.dumps(gone).encode() + b"\n")
+        await rig.wait_for_log("bad list")
+        assert await rig.discovery.watch_targets.get() == "/discovery/hosts?watch=1&from=0"
+        client = await rig.connect()
+        assert (await client.request("/read")).status == 200
 
 
 async def test_an_indented_list_is_taken_whole_and_in_pieces(tmp_path: Path) -> None:
@@ -477,21 +492,21 @@
 
     old, new = Backend("b0"), Backend("b1")
     await new.start()
-    async with running(tmp_path, old) as rig:
-        client = await rig.client()
-        await client.ask("/read")
-        await rig.discovery.asked.get()
-        first = {"revision": 50, "complete": True, "members": [new.member()]}
-        rig.discovery.send(json.dumps(first, indent=1).encode() + b"\n")
-        await old.lost.get()
-        assert (await client.ask("/read")).body.startswith(b"b1 ")
-        second = {"revision": 51, "complete": False, "members": [new.member(phase="terminating")]}
+    async with running_node(tmp_path, old) as rig:
+        client = await rig.connect()
+        await client.request("/read")
+        await rig.discovery.watch_targets.get()
+        first = {"revision": 50, "complete": True, "members": [new.list_entry()]}
+        rig.discovery.send_chunk(json.dumps(first, indent=1).encode() + b"\n")
+        await old.closed_connections.get()
+        assert (await client.request("/read")).body.startswith(b"b1 ")
+        second = {"revision": 51, "complete": False, "members": [new.list_entry(phase="terminating")]}
         text = json.dumps(second, indent=2).replace("\n", "\r\n").encode()
         for i in range(0, len(text), 7):
-            rig.discovery.send(text[i : i + 7])
+            rig.discovery.send_chunk(text[i : i + 7])
             await asyncio.sleep(0)
-        await new.lost.get()
-        assert rig.discovery.asked.empty()
+        await new.closed_connections.get()
+        assert rig.discovery.watch_targets.empty()
     new.stop()
 
 
@@ -531,51 +546,51 @@
 )
 async def test_bad_input_gets_a_plain_answer_and_a_close(tmp_path: Path, text: bytes, code: int) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
         client.writer.write(text)
-        assert (await client.answer()).code == code
-        assert await client.ended() == b""
-        assert backend.got.empty()
-        assert (await (await rig.client()).ask("/read")).code == 200
+        assert (await client.read_response()).status == code
+        assert await client.read_until_closed() == b""
+        assert backend.requests.empty()
+        assert (await (await rig.connect()).request("/read")).status == 200
 
 
 async def test_an_upgrade_is_not_answered_twice(tmp_path: Path) -> None:
     """The parser stops at an upgrade once the request is whole, and so may be answered already."""
 
-    async with running(tmp_path) as rig:  # no backends: all is refused at once
-        client = await rig.client()
+    async with running_node(tmp_path) as rig:  # no backends: all is refused at once
+        client = await rig.connect()
         client.send("/read", "Upgrade: websocket", "Connection: upgrade")
-        assert (await client.answer()).code == 503
-        assert await client.ended() == b""
+        assert (await client.read_response()).status == 503
+        assert await client.read_until_closed() == b""
 
 
 async def test_a_request_behind_an_answer_that_closes_is_not_taken(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
-        await (await rig.client()).ask("/read")  # leaves a connection on which the next is sent at once
-        await backend.got.get()
+    async with running_node(tmp_path, backend) as rig:
+        await (await rig.connect()).request("/read")  # leaves a connection on which the next is sent at once
+        await backend.requests.get()
         rig.terminate()
-        while (await (await rig.client()).ask("/up")).code != 503:
+        while (await (await rig.connect()).request("/up")).status != 503:
             pass
-        client = await rig.client()
+        client = await rig.connect()
         two = b"GET /up HTTP/1.1\r\n\r\nGET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
         client.writer.write(two)  # in one packet, so that both are read at once
-        assert (await client.answer()).headers["connection"] == "close"
-        assert await client.ended() == b""
-        assert await rig.end() == 0
-        assert backend.got.empty()
+        assert (await client.read_response()).headers["connection"] == "close"
+        assert await client.read_until_closed() == b""
+        assert await rig.wait_for_exit() == 0
+        assert backend.requests.empty()
 
 
 async def test_a_request_behind_an_open_one_is_left_to_another_connection(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
         first = client.send("/read")
         client.send("/read")
-        got = await client.answer()
+        got = await client.read_response()
         assert got.body.decode().endswith(first) and got.headers["connection"] == "close"
-        assert await client.ended() == b"" and backend.got.qsize() == 1
+        assert await client.read_until_closed() == b"" and backend.requests.qsize() == 1
 
 
 # --- limits, start and end
@@ -585,23 +600,23 @@
     """The longest idle connection makes room."""
 
     backend = Backend("b0")
-    async with running(tmp_path, backend, sockets=64) as rig:  # 19 for clients
-        idle = [await rig.client() for _ in range(19)]
+    async with running_node(tmp_path, backend, sockets=64) as rig:  # 19 for clients
+        idle = [await rig.connect() for _ in range(19)]
         for client in idle:
-            assert (await client.ask("/up")).code == 200
-        more = await rig.client()
-        assert await idle[0].ended() == b""
+            assert (await client.request("/up")).status == 200
+        more = await rig.connect()
+        assert await idle[0].read_until_closed() == b""
         for client in [more, *idle[1:]]:
-            assert (await client.ask("/read")).code == 200
+            assert (await client.request("/read")).status == 200
 
 
 async def test_a_connection_over_the_cap_gets_a_legal_answer(tmp_path: Path) -> None:
     """Where none is idle the newest is answered, and closed."""
 
-    backend = Backend("b0", never)
+    backend = Backend("b0", never_respond)
     await backend.start()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(configuration([backend.member()], 1)))
+    path.write_text(json.dumps(node_config([backend.list_entry()], 1)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
     node.update_endpoints(config.known, ListUpdateKind.CACHED)
@@ -610,11 +625,11 @@
     clients = [Client(*await asyncio.open_connection(*listener.address)) for _ in range(2)]
     for client in clients:
         client.send("/read")
-        await backend.got.get()
+        await backend.requests.get()
     last = Client(*await asyncio.open_connection(*listener.address))
-    got = await last.ask("/read")
-    assert got.code == 503 and got.headers["connection"] == "close"
-    assert await last.ended() == b"" and backend.got.empty()
+    got = await last.request("/read")
+    assert got.status == 503 and got.headers["connection"] == "close"
+    assert await last.read_until_closed() == b"" and backend.requests.empty()
     listener.stop()
     for client in clients:
         client.writer.transport.abort()
@@ -624,12 +639,12 @@
 
 
 async def test_no_more_than_max_open_requests_are_taken(tmp_path: Path) -> None:
-    backend = Backend("b0", never)
-    async with running(tmp_path, backend, limits={"max-open": 1}, **PATIENT) as rig:
-        first, second = await rig.client(), await rig.client()
+    backend = Backend("b0", never_respond)
+    async with running_node(tmp_path, backend, limits={"max-open": 1}, **LONG_DEADLINES) as rig:
+        first, second = await rig.connect(), await rig.connect()
         first.send("/read")
-        await backend.got.get()
-        assert (await second.ask("/read")).code == 503
+        await backend.requests.get()
+        assert (await second.request("/read")).status == 503
 
 
 async def test_sigterm_answers_what_was_taken_and_exits_0(tmp_path: Path) -> None:
@@ -640,23 +655,23 @@
         await echo(backend, message, writer)
 
     backend = Backend("b0", slow)
-    async with running(tmp_path, backend) as rig:
-        busy, idle = await rig.client(), await rig.client()
-        await idle.ask("/up")
+    async with running_node(tmp_path, backend) as rig:
+        busy, idle = await rig.connect(), await rig.connect()
+        await idle.request("/up")
         busy.send("/read")
-        await backend.got.get()
+        await backend.requests.get()
         rig.terminate()
-        while (await (await rig.client()).ask("/up")).code != 503:
+        while (await (await rig.connect()).request("/up")).status != 503:
             pass
-        late = await rig.client()  # connections that come now are still taken
+        late = await rig.connect()  # connections that come now are still taken
         late.send("/read")
-        await backend.got.get()
-        assert await idle.ended() == b""
+        await backend.requests.get()
+        assert await idle.read_until_closed() == b""
         go.set()
         for client in (busy, late):
-            got = await client.answer()
-            assert got.code == 200 and got.headers["connection"] == "close"
-        assert await rig.end() == 0
+            got = await client.read_response()
+            assert got.status == 200 and got.headers["connection"] == "close"
+        assert await rig.wait_for_exit() == 0
 
 
 @pytest.mark.parametrize(
@@ -674,8 +689,8 @@
 )
 async def test_a_bad_configuration_is_named(tmp_path: Path, over: dict[str, Any] | None, field: str) -> None:
     path = tmp_path / "config.json"
-    path.write_text("{" if over is None else json.dumps(configuration([], 1) | over))
-    process = await spawn(path)
+    path.write_text("{" if over is None else json.dumps(node_config([], 1) | over))
+    process = await spawn_node(path)
     _, err = await process.communicate()
     assert process.returncode == 2
     assert len(err.decode().splitlines()) == 1 and field in err.decode()
@@ -687,15 +702,15 @@
 async def test_peers_without_a_proper_request_are_let_go_in_time(tmp_path: Path) -> None:
     """Guards against silent peers that hold a connection: each is owed an error or a close within 3 s."""
 
-    async with running(tmp_path, Backend("b0")) as rig:
-        kept = await rig.client()
-        peers = [(sent, await rig.client()) for sent in (b"", b"\r\n", b"GET /up HT", SLOW_BODY)]
+    async with running_node(tmp_path, Backend("b0")) as rig:
+        kept = await rig.connect()
+        peers = [(sent, await rig.connect()) for sent in (b"", b"\r\n", b"GET /up HT", SLOW_BODY)]
         begun = asyncio.get_running_loop().time()
-        assert (await kept.ask("/read")).code == 200
+        assert (await kept.request("/read")).status == 200
         for sent, peer in peers:
             peer.writer.write(sent)
         for sent, peer in peers:
-            got = await peer.ended()
+            got = await peer.read_until_closed()
             assert (b" 408 " in got) == (len(sent) > 2), sent
             assert asyncio.get_running_loop().time() - begun < 8.0, sent
-        assert (await kept.ask("/read")).code == 200  # a peer that has sent a request may stay
+        assert (await kept.request("/read")).status == 200  # a peer that has sent a request may stay
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -22,7 +22,7 @@
 from balancer.durable.state import DurableState, replay
 from balancer.lab.programs import ROOT
 from tests.helpers import BASE, SAFE, entry, node
-from tests.sockets import Backend, FakeDiscovery, Rig, configuration, happens, started
+from tests.sockets import Backend, FakeDiscovery, Rig, node_config, started_node, wait_until_async
 from tests.test_console import CONSOLE
 
 BACKENDS = ["b0", "b1", "b2", "b3"]
@@ -63,7 +63,7 @@
         tmp = self.folder / f"tmp-{self.starts}"
         tmp.mkdir(exist_ok=True)
         env = {"TMPDIR": str(tmp), "PROXY_FLEET": str(self.folder / "fleet.toml")}
-        async with started(self.folder / "config.json", self.discovery, **env) as rig:
+        async with started_node(self.folder / "config.json", self.discovery, **env) as rig:
             yield rig
 
 
@@ -75,8 +75,8 @@
     await discovery.start()
     for backend in backends:
         await backend.start()
-    members = [b.member() for b in backends]
-    (folder / "config.json").write_text(json.dumps(configuration(members, discovery.port, console=CONSOLE)))
+    members = [b.list_entry() for b in backends]
+    (folder / "config.json").write_text(json.dumps(node_config(members, discovery.port, console=CONSOLE)))
     (folder / "fleet.toml").write_text(f"[durable]\ndirectory = {json.dumps(str(folder / 'state'))}\n")
     try:
         yield Home(folder, discovery)
@@ -90,16 +90,16 @@
 async def test_a_ban_outlasts_kill_nine_and_a_lost_tmpdir(tmp_path: Path) -> None:
     async with new_home(tmp_path) as home:
         async with home.up() as rig:
-            assert (await rig.call("/backends/b1/maint", "POST")).code == 200
-            assert (await rig.call("/backends/b2/maint", "POST")).code == 200
-            assert (await rig.call("/backends/b2/ready", "POST")).code == 200
+            assert (await rig.call_console("/backends/b1/maint", "POST")).status == 200
+            assert (await rig.call_console("/backends/b2/maint", "POST")).status == 200
+            assert (await rig.call_console("/backends/b2/ready", "POST")).status == 200
             rig.process.kill()
         async with home.up() as rig:
             assert (await rig.stats())["members_unavailable"] == 1
-            client = await rig.client()
-            served = {(await client.ask("/read")).body.split()[0] for _ in range(40)}
+            client = await rig.connect()
+            served = {(await client.request("/read")).body.split()[0] for _ in range(40)}
             assert b"b1" not in served and len(served) >= 2
-            assert (await rig.call("/backends/b1/ready", "POST")).code == 200
+            assert (await rig.call_console("/backends/b1/ready", "POST")).status == 200
             rig.process.kill()
         async with home.up() as rig:
             assert (await rig.stats())["members_unavailable"] == 0
@@ -112,7 +112,9 @@
             name = dice.choice(BACKENDS)
             out = dice.random() < 0.5
             before = acknowledged.pop(name, None)  # until the answer nobody knows
-            if (await rig.call(f"/backends/{name}/{'maint' if out else 'ready'}", "POST")).code == 200:
+            if (
+                await rig.call_console(f"/backends/{name}/{'maint' if out else 'ready'}", "POST")
+            ).status == 200:
                 acknowledged[name] = out
             elif before is not None:
                 acknowledged[name] = before
@@ -126,7 +128,7 @@
             async with home.up() as rig:
                 calls = asyncio.create_task(operate(rig, dice, acknowledged))
                 target = dice.randint(1, 60)  # so many records, then the power of the process is cut
-                await happens(partial(home.has_kept, home.kept_number() + target), 0.001)
+                await wait_until_async(partial(home.has_kept, home.kept_number() + target), 0.001)
                 rig.process.kill()
                 await calls
             kept = home.kept()
@@ -136,28 +138,28 @@
 
 async def test_a_process_that_sleeps_through_the_handover_cannot_undo_it(tmp_path: Path) -> None:
     async def news(discovery: FakeDiscovery) -> None:
-        await discovery.asked.get()
-        discovery.news(42)
+        await discovery.watch_targets.get()
+        discovery.send_update(42)
 
     async with new_home(tmp_path) as home, home.up() as old:
-        await home.discovery.asked.get()
-        assert (await old.call("/backends/b0/maint", "POST")).code == 200
+        await home.discovery.watch_targets.get()
+        assert (await old.call_console("/backends/b0/maint", "POST")).status == 200
         old.process.send_signal(signal.SIGSTOP)
         told = asyncio.create_task(news(home.discovery))
         async with home.up(fresh_tmp=False) as new:
             await told
             assert (await new.stats())["members_unavailable"] == 1
-            assert (await new.call("/backends/b1/maint", "POST")).code == 200
+            assert (await new.call_console("/backends/b1/maint", "POST")).status == 200
             old.process.send_signal(signal.SIGCONT)
-            assert (await old.call("/backends/b2/maint", "POST")).code == 503
+            assert (await old.call_console("/backends/b2/maint", "POST")).status == 503
             assert set(home.kept().banned) == {"b0", "b1"}
             new.process.kill()
-        await old.logged("is out")
+        await old.wait_for_log("is out")
 
         async def taken_out() -> bool:
-            return (await old.call("/backends/b3/maint", "POST")).code == 200
+            return (await old.call_console("/backends/b3/maint", "POST")).status == 200
 
-        await happens(taken_out)  # the successor is gone: the old one keeps the state again
+        await wait_until_async(taken_out)  # the successor is gone: the old one keeps the state again
         assert {"b0", "b1", "b3"} <= set(home.kept().banned)
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from balancer.net.config_errors import ConfigError
 from balancer.policy import Balancer
 from tests.helpers import BASE, KEYED, SAFE, UNSAFE, answers, node, sends
-from tests.sockets import CLASSES, Backend, Message, configuration, echo, running
+from tests.sockets import CLASSES, Backend, Message, echo, node_config, running_node
 from tests.test_console import CONSOLE
 
 
@@ -106,7 +106,7 @@
 def test_an_incomplete_or_invalid_file_is_rejected(
     tmp_path: Path, change: Callable[[dict[str, Any]], object], field: str
 ) -> None:
-    path, raw = tmp_path / "config.json", json.loads(json.dumps(configuration([], 1)))
+    path, raw = tmp_path / "config.json", json.loads(json.dumps(node_config([], 1)))
     path.write_text(json.dumps(raw))
     held = load({"PROXY_CONFIG": str(path)})
     assert reload({"PROXY_CONFIG": str(path)}, held) == held
@@ -123,29 +123,29 @@
     go = asyncio.Event()
 
     async def slow(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        if message.start.startswith("GET /read "):
+        if message.start_line.startswith("GET /read "):
             await go.wait()
         await echo(backend, message, writer)
 
     backend = Backend("b0", slow)
-    async with running(tmp_path, backend, console=CONSOLE) as rig:
+    async with running_node(tmp_path, backend, console=CONSOLE) as rig:
         before = json.loads(rig.config.read_text())
-        kept, other, third = await rig.client(), await rig.client(), await rig.client()
+        kept, other, third = await rig.connect(), await rig.connect(), await rig.connect()
         kept.send("/read")
-        await backend.got.get()
+        await backend.requests.get()
         fresh = json.loads(json.dumps(before))
         fresh["settings"]["request-classes"] = [CLASSES[2], CLASSES[0] | {"name": "read-2"}]
         for text in ("", json.dumps(fresh)[:-40], json.dumps(fresh | {"settings": {}})):
             rig.reload(text)
-            await rig.logged("nothing is taken")
+            await rig.wait_for_log("nothing is taken")
             rig.log.clear()
-        assert (await other.ask("/read-2")).code == 404
+        assert (await other.request("/read-2")).status == 404
         rig.reload(json.dumps(fresh))
-        await rig.logged("reload: classes once read-2")
-        assert (await third.ask("/read-2")).code == 200
-        assert (await third.ask("/read")).code == 404
+        await rig.wait_for_log("reload: classes once read-2")
+        assert (await third.request("/read-2")).status == 200
+        assert (await third.request("/read")).status == 404
         go.set()
-        assert (await kept.answer()).code == 200
+        assert (await kept.read_response()).status == 200
         got = await rig.stats()
         assert (got["config_reloads"], got["config_reload_errors"]) == (1, 3)
         assert got["completed"] == {"once": 0, "read-2": 1, "read": 1}
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -26,21 +26,21 @@
 from tests.helpers import BASE, KEYED, node, sends
 from tests.sockets import (
     CLASSES,
-    HOUR,
-    IDS,
-    WAIT,
+    HOUR_MS,
+    REQUEST_NUMBERS,
+    WAIT_TIMEOUT_S,
     Backend,
     Client,
     Message,
     Respond,
     Rig,
-    answer,
-    rested,
-    running,
+    http_response,
+    running_node,
+    wait_until_reusable,
 )  # fmt: skip
 from tests.test_leaving import never, scene, send
 
-ERROR = answer(b"", "500 Internal Server Error")
+ERROR = http_response(b"", "500 Internal Server Error")
 SPAN = 300.0  # ms
 
 
@@ -82,7 +82,7 @@
     assert [one.before for one in more] == [0.0] * again
 
 
-KEYED_ONLY = [CLASSES[1] | {"memory-span": SPAN, "give-up": HOUR, "objective": HOUR}]
+KEYED_ONLY = [CLASSES[1] | {"memory-span": SPAN, "give-up": HOUR_MS, "objective": HOUR_MS}]
 
 
 async def test_a_retry_that_connects_after_the_window_is_not_written(
@@ -95,10 +95,10 @@
         client = await on.client()
         send(client, "/pay")
         gate = await on.dialled()
-        assert (await client.answer()).code == 502  # as soon as the window is over
+        assert (await client.read_response()).status == 502  # as soon as the window is over
         gate.set()
         assert on.node.counts["attempt_error"] == on.node.counts["attempt_moot"] == 1
-        assert sum(backend.got.qsize() for backend in backends) == 1 and on.nothing_left()
+        assert sum(backend.requests.qsize() for backend in backends) == 1 and on.nothing_left()
 
 
 async def test_a_retry_that_connects_inside_the_window_is_served(
@@ -116,7 +116,7 @@
         over = loop.create_future()
         loop.call_later(2 * SPAN / 1000, over.set_result, None)
         await over
-        writer.write(answer(b"late"))
+        writer.write(http_response(b"late"))
 
     loop = asyncio.get_running_loop()
     backends = Backend("b0", slow), Backend("b1", slow)
@@ -126,8 +126,8 @@
         client = await on.client()
         send(client, "/pay")
         (await on.dialled()).set()
-        got = await client.answer()
-        assert (got.code, got.body) == (200, b"late") and on.nothing_left()
+        got = await client.read_response()
+        assert (got.status, got.body) == (200, b"late") and on.nothing_left()
 
 
 async def test_a_retry_with_unsent_bytes_after_the_window_ends(
@@ -148,11 +148,11 @@
         on.freely = 2
         client = await on.client()
         name = send(client, "/pay")
-        await on.until(lambda: sum(backend.got.qsize() for backend in backends) == 2)
+        await on.until(lambda: sum(backend.requests.qsize() for backend in backends) == 2)
         attempt = on.node.requests.open[name].attempts[1].attempt
         assert attempt is not None and attempt.connection is not None
         attempt.connection.pause_writing()  # as the transport says it
-        assert (await client.answer()).code == 502
+        assert (await client.read_response()).status == 502
         assert on.node.counts["attempt_moot"] == 1 and on.nothing_left()
         assert on.node.pool.connection_count == 1  # the first one's, at rest
 
@@ -162,11 +162,11 @@
 
 async def head(rig: Rig, path: str) -> Client:
     """A client whose request's head the node has read, and of its body nothing."""
-    client = await rig.client()
-    lines = [f"POST {path} HTTP/1.1", f"Request-Id: {next(IDS):016x}", "Idempotency-Key: k",
+    client = await rig.connect()
+    lines = [f"POST {path} HTTP/1.1", f"Request-Id: {next(REQUEST_NUMBERS):016x}", "Idempotency-Key: k",
              "Content-Length: 2", "Expect: 100-continue"]  # fmt: skip
     client.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n")
-    assert (await client.answer()).code == 100
+    assert (await client.read_response()).status == 100
     return client
 
 
@@ -176,7 +176,7 @@
     fresh["settings"]["request-classes"] = classes
     fresh["settings"]["limits"] |= limits
     rig.reload(json.dumps(fresh))
-    await rig.logged("reload: classes")
+    await rig.wait_for_log("reload: classes")
 
 
 def erring(times: int) -> Respond:
@@ -186,7 +186,7 @@
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         nonlocal left
         left -= 1
-        writer.write(answer(b"x") if left < 0 else ERROR)
+        writer.write(http_response(b"x") if left < 0 else ERROR)
 
     return respond
 
@@ -196,12 +196,12 @@
 
 async def test_a_request_whose_class_is_removed_before_its_last_byte_is_served(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
+    async with running_node(tmp_path, backend) as rig:
         client = await head(rig, "/pay")
         await reload(rig, [READ])
         client.writer.write(b"{}")
-        assert (await client.answer()).code == 200
-        assert (await client.pay()).code == 404
+        assert (await client.read_response()).status == 200
+        assert (await client.request_pay()).status == 404
 
 
 @pytest.mark.parametrize(
@@ -213,42 +213,42 @@
 ) -> None:
     respond = erring(1)
     backends = Backend("b0", respond), Backend("b1", respond)
-    async with running(tmp_path, *backends) as rig:
+    async with running_node(tmp_path, *backends) as rig:
         client = await head(rig, "/pay")
         await reload(rig, classes, **limits)
         client.writer.write(b"{}")
-        assert (await client.answer()).code == 200
-        assert sum(backend.got.qsize() for backend in backends) == 2
+        assert (await client.read_response()).status == 200
+        assert sum(backend.requests.qsize() for backend in backends) == 2
     respond = erring(1)
     backends = Backend("b0", respond), Backend("b1", respond)
-    async with running(tmp_path, *backends) as rig:
+    async with running_node(tmp_path, *backends) as rig:
         await reload(rig, classes, **limits)
         client = await head(rig, "/pay")
         client.writer.write(b"{}")
-        assert (await client.answer()).code == 502
-        assert sum(backend.got.qsize() for backend in backends) == 1
+        assert (await client.read_response()).status == 502
+        assert sum(backend.requests.qsize() for backend in backends) == 1
 
 
 async def test_a_class_that_becomes_idempotent_does_not_change_requests_under_way(tmp_path: Path) -> None:
     respond = erring(1)
     backends = Backend("b0", respond), Backend("b1", respond)
-    async with running(tmp_path, *backends) as rig:
+    async with running_node(tmp_path, *backends) as rig:
         client = await head(rig, "/once")
         await reload(rig, [PAY | {"name": "once", "group": "all"}], **{"most-tries": 9})
         client.writer.write(b"{}")
-        assert (await client.answer()).code == 502
-        assert sum(backend.got.qsize() for backend in backends) == 1
+        assert (await client.read_response()).status == 502
+        assert sum(backend.requests.qsize() for backend in backends) == 1
 
 
 async def test_the_deadline_is_that_at_the_requests_head(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend) as rig:
+    async with running_node(tmp_path, backend) as rig:
         client = await head(rig, "/pay")
         await reload(rig, [PAY | {"give-up": 2000, "objective": 1500}])
         client.writer.write(b"{}")
-        assert (await client.answer()).code == 200
-        assert (await client.pay()).code == 200
-        old, new = [int((await backend.got.get()).headers["request-timeout"][:-1]) for _ in range(2)]
+        assert (await client.read_response()).status == 200
+        assert (await client.request_pay()).status == 200
+        old, new = [int((await backend.requests.get()).headers["request-timeout"][:-1]) for _ in range(2)]
         assert new <= 2_000_000 < old
 
 
@@ -283,14 +283,14 @@
 
     async def respond(self, backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         name = message.headers["request-id"].encode()
-        if backend.got.qsize() == 1:
+        if backend.requests.qsize() == 1:
             asyncio.get_running_loop().call_later(STRAY_DELAY_S, self.write, writer, name)
         else:
             await self.stray.wait()
         self.write(writer, name)
 
     def write(self, writer: asyncio.StreamWriter, name: bytes) -> None:
-        writer.write(answer(name))
+        writer.write(http_response(name))
         self.written_at.append(asyncio.get_running_loop().time())
         if len(self.written_at) > 1:
             self.stray.set()
@@ -312,17 +312,19 @@
         late = LateResponses()
         backend = Backend("b0", late.respond)
         (tmp_path / str(number)).mkdir()
-        async with running(tmp_path / str(number), backend) as rig:
-            client = await rig.client()
+        async with running_node(tmp_path / str(number), backend) as rig:
+            client = await rig.connect()
             responses = []
             for _ in range(2):
                 name = client.send("/read")
-                got = await client.answer()
-                responses.append((got.code, got.body) == (200, name.encode()))
+                got = await client.read_response()
+                responses.append((got.status, got.body) == (200, name.encode()))
             if not late.was_in_time:
                 continue
             assert responses == [True, True]
-            assert await asyncio.wait_for(backend.lost.get(), WAIT) == 1  # the stray bytes spoilt it
+            assert (
+                await asyncio.wait_for(backend.closed_connections.get(), WAIT_TIMEOUT_S) == 1
+            )  # the stray bytes spoilt it
             return
     pytest.fail(f"in {PLAYS} plays the second response was never in time")
 
@@ -333,17 +335,17 @@
     await backend.start()
     pool = ConnectionPool(BASE, 9, RequestStatistics(), StreamMemory(64.0))
     pool.update(
-        update_from_json({"revision": 1, "complete": True, "members": [backend.member()]}).members, True
+        update_from_json({"revision": 1, "complete": True, "members": [backend.list_entry()]}).members, True
     )
     ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
     back = -REUSE_DELAY_S
     for count in range(1, 4):
         pool.start_attempt("b0", b"GET / HTTP/1.1\r\nRequest-Id: %d\r\n\r\n" % count, ends.put_nowait)
-        await asyncio.wait_for(backend.got.get(), WAIT)
+        await asyncio.wait_for(backend.requests.get(), WAIT_TIMEOUT_S)
         assert loop.time() - back >= REUSE_DELAY_S
-        assert (await asyncio.wait_for(ends.get(), WAIT)).body == b"b0 %d" % count
+        assert (await asyncio.wait_for(ends.get(), WAIT_TIMEOUT_S)).body == b"b0 %d" % count
         back = pool.endpoints["b0"].idle[0].idle_since
-    assert backend.connections == pool.connection_count == 1
+    assert backend.connection_count == pool.connection_count == 1
     pool.close()
     backend.stop()
 
@@ -354,7 +356,7 @@
     peer = await here.idle()
     attempt = here.start(b"two")
     assert attempt.is_sent
-    await asyncio.get_running_loop().sock_sendall(peer, answer(b"x"))
+    await asyncio.get_running_loop().sock_sendall(peer, http_response(b"x"))
     assert await here.end() is api.AttemptStatus.OK
     attempt = here.start(b"three")
     assert not attempt.is_sent
@@ -365,7 +367,7 @@
         assert await here.end() is api.AttemptStatus.NOT_STARTED
     else:
         if spoil == "bytes":
-            await asyncio.get_running_loop().sock_sendall(peer, answer(b"late"))
+            await asyncio.get_running_loop().sock_sendall(peer, http_response(b"late"))
         else:
             peer.shutdown(socket.SHUT_WR)
         assert await here.end() is api.AttemptStatus.NOT_STARTED
@@ -389,7 +391,7 @@
         on.freely = 9
         client, module = await on.client(), on.node
         name = send(client, path)
-        await on.until(lambda: sum(backend.got.qsize() for backend in backends) == 1)
+        await on.until(lambda: sum(backend.requests.qsize() for backend in backends) == 1)
         request = module.requests.open[name]
         item = request.attempts[0]
         connection = item.attempt.connection if item.attempt is not None else None
@@ -397,12 +399,12 @@
         due: dict[str, Callable[[], None]] = {
             "deadline": partial(module.requests.expire_deadline, request),
             "timeout": partial(module.requests.expire_attempt, item),
-            "answer": partial(connection.data_received, answer(b"x")),
+            "answer": partial(connection.data_received, http_response(b"x")),
         }
         for what in order:
             due[what]()
-        assert ((await client.answer()).code == 200) == (order[0] == "answer")
-        assert (await client.ask("/up")).body.endswith(b"up\n")  # and not a second answer
+        assert ((await client.read_response()).status == 200) == (order[0] == "answer")
+        assert (await client.request("/up")).body.endswith(b"up\n")  # and not a second answer
         ends = [count for what, count in module.counts.items() if what.startswith("attempt_")]
         assert sum(ends) == len(request.attempts) and on.nothing_left()
         assert sum(sum(counts.values()) for counts in module.statistics.outcomes.values()) == 1
@@ -427,7 +429,7 @@
 
     async def end(self) -> api.AttemptStatus:
         """How it ends."""
-        return (await asyncio.wait_for(self.ends.get(), WAIT)).status
+        return (await asyncio.wait_for(self.ends.get(), WAIT_TIMEOUT_S)).status
 
     async def idle(self) -> socket.socket:
         """The backend's end of a connection that has served one request and rested."""
@@ -439,9 +441,9 @@
         # What it says behind an answer is not to wait in its system until the node has acknowledged that.
         peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         assert await loop.sock_recv(peer, 9) == b"one"
-        await loop.sock_sendall(peer, answer(b"x"))
+        await loop.sock_sendall(peer, http_response(b"x"))
         assert await self.end() is api.AttemptStatus.OK
-        await rested()
+        await wait_until_reusable()
         return peer
 
     def close(self) -> None:
@@ -473,7 +475,7 @@
             other, _ = await loop.sock_accept(here.listener)
             other.setblocking(False)
             assert await loop.sock_recv(other, 9) == b"two"
-            await loop.sock_sendall(other, answer(b"x"))
+            await loop.sock_sendall(other, http_response(b"x"))
             assert await here.end() is api.AttemptStatus.OK
             assert here.pool.connection_count == 1
             here.pool.close()
@@ -491,7 +493,7 @@
         here = Peer()
         peer = await here.idle()
         peer.setblocking(True)
-        peer.settimeout(WAIT)
+        peer.settimeout(WAIT_TIMEOUT_S)
         attempt = here.start(b"two")
         assert attempt.is_sent and peer.recv(9) == b"two"  # without a turn of the loop in between
         assert attempt.connection is not None and attempt.connection.transport is not None
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -22,9 +22,18 @@
     Upload,
 )
 from tests.helpers import BASE, answers, node, sends
-from tests.sockets import PATIENT, WAIT, Backend, Client, Message, Rig, answer, running
+from tests.sockets import (
+    LONG_DEADLINES,
+    WAIT_TIMEOUT_S,
+    Backend,
+    Client,
+    Message,
+    Rig,
+    http_response,
+    running_node,
+)
 from tests.test_console import CONSOLE
-from tests.test_node import says
+from tests.test_node import respond_with
 
 MB = 1024 * 1024
 PIECE = bytes(range(256)) * 256  # 64 KiB
@@ -41,10 +50,10 @@
     upload.feed(b"a" * MAX_REPLAY_BYTES)
     assert flow == [False]  # nobody takes it: the client waits
     upload.attach(lambda: None)
-    assert len(upload.take()) == MAX_REPLAY_BYTES and flow == [False, True] and not upload.is_spent
+    assert len(upload.take()) == MAX_REPLAY_BYTES and flow == [False, True] and not upload.is_prefix_dropped
     upload.attach(lambda: None)
     upload.feed(b"b")
-    assert upload.take() == b"a" * MAX_REPLAY_BYTES + b"b" and upload.is_spent
+    assert upload.take() == b"a" * MAX_REPLAY_BYTES + b"b" and upload.is_prefix_dropped
     upload.discard()
     upload.feed(b"c")
     assert upload.take() == b"" and memory.stream_count == 0
@@ -146,10 +155,10 @@
     return respond
 
 
-async def ask_long(client: Client, target: str = "/read", *headers: str) -> Message:
+async def request_streamed(client: Client, target: str = "/read", *headers: str) -> Message:
     """A request with a long answer."""
     client.send(target, *headers)
-    return await asyncio.wait_for(read_long(client.reader), WAIT)
+    return await asyncio.wait_for(read_long(client.reader), WAIT_TIMEOUT_S)
 
 
 @pytest.mark.parametrize("size", [0, 1, 65_536, 65_537, 5_000_000])
@@ -157,13 +166,13 @@
 async def test_answers_of_any_size_and_framing_come_whole(tmp_path: Path, size: int, form: str) -> None:
     head = {"length": b"Content-Length: %d\r\n" % size, "chunked": b"transfer-encoding: Chunked\r\n"}
     backend = Backend("b0", gives(size, head.get(form, b""), form == "chunked", form == "end"))
-    async with running(tmp_path, backend, console=CONSOLE) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, backend, console=CONSOLE) as rig:
+        client = await rig.connect()
         for _ in range(2):
-            got = await ask_long(client)
-            assert got.code == 200 and got.body == (PIECE * (size // len(PIECE) + 1))[:size]
+            got = await request_streamed(client)
+            assert got.status == 200 and got.body == (PIECE * (size // len(PIECE) + 1))[:size]
         assert "connection" not in got.headers
-        assert backend.connections == (2 if form == "end" else 1)
+        assert backend.connection_count == (2 if form == "end" else 1)
         figures = await rig.stats()
         assert figures["completed"]["read"] == 2 and figures["pending"] == 0
 
@@ -179,9 +188,9 @@
     await backend.start()
     reader, writer = await asyncio.open_connection("127.0.0.1", backend.port)
     writer.write(b"GET / HTTP/1.1\r\n\r\n")
-    assert len(await asyncio.wait_for(reader.read(-1), WAIT)) > 400 * len(PIECE)
+    assert len(await asyncio.wait_for(reader.read(-1), WAIT_TIMEOUT_S)) > 400 * len(PIECE)
     writer.close()
-    await asyncio.wait_for(backend.lost.get(), WAIT)
+    await asyncio.wait_for(backend.closed_connections.get(), WAIT_TIMEOUT_S)
     backend.stop()
 
 
@@ -189,29 +198,29 @@
     go = asyncio.Event()
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        head = b"Transfer-Encoding: chunked" if "chunked" in message.start else b"Content-Length: 100000"
-        first = b"5\r\nfirst\r\n" if "chunked" in message.start else b"first"
+        head = b"Transfer-Encoding: chunked" if "chunked" in message.start_line else b"Content-Length: 100000"
+        first = b"5\r\nfirst\r\n" if "chunked" in message.start_line else b"first"
         writer.write(OK + head + b"\r\n\r\n" + first)
         await go.wait()
-        writer.write(b"4\r\nlast\r\n0\r\n\r\n" if "chunked" in message.start else b"x" * 99_995)
+        writer.write(b"4\r\nlast\r\n0\r\n\r\n" if "chunked" in message.start_line else b"x" * 99_995)
 
-    async with running(tmp_path, Backend("b0", respond), console=CONSOLE, **PATIENT) as rig:
+    async with running_node(tmp_path, Backend("b0", respond), console=CONSOLE, **LONG_DEADLINES) as rig:
         for target in ("/read", "/read?chunked"):
             go.clear()
-            client = await rig.client()
+            client = await rig.connect()
             client.send(target)
-            assert await asyncio.wait_for(client.reader.readuntil(b"first"), WAIT)
+            assert await asyncio.wait_for(client.reader.readuntil(b"first"), WAIT_TIMEOUT_S)
             assert (await rig.stats())["pending"] == 1
             go.set()
             end = b"last" if "chunked" in target else b"x" * 9000
-            assert await asyncio.wait_for(client.reader.readuntil(end), WAIT)
+            assert await asyncio.wait_for(client.reader.readuntil(end), WAIT_TIMEOUT_S)
 
 
 async def test_a_long_answer_that_breaks_looks_broken(tmp_path: Path) -> None:
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        if "end" in message.start:
+        if "end" in message.start_line:
             writer.write(OK + b"\r\n" + PIECE * 2)
-        elif "chunked" in message.start:
+        elif "chunked" in message.start_line:
             writer.write(OK + b"Transfer-Encoding: chunked\r\n\r\n10000\r\n" + PIECE + b"\r\n10\r\nx")
         else:
             writer.write(OK + b"Content-Length: 200000\r\n\r\n" + PIECE)
@@ -220,12 +229,12 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # a reset, no end
         writer.transport.abort()
 
-    async with running(tmp_path, Backend("b0", respond), console=CONSOLE) as rig:
+    async with running_node(tmp_path, Backend("b0", respond), console=CONSOLE) as rig:
         for target in ("/read", "/read?chunked", "/read?end"):
-            client = await rig.client()
+            client = await rig.connect()
             client.send(target)
             with pytest.raises(asyncio.IncompleteReadError):  # a clean end, short of what the head says
-                await asyncio.wait_for(read_long(client.reader), WAIT)
+                await asyncio.wait_for(read_long(client.reader), WAIT_TIMEOUT_S)
         assert (await rig.stats())["failed"]["read"] == 3
 
 
@@ -239,12 +248,12 @@
             wrote[0] += len(PIECE)
             await writer.drain()
 
-    async with running(tmp_path, Backend("b0", respond), console=CONSOLE, **PATIENT) as rig:
-        clients = [await rig.client() for _ in range(8)]
+    async with running_node(tmp_path, Backend("b0", respond), console=CONSOLE, **LONG_DEADLINES) as rig:
+        clients = [await rig.connect() for _ in range(8)]
         for client in clients:
             client.send("/read")
         for client in clients:
-            await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT)
+            await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
         before = -1
         while wrote[0] != before:  # until nobody takes any more
             before = wrote[0]
@@ -254,7 +263,7 @@
         for client in clients:
             digest = hashlib.sha256()
             for _ in range(MAX_BODY_BYTES // len(PIECE)):
-                digest.update(await asyncio.wait_for(client.reader.readexactly(len(PIECE)), WAIT))
+                digest.update(await asyncio.wait_for(client.reader.readexactly(len(PIECE)), WAIT_TIMEOUT_S))
             assert digest.digest() == hashlib.sha256(PIECE * (MAX_BODY_BYTES // len(PIECE))).digest()
         assert (await rig.stats())["completed"]["read"] == 8
         assert _memory_mb(rig) < 40
@@ -265,7 +274,7 @@
     return pages * 4096 / MB
 
 
-def body_reader(got: list[bytes], reply: bytes = answer(b"done")) -> Respond:
+def body_reader(got: list[bytes], reply: bytes = http_response(b"done")) -> Respond:
     """Take a body by its length or chunked, then answer."""
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -295,8 +304,8 @@
     got: list[bytes] = []
     body = (PIECE * (size // len(PIECE) + 1))[:size]
     backend = Backend("b0", body_reader(got))
-    async with running(tmp_path, backend, console=CONSOLE, **PATIENT) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, backend, console=CONSOLE, **LONG_DEADLINES) as rig:
+        client = await rig.connect()
         for name in ("1", "2"):
             client.writer.write(upload_head(None if chunked else size, name))
             for at in range(0, size, 50_000):
@@ -305,10 +314,10 @@
                 await client.writer.drain()
             if chunked:
                 client.writer.write(b"0\r\nRequest-Id: 77\r\n\r\n")
-            answered = await client.answer()
-            assert (answered.code, answered.body) == (200, b"done") and got.pop() == body
-            assert (await backend.got.get()).headers["request-id"] == name
-        assert backend.connections == 1
+            answered = await client.read_response()
+            assert (answered.status, answered.body) == (200, b"done") and got.pop() == body
+            assert (await backend.requests.get()).headers["request-id"] == name
+        assert backend.connection_count == 1
         assert (await rig.stats())["upstream_requests"] == 2
 
 
@@ -317,86 +326,86 @@
 
     got: list[bytes] = []
     classes = [{"name": "once", "effect": "fragile", "give-up": 1000, "objective": 900}]
-    async with running(tmp_path, Backend("b0", body_reader(got)), **{"request-classes": classes}) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, Backend("b0", body_reader(got)), **{"request-classes": classes}) as rig:
+        client = await rig.connect()
         client.writer.write(upload_head(4 * len(PIECE)))
         for _ in range(4):
             client.writer.write(PIECE)
             await asyncio.sleep(0.3)
-        assert (await client.answer()).code == 200 and got == [PIECE * 4]
+        assert (await client.read_response()).status == 200 and got == [PIECE * 4]
 
 
 async def test_a_long_body_goes_to_another_backend_while_its_prefix_is_held(tmp_path: Path) -> None:
     got: list[bytes] = []
     dead, alive = Backend("b0"), Backend("b1", body_reader(got))
-    async with running(tmp_path, dead, alive, **PATIENT) as rig:
+    async with running_node(tmp_path, dead, alive, **LONG_DEADLINES) as rig:
         dead.stop()
         for name in range(8):  # about half of them draw the dead one first
-            client = await rig.client()
+            client = await rig.connect()
             client.writer.write(upload_head(100_000, str(name)) + b"y" * 100_000)
-            assert (await client.answer()).code == 200
+            assert (await client.read_response()).status == 200
         assert got == [b"y" * 100_000] * 8
 
 
 async def test_a_body_that_breaks_off_or_makes_no_sense_ends_its_attempt(tmp_path: Path) -> None:
     backend = Backend("b0", body_reader([]))
-    async with running(tmp_path, backend, console=CONSOLE, **PATIENT) as rig:
-        leaver, garbler = await rig.client(), await rig.client()
+    async with running_node(tmp_path, backend, console=CONSOLE, **LONG_DEADLINES) as rig:
+        leaver, garbler = await rig.connect(), await rig.connect()
         leaver.writer.write(upload_head(1_000_000) + PIECE * 2)
         await asyncio.sleep(0)
         while (await rig.stats())["pending"] == 0:
             pass
         leaver.writer.transport.abort()
-        await backend.lost.get()
+        await backend.closed_connections.get()
         garbler.writer.write(upload_head(None, "2") + b"20000\r\n" + PIECE * 2 + b"\r\nnonsense\r\n")
-        assert (await garbler.answer()).code == 400
-        assert await garbler.ended() == b""
-        await backend.lost.get()
+        assert (await garbler.read_response()).status == 400
+        assert await garbler.read_until_closed() == b""
+        await backend.closed_connections.get()
         figures = await rig.stats()
         assert (figures["pending"], figures["upstream_requests"]) == (0, 0)
 
 
 async def test_a_body_that_stalls_gets_an_error_in_time(tmp_path: Path) -> None:
-    backend = Backend("b0", says(b""))
-    async with running(tmp_path, backend, **PATIENT) as rig:
-        client = await rig.client()
+    backend = Backend("b0", respond_with(b""))
+    async with running_node(tmp_path, backend, **LONG_DEADLINES) as rig:
+        client = await rig.connect()
         client.writer.write(upload_head(1_000_000) + PIECE + b"more")
-        assert (await client.answer()).code == 408
-        assert await client.ended() == b""
-        await backend.lost.get()
+        assert (await client.read_response()).status == 408
+        assert await client.read_until_closed() == b""
+        await backend.closed_connections.get()
 
 
 async def test_a_refusal_reaches_a_client_that_still_sends(tmp_path: Path) -> None:
-    async with running(tmp_path, **PATIENT) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, **LONG_DEADLINES) as rig:
+        client = await rig.connect()
         client.writer.write(upload_head(3_000_000))
         for _ in range(46):
             client.writer.write(PIECE[:65_000])
             await client.writer.drain()
         client.writer.write(b"z" * (3_000_000 - 46 * 65_000))
-        got = await client.answer()
-        assert got.code == 503 and got.headers["connection"] == "close"
-        assert await client.ended() == b""
+        got = await client.read_response()
+        assert got.status == 503 and got.headers["connection"] == "close"
+        assert await client.read_until_closed() == b""
 
 
 async def test_a_client_that_waits_to_be_let_on_is(tmp_path: Path) -> None:
     got: list[bytes] = []
-    async with running(tmp_path, Backend("b0", body_reader(got)), **PATIENT) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, Backend("b0", body_reader(got)), **LONG_DEADLINES) as rig:
+        client = await rig.connect()
         client.writer.write(upload_head(3, "1", "Expect: 100-continue"))
-        interim = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT)
+        interim = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
         assert interim.startswith(b"HTTP/1.1 100 ")
         client.writer.write(b"abc")
-        assert (await client.answer()).code == 200 and got == [b"abc"]
+        assert (await client.read_response()).status == 200 and got == [b"abc"]
 
 
 async def test_other_forms_of_a_request(tmp_path: Path) -> None:
     """A whole address as the target is sent on without its host; HTTP/1.0 gets no chunks and a close."""
 
     backend = Backend("b0", gives(100_000, b"Transfer-Encoding: chunked\r\n", True))
-    async with running(tmp_path, backend) as rig:
-        client = await rig.client()
+    async with running_node(tmp_path, backend) as rig:
+        client = await rig.connect()
         client.writer.write(b"GET http://api.internal/read/1?a=b HTTP/1.0\r\nRequest-Id: 1\r\n\r\n")
-        got = await asyncio.wait_for(read_long(client.reader), WAIT)
+        got = await asyncio.wait_for(read_long(client.reader), WAIT_TIMEOUT_S)
         assert len(got.body) == 100_000 and "transfer-encoding" not in got.headers
-        assert (await backend.got.get()).start == "GET /read/1?a=b HTTP/1.1"
+        assert (await backend.requests.get()).start_line == "GET /read/1?a=b HTTP/1.1"
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -25,14 +25,14 @@
 from balancer.net.response_parser import MAX_HEADER_BYTES
 from balancer.net.statistics import CloseReason, RequestStatistics
 from balancer.net.stream import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, StreamMemory
-from tests.sockets import HOUR, WAIT, Backend, Client, Message, answer, running
+from tests.sockets import HOUR_MS, WAIT_TIMEOUT_S, Backend, Client, Message, http_response, running_node
 from tests.test_console import CONSOLE
-from tests.test_node import _list
-from tests.test_size import Respond, ask_long, upload_head
+from tests.test_node import _endpoint_update
+from tests.test_size import Respond, request_streamed, upload_head
 
 REQUEST = b"GET /read HTTP/1.1\r\nHost: b\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\n"
-HELLO = answer(b"hello")
+HELLO = http_response(b"hello")
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3;a=b\r\nyou\r\n0\r\nEnd: x\r\n\r\n"
 UNKNOWN = HEAD + b"Server-Load: TEXT inflight=1\r\n\r\nhello"
 READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline=1000.0)
@@ -70,22 +70,25 @@
     async def accepted(self) -> socket.socket:
         """The backend's end of a new connection, once the request has come on it."""
         waits = asyncio.get_running_loop().sock_accept(self.listener)
-        peer, _ = await asyncio.wait_for(waits, WAIT)
+        peer, _ = await asyncio.wait_for(waits, WAIT_TIMEOUT_S)
         await self.asked(peer)
         return peer
 
     async def asked(self, peer: socket.socket) -> None:
         """Once the request has come."""
-        assert await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 1000), WAIT) == REQUEST
+        assert (
+            await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 1000), WAIT_TIMEOUT_S)
+            == REQUEST
+        )
 
     async def read(self, count: int) -> None:
         """Once the pool has read so many bytes more."""
         while count > 0:
-            count -= await asyncio.wait_for(self.reads.get(), WAIT)
+            count -= await asyncio.wait_for(self.reads.get(), WAIT_TIMEOUT_S)
 
     async def ended(self) -> AttemptResult:
         """The attempt's one end."""
-        return await asyncio.wait_for(self.ends.get(), WAIT)
+        return await asyncio.wait_for(self.ends.get(), WAIT_TIMEOUT_S)
 
     def rested(self) -> None:
         """What rests has done so for a second."""
@@ -143,7 +146,7 @@
             RequestStatistics(),
             StreamMemory(64.0),
         )
-        pool.update(_list("b0", listener.getsockname()[1]), True)
+        pool.update(_endpoint_update("b0", listener.getsockname()[1]), True)
         try:
             await body(Wire(pool, listener, reads, connections))
         finally:
@@ -313,10 +316,12 @@
 
     async def body(wire: Wire) -> None:
         wire.start()
-        peer, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(wire.listener), WAIT)
+        peer, _ = await asyncio.wait_for(
+            asyncio.get_running_loop().sock_accept(wire.listener), WAIT_TIMEOUT_S
+        )
         assert (await wire.ended()).status is AttemptStatus.CONNECT_FAILED and wire.pool.connection_count == 0
         with pytest.raises(ConnectionError):  # or nothing, but no request
-            if await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 10), WAIT) == b"":
+            if await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 10), WAIT_TIMEOUT_S) == b"":
                 raise ConnectionError
         peer.close()
 
@@ -345,7 +350,7 @@
         if other is peer:
             await wire.asked(peer)
         assert wire.pool.connection_count == 1
-        other.send(answer(b"mine"))
+        other.send(http_response(b"mine"))
         assert (await wire.ended()).body == b"mine"
         for sock in (peer, other):
             sock.close()
@@ -406,7 +411,7 @@
             peer.send(b"H")
         else:
             shut(peer, Close.FIN if late == "end" else Close.RST)
-        await asyncio.wait_for(lost.wait(), WAIT)
+        await asyncio.wait_for(lost.wait(), WAIT_TIMEOUT_S)
         assert wire.pool.connection_count == 0 and wire.ends.empty()
         peer.close()
 
@@ -425,7 +430,7 @@
     play: Play, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against beginning the next answer on that connection before its backend has."""
-    monkeypatch.setattr(backend_connection, "STREAMING_DELAY_S", 2 * WAIT)
+    monkeypatch.setattr(backend_connection, "STREAMING_DELAY_S", 2 * WAIT_TIMEOUT_S)
 
     async def body(wire: Wire) -> None:
         wire.start()
@@ -478,14 +483,14 @@
             assert not attempt.has_long_response  # it has not even begun
             peer = await wire.accepted()
             peer.send(HEAD + head + b"\r\nhello")
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while not wire.begun:
                     await asyncio.sleep(0)
             connection = attempt.connection
             assert connection is not None
-            connection.streaming_since += HOUR  # it is not over yet
+            connection.streaming_since += HOUR_MS  # it is not over yet
             assert attempt.has_long_response
-            connection.streaming_since -= 2 * HOUR
+            connection.streaming_since -= 2 * HOUR_MS
             assert attempt.has_long_response == bool(head)
             connection.pause_reading()
             assert attempt.has_long_response
@@ -527,7 +532,7 @@
 async def breaks_off(client: Client, framed: bool) -> None:
     """An end that no client takes for that of the answer: short of its last chunk, or a reset."""
     try:
-        rest = await client.ended()
+        rest = await client.read_until_closed()
     except ConnectionError:
         return
     assert framed and not rest.endswith(b"0\r\n\r\n")
@@ -539,16 +544,16 @@
     tmp_path: Path, head: bytes, version: bytes
 ) -> None:
     backend = Backend("b0", drips(head, chunk(9) if head else b"x" * 9, 0.05, 10**9))
-    async with running(tmp_path, backend, console=CONSOLE) as rig:
-        client, loop = await rig.client(), asyncio.get_running_loop()
+    async with running_node(tmp_path, backend, console=CONSOLE) as rig:
+        client, loop = await rig.connect(), asyncio.get_running_loop()
         client.writer.write(
             b"GET /read HTTP/%b\r\nRequest-Id: 1\r\nRequest-Timeout: %dm\r\n\r\n" % (version, TIME * 1000)
         )
         begun = loop.time()
-        assert await asyncio.wait_for(client.reader.readuntil(b"xxx"), WAIT)
+        assert await asyncio.wait_for(client.reader.readuntil(b"xxx"), WAIT_TIMEOUT_S)
         await breaks_off(client, version == b"1.1")
         assert loop.time() - begun < TIME + BUSY
-        await backend.lost.get()
+        await backend.closed_connections.get()
         figures = await rig.stats()
         assert (figures["failed"]["read"], figures["pending"]) == (1, 0)
 
@@ -556,15 +561,15 @@
 async def test_one_that_begins_before_its_request_is_whole_is_broken_off_too(tmp_path: Path) -> None:
     """From then on the client's time runs: nobody wants the rest of the body."""
     backend = Backend("b0", drips(b"", b"x" * 9, 0.05, 10**9))
-    async with running(tmp_path, backend, console=CONSOLE) as rig:
-        client, loop = await rig.client(), asyncio.get_running_loop()
+    async with running_node(tmp_path, backend, console=CONSOLE) as rig:
+        client, loop = await rig.connect(), asyncio.get_running_loop()
         head = upload_head(None, "1", f"Request-Timeout: {TIME * 1000:.0f}m")
         client.writer.write(head + chunk(MAX_BUFFERED_BODY_BYTES + 1))
-        assert await asyncio.wait_for(client.reader.readuntil(b"xxx"), WAIT)
+        assert await asyncio.wait_for(client.reader.readuntil(b"xxx"), WAIT_TIMEOUT_S)
         begun = loop.time()
         await breaks_off(client, True)
         assert loop.time() - begun < TIME + BUSY
-        await backend.lost.get()
+        await backend.closed_connections.get()
         figures = await rig.stats()
         assert (figures["failed"]["once"], figures["pending"]) == (1, 0)
 
@@ -574,10 +579,10 @@
     chunked = b"chunked" in head
     piece = chunk(8000) if chunked else b"x" * 8000
     backend = Backend("b0", drips(head, piece, 0.08, 20, b"0\r\n\r\n" if chunked else b""))
-    async with running(tmp_path, backend, console=CONSOLE) as rig:
-        client = await rig.client()
-        got = await ask_long(client, "/read", f"Request-Timeout: {TIME * 1000:.0f}m")
-        assert got.code == 200 and len(got.body) == 160_000
+    async with running_node(tmp_path, backend, console=CONSOLE) as rig:
+        client = await rig.connect()
+        got = await request_streamed(client, "/read", f"Request-Timeout: {TIME * 1000:.0f}m")
+        assert got.status == 200 and len(got.body) == 160_000
         assert (await rig.stats())["completed"]["read"] == 1
 
 
@@ -592,7 +597,7 @@
         wire.pool.warnings.clock = lambda: now[0]
         for _ in range(20):
             await wire.exchange(b"nonsense\r\n", Close.NOT, False)
-        await wire.exchange(answer(b"", "200 OK", "Server-Load: many"), Close.NOT, False)
+        await wire.exchange(http_response(b"", "200 OK", "Server-Load: many"), Close.NOT, False)
         wire.pool.close_idle("b0")
         now[0] += 10.0
         await wire.exchange(b"nonsense\r\n", Close.NOT, False)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -23,22 +23,22 @@
 from balancer.net.json_stream import LONG_OBJECT_BYTES
 from balancer.net.process_slots import ProcessSlots, SlotError
 from balancer.net.shutdown import seconds_until_kill
-from balancer.net.state_handover import take_learned, write_learned
+from balancer.net.state_handover import consume_learned, write_learned
 from balancer.policy import Balancer
 from tests.helpers import BASE, SAFE, entry
 from tests.sockets import (
-    PATIENT,
-    WAIT,
+    LONG_DEADLINES,
+    WAIT_TIMEOUT_S,
     Backend,
     FakeDiscovery,
     Message,
     Rig,
-    configuration,
     echo,
-    happens,
-    running,
-    spawn,
-    started,
+    node_config,
+    running_node,
+    spawn_node,
+    started_node,
+    wait_until_async,
 )
 from tests.test_console import CONSOLE
 
@@ -58,15 +58,15 @@
     new = ProcessSlots(tmp_path / "x", lambda beside: told.append(("new", beside)))
     assert not old.acquire() and new.acquire()
     old.refresh_periodically()
-    assert told == [("old", True)] and not old.peer_was_first and new.peer_was_first
+    assert told == [("old", True)] and not old.peer_started_first and new.peer_started_first
     old.stop()
     new.stop()
     old.release()
     new.refresh_periodically()
-    assert told[1:] == [("new", False)] and not new.peer_was_first
+    assert told[1:] == [("new", False)] and not new.peer_started_first
     new.stop()
     third = ProcessSlots(tmp_path / "x", lambda beside: None)
-    assert third.acquire() and third.peer_was_first
+    assert third.acquire() and third.peer_started_first
     third.stop()
 
 
@@ -114,7 +114,7 @@
 
 def test_each_of_two_processes_keeps_to_its_part_of_the_descriptors(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(configuration([], 1, sockets=384)))
+    path.write_text(json.dumps(node_config([], 1, sockets=384)))
     config = load({"PROXY_CONFIG": str(path)})
     clients, upstream = config.limits_per_process(2)
     own = 32 + 16 + 2  # the process's, and clients that are turned away or leave
@@ -140,39 +140,39 @@
     go = asyncio.Event()
 
     async def slow(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        if "/read?wait" in message.start:
+        if "/read?wait" in message.start_line:
             await go.wait()
         await echo(backend, message, writer)
 
     backend, other = Backend("b0", slow), Backend("b1", slow)
     with reserved_port() as port:
         listen = f"127.0.0.1:{port}"
-        async with running(tmp_path, backend, other, console=CONSOLE, listen=listen) as old:
-            await old.discovery.asked.get()
-            kept, busy = await old.client(), await old.client()
-            assert (await kept.ask("/read")).code == 200
+        async with running_node(tmp_path, backend, other, console=CONSOLE, listen=listen) as old:
+            await old.discovery.watch_targets.get()
+            kept, busy = await old.connect(), await old.connect()
+            assert (await kept.request("/read")).status == 200
             busy.send("/read?wait")
-            assert (await old.call("/backends/b1/maint", "POST")).code == 200
-            task = asyncio.create_task(_news(old.discovery))
-            async with started(old.config, old.discovery) as new:
+            assert (await old.call_console("/backends/b1/maint", "POST")).status == 200
+            task = asyncio.create_task(_send_endpoint_update(old.discovery))
+            async with started_node(old.config, old.discovery) as new:
                 await task
-                assert (await new.call("/healthcheck")).code == 200
+                assert (await new.call_console("/healthcheck")).status == 200
                 assert (await new.stats())["members_unavailable"] == 1
-                await new.logged("handover: learned state taken over")
+                await new.wait_for_log("handover: learned state taken over")
                 old.terminate()
-                while (await old.call("/healthcheck")).code == 200:
+                while (await old.call_console("/healthcheck")).status == 200:
                     pass
                 for _ in range(40):  # a process that is about to end would say `Connection: close`
-                    got = await (await new.client()).ask("/read")
-                    assert got.code == 200 and "connection" not in got.headers
-                up = await kept.ask("/up")
-                assert up.code == 200 and up.headers["connection"] == "close"
+                    got = await (await new.connect()).request("/read")
+                    assert got.status == 200 and "connection" not in got.headers
+                up = await kept.request("/up")
+                assert up.status == 200 and up.headers["connection"] == "close"
                 go.set()
-                got = await busy.answer()
-                assert got.code == 200 and got.headers["connection"] == "close"
-                assert await old.end() == 0
-                assert (await (await new.client()).ask("/read")).code == 200
-                assert (await new.call("/backends/b1/ready", "POST")).code == 200
+                got = await busy.read_response()
+                assert got.status == 200 and got.headers["connection"] == "close"
+                assert await old.wait_for_exit() == 0
+                assert (await (await new.connect()).request("/read")).status == 200
+                assert (await new.call_console("/backends/b1/ready", "POST")).status == 200
 
 
 async def test_a_new_version_takes_over_while_a_long_list_comes_in(tmp_path: Path) -> None:
@@ -181,62 +181,66 @@
     await comes.start()
     with reserved_port() as port:
         listen = f"127.0.0.1:{port}"
-        async with running(tmp_path, keeps, gone, console=CONSOLE, listen=listen, **PATIENT) as old:
+        async with running_node(
+            tmp_path, keeps, gone, console=CONSOLE, listen=listen, **LONG_DEADLINES
+        ) as old:
             discovery = old.discovery
-            rows = [keeps.member(), *(comes.member(id=f"c{i}") for i in range(3000))]
+            rows = [keeps.list_entry(), *(comes.list_entry(id=f"c{i}") for i in range(3000))]
             line = json.dumps({"revision": 42, "complete": True, "members": rows}).encode() + b"\n"
             assert len(line) > 4 * LONG_OBJECT_BYTES and len(rows) > 4 * MAX_SHORT_UPDATE
-            await discovery.asked.get()
-            kept, to_old = await old.client(), discovery.writer
+            await discovery.watch_targets.get()
+            kept, to_old = await old.connect(), discovery.writer
             assert to_old is not None
-            discovery.send(line[: len(line) // 2])
-            assert (await kept.ask("/read")).code == 200
+            discovery.send_chunk(line[: len(line) // 2])
+            assert (await kept.request("/read")).status == 200
 
-            process = await spawn(old.config)
+            process = await spawn_node(old.config)
             new = Rig(process, port, discovery, [], old.config)
             try:
-                await new.logged("taking over")
-                assert await discovery.asked.get() == "/discovery/hosts?watch=1&from=41"
+                await new.wait_for_log("taking over")
+                assert await discovery.watch_targets.get() == "/discovery/hosts?watch=1&from=41"
                 at, size, pieces = 0, 1, list[bytes]()
                 while at < len(line):
                     pieces.append(line[at : at + size])
                     at, size = at + size, size * 7 % 99_991 + 1
                 for piece in pieces[:-1]:
-                    discovery.send(piece)
-                assert (await kept.ask("/read")).code == 200
-                assert (await (await old.client()).ask("/read")).code == 200
-                discovery.send(pieces[-1])
-                await new.logged("serves on")
+                    discovery.send_chunk(piece)
+                assert (await kept.request("/read")).status == 200
+                assert (await (await old.connect()).request("/read")).status == 200
+                discovery.send_chunk(pieces[-1])
+                await new.wait_for_log("serves on")
                 ports = re.findall(r"console on \S+:(\d+)", "".join(new.log))
                 new.console_port = int(ports[0])
 
                 async def all_listed() -> bool:
                     return bool((await new.stats())["members"] == len(rows))
 
-                assert await happens(all_listed)
+                assert await wait_until_async(all_listed)
                 assert (await old.stats())["members"] == 2  # half of a list is none
-                assert (await kept.ask("/read")).code == 200
+                assert (await kept.request("/read")).status == 200
 
                 old.terminate()
-                while (await old.call("/healthcheck")).code == 200:
+                while (await old.call_console("/healthcheck")).status == 200:
                     pass
                 discovery.writer = to_old
-                discovery.send(line[len(line) // 2 : -1000])
+                discovery.send_chunk(line[len(line) // 2 : -1000])
                 asked = set[str]()
                 for _ in range(40):  # a process that is about to end would say `Connection: close`
-                    client = await new.client()
+                    client = await new.connect()
                     asked.add(client.send("/read"))
-                    got = await client.answer()
-                    assert got.code == 200 and "connection" not in got.headers
-                last = await kept.ask("/read")
-                assert last.code == 200 and last.headers["connection"] == "close"
-                assert await old.end() == 0
+                    got = await client.read_response()
+                    assert got.status == 200 and "connection" not in got.headers
+                last = await kept.request("/read")
+                assert last.status == 200 and last.headers["connection"] == "close"
+                assert await old.wait_for_exit() == 0
                 assert not any("bad list" in line or "Traceback" in line for line in (*old.log, *new.log))
-                assert (await (await new.client()).ask("/read")).code == 200
-                sent = {gone.got.get_nowait().headers["request-id"] for _ in range(gone.got.qsize())}
+                assert (await (await new.connect()).request("/read")).status == 200
+                sent = {
+                    gone.requests.get_nowait().headers["request-id"] for _ in range(gone.requests.qsize())
+                }
                 assert not sent & asked  # the new one never knew that backend but as gone
                 new.terminate()
-                assert await new.end() == 0
+                assert await new.wait_for_exit() == 0
             finally:
                 if process.returncode is None:
                     process.kill()
@@ -252,30 +256,30 @@
     go = asyncio.Event()
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        if "long" not in message.start:
+        if "long" not in message.start_line:
             await echo(backend, message, writer)
             return
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"x" * 50_000)
         await go.wait()
-        if "ever" not in message.start:
+        if "ever" not in message.start_line:
             writer.write(b"x" * 50_000)
 
-    async with running(tmp_path, Backend("b0", respond)) as rig:
-        long, ever = await rig.client(), await rig.client()
+    async with running_node(tmp_path, Backend("b0", respond)) as rig:
+        long, ever = await rig.connect(), await rig.connect()
         for client, target in ((long, "/read?long"), (ever, "/read?long_for_ever")):
             client.send(target)
             await client.reader.readuntil(b"\r\n\r\n")
         rig.terminate()
-        while (await (await rig.client()).ask("/up")).code != 503:
+        while (await (await rig.connect()).request("/up")).status != 503:
             pass
         go.set()
-        assert await asyncio.wait_for(long.reader.readexactly(100_000), WAIT)
-        got = await long.ask("/read")
-        assert got.code == 200 and got.headers["connection"] == "close"
+        assert await asyncio.wait_for(long.reader.readexactly(100_000), WAIT_TIMEOUT_S)
+        got = await long.request("/read")
+        assert got.status == 200 and got.headers["connection"] == "close"
         with pytest.raises(asyncio.IncompleteReadError) as short:  # what was written of it came: no reset
-            await asyncio.wait_for(ever.reader.readexactly(100_000), WAIT)
+            await asyncio.wait_for(ever.reader.readexactly(100_000), WAIT_TIMEOUT_S)
         assert len(short.value.partial) == 50_000
-        assert await rig.end() == 0
+        assert await rig.wait_for_exit() == 0
 
 
 LEARNED = api.LearnedState(21.5, 0.9, 0.0, {"read": (30.0, 4.0, 0.1)}, {"b0": (0.0, 1.0, math.inf, 1, 90.0)})
@@ -284,9 +288,9 @@
 def test_what_was_learned_is_handed_over_once(tmp_path: Path) -> None:
     path = tmp_path / "x.learned"
     write_learned(path, LEARNED)
-    left = take_learned(path)
+    left = consume_learned(path)
     assert left is not None and left.learned == LEARNED and 0 <= left.age < 10_000
-    assert take_learned(path) is None
+    assert consume_learned(path) is None
     write_learned(tmp_path / "no" / "x.learned", LEARNED)  # nowhere to write: no exception
 
 
@@ -301,23 +305,23 @@
     inner = change.get("learned")
     change = change | ({"learned": table["learned"] | inner} if isinstance(inner, dict) else {})
     path.write_text(json.dumps(table | change))
-    assert take_learned(path) is None
+    assert consume_learned(path) is None
 
 
-async def _news(discovery: FakeDiscovery) -> None:
+async def _send_endpoint_update(discovery: FakeDiscovery) -> None:
     """Tell the second watch that nothing has changed."""
-    await discovery.asked.get()
-    discovery.news(42)
+    await discovery.watch_targets.get()
+    discovery.send_update(42)
 
 
 async def test_a_second_process_that_cannot_listen_leaves_the_first_untouched(tmp_path: Path) -> None:
     backend = Backend("b0")
-    async with running(tmp_path, backend, **PATIENT) as rig:
+    async with running_node(tmp_path, backend, **LONG_DEADLINES) as rig:
         path = tmp_path / "second.json"
         text = json.loads(rig.config.read_text()) | {"listen": f"127.0.0.1:{rig.port}"}
         path.write_text(json.dumps(text | {"discovery": "127.0.0.1:9", "console": CONSOLE}))
-        second = await spawn(path)
+        second = await spawn_node(path)
         _, err = await second.communicate()
         assert second.returncode == 2
         assert err.decode().splitlines()[-1].startswith("balancer: NOD01: listen: ")
-        assert (await (await rig.client()).ask("/read")).code == 200
+        assert (await (await rig.connect()).request("/read")).status == 200
--- a/tests/virtual_discovery.py
+++ b/tests/virtual_discovery.py
@@ -18,7 +18,7 @@
 from balancer.net.discovery import DiscoveryClient
 from balancer.net.endpoints import Address, EndpointUpdate
 from balancer.net.node import Node
-from tests.sockets import configuration
+from tests.sockets import node_config
 
 RECEIVED_AFTER_S = 6.0  # after which what discovery has counts as received, whatever became of earlier calls
 RECEIVED_AFTER_MOVE_S = 4.0  # likewise, from SIGHUP on
@@ -247,7 +247,7 @@
         self.connections = list[DiscoveryConnection]()
         self.requests = list[Request]()
         self.updates = list[AppliedUpdate]()
-        raw = configuration(
+        raw = node_config(
             [], 1, rules={"drain-grace": 2000, "answer-slack": 20, "ask-within": list_max_age_ms}
         )
         raw["settings"]["discovery"] = "subscribe" if must_subscribe else "automatic"
--- a/tests/virtual_run.py
+++ b/tests/virtual_run.py
@@ -20,7 +20,7 @@
 from balancer.lab.run import LEAD_S, TAIL_S
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role, Worker
-from tests.broken_node import StandIn
+from tests.broken_node import DefectiveNode
 
 Address = tuple[str, int]
 ROLES: tuple[Role, ...] = ("backends", "clients", "discovery")
@@ -161,7 +161,7 @@
         self.workers = [Worker(Plan(spec, seed, 0, role, 0, 1, ""), loop.time) for role in ROLES]
         self.clock = self.workers[0].clock
         config = node_configuration(spec, self.places, 0, seed, spec.rules.max_attempts)
-        self.node = StandIn(defect, config, self.crash)
+        self.node = DefectiveNode(defect, config, self.crash)
         self.process_record = records.ProcessRecord(0, 0, -LEAD_S * 1000)
         self.tasks: set[asyncio.Task[Any]] = set()
 
