--- a/balancer/recovery/__init__.py
+++ b/balancer/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery of a whole tier after a power loss: trust in saved state, peer survey, return to service."""
+"""Recover a tier after a power loss: check saved state, survey peers, return to service in phases."""
--- a/balancer/recovery/actions.py
+++ b/balancer/recovery/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a node's recovery asks for. Times are node clock, ms."""
+"""Actions that the recovery core returns to its caller. Times are milliseconds of the node's clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """Send a datagram to one node, or to the whole tier if `node` is None."""
+    """Send a datagram to one node, or to every node of the tier if `node` is None."""
 
     node: int | None
     data: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistEntries:
-    """Write entries of the register. With a token, sync them and report by `WriteCompleted`."""
+    """Write register entries to disk; with a token, sync them and report the result as `WriteCompleted`."""
 
     entries: tuple[BanEntry, ...]
     token: int | None = None
@@ -26,28 +26,28 @@
 
 @dataclass(slots=True, frozen=True)
 class ApplyBan:
-    """Put a ban in force, or lift it, as the register says. It also answers a `BanRequested`."""
+    """Apply or lift a ban at this node to match the register; this also answers a `BanRequested`."""
 
     backend: str
     banned: bool
-    since_ms: float  # -inf if unknown
+    since_ms: float  # -inf means that the time of the ban or lift is unknown
 
 
 @dataclass(slots=True, frozen=True)
 class RequestList:
-    """Poll discovery in this node's slot; `ListReceived` or `ListRequestFailed` follows."""
+    """Request the endpoint list from discovery; `ListReceived` or `ListRequestFailed` follows."""
 
 
 @dataclass(slots=True, frozen=True)
 class RestrictSavedList:
-    """Avoid these backends of the saved list, in place of the previous set."""
+    """Send no requests to these backends of the saved list; replaces the previous set."""
 
     ids: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
 class PhaseEntered:
-    """A phase begins, or the path is known better within one; the reason is its evidence, for the log."""
+    """Report a new phase, or a changed recovery path within a phase; `reason` is the evidence to log."""
 
     phase: Phase
     path: RecoveryPath
@@ -56,11 +56,11 @@
 
 @dataclass(slots=True, frozen=True)
 class CapacityGranted:
-    """The share of the capacity of cold backends that this node may use has changed noticeably."""
+    """Limit this node to a share of the cold backends' capacity; sent when the limit changes noticeably."""
 
-    share: float  # of what all nodes together may use
-    cold_since: float  # node clock: a listed backend of unknown start counts as started then
-    tier_rate: float  # requests a second that the whole tier carried when warm; 0: unknown
+    share: float  # fraction of the capacity that all nodes of the tier may use together
+    cold_since: float  # backends with an unknown start time count as started at this time
+    tier_rate: float  # requests/s that the whole tier carried when warm; 0 if unknown
 
 
 Action = (
--- a/balancer/recovery/ban_controller.py
+++ b/balancer/recovery/ban_controller.py
@@ -1,7 +1,7 @@
-"""Bans in force at this node: requests of its operators, entries of its peers and of its disk.
+"""Apply bans from operator requests, peers and disk at this node.
 
-A request is answered, and its entries are sent to peers, once these are on the disk: a request that fails has
-no effect. A peer's entries apply immediately.
+A request is answered, and its entries are sent to peers, only after the entries are on disk; a failed request
+has no effect. Entries received from peers take effect immediately.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingRequest:
-    """An operator's request whose entries are being written."""
+    """Operator request whose entries are being written to disk."""
 
     request: BanRequested
     entries: list[BanEntry]
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedState:
-    """Last state that was applied for a backend."""
+    """Ban state that was last applied for a backend."""
 
     banned: bool = False
     since: float = -math.inf
@@ -37,36 +37,36 @@
 
 
 class BanController:
-    """Applies the register's changes and spreads them."""
+    """Apply changes of the ban register at this node and send them to peers."""
 
     def __init__(
         self, register: BanRegister, exchange: Exchange, ramp_time_ms: float, actions: list[Action]
     ) -> None:
-        """Create the controller; `ramp_time_ms` (ms) is how long a backend that returned is cold."""
+        """Create the controller; a backend stays cold for `ramp_time_ms` after its ban is lifted."""
         self.register = register
         self.exchange = exchange
         self.ramp_time_ms = ramp_time_ms
         self.counts: Counter[str] = Counter()
-        self.pending: dict[int, PendingRequest] = {}  # by token
+        self.pending: dict[int, PendingRequest] = {}  # maps the token of each request to the request
         self._actions = actions
         self._applied: dict[str, AppliedState] = {}
 
     def restore(self, entries: Sequence[BanEntry], now: float) -> list[BanEntry]:
-        """Merge entries of this node's own disk; return those that changed."""
+        """Merge and apply entries from this node's own disk; return the entries that changed."""
         changed = self.register.restore(entries)
         self.exchange.register_changed(changed)
         self.apply_changes(changed, now)
         return changed
 
-    def entries_learned(self, changed: Sequence[BanEntry], received: Sequence[BanEntry], now: float) -> None:
-        """Persist and apply changes by entries that came; send to all what the register answered with."""
+    def entries_received(self, changed: Sequence[BanEntry], received: Sequence[BanEntry], now: float) -> None:
+        """Persist and apply changes by a peer's entries; send own bans that they caused to be reissued."""
         if changed:
             self._actions.append(PersistEntries(tuple(changed)))
             self.apply_changes(changed, now)
             self.exchange.send_urgently([entry for entry in changed if entry not in received], now)
 
     def request(self, event: BanRequested, now: float) -> None:
-        """Start an operator's request: its entries are written first."""
+        """Start an operator's request by writing its entries to disk."""
         requested_at = min(event.requested_at, now)
         if event.banned:
             entries = [self.register.new_ban(event.backend, requested_at)]
@@ -75,7 +75,7 @@
         self._write(PendingRequest(event, entries))
 
     def write_completed(self, event: WriteCompleted, now: float) -> None:
-        """Commit a request whose entries are on the disk, or undo it."""
+        """Commit a request whose entries are on disk, or undo a request whose write failed."""
         pending = self.pending.pop(event.token, None)
         if pending is None:
             self.counts["unknown_tokens"] += 1
@@ -86,14 +86,14 @@
         reissued = self.register.commit(pending.entries)
         committed = [e for e in pending.entries if self.register.get(e.backend, e.node) == e]
         self.exchange.register_changed(committed)
-        if reissued:  # a former incarnation of this node counted further than its disk knew
+        if reissued:  # a peer has a greater counter of an earlier incarnation, unknown to this node's disk
             self._write(PendingRequest(pending.request, reissued))
             return
         self.exchange.send_urgently(committed, now)
         self.apply_current_state(pending.request.backend)
 
     def apply_changes(self, changed: Iterable[BanEntry], now: float) -> None:
-        """Apply what differs from the last state; a recent lift counts, as that backend is cold."""
+        """Apply states that differ from the last applied ones, and recent lifts, whose backends are cold."""
         for backend in sorted({entry.backend for entry in changed}):
             banned = self.register.is_banned(backend)
             since = self.register.since(backend)
@@ -103,7 +103,7 @@
                 self.apply_current_state(backend)
 
     def apply_current_state(self, backend: str) -> None:
-        """Apply the register's state of a backend."""
+        """Apply the register's current state of a backend."""
         state = AppliedState(self.register.is_banned(backend), self.register.since(backend))
         self._applied[backend] = state
         self._actions.append(ApplyBan(backend, state.banned, state.since))
@@ -114,13 +114,13 @@
         self._actions.append(PersistEntries(tuple(pending.entries), token))
 
     def _undo(self, pending: PendingRequest) -> None:
-        """Undo what may have got to the disk all the same, of a request that failed."""
+        """Reverse the entries of a failed request, which may be on disk despite the error."""
         self.counts["calls_failed"] += 1
         backend = pending.request.backend
         own = self.register.get(backend, self.register.node)
         undone: list[BanEntry] = []
         if pending.request.banned and own is not None and own.active:
-            undone = pending.entries  # it was banned by a request before, which goes on
+            undone = pending.entries  # an earlier request has banned the backend, and this ban continues
         elif pending.request.banned:
             undone = [entry._replace(active=False, changed_at=-math.inf) for entry in pending.entries]
         elif pending.entries and self.register.is_banned(backend):
--- a/balancer/recovery/ban_migration.py
+++ b/balancer/recovery/ban_migration.py
@@ -1,4 +1,4 @@
-"""Bans from before a node had the register, or from a time when its fleet file did without it."""
+"""Find saved bans and lifts that predate the register or were made while the fleet file disabled recovery."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class MissedCall:
-    """An operator's call that the register has not seen."""
+class UnregisteredChange:
+    """Operator's ban or lift that the register does not contain."""
 
     backend: str
     banned: bool
 
 
-def missed_calls(banned: Collection[str], entries: Iterable[BanEntry]) -> list[MissedCall]:
-    """Return the calls to be repeated in the register.
+def unregistered_changes(banned: Collection[str], entries: Iterable[BanEntry]) -> list[UnregisteredChange]:
+    """Return the bans and lifts to repeat in the register.
 
     Args:
-        banned: Backends that are banned by all records of the disk. As every entry counts there too, what
-            differs from the entries came after them.
-        entries: Entries of the register on the same disk.
+        banned: Backends that are banned according to all records on the disk. These records include the
+            register entries, so any difference from `entries` was recorded after them.
+        entries: Register entries on the same disk.
     """
     active = {entry.backend for entry in entries if entry.active}
     return [
-        MissedCall(backend, backend not in active) for backend in sorted(active.symmetric_difference(banned))
+        UnregisteredChange(backend, backend not in active)
+        for backend in sorted(active.symmetric_difference(banned))
     ]
--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -1,12 +1,12 @@
-"""Replicated register of bans: merged in any order, on any node, to the same state.
-
-An enable-wins flag for each backend (Shapiro et al. 2011, A comprehensive study of convergent and
-commutative replicated data types), kept as entries by (backend, node): a node raises its own entry's counter
-with each ban that an operator requests there; a lift clears the active entries that its node knows of. The
-greater counter wins, and at the same counter a lifted entry, for it has seen the ban. A backend is banned
-while any of its entries is active. So a concurrent ban and lift end in the ban, and whatever is merged a
-second time, late, or from a disk of last month changes nothing. No clock orders anything; `changed_at` only
-says how long ago a backend returned.
+"""Replicated register of bans that converges to the same state on every node, in any order of merges.
+
+The register holds an enable-wins flag for each backend (Shapiro et al. 2011, "A comprehensive study of
+convergent and commutative replicated data types"), stored as entries by backend and node. Each ban that an
+operator requests at a node raises the counter of that node's entry; a lift clears the active entries that its
+node knows of. The greater counter wins; at equal counters the lifted entry wins, because the lift has seen
+the ban. A backend is banned while any of its entries is active. A concurrent ban and lift therefore result in
+a ban, and entries that are merged twice, late, or from a month-old disk change nothing. Clocks never decide
+the order; `changed_at` only tells how long ago a backend returned.
 """
 
 from __future__ import annotations
@@ -17,63 +17,64 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-MAX_ID_BYTES = 96  # of a backend's id in a datagram
-MAX_ENTRIES = 4096  # from which on entries of other nodes are dropped
-BUCKET_COUNT = 16  # of a digest
-COUNTER_LIMIT = 0xFFFFFFFF  # no incarnation or sequence comes so high: a greater counter always exists
-MAX_NODE = 0xFFFF
-TAG_BITS = 24  # of a sequence number
-MAX_ISSUED = COUNTER_LIMIT >> TAG_BITS  # bans of one incarnation, the next ones are of the next
+MAX_BACKEND_ID_BYTES = 96
+MAX_ENTRIES = 4096  # a register of this size accepts no new entries of other nodes
+DIGEST_BUCKET_COUNT = 16
+# Incarnations and sequence numbers stay below this limit, so that a node can always issue a greater counter.
+COUNTER_LIMIT = 0xFFFFFFFF
+MAX_NODE_NUMBER = 0xFFFF
+PROCESS_TAG_BITS = 24  # the low bits of a sequence number identify the process that issued it
+MAX_BANS_PER_INCARNATION = COUNTER_LIMIT >> PROCESS_TAG_BITS  # further bans are of the next incarnation
 
 
 class EntryKey(NamedTuple):
-    """Identity of an entry."""
+    """Backend and node that identify an entry."""
 
     backend: str
     node: int
 
 
 class BanEntry(NamedTuple):
-    """The last ban of a backend by one node, and whether it has been lifted."""
+    """Last ban of a backend that was requested at one node, and whether it has been lifted."""
 
     backend: str
     node: int
     incarnation: int
     sequence: int
-    active: bool  # a ban that no lift has seen
-    changed_at: float  # node clock, ms: when it was requested, or lifted; -inf if unknown
+    active: bool  # true until a lift that has seen this ban clears it
+    changed_at: float  # when the ban or its lift was requested (node clock, ms); -inf if unknown
 
     @property
     def key(self) -> EntryKey:
-        """Identity of the entry."""
+        """Key of the entry in the register."""
         return EntryKey(self.backend, self.node)
 
     @property
     def counter(self) -> tuple[int, int]:
-        """Order of all bans of one node."""
+        """Counter that orders all bans requested at one node."""
         return self.incarnation, self.sequence
 
     @property
     def version(self) -> tuple[int, int, bool]:
-        """Order of the states of one entry: the greater one wins."""
+        """Version of the entry; of two states of an entry the one with the greater version wins."""
         return self.incarnation, self.sequence, not self.active
 
 
 def is_shareable(backend: str) -> bool:
-    """Return whether an id fits into a datagram. A ban of any other one holds at its own node alone."""
+    """Return whether an id fits into a datagram; a ban of any other id applies at its own node only."""
     try:
-        return 0 < len(backend.encode()) <= MAX_ID_BYTES
+        return 0 < len(backend.encode()) <= MAX_BACKEND_ID_BYTES
     except UnicodeEncodeError:
         return False
 
 
 def bucket_of(backend: str) -> int:
     """Return the digest bucket that holds all entries of a backend."""
-    return hashlib.blake2b(backend.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
+    return hashlib.blake2b(backend.encode(), digest_size=1).digest()[0] % DIGEST_BUCKET_COUNT
 
 
 def _hash(entry: BanEntry) -> int:
-    """Return eight well-mixed bytes: they are joined by exclusive or, so their order does not count."""
+    """Return a 64-bit hash of an entry; hashes are combined by XOR, so the order of entries is irrelevant."""
     fields = f"{entry.node} {entry.incarnation} {entry.sequence} {entry.active:d} {entry.backend}"
     return int.from_bytes(hashlib.blake2b(fields.encode(), digest_size=8).digest(), "big")
 
@@ -81,52 +82,54 @@
 class BanCounter:
     """Counter of the bans that one process of a node issues.
 
-    Its sequence numbers end in the tag of the process, so two processes of one incarnation, of which one had
-    a disk that was lost, issue no counter twice unless their tags are equal.
+    The low bits of its sequence numbers are a tag of the process. Two processes of a node can have the same
+    incarnation after a disk is lost; they issue the same counter only if their tags are equal.
     """
 
     def __init__(self, incarnation: int, tag: int) -> None:
-        """Create the counter of a process that has issued nothing."""
+        """Create the counter of a process that has not issued a ban yet."""
         self.incarnation = incarnation
-        self._tag = tag % (1 << TAG_BITS)
-        self._issued_count = 0  # in this incarnation
+        self._tag = tag % (1 << PROCESS_TAG_BITS)
+        self._issued_in_incarnation = 0
 
     @property
     def sequence(self) -> int:
-        """Sequence number of the last ban."""
-        return self._issued_count << TAG_BITS | self._tag
+        """Sequence number of the last issued ban."""
+        return self._issued_in_incarnation << PROCESS_TAG_BITS | self._tag
 
     def is_behind(self, entry: BanEntry) -> bool:
-        """Return whether an entry of this node counts further."""
+        """Return whether an entry of this node has a greater counter."""
         return entry.counter > (self.incarnation, self.sequence)
 
     def advance_past(self, entry: BanEntry) -> None:
-        """Continue in an incarnation above: the former process may have used what follows in its own."""
+        """Skip the incarnation of a greater counter, as its process may have issued more bans in it."""
         if self.is_behind(entry):
             self.incarnation = entry.incarnation + 1
 
     def increment(self) -> None:
-        """Advance to the next ban."""
-        self._issued_count += 1
-        if self._issued_count >= MAX_ISSUED:
+        """Advance to the counter of the next ban."""
+        self._issued_in_incarnation += 1
+        if self._issued_in_incarnation >= MAX_BANS_PER_INCARNATION:
             self.incarnation += 1
-            self._issued_count = 0
+            self._issued_in_incarnation = 0
 
 
 class BanRegister:
-    """The entries that one node knows."""
+    """Ban entries that one node knows."""
 
-    def __init__(self, node: int, incarnation: int, sequence: int = 0) -> None:
-        """Create an empty register; `sequence` is to differ between two processes of one incarnation."""
+    def __init__(self, node: int, incarnation: int, process_tag: int = 0) -> None:
+        """Create an empty register; `process_tag` must differ between processes of the same incarnation."""
         self.node = node
-        self.counter = BanCounter(incarnation, sequence)
-        self.hash = 0  # of all shareable entries; equal where the entries are
-        self.buckets = [0] * BUCKET_COUNT
+        self.counter = BanCounter(incarnation, process_tag)
+        self.hash = 0  # XOR of the hashes of all shareable entries, equal for equal registers
+        self.buckets = [0] * DIGEST_BUCKET_COUNT
         self.counts: Counter[str] = Counter()
         self._entries: dict[str, dict[int, BanEntry]] = {}
         self._size = 0
-        self._issued: set[str] = set()  # backends whose own entry this process has issued
-        self._restored: dict[str, int] = {}  # incarnation of own active entries that were on the disk
+        # Backends for which this process has issued this node's entry.
+        self._issued_backends: set[str] = set()
+        # Incarnations of this node's active entries on its disk.
+        self._restored_incarnations: dict[str, int] = {}
 
     def __len__(self) -> int:
         """Return the number of entries."""
@@ -135,11 +138,11 @@
     # --- queries
 
     def entries(self) -> list[BanEntry]:
-        """Return all entries, in an order that is the same on every node."""
+        """Return all entries in an order that is the same on every node."""
         return [by_node[node] for _, by_node in sorted(self._entries.items()) for node in sorted(by_node)]
 
     def entries_in(self, buckets: int) -> list[BanEntry]:
-        """Return the shareable entries of the buckets whose bits are set, in that order."""
+        """Return the shareable entries of the buckets in a bit mask, in the same order on every node."""
         return [
             entry
             for entry in self.entries()
@@ -147,11 +150,11 @@
         ]
 
     def entries_of(self, backend: str) -> list[BanEntry]:
-        """Return the entries of a backend."""
+        """Return all entries of a backend."""
         return list(self._entries.get(backend, {}).values())
 
     def get(self, backend: str, node: int) -> BanEntry | None:
-        """Return one entry."""
+        """Return the entry of a backend and a node, or None."""
         return self._entries.get(backend, {}).get(node)
 
     def is_banned(self, backend: str) -> bool:
@@ -159,11 +162,11 @@
         return any(entry.active for entry in self.entries_of(backend))
 
     def bans(self) -> dict[str, float]:
-        """Return the banned backends, in order, and since when."""
+        """Return the banned backends in sorted order, each with the start time of its ban."""
         return {backend: self.since(backend) for backend in sorted(self._entries) if self.is_banned(backend)}
 
     def since(self, backend: str) -> float:
-        """Return since when a backend is banned, or has been back; -inf if unknown."""
+        """Return when a backend's ban began or, if it is not banned, was lifted; -inf if unknown."""
         entries = self.entries_of(backend)
         banned = [entry.changed_at for entry in entries if entry.active]
         return min(banned) if banned else max((entry.changed_at for entry in entries), default=-math.inf)
@@ -171,7 +174,7 @@
     # --- requests of operators
 
     def new_ban(self, backend: str, requested_at: float) -> BanEntry:
-        """Return the entry of a ban requested here, above all of this node so far. It is not merged yet."""
+        """Return an entry, not merged yet, for a ban requested here; its counter exceeds all of this node."""
         known = self.get(backend, self.node)
         if known is not None:
             self.counter.advance_past(known)
@@ -181,15 +184,16 @@
         )
 
     def new_lift(self, backend: str, requested_at: float) -> list[BanEntry]:
-        """Return the entries of a lift requested here: every known ban is lifted. Not merged yet."""
+        """Return the entries, not merged yet, with which a lift requested here clears every known ban."""
         entries = sorted(self.entries_of(backend), key=lambda entry: entry.node)
         return [entry._replace(active=False, changed_at=requested_at) for entry in entries if entry.active]
 
     def commit(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
-        """Merge entries requested here that are on the disk; return those that have to be issued anew for it.
+        """Merge entries of a local request that are on disk; return reissued ones that must still be written.
 
-        Meanwhile a newer entry may have come. A ban is issued above it, as it is one of a former incarnation
-        that no disk here knew; a lift does not apply to it, as it has not seen that ban.
+        A newer entry may have arrived during the write. A ban is then reissued above that entry, which is of
+        an earlier incarnation that was unknown to this node's disk. A lift does not apply to the newer entry,
+        as it has not seen that ban.
         """
         reissued = []
         for entry in entries:
@@ -198,7 +202,7 @@
             if not is_superseded:
                 self.put(entry)
                 if entry.active:
-                    self._issued.add(entry.backend)
+                    self._issued_backends.add(entry.backend)
             elif entry.active:
                 reissued.append(self.new_ban(entry.backend, entry.changed_at))
             else:
@@ -208,21 +212,23 @@
     # --- entries of peers and of the disk
 
     def restore(self, entries: Sequence[BanEntry]) -> list[BanEntry]:
-        """Merge what this node's own disk has; return the entries that changed.
+        """Merge entries from this node's own disk; return the entries that changed.
 
-        Own bans among it are issued anew once a peer shows an entry of a later incarnation of this node than
-        theirs: either the disk came after a lost one, by a clock that was behind, or it is an old one. In
-        doubt they hold.
+        Own bans among them are reissued if a peer has an entry of this node with a later incarnation. Either
+        this disk replaced a lost one while the clock was behind, or it is an old disk; as these cases look
+        the same, the bans stay in force.
         """
         own = [entry for entry in entries if entry.node == self.node and self._is_valid(entry)]
         for entry in own:
             self.counter.advance_past(entry)
         changed = self.merge(entries)
-        self._restored.update((entry.backend, entry.incarnation) for entry in own if entry.active)
+        self._restored_incarnations.update(
+            (entry.backend, entry.incarnation) for entry in own if entry.active
+        )
         return changed
 
     def merge(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
-        """Merge newer entries; return those that changed, own ones that were issued anew included."""
+        """Merge newer entries; return the entries that changed, including own bans that were reissued."""
         changed: dict[EntryKey, BanEntry] = {}
         for entry in entries:
             known = self.get(entry.backend, entry.node)
@@ -241,11 +247,11 @@
         return list(changed.values())
 
     def reissue_above(self, entry: BanEntry) -> list[BanEntry]:
-        """Issue own bans anew above an entry of a former incarnation, which must not cover them."""
+        """Reissue own bans above an entry of an earlier incarnation, which must not override them."""
         self.counter.advance_past(entry)
         self.counts["outbid"] += 1
         reissued = []
-        for backend in sorted(self._issued):
+        for backend in sorted(self._issued_backends):
             known = self.get(backend, self.node)
             if known is not None and known.active and known.counter < entry.counter:
                 reissued.append(self.new_ban(backend, known.changed_at))
@@ -253,7 +259,7 @@
         return reissued
 
     def put(self, entry: BanEntry) -> None:
-        """Replace an entry, whatever its version: callers have compared it with the known one."""
+        """Replace an entry without comparing versions, which the callers have already compared."""
         by_node = self._entries.setdefault(entry.backend, {})
         former = by_node.get(entry.node)
         by_node[entry.node] = entry
@@ -268,22 +274,23 @@
                 self.buckets[bucket] ^= value & 0xFFFFFFFF
 
     def _reissue_for(self, entry: BanEntry) -> list[BanEntry]:
-        """Return own bans issued anew because of an entry of this node that a peer had."""
+        """Reissue own bans where a peer's entry of this node requires it; return the reissued bans."""
         is_ahead = self.counter.is_behind(entry)
-        if is_ahead:  # of an incarnation unknown to this disk: what the disk has may come after that one
-            self._issued |= self._restored.keys()
-        elif entry.incarnation > self._restored.get(entry.backend, entry.incarnation):
-            self._issued.add(entry.backend)  # the same, though this process has a greater one already
-        if not is_ahead and entry.backend not in self._issued:
+        if is_ahead:  # the incarnation is unknown to this node's disk, whose bans may be newer than the entry
+            self._issued_backends |= self._restored_incarnations.keys()
+        elif entry.incarnation > self._restored_incarnations.get(entry.backend, entry.incarnation):
+            # The restored ban may be newer than the entry even if this process has a greater incarnation.
+            self._issued_backends.add(entry.backend)
+        if not is_ahead and entry.backend not in self._issued_backends:
             return []
         return self.reissue_above(entry)
 
     def _is_valid(self, entry: BanEntry) -> bool:
-        """Return whether a greater counter exists: else its sender could keep this node from its bans."""
+        """Return whether a greater counter is possible; otherwise the sender could block this node's bans."""
         valid = (
             0 <= entry.incarnation < COUNTER_LIMIT - 1
             and 0 <= entry.sequence < COUNTER_LIMIT
-            and 0 <= entry.node <= MAX_NODE
+            and 0 <= entry.node <= MAX_NODE_NUMBER
         )
         if not valid:
             self.counts["impossible"] += 1
--- a/balancer/recovery/ban_requests.py
+++ b/balancer/recovery/ban_requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests to ban a backend or to lift its ban: they wait for the disk and for their effect."""
+"""Handle operator requests to ban a backend or lift its ban; each waits for the disk and for its effect."""
 
 from __future__ import annotations
 
@@ -14,42 +14,45 @@
 from balancer.recovery import actions, events
 from balancer.recovery.ban_register import BanEntry
 
-FAILED = "recovery has failed"
-SYNC_TIMEOUT_S = 0.6  # for which a request waits for the disk, of the 1 s that its caller waits
+REQUESTS_CLOSED = "recovery has failed or has been shut down, so it records no bans or lifts"
+SYNC_TIMEOUT_S = 0.6  # leaves time for an answer before the caller's timeout of 1 s
 
 
 class BanRequestError(BalancerError):
-    """A request could not be recorded in the tier's register, so nothing is changed."""
+    """The tier's register could not record a request, so nothing has changed."""
 
     code = "RCV01"
-    remedy = "call again; where it stays so, see the log of this node and the disk of durable.directory"
+    remedy = (
+        "repeat the request; if it fails again, check the log of this node and the disk of durable.directory"
+    )
 
 
 @dataclass(slots=True)
 class BanRequest:
-    """An operator's request that waits for its answer."""
+    """Operator request that waits for its answer."""
 
     token: int
     backend: str
-    done: asyncio.Future[bool]  # whether the backend is banned
+    done: asyncio.Future[bool]  # the result tells whether the backend is banned
     awaits_disk: bool = False
     is_being_applied: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class BanChange:
-    """A change for the node, and the request that it answers."""
+    """Change of a ban to apply at the node, and the request that it answers, if any."""
 
     action: actions.ApplyBan
     request: BanRequest | None
 
 
-ApplyChange = Callable[[str, bool, float], Awaitable[None]]  # backend, banned, since (ms; 0: unknown)
+# Called with backend, banned, since (ms; 0 if unknown).
+ApplyChange = Callable[[str, bool, float], Awaitable[None]]
 HandleEvent = Callable[[events.Event, BanRequest | None], None]
 
 
 class BanRequests:
-    """The pending requests of a node; changes are applied one by one."""
+    """Pending requests of a node and the queue of changes, which are applied one at a time."""
 
     def __init__(
         self,
@@ -59,14 +62,14 @@
         is_banned: Callable[[str], bool],
         defects: DefectLog,
     ) -> None:
-        """Start to apply changes on the running loop.
+        """Start applying changes on the running event loop.
 
         Args:
-            disk: Durable state of the node, if it has any.
-            apply_change: Puts a change in force at the node.
-            handle_event: Hands an event to the core, with the request that it is about.
-            is_banned: Returns what the register says of a backend.
-            defects: Takes what a change raises that is no error of an operator's.
+            disk: Durable state of the node, or None if it has none.
+            apply_change: Applies a change at the node.
+            handle_event: Passes an event to the core, with the request that it belongs to.
+            is_banned: Returns whether the register bans a backend.
+            defects: Records unexpected exceptions that are raised while a change is applied.
         """
         self._disk = disk
         self._apply_change = apply_change
@@ -74,27 +77,28 @@
         self._is_banned = is_banned
         self._defects = defects
         self._loop = asyncio.get_running_loop()
-        self._pending: dict[int, BanRequest] = {}  # by token
+        self._pending: dict[int, BanRequest] = {}  # maps the token of each request to the request
         self._last_token = 0
-        self._has_failed = False  # no request is accepted any more
+        self._is_closed = False
         self._changes: asyncio.Queue[BanChange] = asyncio.Queue()
-        self._applying = self._loop.create_task(self._apply_changes())
-        self._syncing: set[asyncio.Task[None]] = set()
+        self._apply_task = self._loop.create_task(self._apply_changes())
+        self._sync_tasks: set[asyncio.Task[None]] = set()
 
     def start(self, backend: str, banned: bool, now: float) -> BanRequest:
         """Start a request at `now` (node clock, ms)."""
         self._last_token += 1
         request = BanRequest(self._last_token, backend, self._loop.create_future())
-        request.done.add_done_callback(lambda done: done.exception())  # not every request is waited for
-        if self._has_failed:
-            request.done.set_exception(BanRequestError(FAILED))
+        # Retrieves the exception, because asyncio logs an error for a request that nobody awaits.
+        request.done.add_done_callback(lambda done: done.exception())
+        if self._is_closed:
+            request.done.set_exception(BanRequestError(REQUESTS_CLOSED))
         else:
             self._pending[request.token] = request
             self._handle_event(events.BanRequested(backend, banned, now, request.token), None)
         return request
 
     async def result(self, request: BanRequest) -> bool:
-        """Return whether the backend is banned, once that is recorded and in force.
+        """Wait until a request is recorded and in force; return whether its backend is banned.
 
         Raises:
             BalancerError: If the request failed.
@@ -104,26 +108,29 @@
                 return await asyncio.shield(request.done)
         except TimeoutError:
             if request.awaits_disk:
-                self._write_completed(request.token, BanRequestError("the disk takes too long"))
+                self._write_completed(
+                    request.token,
+                    BanRequestError("the disk did not complete the write in time, so the request is undone"),
+                )
         return await request.done
 
     async def applied(self) -> None:
-        """Wait until all changes so far are in force."""
+        """Wait until all queued changes are in force."""
         await self._changes.join()
 
     def apply(self, action: actions.ApplyBan, request: BanRequest | None) -> None:
-        """Apply a change; `request` is the one whose event brought it about."""
+        """Queue a change to apply at the node; `request` is the one whose event caused it."""
         answered = request if request is not None and request.backend == action.backend else None
         if answered is not None:
             answered.is_being_applied = True
         self._changes.put_nowait(BanChange(action, answered))
-        if self._disk is not None:  # for a start without recovery
+        if self._disk is not None:  # a later start without recovery reads these records, not the register
             at = max(0.0, action.since_ms)
             record = BanSet(action.backend, at) if action.banned else BanLifted(action.backend, at)
             self._disk.append_unsynced(record)
 
     def persist(self, action: actions.PersistEntries) -> None:
-        """Write entries; those with a token are reported on."""
+        """Write entries to disk; report the result to the core if the action has a token."""
         record = RegisterRowsChanged(
             [
                 RegisterRow(e.backend, e.node, e.incarnation, e.sequence, e.active, e.changed_at)
@@ -138,20 +145,20 @@
             request.awaits_disk = True
         written = self._disk.submit(record) if self._disk is not None and action.entries else None
         task = self._loop.create_task(self._await_write(action.token, written))
-        self._syncing.add(task)
-        task.add_done_callback(self._syncing.discard)
+        self._sync_tasks.add(task)
+        task.add_done_callback(self._sync_tasks.discard)
 
     def fail(self) -> None:
-        """Fail all requests, later ones too."""
-        self._has_failed = True
+        """Fail all pending requests and reject later ones."""
+        self._is_closed = True
         for token in list(self._pending):
-            self._pending.pop(token).done.set_exception(BanRequestError(FAILED))
+            self._pending.pop(token).done.set_exception(BanRequestError(REQUESTS_CLOSED))
 
     def close(self) -> None:
-        """Stop to apply changes; later requests fail."""
-        self._has_failed = True
-        self._applying.cancel()
-        for task in list(self._syncing):
+        """Stop applying changes and reject later requests."""
+        self._is_closed = True
+        self._apply_task.cancel()
+        for task in list(self._sync_tasks):
             task.cancel()
 
     async def _await_write(self, token: int, written: asyncio.Future[None] | None) -> None:
@@ -161,13 +168,13 @@
                 await written
             except BalancerError as err:
                 failure = err
-        elif written is not None:  # a disk that cannot be used counts as none
+        elif written is not None:  # a disabled disk counts as no disk, so its error does not matter
             written.exception()
         if token in self._pending:
             self._write_completed(token, failure)
 
     def _write_completed(self, token: int, failure: BalancerError | None) -> None:
-        """Report a write; the core may ask for another one for the same request."""
+        """Report a completed write to the core, which may start another write for the same request."""
         request = self._pending[token]
         request.awaits_disk = False
         self._handle_event(events.WriteCompleted(token, failure is None), request)
@@ -184,9 +191,11 @@
     async def _apply_changes(self) -> None:
         while True:
             change = await self._changes.get()
-            failure: BalancerError | None = BanRequestError("the node is ending")
+            failure: BalancerError | None = BanRequestError(
+                "the node shut down before the change was in force"
+            )
             try:
-                failure = await self._applied_or_failure(change.action)
+                failure = await self._apply_at_node(change.action)
             finally:
                 self._answer(change, failure)
                 self._changes.task_done()
@@ -201,19 +210,19 @@
         else:
             change.request.done.set_exception(failure)
 
-    async def _applied_or_failure(self, action: actions.ApplyBan) -> BalancerError | None:
-        """Apply a change; return why its request fails, None if it is in force."""
+    async def _apply_at_node(self, action: actions.ApplyBan) -> BalancerError | None:
+        """Apply a change at the node; return the error of its request, or None if it is in force."""
         try:
             await self._apply_change(action.backend, action.banned, max(0.0, action.since_ms))
         except BalancerError as error:
             return error
-        except Exception as error:  # the changes after it are to be applied all the same
-            self._defects.record("a change of a ban", error)
-            return BanRequestError(f"the node could not apply it: {type(error).__name__}")
+        except Exception as error:  # a defect must not end the task that applies all later changes
+            self._defects.record("applying a ban or lift", error)
+            return BanRequestError(f"the node could not apply the ban or lift: {type(error).__name__}")
         return None
 
 
 def saved_entries(saved: DurableState) -> tuple[BanEntry, ...]:
-    """Return the register as the disk has it."""
+    """Return the register entries of a node's saved state."""
     rows = (row for by_node in saved.register.values() for row in by_node.values())
     return tuple(BanEntry(r.backend, r.node, r.incarnation, r.sequence, r.is_active, r.at_ms) for r in rows)
--- a/balancer/recovery/context.py
+++ b/balancer/recovery/context.py
@@ -1,4 +1,4 @@
-"""State of a node's recovery that its parts share."""
+"""State that all components of a node's recovery share."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.trust import DiskState, StateKind, TrustRule, is_trusted
 
-REPLACED_BY_DISCOVERY = frozenset({StateKind.LIST, StateKind.REVISION})
+KINDS_REPLACED_BY_DISCOVERY = frozenset({StateKind.LIST, StateKind.REVISION})
 
 
 @dataclass(slots=True)
 class RecoveryContext:
-    """Who this node is, what time it is, and how far its recovery is. Times are node clock, ms."""
+    """Identity, clock and progress of a node's recovery. Times are milliseconds of the node's clock."""
 
     config: RecoveryConfig
     node: int
@@ -26,22 +26,23 @@
     trust_table: Mapping[StateKind, TrustRule]
     started_at: float
     now: float
-    cold_since: float  # a listed backend of unknown start counts as started then
+    cold_since: float  # backends with an unknown start time count as started at this time
     phase: Phase = Phase.VERIFY
     phase_since: float = 0.0
     path: RecoveryPath = RecoveryPath.UNDECIDED
     disk: DiskState = field(default_factory=DiskState)
-    has_fresh_list: bool = False  # discovery has sent a list in this process
+    has_fresh_list: bool = False  # true once discovery has sent this process an endpoint list
     counts: Counter[str] = field(default_factory=Counter)
-    actions: list[Action] = field(default_factory=list)  # asked for by the event that is handled
+    # Actions that the event being handled has requested so far.
+    actions: list[Action] = field(default_factory=list)
 
     @property
-    def serves(self) -> bool:
-        """Whether the node listens, and is not fully recovered yet."""
+    def serves_while_recovering(self) -> bool:
+        """Whether the node serves requests while it is not fully recovered."""
         return Phase.LISTED <= self.phase < Phase.FULL
 
     def is_trusted(self, kind: StateKind) -> bool:
         """Return whether saved state of a kind may be used now."""
         peers_asked = self.phase >= Phase.LISTED
-        contradicted = kind in REPLACED_BY_DISCOVERY and self.has_fresh_list
+        contradicted = kind in KINDS_REPLACED_BY_DISCOVERY and self.has_fresh_list
         return is_trusted(kind, self.disk, peers_asked, contradicted, self.trust_table)
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -18,7 +18,7 @@
 
 from balancer.recovery.actions import Action, PersistEntries, RequestList, SendDatagram
 from balancer.recovery.ban_controller import BanController
-from balancer.recovery.ban_register import TAG_BITS, BanRegister
+from balancer.recovery.ban_register import PROCESS_TAG_BITS, BanRegister
 from balancer.recovery.config import RecoveryConfig
 from balancer.recovery.context import RecoveryContext
 from balancer.recovery.events import (
@@ -95,7 +95,7 @@
             cold_since=now,
             phase_since=now,
         )
-        self.register = components.register(node, incarnation, generator.randrange(1 << TAG_BITS))
+        self.register = components.register(node, incarnation, generator.randrange(1 << PROCESS_TAG_BITS))
         limits = ExchangeLimits(config.datagrams_per_s, config.burst_datagrams, config.survey_interval_ms)
         self.exchange = components.exchange(self.register, generator, limits, now)
         self.schedule = components.schedule(node, config.poll_slot_ms)
@@ -263,7 +263,7 @@
         context = self.context
         self.quota.demand = rounded_demand(max(0.0, event.requests_per_s))
         self.quota.review_soon()
-        if context.serves:
+        if context.serves_while_recovering:
             self.exchange.send_status(None, context.now, DEMAND_SPREAD_MS * context.generator.random())
 
     def _leave(self) -> None:
--- a/balancer/recovery/messages.py
+++ b/balancer/recovery/messages.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from enum import IntEnum, IntFlag
 
-from balancer.recovery.ban_register import BUCKET_COUNT, MAX_ID_BYTES, BanEntry
+from balancer.recovery.ban_register import DIGEST_BUCKET_COUNT, MAX_BACKEND_ID_BYTES, BanEntry
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 256
@@ -31,7 +31,7 @@
 UNKNOWN = MAX_U32  # an age (ms) or a demand that is unknown, or too large
 HEADER = struct.Struct(">IBBHQ")
 STATUS_LAYOUT = struct.Struct(">IIBBBIIIHB")
-DIGEST_LAYOUT = struct.Struct(f">{BUCKET_COUNT}I")
+DIGEST_LAYOUT = struct.Struct(f">{DIGEST_BUCKET_COUNT}I")
 PAGE_LAYOUT = struct.Struct(">IHHHBB")
 ENTRY_LAYOUT = struct.Struct(">HIIBIB")
 FILTER_LAYOUT = struct.Struct(">IBB")
@@ -203,7 +203,7 @@
 
 def _encode_entry(entry: BanEntry, now: float) -> bytes:
     backend = entry.backend.encode()
-    if not 0 < len(backend) <= MAX_ID_BYTES:
+    if not 0 < len(backend) <= MAX_BACKEND_ID_BYTES:
         raise MessageError(f"an id of {len(backend)} bytes")
     is_unknown = entry.changed_at == -math.inf
     age = UNKNOWN if is_unknown else min(max(0, int(now - entry.changed_at)), UNKNOWN)
@@ -289,7 +289,7 @@
 def _decode_entry(body: bytes, offset: int, now: float) -> BanEntry:
     node, incarnation, sequence, active, age, length = ENTRY_LAYOUT.unpack_from(body, offset)
     encoded = body[offset + ENTRY_LAYOUT.size : offset + ENTRY_LAYOUT.size + length]
-    if len(encoded) < length or not 0 < length <= MAX_ID_BYTES:
+    if len(encoded) < length or not 0 < length <= MAX_BACKEND_ID_BYTES:
         raise MessageError("cut short")
     try:
         backend = encoded.decode()
--- a/balancer/recovery/page_broadcast.py
+++ b/balancer/recovery/page_broadcast.py
@@ -74,10 +74,10 @@
 
     def _is_worthwhile(self) -> bool:
         enough = max(1, len(self._agreement.peer_hashes) // MIN_DIFFERING_PART)
-        differing = self._agreement.differing_peers()
+        differing = self._agreement.differing_peer_count()
         return bool(self._unsent) and differing >= min(MIN_PEERS_FOR_BROADCAST, enough)
 
     def _random_delay(self) -> float:
         """Draw the wait (ms) with which nodes of the same register send `PAGES_PER_S` together."""
-        same = 1 + self._agreement.matching_peers()
+        same = 1 + self._agreement.matching_peer_count()
         return self._random.expovariate(PAGES_PER_S / same) * 1000
--- a/balancer/recovery/pages.py
+++ b/balancer/recovery/pages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from balancer.recovery.agreement import LOWER_HALF
+from balancer.recovery.agreement import LOWER_HASH_MASK
 from balancer.recovery.ban_register import BanEntry, BanRegister, EntryKey
 from balancer.recovery.messages import MAX_ENTRIES_BYTES, RegisterPage, encoded_entry_size
 
@@ -81,7 +81,7 @@
         """Begin to send pages to a peer, replacing its unsent ones."""
         remaining = [tuple(entry.key for entry in page) for page in pages]
         self._repairs[node] = Repair(
-            peer_hash & LOWER_HALF, mask, self._register.hash, remaining, len(remaining)
+            peer_hash & LOWER_HASH_MASK, mask, self._register.hash, remaining, len(remaining)
         )
 
     def clear(self) -> None:
--- a/balancer/recovery/phase_machine.py
+++ b/balancer/recovery/phase_machine.py
@@ -105,7 +105,7 @@
             self._await_list()
         if self.context.phase is Phase.WARMING:
             self._await_warm_backends()
-        if self.context.serves:
+        if self.context.serves_while_recovering:
             self.quota.review()
 
     def enter(self, phase: Phase, reason: str) -> None:
--- a/balancer/recovery/receiver.py
+++ b/balancer/recovery/receiver.py
@@ -62,7 +62,7 @@
                 self._reply(message, status)
             case RegisterPage() as page:
                 changed = self._exchange.page_received(node, message.hash, page)
-                self._bans.entries_learned(changed, page.entries, now)
+                self._bans.entries_received(changed, page.entries, now)
                 self._hash_received(message)
             case ListFilter() as list_filter:
                 self._exchange.filters.received(list_filter, now)
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -22,7 +22,7 @@
 from balancer.durable.timestamp import Timestamp
 from balancer.membership.peer_socket import RECOVERY_KINDS, PeerListChange, PeerSocket
 from balancer.recovery import actions, events
-from balancer.recovery.ban_migration import missed_calls
+from balancer.recovery.ban_migration import unregistered_changes
 from balancer.recovery.ban_register import BanEntry
 from balancer.recovery.ban_requests import BanRequest, BanRequests, saved_entries
 from balancer.recovery.config import RecoveryConfig
@@ -120,8 +120,8 @@
                 warm_rate=sample.request_rate if sample is not None else 0.0,
             )
         )
-        missed = missed_calls(saved.banned, entries)
-        self._migrated = [self._requests.start(c.backend, c.banned, self.host.now()) for c in missed]
+        changes = unregistered_changes(saved.banned, entries)
+        self._migrated = [self._requests.start(c.backend, c.banned, self.host.now()) for c in changes]
 
     def inherit(self, handover: RecoveryHandover) -> None:
         """Continue where the process before was."""
--- a/tests/recovery_strategies.py
+++ b/tests/recovery_strategies.py
@@ -6,7 +6,7 @@
 
 from hypothesis import strategies as st
 
-from balancer.recovery.ban_register import BUCKET_COUNT, BanEntry
+from balancer.recovery.ban_register import DIGEST_BUCKET_COUNT, BanEntry
 from balancer.recovery.messages import (
     Digest,
     ListFilter,
@@ -61,7 +61,7 @@
 
 filters = st.builds(ListFilter, u32, st.integers(1, 9), st.binary(min_size=1, max_size=200))
 
-digests = st.lists(u32, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple).map(Digest)
+digests = st.lists(u32, min_size=DIGEST_BUCKET_COUNT, max_size=DIGEST_BUCKET_COUNT).map(tuple).map(Digest)
 
 messages = st.one_of(
     st.builds(
--- a/tests/test_recovery_register.py
+++ b/tests/test_recovery_register.py
@@ -53,7 +53,7 @@
 @given(st.lists(entries.map(lambda r: r._replace(node=0)), max_size=9), st.integers(0, 3))
 def test_a_former_incarnation_covers_no_ban_of_this_one(former: list[BanEntry], incarnation: int) -> None:
     """Guards a lost disk: incarnations begin anew, and peers have entries with greater counters."""
-    here = BanRegister(0, incarnation, sequence=1)
+    here = BanRegister(0, incarnation, process_tag=1)
     there = register_of(former)
     here.commit([here.new_ban("a", 0.0)])
     there.merge(here.entries())
