--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -18,13 +18,14 @@
 from typing import NamedTuple
 
 MAX_BACKEND_ID_BYTES = 96
-MAX_ENTRIES = 4096  # a register of this size accepts no new entries of other nodes
+MAX_ENTRIES = 4096  # a full register accepts no new entries of other nodes
 DIGEST_BUCKET_COUNT = 16
 # Incarnations and sequence numbers stay below this limit, so that a node can always issue a greater counter.
 COUNTER_LIMIT = 0xFFFFFFFF
 MAX_NODE_NUMBER = 0xFFFF
 PROCESS_TAG_BITS = 24  # the low bits of a sequence number identify the process that issued it
-MAX_BANS_PER_INCARNATION = COUNTER_LIMIT >> PROCESS_TAG_BITS  # further bans are of the next incarnation
+# A process that issues more continues in the next incarnation.
+MAX_BANS_PER_INCARNATION = COUNTER_LIMIT >> PROCESS_TAG_BITS
 
 
 class EntryKey(NamedTuple):
--- a/balancer/recovery/ban_requests.py
+++ b/balancer/recovery/ban_requests.py
@@ -15,7 +15,7 @@
 from balancer.recovery.ban_register import BanEntry
 
 REQUESTS_CLOSED = "recovery has failed or has been shut down, so it records no bans or lifts"
-SYNC_TIMEOUT_S = 0.6  # leaves time for an answer before the caller's timeout of 1 s
+SYNC_TIMEOUT_S = 0.6  # a request must be answered before its caller's timeout of 1 s
 
 
 class BanRequestError(BalancerError):
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -1,11 +1,11 @@
-"""Recovery of one node: given the time and events, it returns actions. No I/O, no clock of its own.
-
-Limits of a hostile peer: it can ban backends and lift bans, as an operator at any node can (entries are
-relayed, so their sender proves nothing); keep this node in ASK for `RecoveryConfig.max_survey_ms`; have it
-avoid half of a saved list until discovery sends a list; and reduce its share by a false demand, which
-counts as four fifths of all at most. Two hostile peers can make the recovery look like a crash: the node
-then serves as it would without this subsystem. None can keep it from FULL for longer than
-`RecoveryConfig.max_warming_ms`.
+"""Recovery of one node as a state machine: it turns times and events into actions, without I/O or a clock.
+
+The harm that a hostile peer can do is limited. It can ban backends and lift bans, as an operator at any node
+can: nodes relay entries, so the sender of an entry proves nothing. It can keep this node in ASK for
+`RecoveryConfig.max_survey_ms`, make it avoid half of a saved list until discovery sends a list, and reduce
+its share with a false demand, which counts as at most four fifths of the total. Two hostile peers can make
+the recovery look like a crash; the node then serves as it would without this subsystem. No peer can keep the
+node from FULL for longer than `RecoveryConfig.max_warming_ms`.
 """
 
 from __future__ import annotations
@@ -49,12 +49,12 @@
 from balancer.recovery.survey import PeerSurvey
 from balancer.recovery.trust import TRUST_TABLE, DiskState, StateKind, TrustRule
 
-DEMAND_SPREAD_MS = 300.0  # over which nodes send their demand to all
+DEMAND_BROADCAST_SPREAD_MS = 300.0  # spreads the broadcasts of all nodes over time
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryComponents:
-    """Classes of the parts; the simulation plants faults in them."""
+    """Classes of the recovery's components; the simulation replaces them with faulty ones."""
 
     register: type[BanRegister] = BanRegister
     bans: type[BanController] = BanController
@@ -69,7 +69,7 @@
 
 
 class Recovery:
-    """Recovery of node `node` of a tier of `node_count` nodes."""
+    """Recovery of node number `node` in a tier of `node_count` nodes."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         incarnation: int,
         seed: int,
         now: float,
-        table: Mapping[StateKind, TrustRule] = TRUST_TABLE,
+        trust_table: Mapping[StateKind, TrustRule] = TRUST_TABLE,
         components: RecoveryComponents = DEFAULT_COMPONENTS,
     ) -> None:
         """Create the recovery of a process that starts at `now` (node clock, ms)."""
@@ -89,7 +89,7 @@
             node,
             node_count,
             generator,
-            table,
+            trust_table,
             started_at=now,
             now=now,
             cold_since=now,
@@ -110,22 +110,22 @@
 
     @property
     def phase(self) -> Phase:
-        """Progress of the recovery."""
+        """Current phase of the recovery."""
         return self.context.phase
 
     @property
     def path(self) -> RecoveryPath:
-        """What the node recovers from."""
+        """Kind of outage that the node recovers from."""
         return self.context.path
 
     @property
     def cold_since(self) -> float:
-        """Time as of which a listed backend of unknown start counts as started."""
+        """Time at which backends with an unknown start time count as started."""
         return self.context.cold_since
 
     @property
     def next_wakeup(self) -> float:
-        """When a `Tick` is wanted."""
+        """Time at which the core needs the next `Tick` at the latest."""
         if self.phase is Phase.VERIFY:
             return math.inf
         return min(
@@ -136,7 +136,7 @@
         )
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Return what to do about an event, at a time (node clock, ms) that never goes back."""
+        """Handle an event at `now` (node clock, ms, never decreasing) and return the resulting actions."""
         self.context.now = max(self.context.now, now)
         self._dispatch(event)
         self.phases.advance()
@@ -147,7 +147,7 @@
         return actions
 
     def is_trusted(self, kind: StateKind) -> bool:
-        """Return whether saved state of a kind may be used now, by the trust table."""
+        """Return whether the trust table permits the use of saved state of a kind now."""
         return self.context.is_trusted(kind)
 
     def stats(self) -> RecoveryStats:
@@ -218,7 +218,7 @@
                 self._change_peers(event)
 
     def restore_saved_state(self, event: DiskRead) -> None:
-        """Take what the disk has, as far as the trust table allows."""
+        """Restore the state that was read from disk, as far as the trust table permits."""
         context = self.context
         context.disk = DiskState(event.sound, event.fresh_disk, event.age_ms)
         if self.is_trusted(StateKind.INCARNATION):
@@ -234,37 +234,39 @@
 
     def _disk_summary(self, event: DiskRead) -> str:
         if not event.sound:
-            return "the disk is not sound, its state is not used"
+            return "the disk is not sound, so its saved state is not used"
         if event.fresh_disk:
-            return "no saved state"
-        return f"{len(event.entries)} register entries saved, {len(self.register.bans())} bans"
+            return "no saved state on the disk"
+        return f"{len(event.entries)} register entries on the disk, {len(self.register.bans())} bans in force"
 
     def _inherit(self, event: StateInherited) -> None:
-        """Continue in the predecessor's phase, unless this process has come further itself."""
+        """Continue in the predecessor's phase unless this process has already reached a later one."""
         changed = self.bans.restore(event.entries, self.context.now)
         if changed:
             self.context.actions.append(PersistEntries(tuple(changed)))
         if event.phase >= Phase.LISTED and event.phase > self.phase:
             self.phases.take_over(event.phase, event.path, event.cold_since)
         elif self.phase is Phase.VERIFY:
-            self.phases.begin_survey(f"the predecessor was in phase {event.phase.name.lower()}")
+            self.phases.begin_survey(f"the previous process was in phase {event.phase.name.lower()}")
 
     def receive_list(self, event: ListReceived) -> None:
-        """Serve from the list that discovery has sent."""
+        """Replace the saved list with the one that discovery has sent."""
         self.schedule.stop()
         self.exchange.filters.own = build_filter(event.ids, event.revision)
         self.saved_list.receive(event)
 
     def _measure_demand(self, event: DemandMeasured) -> None:
-        """Send the demand to all, as the capacity of cold backends is shared by it.
+        """Broadcast this node's demand, which determines its share of the cold backends' capacity.
 
-        All nodes have to count the same numbers, so this node counts its own as its peers read it.
+        All nodes must calculate with the same numbers, so this node rounds its own demand as peers decode it.
         """
         context = self.context
         self.quota.demand = rounded_demand(max(0.0, event.requests_per_s))
         self.quota.review_soon()
         if context.serves_while_recovering:
-            self.exchange.send_status(None, context.now, DEMAND_SPREAD_MS * context.generator.random())
+            self.exchange.send_status(
+                None, context.now, DEMAND_BROADCAST_SPREAD_MS * context.generator.random()
+            )
 
     def _leave(self) -> None:
         self.exchange.is_leaving = True
@@ -272,7 +274,7 @@
         self.schedule.stop()
 
     def _change_peers(self, event: PeersChanged) -> None:
-        """Entries of nodes that are gone stay: others, and disks, may still have the like."""
+        """Remove peers that left or were replaced; keep their entries, which other nodes may still have."""
         context = self.context
         numbers = range(context.node_count)
         gone = {node for node in numbers if node >= event.count or node in event.replaced} - {context.node}
@@ -291,13 +293,13 @@
     def _send_datagrams(self) -> None:
         context = self.context
         if self.phase is Phase.VERIFY or context.now < self.exchange.next_send_at:
-            return  # in VERIFY nothing that this node says would hold
+            return  # this node's status is unknown until its disk has been read
         for outgoing in self.exchange.take_due(context.now, self.status, self.survey.present_peers()):
             message = Message(outgoing.kind, context.node, self.register.hash, outgoing.body)
             context.actions.append(SendDatagram(outgoing.node, encode(message, context.now)))
 
     def status(self, flags: StatusFlag) -> NodeStatus:
-        """Return what this node reports of itself; `flags` are set besides those of its state."""
+        """Return this node's status report, with `flags` in addition to the flags of its state."""
         context = self.context
         flags |= StatusFlag.SOUND if context.disk.sound else StatusFlag(0)
         flags |= StatusFlag.FRESH if context.disk.fresh else StatusFlag(0)
--- a/balancer/recovery/events.py
+++ b/balancer/recovery/events.py
@@ -1,4 +1,4 @@
-"""Events that a node's recovery handles. Times are node clock, ms."""
+"""Events that the recovery core handles. Times are milliseconds of the node's clock."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed; wanted at `Recovery.next_wakeup` at the latest."""
+    """Time has passed; due at `Recovery.next_wakeup` at the latest."""
 
 
 @dataclass(slots=True, frozen=True)
 class DiskRead:
-    """The disk has been read: `VERIFY` is over."""
+    """The disk has been read, which ends the phase `VERIFY`."""
 
-    sound: bool  # false: damaged, another node's, or none; nothing of it is used
-    fresh_disk: bool  # nothing was ever written to it
+    sound: bool  # false if the disk is damaged, missing or another node's, so that nothing on it is used
+    fresh_disk: bool  # true if nothing was ever written to the disk
     incarnation: int = 0
-    age_ms: float = 0.0  # of the saved state, by `durable.timestamp.Timestamp.age_ms`
+    age_ms: float = 0.0  # age of the saved state by `durable.timestamp.Timestamp.age_ms`
     entries: tuple[BanEntry, ...] = ()
-    revision: int = 0  # of the saved list
-    warm_rate: float = 0.0  # requests a second that this node carried when warm; 0: unknown
+    revision: int = 0  # revision of the saved endpoint list
+    warm_rate: float = 0.0  # requests/s that this node carried when warm; 0 if unknown
 
 
 @dataclass(slots=True, frozen=True)
 class StateInherited:
-    """This process takes over from one of the same node that went on until now."""
+    """This process takes over from a process of the same node that was running until now."""
 
     phase: Phase
     path: RecoveryPath
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """A datagram came from the address of node `source`."""
+    """A datagram has arrived from the address of node `source`."""
 
     source: int
     data: bytes
@@ -47,29 +47,29 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipChanged:
-    """The membership's view of who is present, this node included: a hint, no more."""
+    """Membership's view of the present nodes, including this one, has changed; it serves only as a hint."""
 
-    incarnations: Mapping[int, int]  # by node
+    incarnations: Mapping[int, int]  # incarnation of each present node
     quorum: bool
 
 
 @dataclass(slots=True, frozen=True)
 class ListReceived:
-    """Discovery itself has sent the endpoint list in this process."""
+    """Discovery has sent the endpoint list to this process."""
 
     revision: int
-    start_times: tuple[float, ...]  # of the listed backends, node clock
-    ids: tuple[str, ...] = ()  # of those in service; peers without such a list may avoid the others
+    start_times: tuple[float, ...]  # start time of each listed backend by the node's clock
+    ids: tuple[str, ...] = ()  # backends in service; peers without a list from discovery may avoid all others
 
 
 @dataclass(slots=True, frozen=True)
 class ListRequestFailed:
-    """The request that a `RequestList` brought about has failed."""
+    """The request to discovery that `RequestList` started has failed."""
 
 
 @dataclass(slots=True, frozen=True)
 class SavedListLoaded:
-    """The backends of the saved list, from which this node serves until discovery has sent one."""
+    """The saved list, from which this node serves until discovery sends a list, has been loaded."""
 
     ids: tuple[str, ...]
 
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteCompleted:
-    """The entries of `PersistEntries(entries, token)` are on the disk, or failed to get there."""
+    """The write of `PersistEntries(entries, token)` to disk has succeeded or failed."""
 
     token: int
     succeeded: bool
@@ -94,19 +94,19 @@
 
 @dataclass(slots=True, frozen=True)
 class DemandMeasured:
-    """Requests that came to this node in the last second; sent once a second until it is FULL."""
+    """Requests that arrived at this node in the last second; sent every second until the node is FULL."""
 
     requests_per_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """The node shuts down gracefully. It goes on answering until it ends."""
+    """The node has started a graceful shutdown; it answers peers until its process exits."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeersChanged:
-    """The tier has another number of nodes; the numbers `replaced` have new addresses."""
+    """The tier now has `count` nodes; the nodes in `replaced` have new addresses."""
 
     count: int
     replaced: frozenset[int] = field(default_factory=frozenset)
--- a/balancer/recovery/exchange.py
+++ b/balancer/recovery/exchange.py
@@ -1,10 +1,10 @@
-"""Anti-entropy exchange: status and register of a node, sent under one rate limit, most urgent first.
+"""Anti-entropy exchange of node status and ban register, under one rate limit, most urgent datagrams first.
 
-Entries that several peers lack are broadcast: every node with such entries waits for an exponentially
-distributed time, longer if more peers have the same register, and drops entries that another node
-broadcasts meanwhile (suppression as in SRM, Floyd et al. 1997). Remaining differences are repaired between
-pairs of nodes: one sends a digest of 16 bucket hashes, the other one answers with the entries of the
-buckets that differ.
+Entries that several peers lack are broadcast. Every node with such entries waits for an exponentially
+distributed time, which is longer if more peers have the same register, and skips entries that another node
+broadcasts in the meantime (suppression as in SRM, Floyd et al. 1997). Remaining differences are repaired
+between pairs of nodes: one node sends a digest of 16 bucket hashes, and the other replies with the entries
+of the buckets that differ.
 """
 
 from __future__ import annotations
@@ -32,21 +32,23 @@
 from balancer.recovery.urgent_entries import UrgentEntries
 
 MAX_STATUS_RECIPIENTS = 256
-MAX_REPAIRS = 16  # peers at once
-MAX_DIGEST_INTERVAL_MS = 4000.0  # while digests bring nothing
-COMPARE_INTERVAL_MS = 5000.0  # between two statuses that are sent to a random peer
+MAX_CONCURRENT_REPAIRS = 16
+# While digests bring no new entries, their interval doubles up to this limit.
+MAX_DIGEST_INTERVAL_MS = 4000.0
+MEAN_COMPARE_INTERVAL_MS = 5000.0  # each status sent to a random peer lets it compare registers
+# Keys of `/stats` that count the datagrams sent of each kind.
 COUNTER_NAMES = {
     MessageKind.SURVEY: "sent_roll",
     MessageKind.STATUS: "sent_answer",
     MessageKind.DIGEST: "sent_digest",
     MessageKind.ENTRIES: "sent_rows",
     MessageKind.LIST_FILTER: "sent_filter",
-}  # keys of `/stats`
+}
 
 
 @dataclass(slots=True, frozen=True)
-class Outgoing:
-    """A datagram to be sent, to all if `node` is None."""
+class OutgoingDatagram:
+    """Datagram to send to one node, or to all nodes if `node` is None."""
 
     node: int | None
     kind: MessageKind
@@ -55,16 +57,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeLimits:
-    """Budget and pace of an exchange."""
+    """Rate limit and shortest digest interval of an exchange."""
 
     datagrams_per_s: float
     burst: float
-    min_digest_interval: float  # ms
+    min_digest_interval_ms: float
 
 
 @dataclass(slots=True)
 class SendTimes:
-    """When some kinds of datagrams are sent next, ms; infinite: not wanted."""
+    """Times (ms) at which datagrams of some kinds are due next; infinite if none is due."""
 
     compare: float
     status: float = math.inf
@@ -75,7 +77,7 @@
 
 
 class Exchange:
-    """Datagrams about a node and its register."""
+    """Exchange of datagrams about a node's status and register with its peers."""
 
     def __init__(
         self, register: BanRegister, generator: random.Random, limits: ExchangeLimits, now: float
@@ -87,32 +89,32 @@
         self.counts: Counter[str] = Counter()
         self.is_leaving = False
         self.filters = FilterBroadcast(generator)
-        self._min_digest_interval = limits.min_digest_interval
-        self._digest_interval = limits.min_digest_interval
+        self._min_digest_interval_ms = limits.min_digest_interval_ms
+        self._digest_interval_ms = limits.min_digest_interval_ms
         self._budget = TokenBucket(limits.datagrams_per_s, limits.burst, now)
-        self._times = SendTimes(compare=now + COMPARE_INTERVAL_MS * generator.uniform(0.5, 1.5))
+        self._times = SendTimes(compare=now + MEAN_COMPARE_INTERVAL_MS * generator.uniform(0.5, 1.5))
         self._paginator = Paginator(register)
         self._repairs = RepairQueue(register)
         self._broadcast = PageBroadcast(register, self.agreement, self._paginator, generator)
-        self._urgent = UrgentEntries(register, limits.min_digest_interval)
+        self._urgent = UrgentEntries(register, limits.min_digest_interval_ms)
         self._survey_wanted = False
-        self._status_recipients: dict[int | None, None] = {}  # None: all
+        self._status_recipients: dict[int | None, None] = {}  # the recipient None stands for all peers
 
     # --- planning
 
     def register_changed(self, entries: Iterable[BanEntry]) -> None:
-        """Plan to spread entries of the register that have changed."""
+        """Schedule changed register entries to be sent to peers."""
         self.agreement.register_changed()
-        self._digest_interval = self._min_digest_interval
+        self._digest_interval_ms = self._min_digest_interval_ms
         for entry in entries:
             self._broadcast.mark_unsent(entry)
 
     def request_survey(self) -> None:
-        """Ask all peers for their status."""
+        """Schedule a survey, which asks all peers for their status."""
         self._survey_wanted = True
 
     def send_status(self, node: int | None, now: float, delay: float = 0.0) -> None:
-        """Send this node's status to a peer, or to all; several at once make one datagram to all."""
+        """Schedule this node's status for a peer or for all; several recipients share one broadcast."""
         if len(self._status_recipients) >= MAX_STATUS_RECIPIENTS:
             self.counts["answers_dropped"] += 1
         else:
@@ -120,17 +122,17 @@
             self._times.status = min(self._times.status, now + delay)
 
     def send_urgently(self, entries: Iterable[BanEntry], now: float) -> None:
-        """Send entries to all at once, and once more."""
+        """Send entries to all peers immediately, and a second time later."""
         for entry in entries:
             if not is_shareable(entry.backend):
                 self.counts["ids_not_shared"] += 1
-            elif self._urgent.is_full:  # digests will bring it
+            elif self._urgent.is_full:  # peers get the entry later, through digests
                 self.counts["urgent_dropped"] += 1
             else:
                 self._urgent.add(entry, now)
 
     def forget(self, node: int) -> None:
-        """Drop a peer that is gone, or replaced."""
+        """Remove a peer that has left the tier or was replaced."""
         self.agreement.forget(node)
         self._status_recipients.pop(node, None)
         self._repairs.forget(node)
@@ -138,7 +140,7 @@
     # --- receiving
 
     def hash_received(self, node: int, register_hash: int, now: float, max_delay: float) -> None:
-        """Record a peer's register hash; what this node lacks it asks for after `max_delay` ms at most."""
+        """Record a peer's register hash; request entries that this node lacks within `max_delay` ms."""
         self.agreement.peer_hashes[node] = register_hash
         if not self.agreement.covers(register_hash):
             self._times.digest = min(self._times.digest, now + self.random.uniform(max_delay / 2, max_delay))
@@ -158,7 +160,7 @@
         return changed
 
     def digest_received(self, node: int, register_hash: int, digest: Digest, now: float) -> None:
-        """Send a peer the entries that it lacks, or a status if there are none."""
+        """Schedule the entries that a peer lacks for it, or a status if it lacks none."""
         buckets = zip(self.register.buckets, digest.buckets, strict=True)
         mask = sum(1 << index for index, (own, other) in enumerate(buckets) if own != other)
         if not mask:
@@ -166,9 +168,9 @@
             return
         is_new = node not in self._repairs
         if is_new and len(self._repairs) + 1 >= MIN_PEERS_FOR_BROADCAST and not self.is_leaving:
-            self._repairs.clear()  # one datagram for each of them is more than to all
+            self._repairs.clear()  # one broadcast takes fewer datagrams than a repair of each peer
             self._broadcast.start(mask, now)
-        elif is_new and len(self._repairs) >= MAX_REPAIRS:
+        elif is_new and len(self._repairs) >= MAX_CONCURRENT_REPAIRS:
             self.counts["repairs_dropped"] += 1
         else:
             self._repairs.start(node, register_hash, mask, self._paginator.pages(mask))
@@ -177,7 +179,7 @@
 
     @property
     def next_send_at(self) -> float:
-        """Time (ms) at which something is to be sent and may be."""
+        """Time (ms) at which the next datagram is due and the rate limit permits it."""
         if self._survey_wanted or self._repairs:
             wanted_at = -math.inf
         else:
@@ -191,24 +193,24 @@
             )
         return max(wanted_at, self._budget.available_at)
 
-    def take_due(self, now: float, status: StatusSource, peers: list[int]) -> list[Outgoing]:
-        """Return what goes out now.
+    def take_due(self, now: float, status: StatusSource, peers: list[int]) -> list[OutgoingDatagram]:
+        """Return the datagrams to send now.
 
         Args:
-            now: Node clock, ms.
-            status: Returns this node's status with some flags.
-            peers: Those present.
+            now: Time of the node's clock, ms.
+            status: Returns this node's status with the given flags.
+            peers: Peers that are present.
         """
         self._budget.refill(now)
-        sent: list[Outgoing] = []
+        sent: list[OutgoingDatagram] = []
         while self._budget.has_token and (outgoing := self._next(now, status, peers)) is not None:
             self._budget.take()
             sent.append(outgoing)
             self.counts[COUNTER_NAMES[outgoing.kind]] += 1
         return sent
 
-    def _next(self, now: float, status: StatusSource, peers: list[int]) -> Outgoing | None:
-        """Return the most urgent datagram."""
+    def _next(self, now: float, status: StatusSource, peers: list[int]) -> OutgoingDatagram | None:
+        """Return the most urgent datagram that is due, or None."""
         return (
             self._next_urgent(now)
             or self._next_page(now)
@@ -219,43 +221,43 @@
             or self._next_background(now, status, peers)
         )
 
-    def _next_urgent(self, now: float) -> Outgoing | None:
+    def _next_urgent(self, now: float) -> OutgoingDatagram | None:
         entries = self._urgent.take(now)
         if not entries:
             return None
         for entry in entries:
             self._broadcast.mark_sent(entry)
-        return Outgoing(None, MessageKind.ENTRIES, RegisterPage(entries, to_all=True))
+        return OutgoingDatagram(None, MessageKind.ENTRIES, RegisterPage(entries, to_all=True))
 
-    def _next_page(self, now: float) -> Outgoing | None:
+    def _next_page(self, now: float) -> OutgoingDatagram | None:
         page = self._broadcast.take(now)
-        return None if page is None else Outgoing(None, MessageKind.ENTRIES, page)
+        return None if page is None else OutgoingDatagram(None, MessageKind.ENTRIES, page)
 
-    def _next_survey(self, status: StatusSource) -> Outgoing | None:
+    def _next_survey(self, status: StatusSource) -> OutgoingDatagram | None:
         if not self._survey_wanted:
             return None
         self._survey_wanted = False
-        self._status_recipients.clear()  # the survey tells all of them
+        self._status_recipients.clear()  # the survey itself carries this node's status to all peers
         self._times.status = math.inf
-        return Outgoing(None, MessageKind.SURVEY, status(StatusFlag(0)))
+        return OutgoingDatagram(None, MessageKind.SURVEY, status(StatusFlag(0)))
 
-    def _next_digest(self, now: float) -> Outgoing | None:
+    def _next_digest(self, now: float) -> OutgoingDatagram | None:
         if now < self._times.digest:
             return None
         self._times.digest = math.inf
         peers = self.agreement.peers_ahead()
         if not peers:
             return None
-        self._times.digest = now + self._digest_interval * self.random.uniform(1.0, 1.5)
-        self._digest_interval = min(2 * self._digest_interval, MAX_DIGEST_INTERVAL_MS)
+        self._times.digest = now + self._digest_interval_ms * self.random.uniform(1.0, 1.5)
+        self._digest_interval_ms = min(2 * self._digest_interval_ms, MAX_DIGEST_INTERVAL_MS)
         digest = Digest(tuple(self.register.buckets))
-        return Outgoing(self.random.choice(peers), MessageKind.DIGEST, digest)
+        return OutgoingDatagram(self.random.choice(peers), MessageKind.DIGEST, digest)
 
-    def _next_repair(self) -> Outgoing | None:
+    def _next_repair(self) -> OutgoingDatagram | None:
         repair = self._repairs.take()
-        return None if repair is None else Outgoing(repair.node, MessageKind.ENTRIES, repair.page)
+        return None if repair is None else OutgoingDatagram(repair.node, MessageKind.ENTRIES, repair.page)
 
-    def _next_status(self, now: float, status: StatusSource) -> Outgoing | None:
+    def _next_status(self, now: float, status: StatusSource) -> OutgoingDatagram | None:
         if now < self._times.status:
             return None
         self._times.status = math.inf
@@ -264,19 +266,19 @@
         if not recipients:
             return None
         node = recipients[0] if len(recipients) == 1 else None
-        return Outgoing(node, MessageKind.STATUS, status(StatusFlag.REPLY))
+        return OutgoingDatagram(node, MessageKind.STATUS, status(StatusFlag.REPLY))
 
-    def _next_background(self, now: float, status: StatusSource, peers: list[int]) -> Outgoing | None:
-        """Return what only a node sends that does not shut down."""
+    def _next_background(self, now: float, status: StatusSource, peers: list[int]) -> OutgoingDatagram | None:
+        """Return the next low-priority datagram, or None; a node that shuts down sends no more of them."""
         if self.is_leaving:
             self.filters.cancel()
             self._times.compare = math.inf
             return None
         if (list_filter := self.filters.take(now)) is not None:
-            return Outgoing(None, MessageKind.LIST_FILTER, list_filter)
+            return OutgoingDatagram(None, MessageKind.LIST_FILTER, list_filter)
         if now < self._times.compare:
             return None
-        self._times.compare = now + COMPARE_INTERVAL_MS * self.random.uniform(0.75, 1.25)
+        self._times.compare = now + MEAN_COMPARE_INTERVAL_MS * self.random.uniform(0.75, 1.25)
         if not peers:
             return None
-        return Outgoing(self.random.choice(peers), MessageKind.STATUS, status(StatusFlag(0)))
+        return OutgoingDatagram(self.random.choice(peers), MessageKind.STATUS, status(StatusFlag(0)))
--- a/balancer/recovery/filter_broadcast.py
+++ b/balancer/recovery/filter_broadcast.py
@@ -1,4 +1,4 @@
-"""Filters of the endpoint list that go to peers which discovery has not sent one."""
+"""Broadcast filters of the endpoint list for peers that have no list from discovery yet."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 from balancer.recovery.messages import ListFilter
 
-FILTERS_PER_S = 2.0  # of all nodes together
-FILTER_INTERVAL_MS = 5000.0  # between two filters of one tier
+TIER_FILTERS_PER_S = 2.0  # mean rate at which all nodes of a tier together send filters
+MIN_TIER_FILTER_INTERVAL_MS = 5000.0
 
 
 class FilterBroadcast:
-    """The filter that this node could send, and when it does."""
+    """Filter that this node can broadcast, and the time of the broadcast."""
 
     def __init__(self, generator: random.Random) -> None:
         """Create a broadcast without a filter."""
-        self.own: ListFilter | None = None  # of a list that discovery has sent to this node
-        self.next_at = math.inf  # ms
+        self.own: ListFilter | None = None  # filter of the list that discovery has sent to this node
+        self.next_at = math.inf  # time of the next broadcast, ms
         self._random = generator
-        self._sent_at = -math.inf  # by any node of the tier
+        self._sent_at = -math.inf  # time at which any node of the tier last sent a filter, ms
 
     def plan(self, now: float, listed_count: int) -> None:
-        """Plan a filter for a peer that serves from its saved list; `listed_count` nodes could send one."""
-        if self.own is None or self.next_at < math.inf or now < self._sent_at + FILTER_INTERVAL_MS:
+        """Schedule a filter for a peer without a list from discovery; `listed_count` nodes could send one."""
+        if self.own is None or self.next_at < math.inf or now < self._sent_at + MIN_TIER_FILTER_INTERVAL_MS:
             return
-        self.next_at = now + self._random.expovariate(FILTERS_PER_S / max(1, listed_count)) * 1000
+        self.next_at = now + self._random.expovariate(TIER_FILTERS_PER_S / max(1, listed_count)) * 1000
 
     def received(self, list_filter: ListFilter, now: float) -> None:
-        """Drop the own filter's transmission, if a peer's filter is as new."""
+        """Cancel this node's broadcast if a peer's filter is at least as new."""
         if self.own is not None and list_filter.revision >= self.own.revision:
             self.next_at = math.inf
             self._sent_at = now
 
     def cancel(self) -> None:
-        """Send none."""
+        """Cancel the scheduled broadcast."""
         self.next_at = math.inf
 
     def take(self, now: float) -> ListFilter | None:
-        """Return the filter to be sent now; None if none is due."""
+        """Return the filter to send now, or None if no broadcast is due."""
         if now < self.next_at:
             return None
         self.next_at = math.inf
--- a/balancer/recovery/list_filter.py
+++ b/balancer/recovery/list_filter.py
@@ -1,6 +1,7 @@
-"""Set of a list's backends in service in one datagram: a Bloom filter (Bloom 1970), salted by revision.
+"""Bloom filter (Bloom 1970) of a list's backends in service, salted with the revision; fits into a datagram.
 
-It may hold some that are not in service, never the other way round: it can only restrict a list too little.
+The filter may match backends that are not in service, but it always matches those that are. It can therefore
+only restrict a list too little.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 
 from balancer.recovery.messages import MAX_FILTER_BYTES, ListFilter
 
-MIN_BITS_PER_ID = 2.0  # with fewer, four in ten of the others pass, and it is not worth a datagram
+MIN_BITS_PER_ID = 2.0  # with fewer bits, 40 % of the other backends pass, which is not worth a datagram
 MIN_FILTER_BYTES = 8
 BYTES_PER_ID = 1.5
 MAX_BUILT_HASHES = 8
-MAX_EXCLUDED_PART = 0.5  # of a saved list, on the word of peers
+MAX_EXCLUDED_FRACTION = 0.5  # filters of peers cannot exclude more than half of a saved list
 
 
 def build_filter(ids: Sequence[str], revision: int) -> ListFilter | None:
-    """Return the filter of some ids; None if there are none, or too many for a datagram."""
+    """Return a filter of backend ids, or None if there are no ids or too many for a datagram."""
     if not ids or len(ids) * MIN_BITS_PER_ID > MAX_FILTER_BYTES * 8:
         return None
     size = min(MAX_FILTER_BYTES, max(MIN_FILTER_BYTES, math.ceil(len(ids) * BYTES_PER_ID)))
@@ -32,9 +33,9 @@
 
 
 def excluded_ids(list_filter: ListFilter, ids: Sequence[str]) -> frozenset[str]:
-    """Return those of `ids` that are certainly not in service; none if that would be too many to believe."""
+    """Return the ids that are certainly not in service, or no ids if these exceed `MAX_EXCLUDED_FRACTION`."""
     excluded = {backend for backend in ids if not _may_contain(list_filter, backend)}
-    return frozenset(excluded) if len(excluded) <= MAX_EXCLUDED_PART * len(ids) else frozenset()
+    return frozenset(excluded) if len(excluded) <= MAX_EXCLUDED_FRACTION * len(ids) else frozenset()
 
 
 def _may_contain(list_filter: ListFilter, backend: str) -> bool:
@@ -44,7 +45,7 @@
 
 
 def _bit_positions(backend: str, revision: int, hashes: int, size: int) -> list[int]:
-    """Return bit positions by double hashing (Kirsch, Mitzenmacher 2006)."""
+    """Return the bit positions of an id by double hashing (Kirsch and Mitzenmacher 2006)."""
     salt = (revision & 0xFFFFFFFF).to_bytes(4, "big")
     digest = hashlib.blake2b(backend.encode("utf-8", "surrogatepass"), digest_size=16, salt=salt).digest()
     first = int.from_bytes(digest[:8], "big")
--- a/balancer/recovery/messages.py
+++ b/balancer/recovery/messages.py
@@ -1,12 +1,12 @@
-"""Datagrams of recovery: at most 256 bytes, with checksum and version. Unknown kinds are skipped.
+"""Datagrams of the recovery protocol: at most 256 bytes, with checksum and version; skips unknown kinds.
 
     crc32:u32 version:u8 kind:u8 sender:u16  hash:u64  then by kind
 
-`hash` is of the sender's register. All numbers are big-endian. A later version may append
-fields to a kind, which are ignored; an incompatible layout gets a kind of its own.
+`hash` is the hash of the sender's register. All numbers are big-endian. A later version may append fields to
+a kind, which older versions ignore; an incompatible layout gets a kind of its own.
 
     SURVEY, STATUS  incarnation:u32 uptime:u32 phase:u8 path:u8 flags:u8 revision:u32 rate:u32 demand:u32
-                    recovering:u16 length:u8, then who is present: a bit for each node, of that many bytes
+                    recovering:u16 length:u8, then that many bytes with one bit for each present node
     DIGEST          16 bucket hashes, u32
     ENTRIES         base:u32 mask:u16 part:u16 parts:u16 flags:u8 count:u8, then for each entry
                     node:u16 incarnation:u32 sequence:u32 active:u8 age:u32 length:u8 id
@@ -26,9 +26,9 @@
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 256
-FIRST_MESSAGE_KIND = 16  # of this protocol, on a port that it shares
+FIRST_MESSAGE_KIND = 16  # membership uses the lower kinds on the same port
 MAX_U32 = 0xFFFFFFFF
-UNKNOWN = MAX_U32  # an age (ms) or a demand that is unknown, or too large
+UNKNOWN = MAX_U32  # encodes an age (ms) or a demand that is unknown or too large
 HEADER = struct.Struct(">IBBHQ")
 STATUS_LAYOUT = struct.Struct(">IIBBBIIIHB")
 DIGEST_LAYOUT = struct.Struct(f">{DIGEST_BUCKET_COUNT}I")
@@ -36,74 +36,75 @@
 ENTRY_LAYOUT = struct.Struct(">HIIBIB")
 FILTER_LAYOUT = struct.Struct(">IBB")
 CRC_BYTES = 4
-RATE_SCALE = 10  # rates are sent in tenths
+RATE_SCALE = 10  # rates are sent in tenths of a request per second
 MAX_ENTRIES_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - PAGE_LAYOUT.size
-MAX_STATUS_NODES = 8 * (MAX_DATAGRAM_BYTES - HEADER.size - STATUS_LAYOUT.size)  # whose presence fits
+# A status has one presence bit for each of the nodes that fit into its datagram.
+MAX_STATUS_NODES = 8 * (MAX_DATAGRAM_BYTES - HEADER.size - STATUS_LAYOUT.size)
 MAX_FILTER_BYTES = 200
-MAX_FILTER_HASHES = 16  # bits that a filter may set for each id
+MAX_FILTER_HASHES = 16  # limits the bits that a received filter may set for each id
 
 
 class MessageError(ValueError):
-    """A datagram that cannot be decoded, or encoded."""
+    """The datagram cannot be decoded, or the message cannot be encoded."""
 
 
 class UnknownKindError(MessageError):
-    """A datagram of a kind that only a later version knows: it is skipped."""
+    """The datagram has a kind that only a later version knows, so the receiver skips it."""
 
 
 class MessageKind(IntEnum):
-    """Kinds of datagrams."""
+    """Kinds of recovery datagrams."""
 
     SURVEY = 16  # asks all peers for their status
     STATUS = 17
     DIGEST = 18  # asks for the entries that the sender lacks
     ENTRIES = 19
-    LIST_FILTER = 20  # the backends in service of a list that discovery has sent
+    LIST_FILTER = 20  # tells which backends of a list from discovery are in service
 
 
 class StatusFlag(IntFlag):
-    """Flags of SURVEY and STATUS."""
+    """Flags of SURVEY and STATUS datagrams."""
 
     SOUND = 1  # the sender's disk was sound
-    FRESH = 2  # it was empty
+    FRESH = 2  # the sender's disk was empty
     LISTED = 4  # discovery has sent the sender its list in this incarnation
-    REPLY = 8  # in reply to a status: no further reply is wanted
+    REPLY = 8  # the status is itself a reply, so it needs no further reply
     WARM = 16  # by the sender's clock every listed backend is warm
 
 
 @dataclass(slots=True, frozen=True)
 class NodeStatus:
-    """What a node reports of itself."""
+    """Status that a node reports about itself."""
 
     incarnation: int
-    uptime_ms: float  # by its own clock
-    phase: int  # a `Phase`, or one of a later version
-    path: int  # index in `PATHS`, or one of a later version
+    uptime_ms: float  # measured by the reporting node's clock
+    phase: int  # value of a `Phase`, or of a phase that only a later version knows
+    path: int  # index in `PATHS`, or of a path that only a later version knows
     flags: StatusFlag
-    revision: int  # of the list that it has
-    warm_rate: float  # requests a second that it carried when warm; 0: unknown
-    demand: float  # requests that came to it in the last second; infinite: unknown
-    recovering: int  # nodes that are recovering, of those that it sees
-    present_nodes: int  # bits of itself and its reporting peers; once it serves, of all present
+    revision: int  # revision of the endpoint list that the node has; 0 if unknown
+    warm_rate: float  # requests/s that the node carried when warm; 0 if unknown
+    demand: float  # requests that arrived at the node in the last second; infinite if unknown
+    recovering: int  # number of recovering nodes among those that the node sees
+    present_nodes: int  # bits of the node and of the peers it has heard; once it serves, of all present nodes
 
     @property
     def present_count(self) -> int:
-        """Number of nodes that it sees."""
+        """Number of nodes that the reporting node sees, including itself."""
         return self.present_nodes.bit_count()
 
 
 @dataclass(slots=True, frozen=True)
 class RegisterPage:
-    """Entries of the sender's register.
+    """Page with entries of the sender's register.
 
-    All parts 0 to `parts` - 1 with the same hash and mask are all entries of the buckets in the mask. `base`
-    is the lower half of the hash with which the receiver asked: the buckets outside the mask were the same
-    then.
+    The parts 0 to `parts` - 1 with the same hash and mask together hold all entries of the buckets in the
+    mask. `base` is the lower half of the register hash that came with the receiver's digest; at that hash the
+    buckets outside the mask were equal.
     """
 
-    entries: tuple[BanEntry, ...]  # `changed_at` is on the receiver's clock, as of `decode`'s `now`
+    entries: tuple[BanEntry, ...]  # `decode` converts their `changed_at` to the receiver's clock
     base: int = 0
-    mask: int = 0  # 0: single entries, no complete buckets
+    mask: int = 0  # buckets that all parts cover completely; 0 for single entries
     part: int = 0
     parts: int = 1
     to_all: bool = False
@@ -111,17 +112,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Digest:
-    """Hashes of the buckets of the sender's register."""
+    """Hash of each bucket of the sender's register."""
 
     buckets: tuple[int, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ListFilter:
-    """Bloom filter of the backends in service; some that are not may seem to be."""
+    """Bloom filter of the backends in service; it may match a few others."""
 
     revision: int
-    hashes: int  # bits set for each id
+    hashes: int  # number of bits that each id sets
     bits: bytes
 
 
@@ -130,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One datagram."""
+    """Decoded content of one datagram."""
 
     kind: MessageKind
     sender: int
@@ -139,27 +140,27 @@
 
 
 def node_bits(nodes: Iterable[int]) -> int:
-    """Return a number with one bit set for each node."""
+    """Return a bit mask in which the bit of each node is set."""
     return sum(1 << node for node in nodes)
 
 
 def rounded_demand(demand: float) -> float:
-    """Return a demand as peers read it from a status: in tenths, infinite if it is unknown."""
+    """Return a demand as peers decode it from a status: rounded to tenths, infinite if unknown."""
     if demand == math.inf:
         return math.inf
     return min(round(demand * RATE_SCALE), UNKNOWN - 1) / RATE_SCALE
 
 
 def encoded_entry_size(entry: BanEntry) -> int:
-    """Return the bytes that an entry takes in a datagram."""
+    """Return the size in bytes of an entry in a datagram."""
     return ENTRY_LAYOUT.size + len(entry.backend.encode())
 
 
 def encode(message: Message, now: float) -> bytes:
-    """Return the bytes of a message, ages of entries as of `now` (ms).
+    """Return the datagram of a message, with the ages of entries at `now` (ms).
 
     Raises:
-        MessageError: If it is too long for a datagram.
+        MessageError: If the message is too long for a datagram, or a backend id is empty or too long.
     """
     match message.body:
         case NodeStatus() as status:
@@ -172,7 +173,7 @@
             body = DIGEST_LAYOUT.pack(*digest.buckets)
     header = HEADER.pack(0, VERSION, message.kind, message.sender, message.hash)
     if len(header) + len(body) > MAX_DATAGRAM_BYTES:
-        raise MessageError(f"{len(header) + len(body)} bytes")
+        raise MessageError(f"{len(header) + len(body)} bytes exceed the size limit of a datagram")
     checked = header[CRC_BYTES:] + body
     return zlib.crc32(checked).to_bytes(CRC_BYTES, "big") + checked
 
@@ -204,7 +205,7 @@
 def _encode_entry(entry: BanEntry, now: float) -> bytes:
     backend = entry.backend.encode()
     if not 0 < len(backend) <= MAX_BACKEND_ID_BYTES:
-        raise MessageError(f"an id of {len(backend)} bytes")
+        raise MessageError(f"backend id of {len(backend)} bytes is empty or exceeds the length limit")
     is_unknown = entry.changed_at == -math.inf
     age = UNKNOWN if is_unknown else min(max(0, int(now - entry.changed_at)), UNKNOWN)
     fixed = ENTRY_LAYOUT.pack(entry.node, entry.incarnation, entry.sequence, entry.active, age, len(backend))
@@ -212,23 +213,23 @@
 
 
 def decode(data: bytes, now: float) -> Message:
-    """Return the message in a datagram that came at `now` (ms).
+    """Return the message in a datagram that arrived at `now` (ms).
 
     Raises:
-        UnknownKindError: If only a later version knows its kind.
-        MessageError: If it is anything else.
+        UnknownKindError: If only a later version knows the kind of the datagram.
+        MessageError: If the datagram is invalid.
     """
     if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
-        raise MessageError(f"{len(data)} bytes")
+        raise MessageError(f"{len(data)} bytes are too few or too many for a datagram of recovery")
     checksum, version, kind, sender, register_hash = HEADER.unpack_from(data)
     if zlib.crc32(data[CRC_BYTES:]) != checksum:
-        raise MessageError("corrupt")
+        raise MessageError("checksum does not match the content of the datagram")
     if not version:
-        raise MessageError("no version")
+        raise MessageError("protocol version is 0, expected 1 or later")
     try:
         body = _decode_body(kind, data[HEADER.size :], now)
     except struct.error:
-        raise MessageError("cut short") from None
+        raise MessageError("datagram is shorter than the fixed fields of its kind") from None
     return Message(MessageKind(kind), sender, register_hash, body)
 
 
@@ -242,14 +243,14 @@
             return _decode_page(body, now)
         case MessageKind.LIST_FILTER:
             return _decode_filter(body)
-    raise UnknownKindError(f"kind {kind}")
+    raise UnknownKindError(f"unknown message kind {kind}")
 
 
 def _decode_filter(body: bytes) -> ListFilter:
     revision, hashes, length = FILTER_LAYOUT.unpack_from(body)
     bits = body[FILTER_LAYOUT.size : FILTER_LAYOUT.size + length]
     if not 0 < hashes <= MAX_FILTER_HASHES or not length or len(bits) < length:
-        raise MessageError("no filter")
+        raise MessageError("list filter is empty or truncated, or its number of hashes is out of range")
     return ListFilter(revision, hashes, bits)
 
 
@@ -258,7 +259,7 @@
     incarnation, uptime, phase, path, flags, revision, rate, demand, recovering, length = fields
     present = body[STATUS_LAYOUT.size : STATUS_LAYOUT.size + length]
     if len(present) < length:
-        raise MessageError("cut short")
+        raise MessageError("status ends before its last presence byte")
     return NodeStatus(
         incarnation,
         float(uptime),
@@ -282,7 +283,7 @@
         offset += encoded_entry_size(entry)
         entries.append(entry)
     if part >= parts:
-        raise MessageError(f"part {part} of {parts}")
+        raise MessageError(f"page has part number {part}, expected less than the number of parts {parts}")
     return RegisterPage(tuple(entries), base, mask, part, parts, bool(flags & 1))
 
 
@@ -290,10 +291,10 @@
     node, incarnation, sequence, active, age, length = ENTRY_LAYOUT.unpack_from(body, offset)
     encoded = body[offset + ENTRY_LAYOUT.size : offset + ENTRY_LAYOUT.size + length]
     if len(encoded) < length or not 0 < length <= MAX_BACKEND_ID_BYTES:
-        raise MessageError("cut short")
+        raise MessageError("backend id is empty, too long or truncated")
     try:
         backend = encoded.decode()
     except UnicodeDecodeError:
-        raise MessageError("an id that is none") from None
+        raise MessageError("backend id is not valid UTF-8") from None
     changed_at = -math.inf if age == UNKNOWN else now - age
     return BanEntry(backend, node, incarnation, sequence, bool(active), changed_at)
--- a/balancer/recovery/page_broadcast.py
+++ b/balancer/recovery/page_broadcast.py
@@ -1,4 +1,4 @@
-"""Pages of the register that go to all peers, because several of them lack some entries."""
+"""Broadcast pages of the register when several peers lack some of its entries."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from balancer.recovery.messages import RegisterPage
 from balancer.recovery.pages import Paginator
 
-PAGES_PER_S = 8.0  # of all nodes together
-PAGE_DELAY_MS = 60.0  # in which a node hears who else has the same
-MIN_PEERS_FOR_BROADCAST = 3  # that differ, or that ask
-MIN_DIFFERING_PART = 3  # one peer in so many
-MAX_COMPLETE_PAGES = 4  # that a register may take to be sent completely
+TIER_PAGES_PER_S = 8.0  # mean rate at which all nodes with the same register together send pages
+MIN_PAGE_DELAY_MS = 60.0  # before it sends a page, a node learns which peers have the same register
+MIN_PEERS_FOR_BROADCAST = 3  # with fewer peers that lack entries, each is repaired separately
+PEERS_PER_DIFFERING_PEER = 3  # in a small tier one differing peer in three suffices for a broadcast
+MAX_SMALL_REGISTER_PAGES = 4  # a small register is broadcast completely, not only its differing buckets
 
 
 class PageBroadcast:
-    """Entries that nobody has sent to all, and when this node sends the first page of them."""
+    """Entries that no node has broadcast yet, and the time at which this node broadcasts a page of them."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         generator: random.Random,
     ) -> None:
         """Create a broadcast without entries."""
-        self.next_at = math.inf  # ms
+        self.next_at = math.inf  # time of the next page, ms
         self._register = register
         self._agreement = agreement
         self._paginator = paginator
@@ -36,28 +36,28 @@
         self._unsent: dict[EntryKey, None] = {}
 
     def mark_unsent(self, entry: BanEntry) -> None:
-        """Record an entry that nobody has sent to all."""
+        """Record an entry that no node has broadcast yet."""
         if is_shareable(entry.backend):
             self._unsent[entry.key] = None
 
     def mark_sent(self, entry: BanEntry) -> None:
-        """Record an entry that somebody has sent to all."""
+        """Record that this node or a peer has broadcast an entry."""
         self._unsent.pop(entry.key, None)
 
     def plan(self, now: float) -> None:
-        """Plan a page, if enough peers differ from this node."""
+        """Schedule a page if the registers of enough peers differ from this node's."""
         if self.next_at == math.inf and self._is_worthwhile():
-            self.next_at = now + PAGE_DELAY_MS + self._random_delay()
+            self.next_at = now + MIN_PAGE_DELAY_MS + self._random_delay()
 
     def start(self, mask: int, now: float) -> None:
-        """Send at once the entries of the buckets in a mask, or all of a small register."""
-        is_small = len(self._paginator.pages(ALL_BUCKETS)) <= MAX_COMPLETE_PAGES
+        """Broadcast the entries of the buckets in a mask, or all entries of a small register, immediately."""
+        is_small = len(self._paginator.pages(ALL_BUCKETS)) <= MAX_SMALL_REGISTER_PAGES
         for entry in self._register.entries_in(ALL_BUCKETS if is_small else mask):
             self._unsent[entry.key] = None
         self.next_at = now
 
     def take(self, now: float) -> RegisterPage | None:
-        """Return the first page with entries that nobody has sent to all; None if none is due."""
+        """Return the first page with entries that no node has broadcast, or None if no page is due."""
         if now < self.next_at:
             return None
         self.next_at = math.inf
@@ -73,11 +73,11 @@
         return None
 
     def _is_worthwhile(self) -> bool:
-        enough = max(1, len(self._agreement.peer_hashes) // MIN_DIFFERING_PART)
+        enough = max(1, len(self._agreement.peer_hashes) // PEERS_PER_DIFFERING_PEER)
         differing = self._agreement.differing_peer_count()
         return bool(self._unsent) and differing >= min(MIN_PEERS_FOR_BROADCAST, enough)
 
     def _random_delay(self) -> float:
-        """Draw the wait (ms) with which nodes of the same register send `PAGES_PER_S` together."""
+        """Return a random delay (ms) at which all nodes with the same register send `TIER_PAGES_PER_S`."""
         same = 1 + self._agreement.matching_peer_count()
-        return self._random.expovariate(PAGES_PER_S / same) * 1000
+        return self._random.expovariate(TIER_PAGES_PER_S / same) * 1000
--- a/balancer/recovery/pages.py
+++ b/balancer/recovery/pages.py
@@ -1,4 +1,4 @@
-"""Pages of the register, one datagram each, and the queue of pages for single peers."""
+"""Split the register into pages of one datagram each, and queue pages for single peers."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class Paginator:
-    """Splits a register into pages: the same ones for the same register hash on any node."""
+    """Split a register into pages; every node with the same register hash gets the same pages."""
 
     def __init__(self, register: BanRegister) -> None:
-        """Create a paginator of a register."""
+        """Create a paginator of the given register."""
         self._register = register
-        self._cached_for: tuple[int, int] | None = None  # register hash, mask
-        self._cached: list[Page] = []
+        self._cache_key: tuple[int, int] | None = None  # register hash and bucket mask of the cached pages
+        self._cached_pages: list[Page] = []
 
     def pages(self, mask: int) -> list[Page]:
-        """Return the pages of the buckets in a mask: one at least."""
-        if self._cached_for != (self._register.hash, mask):
-            self._cached = self._split(mask)
-            self._cached_for = (self._register.hash, mask)
-        return self._cached
+        """Return the pages of the buckets in a mask, at least one."""
+        if self._cache_key != (self._register.hash, mask):
+            self._cached_pages = self._split(mask)
+            self._cache_key = (self._register.hash, mask)
+        return self._cached_pages
 
     def _split(self, mask: int) -> list[Page]:
         pages: list[Page] = []
@@ -44,56 +44,56 @@
 
 @dataclass(slots=True)
 class Repair:
-    """Entries on their way to one peer that has asked for them."""
+    """Entries still to be sent to a peer that has requested them."""
 
-    base: int  # the lower half of the peer's register hash
-    mask: int  # the buckets that differ
-    register_hash: int  # of this register when the peer asked
-    remaining: list[tuple[EntryKey, ...]]  # pages still to go
+    base: int  # lower half of the peer's register hash
+    mask: int  # buckets in which the registers of both nodes differ
+    register_hash: int  # hash of this node's register at the time of the request
+    remaining: list[tuple[EntryKey, ...]]  # keys of the entries on each unsent page
     parts: int
 
 
 @dataclass(slots=True, frozen=True)
 class RepairPage:
-    """A page for one peer."""
+    """Page to send to one peer."""
 
     node: int
     page: RegisterPage
 
 
 class RepairQueue:
-    """Repairs of several peers, served round robin."""
+    """Queue of repairs for several peers, which are served in round-robin order."""
 
     def __init__(self, register: BanRegister) -> None:
-        """Create an empty queue of a register's repairs."""
+        """Create an empty queue; `register` provides the entries to send."""
         self._register = register
         self._repairs: dict[int, Repair] = {}
 
     def __len__(self) -> int:
-        """Return the number of peers under repair."""
+        """Return the number of peers with an unfinished repair."""
         return len(self._repairs)
 
     def __contains__(self, node: int) -> bool:
-        """Return whether a peer is under repair."""
+        """Return whether a peer has an unfinished repair."""
         return node in self._repairs
 
     def start(self, node: int, peer_hash: int, mask: int, pages: list[Page]) -> None:
-        """Begin to send pages to a peer, replacing its unsent ones."""
+        """Start to send pages to a peer, in place of its unsent ones."""
         remaining = [tuple(entry.key for entry in page) for page in pages]
         self._repairs[node] = Repair(
             peer_hash & LOWER_HASH_MASK, mask, self._register.hash, remaining, len(remaining)
         )
 
     def clear(self) -> None:
-        """Drop all."""
+        """Cancel all repairs."""
         self._repairs.clear()
 
     def forget(self, node: int) -> None:
-        """Drop a peer's."""
+        """Cancel the repair of a peer."""
         self._repairs.pop(node, None)
 
     def take(self) -> RepairPage | None:
-        """Return the next page; once the register has changed it makes no claim to be complete."""
+        """Return the next page, which claims complete buckets only while the register is unchanged."""
         if not self._repairs:
             return None
         node = next(iter(self._repairs))
