--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -142,8 +142,7 @@
         else:
             cold_since = 0.0 if self._has_fresh_list else capacity.cold_since
             self.node.handle_event(
-                api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.tier_rate
-            )
+                api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.tier_rate)
             )
 
     def allow_polling(self) -> None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -63,7 +63,10 @@
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = ConnectionPool(
-            replace(BASE, connect_timeout_ms=1000 * WAIT_TIMEOUT_S), 10, RequestStatistics(), StreamMemory(192)
+            replace(BASE, connect_timeout_ms=1000 * WAIT_TIMEOUT_S),
+            10,
+            RequestStatistics(),
+            StreamMemory(192),
         )
         pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
         ended: list[AttemptResult] = []
@@ -133,7 +136,10 @@
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = ConnectionPool(
-            replace(BASE, connect_timeout_ms=1000 * WAIT_TIMEOUT_S), 10, RequestStatistics(), StreamMemory(192)
+            replace(BASE, connect_timeout_ms=1000 * WAIT_TIMEOUT_S),
+            10,
+            RequestStatistics(),
+            StreamMemory(192),
         )
         pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
         ended: asyncio.Queue[AttemptResult] = asyncio.Queue()
