--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -136,8 +136,6 @@
         """Return the number of entries."""
         return self._size
 
-    # --- queries
-
     def entries(self) -> list[BanEntry]:
         """Return all entries in an order that is the same on every node."""
         return [by_node[node] for _, by_node in sorted(self._entries.items()) for node in sorted(by_node)]
@@ -172,8 +170,6 @@
         banned = [entry.changed_at for entry in entries if entry.active]
         return min(banned) if banned else max((entry.changed_at for entry in entries), default=-math.inf)
 
-    # --- requests of operators
-
     def new_ban(self, backend: str, requested_at: float) -> BanEntry:
         """Return an entry, not merged yet, for a ban requested here; its counter exceeds all of this node."""
         known = self.get(backend, self.node)
@@ -210,8 +206,6 @@
                 self.counts["lifts_superseded"] += 1
         return reissued
 
-    # --- entries of peers and of the disk
-
     def restore(self, entries: Sequence[BanEntry]) -> list[BanEntry]:
         """Merge entries from this node's own disk; return the entries that changed.
 
--- a/balancer/recovery/core.py
+++ b/balancer/recovery/core.py
@@ -180,8 +180,6 @@
             counts=dict(sorted(sum(counters, Counter[str]()).items())),
         )
 
-    # --- events
-
     def _dispatch(self, event: Event) -> None:
         context = self.context
         match event:
@@ -193,7 +191,7 @@
                 self.receive_list(event)
             case ListRequestFailed():
                 context.counts["list_failed"] += 1
-                self.schedule.poll_failed(context.now, self.survey.polling_nodes())
+                self.schedule.poll_failed(context.now, self.survey.polling_node_count())
             case SavedListLoaded():
                 self.saved_list.set_saved(event.ids)
             case BanRequested():
@@ -283,11 +281,9 @@
         for node in gone:
             self.exchange.forget(node)
 
-    # --- polling and sending
-
     def _poll_discovery(self) -> None:
         if self.context.now >= self.schedule.next_poll_at:
-            self.schedule.poll_started(self.context.now, self.survey.polling_nodes())
+            self.schedule.poll_started(self.context.now, self.survey.polling_node_count())
             self.context.actions.append(RequestList())
 
     def _send_datagrams(self) -> None:
--- a/balancer/recovery/exchange.py
+++ b/balancer/recovery/exchange.py
@@ -100,8 +100,6 @@
         self._survey_wanted = False
         self._status_recipients: dict[int | None, None] = {}  # the recipient None stands for all peers
 
-    # --- planning
-
     def register_changed(self, entries: Iterable[BanEntry]) -> None:
         """Schedule changed register entries to be sent to peers."""
         self.agreement.register_changed()
@@ -137,8 +135,6 @@
         self._status_recipients.pop(node, None)
         self._repairs.forget(node)
 
-    # --- receiving
-
     def hash_received(self, node: int, register_hash: int, now: float, max_delay: float) -> None:
         """Record a peer's register hash; request entries that this node lacks within `max_delay` ms."""
         self.agreement.peer_hashes[node] = register_hash
@@ -175,8 +171,6 @@
         else:
             self._repairs.start(node, register_hash, mask, self._paginator.pages(mask))
 
-    # --- sending
-
     @property
     def next_send_at(self) -> float:
         """Time (ms) at which the next datagram is due and the rate limit permits it."""
--- a/balancer/recovery/phase_machine.py
+++ b/balancer/recovery/phase_machine.py
@@ -1,4 +1,4 @@
-"""The phases of a recovery: when each one ends, and what begins the next."""
+"""State machine of the recovery phases: decides when a phase ends and which one follows."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 from balancer.recovery.context import RecoveryContext
 from balancer.recovery.exchange import Exchange
 from balancer.recovery.messages import StatusFlag
-from balancer.recovery.phases import MIN_ESTABLISHED, Phase, RecoveryPath, established_peers
+from balancer.recovery.phases import MIN_ESTABLISHED_PEERS, Phase, RecoveryPath, established_peers
 from balancer.recovery.poll_schedule import PollSchedule
 from balancer.recovery.quota import CapacityQuota
 from balancer.recovery.saved_list import SavedList
 from balancer.recovery.survey import PeerSurvey
 from balancer.recovery.trust import StateKind
 
-COLD_PATHS = frozenset({RecoveryPath.POWER, RecoveryPath.SPLIT, RecoveryPath.ALONE})  # backends may be cold
-REFINED_PATHS = frozenset({RecoveryPath.SPLIT, RecoveryPath.POWER})  # of what seemed less than the tier
-MIN_SURVEYED_PEERS = 4  # that have completed their own survey, from which no more are waited for
-STATUS_SPREAD_MS = 150.0  # over which nodes send a status to all
-WARM_CHECK_INTERVAL_MS = 250.0  # between two looks at the clocks of peers
+# After these outages backends may be cold.
+COLD_PATHS = frozenset({RecoveryPath.POWER, RecoveryPath.SPLIT, RecoveryPath.ALONE})
+# Later reports can show that a recovery classified as ALONE or SPLIT has one of these paths.
+REFINED_PATHS = frozenset({RecoveryPath.SPLIT, RecoveryPath.POWER})
+# Once enough peers with a completed survey agree, the node waits for no other peers.
+MIN_SURVEYED_PEERS = 4
+STATUS_SPREAD_MS = 150.0  # spreads the status broadcasts of all nodes over time
+WARM_CHECK_INTERVAL_MS = 250.0  # repeats the check whether most peers consider the backends warm
 
 
 class PhaseMachine:
-    """Leads a node from VERIFY to FULL."""
+    """Advance a node through the phases from VERIFY to FULL."""
 
     def __init__(
         self,
@@ -37,7 +40,7 @@
         exchange: Exchange,
         schedule: PollSchedule,
     ) -> None:
-        """Create the machine in VERIFY."""
+        """Create the machine in the phase VERIFY."""
         self.context = context
         self.survey = survey
         self.saved_list = saved_list
@@ -48,16 +51,15 @@
         self.next_survey_at = math.inf
         self.survey_started_at = context.now
         self.serving_since = context.now
-        self.is_warm = False  # by this node's clock
-        self.deferred_entries: list[BanEntry] = []  # of the disk, until the survey is over
+        self.is_warm = False  # true once every listed backend is warm by this node's clock
+        # Saved entries that are not trusted before the survey ends.
+        self.deferred_entries: list[BanEntry] = []
         self._survey_interval_ms = context.config.survey_interval_ms
         self._warm_check_at = context.now
 
-    # --- times
-
     @property
     def next_transition_at(self) -> float:
-        """Time at which a phase may end."""
+        """Next time at which the current phase may end."""
         match self.context.phase:
             case Phase.ASK:
                 return self._next_survey_deadline()
@@ -68,7 +70,7 @@
         return math.inf
 
     def phase_ends_at(self) -> float:
-        """Return when LISTED or WARMING ends at the latest, by what is known."""
+        """Return the latest time at which LISTED or WARMING ends, as far as it is known."""
         config = self.context.config
         latest = self.serving_since + config.max_warming_ms
         if self.context.phase is Phase.LISTED:
@@ -78,7 +80,7 @@
         return min(latest, max(self.saved_list.fresh.start_times, default=-math.inf) + config.ramp_time_ms)
 
     def deadline(self) -> float:
-        """Return when the present phase ends at the latest; infinite for VERIFY and FULL."""
+        """Return the latest end of the current phase; infinite for VERIFY and FULL."""
         match self.context.phase:
             case Phase.VERIFY | Phase.FULL:
                 return math.inf
@@ -93,10 +95,8 @@
         deadlines = (self.survey_started_at + wait for wait in waits)
         return min((deadline for deadline in deadlines if deadline > now), default=now)
 
-    # --- transitions
-
     def advance(self) -> None:
-        """Make the transitions that are due."""
+        """Perform all transitions that are due."""
         if self.context.phase is Phase.ASK:
             self.run_survey()
         if self.context.phase in (Phase.LISTED, Phase.WARMING):
@@ -109,7 +109,7 @@
             self.quota.review()
 
     def enter(self, phase: Phase, reason: str) -> None:
-        """Enter a phase."""
+        """Enter a phase and report it with the reason."""
         self.context.phase = phase
         self.context.phase_since = self.context.now
         self.quota.review_soon()
@@ -118,24 +118,22 @@
             self.exchange.send_status(None, self.context.now)
 
     def begin_survey(self, reason: str) -> None:
-        """Enter ASK."""
+        """Enter ASK, in which the node surveys its peers."""
         self.enter(Phase.ASK, reason)
         self.survey_started_at = self.context.now
         self.next_survey_at = self.context.now
 
     def take_over(self, phase: Phase, path: RecoveryPath, cold_since: float) -> None:
-        """Continue where the process before this one was."""
+        """Continue in the phase of the node's previous process."""
         self.context.path = RecoveryPath.UPGRADE
         self.context.cold_since = cold_since
         self.next_survey_at = math.inf
         self.serving_since = self.context.now if cold_since == -math.inf else cold_since
-        self.enter(phase, f"taken over from the predecessor, on path {path.value}")
+        self.enter(phase, f"taken over from the previous process, on path {path.value}")
         self.schedule.poll_now(self.context.now)
 
-    # --- ASK
-
     def run_survey(self) -> None:
-        """Survey the peers, and begin to serve once the survey is over."""
+        """Survey the peers, and start serving once the survey is over."""
         now = self.context.now
         if now >= self.next_survey_at:
             self.exchange.request_survey()
@@ -143,7 +141,7 @@
             self._survey_interval_ms *= 2
         is_first_round = now < self.survey_started_at + self.context.config.survey_interval_ms
         if self.survey.reports and is_first_round and not self.survey.has_established_peers:
-            return  # too early for anything but a crash
+            return  # in the first round reports can only prove a crash
         found = self.survey.classify()
         result = self.survey_end_reason(found.path)
         if result is None:
@@ -156,7 +154,7 @@
         self.start_serving(f"{found.reason}; {result}")
 
     def survey_end_reason(self, path: RecoveryPath) -> str | None:
-        """Return why the survey is over; None while it is not."""
+        """Return why the survey is over, or None while it continues."""
         config = self.context.config
         elapsed = self.context.now - self.survey_started_at
         if self.context.node_count == 1:
@@ -170,24 +168,26 @@
             return "no peer answers" if elapsed >= config.isolation_timeout_ms else None
         if not is_agreed:
             return None
-        if self._surveyed_peers() >= MIN_SURVEYED_PEERS:
+        if self._surveyed_peer_count() >= MIN_SURVEYED_PEERS:
             return "peers that have completed their survey agree"
         if self.awaited_peers():
             return None
         if 2 * (len(self.survey.reports) + 1) > self.context.node_count:
             return "the peers agree" if elapsed >= config.survey_interval_ms else None
         return (
-            "the peers heard agree, the others are silent" if elapsed >= config.isolation_timeout_ms else None
+            "the peers that answered agree, the others do not answer"
+            if elapsed >= config.isolation_timeout_ms
+            else None
         )
 
     def awaited_peers(self) -> list[int]:
-        """Return, in ASK, who has not been heard, or has entries that this node lacks."""
+        """Return, during ASK, the peers that have not reported or have entries that this node lacks."""
         if self.context.phase is not Phase.ASK:
             return []
         return sorted({*self.survey.missing(), *self.exchange.agreement.peers_ahead()})
 
     def start_serving(self, reason: str) -> None:
-        """End the survey: the node listens from here on."""
+        """End the survey and start serving requests."""
         now = self.context.now
         self.serving_since = now
         self.enter(Phase.LISTED, reason)
@@ -212,20 +212,18 @@
         agreement = self.exchange.agreement
         agreeing = [r.status for node, r in self.survey.reports.items() if agreement.agrees_with(node)]
         established = established_peers(agreeing, self.context.node_count)
-        return len(established) >= min(MIN_ESTABLISHED, self.context.node_count - 1)
+        return len(established) >= min(MIN_ESTABLISHED_PEERS, self.context.node_count - 1)
 
-    def _surveyed_peers(self) -> int:
-        """Return how many peers have completed their own survey and see a majority."""
+    def _surveyed_peer_count(self) -> int:
+        """Return the number of peers that have completed their survey and see a majority of the tier."""
         statuses = [report.status for report in self.survey.reports.values()]
         return sum(
             status.phase >= Phase.LISTED and 2 * status.present_count > self.context.node_count
             for status in statuses
         )
 
-    # --- LISTED and WARMING
-
     def _refine_path(self) -> None:
-        """Classify again by peers that come later. A node that serves already has had no crash."""
+        """Reclassify ALONE and SPLIT by later reports; a node that already serves never changes to CRASH."""
         if self.context.path not in (RecoveryPath.ALONE, RecoveryPath.SPLIT):
             return
         found = self.survey.classify()
@@ -237,15 +235,17 @@
         now = self.context.now
         if self.saved_list.fresh is not None:
             starts = self.saved_list.fresh.start_times
-            last = f", the last started {now - max(starts):.0f} ms ago" if starts else ""
+            last = f", the newest started {now - max(starts):.0f} ms ago" if starts else ""
             self.enter(Phase.WARMING, f"discovery sent {len(starts)} backends{last}")
         elif now >= self.serving_since + self.context.config.max_listed_ms:
-            self.enter(Phase.WARMING, "discovery does not answer: warming up by this node's own start")
+            self.enter(
+                Phase.WARMING, "discovery does not answer: the warm-up is timed by this node's own start"
+            )
 
     def _await_warm_backends(self) -> None:
-        """Enter FULL once all is warm by this node's clock, and by no fewer than half of the peers'.
+        """Enter FULL once all backends are warm by this node's clock and by the clocks of half of its peers.
 
-        The starts that discovery sends are wall-clock times: to a clock that is ahead all is warm at once.
+        Discovery sends wall-clock start times, so to a node with a fast clock all backends seem warm at once.
         """
         context = self.context
         if context.now >= self.serving_since + context.config.max_warming_ms:
@@ -268,5 +268,5 @@
 
 
 def entry_kind(entry: BanEntry) -> StateKind:
-    """Return the kind of state that an entry is."""
+    """Return the kind of saved state that an entry belongs to."""
     return StateKind.BANS if entry.active else StateKind.LIFTED_BANS
--- a/balancer/recovery/phases.py
+++ b/balancer/recovery/phases.py
@@ -1,4 +1,4 @@
-"""Phases of a recovery, and its classification by the uptime and phase that peers report."""
+"""Phases of a recovery, and its classification by the uptimes and phases that peers report."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 from balancer.recovery.messages import NodeStatus
 
-MIN_ESTABLISHED = 2  # peers whose reports prove that the tier kept running
+MIN_ESTABLISHED_PEERS = 2  # a single established peer does not prove that the tier kept running
 
 
 class Phase(IntEnum):
-    """Progress of a node's recovery; it never goes back."""
+    """Progress of a node's recovery; a node never returns to an earlier phase."""
 
-    VERIFY = 0  # reading the disk; not listening
-    ASK = 1  # surveying the peers for bans; not listening
-    LISTED = 2  # serving from the saved endpoint list
-    WARMING = 3  # discovery has sent the list: serving within the capacity of cold backends
+    VERIFY = 0  # the node reads its disk and does not listen yet
+    ASK = 1  # the node surveys its peers for bans and does not listen yet
+    LISTED = 2  # the node serves from the saved endpoint list
+    WARMING = 3  # the node serves from discovery's list, within the capacity of cold backends
     FULL = 4
 
 
 class RecoveryPath(Enum):
-    """What a node recovers from. Its position is the code in datagrams."""
+    """Kind of outage that a node recovers from; datagrams carry its position in this enumeration."""
 
     UNDECIDED = "undecided"
-    CRASH = "crash"  # of this node alone, among peers that went on
-    POWER = "power"  # power loss of most of the tier
-    SPLIT = "split"  # restart with a minority: the others are late, or partitioned
+    CRASH = "crash"  # this node alone restarted, among peers that kept running
+    POWER = "power"  # most of the tier has lost power
+    SPLIT = "split"  # a minority restarted; the other nodes are late or partitioned
     ALONE = "alone"  # no peer answered
-    UPGRADE = "upgrade"  # takeover from a process that went on until now
+    UPGRADE = "upgrade"  # the process took over from one that was running until now
 
 
 PATHS = tuple(RecoveryPath)
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Classification:
-    """A recovery path and the evidence for it."""
+    """Recovery path and the evidence for it."""
 
     path: RecoveryPath
     reason: str
@@ -46,19 +46,19 @@
 def classify_recovery(
     reported: Sequence[NodeStatus], node_count: int, present: int, established_after_ms: float
 ) -> Classification:
-    """Classify a recovery by what peers report of themselves.
+    """Classify a recovery by the status reports of peers.
 
-    Peers that report FULL, or an uptime above `established_after_ms` (ms), did not restart with this node.
-    Uptime alone is no evidence, as a rolling restart leaves only young nodes. It is a crash only if
-    established peers are half of those heard and see half of the tier running: a power loss that a few
-    nodes survive is not.
+    Peers that report FULL, or a high uptime, did not restart together with this node.
+    Uptime alone is not sufficient, because a rolling restart leaves only nodes with short uptimes. The node
+    has crashed alone only if at least half of the peers heard are running and established peers see at least
+    half of the tier running; a power loss that a few nodes survive does not meet this condition.
 
     Args:
         reported: Status of each peer that was heard.
-        node_count: Nodes of the tier.
-        present: Nodes that seem to be present, this one included: a majority makes it a power loss, fewer may
-            be one side of a partition, or the first nodes to restart.
-        established_after_ms: Uptime (ms) from which a peer did not restart with this node.
+        node_count: Number of nodes in the tier.
+        present: Number of nodes that seem to be present, including this one. A majority indicates a power
+            loss; fewer nodes may be one side of a partition, or the first nodes to restart.
+        established_after_ms: Uptime (ms) above which a peer did not restart together with this node.
     """
     running = [s for s in reported if s.phase >= Phase.FULL or s.uptime_ms >= established_after_ms]
     recovering = len(reported) - len(running)
@@ -67,7 +67,7 @@
     if not reported:
         return Classification(RecoveryPath.ALONE, reason)
     established = established_peers(reported, node_count)
-    enough = min(MIN_ESTABLISHED, node_count - 1)
+    enough = min(MIN_ESTABLISHED_PEERS, node_count - 1)
     if len(established) >= enough and 2 * len(running) >= len(reported):
         return Classification(RecoveryPath.CRASH, reason)
     if 2 * present > node_count and 2 * len(running) <= len(reported):
@@ -76,10 +76,11 @@
 
 
 def established_peers(reported: Sequence[NodeStatus], node_count: int) -> list[NodeStatus]:
-    """Return those that say FULL while at least half of the tier runs and is not recovering.
+    """Return the peers that report FULL while at least half of the tier is running and not recovering.
 
-    The count is the peer's own view or the number of FULL reports received, whichever is greater: a peer that
-    missed another one's change to FULL counts it as recovering until its next report, seconds later.
+    The number of running nodes is the peer's own count or the number of FULL reports received, whichever is
+    greater. A peer that missed the change of another node to FULL counts that node as recovering until its
+    next report, seconds later.
     """
     full = [s for s in reported if s.phase >= Phase.FULL]
     return [s for s in full if 2 * max(s.present_count - s.recovering, len(full)) >= node_count]
--- a/balancer/recovery/quota.py
+++ b/balancer/recovery/quota.py
@@ -1,4 +1,4 @@
-"""This node's quota of the capacity of cold backends, by demand."""
+"""Quota of the cold backends' capacity that this node may use, according to demand."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from balancer.recovery.survey import PeerSurvey
 from balancer.recovery.trust import StateKind
 
-QUOTA_INTERVAL_MS = 250.0  # between two looks at what peers report
-NOTICEABLE_CHANGE = 0.05  # of a share or a rate
+QUOTA_REVIEW_INTERVAL_MS = 250.0
+MIN_RELATIVE_CHANGE = 0.05  # smaller relative changes of a share or rate are not reported
 
 
 class CapacityQuota:
-    """Demand at this node, and the share that follows from it and from what peers report."""
+    """Demand at this node, and the capacity share that results from it and from the peers' demand."""
 
     def __init__(self, context: RecoveryContext, survey: PeerSurvey) -> None:
-        """Create the quota of a node without demand."""
-        self.demand = math.inf  # requests in the last second at this node; infinite: unknown
-        self.saved_rate = 0.0  # requests a second that this node carried when warm, as it was saved
+        """Create the quota of a node whose demand is unknown."""
+        self.demand = math.inf  # requests at this node in the last second; infinite if unknown
+        self.saved_rate = 0.0  # requests/s that this node carried when warm, as read from disk
         self.next_review_at = context.now
         self.context = context
         self.survey = survey
@@ -29,10 +29,11 @@
 
     @property
     def share(self) -> float:
-        """Part of a budget that all nodes share; all sides of any partition take 1.5 at most.
+        """Fraction that this node may use of a budget shared by all nodes.
 
-        Where one node has most of the demand the others count it as half, and may take up to 0.4 more
-        together than is theirs: more than comes to them.
+        The limits of all sides of a partition add up to at most 1.5 budgets. If one node has most of the
+        demand, the others count it as at most four fifths of the total. Together they may then use up to 0.16
+        of the budget more than their part, which exceeds the demand that they have.
         """
         present = self.survey.present()
         node_count = self.context.node_count
@@ -41,7 +42,7 @@
 
     @property
     def tier_rate(self) -> float:
-        """Requests a second of the whole tier when warm, by the median, which no few can move. 0: unknown."""
+        """Requests/s of the whole tier when warm, by the median, which resists outliers; 0 if unknown."""
         rates = [
             report.status.warm_rate for report in self.survey.reports.values() if report.status.warm_rate > 0
         ]
@@ -50,18 +51,18 @@
         return statistics.median(rates) * self.context.node_count if rates else 0.0
 
     def own_rate(self) -> float:
-        """Return requests a second of this node when warm; 0: unknown."""
+        """Return the requests per second of this node when warm; 0 if unknown."""
         return self.saved_rate if self.context.is_trusted(StateKind.WARM_RATE) else 0.0
 
     def review_soon(self) -> None:
-        """Grant anew at the next event."""
+        """Schedule a review of the share for the next event."""
         self.next_review_at = self.context.now
 
     def review(self) -> None:
-        """Grant the share anew, if it is time to and it has changed noticeably."""
+        """Report the share if a review is due and the share has changed noticeably."""
         if self.context.now < self.next_review_at:
             return
-        self.next_review_at = self.context.now + QUOTA_INTERVAL_MS
+        self.next_review_at = self.context.now + QUOTA_REVIEW_INTERVAL_MS
         current = CapacityGranted(self.share, self.context.cold_since, self.tier_rate)
         if self._granted is None or _differs_noticeably(self._granted, current):
             self._granted = current
@@ -81,4 +82,4 @@
 
 
 def _is_noticeable(before: float, after: float) -> bool:
-    return abs(before - after) > NOTICEABLE_CHANGE * max(before, after)
+    return abs(before - after) > MIN_RELATIVE_CHANGE * max(before, after)
--- a/balancer/recovery/receiver.py
+++ b/balancer/recovery/receiver.py
@@ -1,4 +1,4 @@
-"""Handles the datagrams of peers, and answers them."""
+"""Handle the datagrams of peers and reply to them."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 from balancer.recovery.saved_list import SavedList
 from balancer.recovery.survey import PeerSurvey
 
-EXPECTED_SURVEY_REPLIES = 8  # to one survey, on average
-DIGEST_DELAY_MS = 1000.0  # at most, in which entries may come to all before a peer is asked for them
-SURVEY_DIGEST_DELAY_MS = 160.0  # the same during a survey
-ESTABLISHED_DIGEST_DELAY_MS = 10.0  # the same during a survey that established peers have answered
+EXPECTED_SURVEY_REPLIES = 8  # mean number of replies to a survey of a large tier
+MAX_DIGEST_DELAY_MS = 1000.0  # entries that are broadcast within this delay need no digest
+MAX_SURVEY_DIGEST_DELAY_MS = 160.0  # longest delay of a digest during a survey
+# Longest delay of a digest after established peers have answered a survey.
+MAX_ESTABLISHED_DIGEST_DELAY_MS = 10.0
 
 
 class DatagramReceiver:
-    """Routes what peers send to the parts of a recovery."""
+    """Dispatch the content of datagrams to the components of a recovery."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         self._exchange = exchange
 
     def receive(self, event: DatagramReceived) -> None:
-        """Handle a datagram; what cannot be used is counted and dropped."""
+        """Handle a datagram; count and drop datagrams that are unusable."""
         message = self._valid_message(event)
         if message is None:
             return
@@ -90,11 +91,11 @@
 
     def _hash_received(self, message: Message) -> None:
         if self._context.phase > Phase.ASK:
-            max_delay = DIGEST_DELAY_MS
+            max_delay = MAX_DIGEST_DELAY_MS
         elif self._survey.has_established_peers:
-            max_delay = ESTABLISHED_DIGEST_DELAY_MS
+            max_delay = MAX_ESTABLISHED_DIGEST_DELAY_MS
         else:
-            max_delay = SURVEY_DIGEST_DELAY_MS
+            max_delay = MAX_SURVEY_DIGEST_DELAY_MS
         self._exchange.hash_received(message.sender, message.hash, self._context.now, max_delay)
 
     def _reply(self, message: Message, status: NodeStatus) -> None:
@@ -102,13 +103,13 @@
         if message.kind is MessageKind.SURVEY:
             self._reply_to_survey(message.sender, status)
         elif StatusFlag.REPLY not in status.flags and self._exchange.agreement.is_behind(message.sender):
-            self._exchange.send_status(message.sender, context.now)  # so that it learns of its lag
+            self._exchange.send_status(message.sender, context.now)  # shows the peer that it lacks entries
         if StatusFlag.LISTED not in status.flags and context.has_fresh_list and context.phase >= Phase.LISTED:
             listed = sum(StatusFlag.LISTED in known.flags for known in self._survey.statuses())
             self._exchange.filters.plan(context.now, listed)
 
     def _reply_to_survey(self, sender: int, status: NodeStatus) -> None:
-        """Answer with a probability that makes `EXPECTED_SURVEY_REPLIES` of the unheard nodes answer."""
+        """Reply at random, so that on average `EXPECTED_SURVEY_REPLIES` of the unheard nodes reply."""
         context = self._context
         unheard = (self._survey.present_bits() & ~status.present_nodes).bit_count()
         if status.present_nodes >> context.node & 1:
--- a/balancer/recovery/saved_list.py
+++ b/balancer/recovery/saved_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a recovering node: the saved one, restricted by peers, until discovery sends one."""
+"""Endpoint list of a recovering node: the saved list, restricted by peers, until discovery sends a list."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @dataclass(slots=True, frozen=True)
 class FreshList:
-    """What discovery has sent in this process."""
+    """Endpoint list that discovery has sent to this process."""
 
-    start_times: tuple[float, ...]  # of the backends, node clock, none ahead of it
+    start_times: tuple[float, ...]  # start times of the backends by the node's clock, never in the future
 
 
 class SavedList:
-    """The saved list, and what replaces or restricts it."""
+    """Saved endpoint list, with the list that replaces it and the filter that restricts it."""
 
     def __init__(self, context: RecoveryContext) -> None:
-        """Create the record of a node that has no list."""
-        self.revision = 0  # of the list that is served from
+        """Create the state of a node without a list."""
+        self.revision = 0  # revision of the list that the node serves from
         self.saved_ids: tuple[str, ...] = ()
         self.restricted_ids: frozenset[str] = frozenset()
         self.fresh: FreshList | None = None
-        self.newest_filter: ListFilter | None = None  # of a peer
+        self.newest_filter: ListFilter | None = None  # newest list filter received from a peer
         self.context = context
-        self._ahead_since = math.inf  # when discovery first sent a start time ahead of this clock
+        self._ahead_since = math.inf  # when discovery first sent a start time in the future
 
     def set_saved(self, ids: tuple[str, ...]) -> None:
         """Set the backends of the saved list."""
@@ -41,7 +41,7 @@
         self.restrict()
 
     def receive(self, event: ListReceived) -> None:
-        """Replace the saved list by discovery's."""
+        """Replace the saved list with the list from discovery."""
         is_first = self.fresh is None
         self.fresh = FreshList(self._clamped(event.start_times))
         self.context.has_fresh_list = True
@@ -50,20 +50,20 @@
             self.restrict()
 
     def receive_filter(self, list_filter: ListFilter) -> None:
-        """Restrict the saved list by a peer's filter, if it is the newest one."""
+        """Restrict the saved list by a peer's filter if the filter is newer than earlier ones."""
         if self.newest_filter is None or list_filter.revision > self.newest_filter.revision:
             self.newest_filter = list_filter
             self.restrict()
 
     def restrict(self) -> None:
-        """Avoid what peers know to be gone, or a list that is not trusted, until discovery sends one."""
+        """Avoid backends that peers know to be gone, or an untrusted list, until discovery sends a list."""
         ids = self._excluded()
         if ids != self.restricted_ids:
             self.restricted_ids = ids
             self.context.actions.append(RestrictSavedList(ids))
 
     def known_revision(self) -> int:
-        """Return the revision to tell peers; 0: unknown."""
+        """Return the list revision to report to peers; 0 if unknown."""
         is_known = self.fresh is not None or self.context.is_trusted(StateKind.REVISION)
         return self.revision if is_known else 0
 
@@ -78,7 +78,7 @@
         return excluded_ids(self.newest_filter, self.saved_ids)
 
     def _clamped(self, starts: Sequence[float]) -> tuple[float, ...]:
-        """Replace start times ahead of this clock by the time when the first one was seen."""
+        """Replace start times in the future by the time at which the first such time was received."""
         now = self.context.now
         if self._ahead_since == math.inf and any(start > now for start in starts):
             self._ahead_since = now
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -1,7 +1,7 @@
-"""Recovery of one node on the tier's port, its disk and its timer. It decides nothing.
+"""I/O of a node's recovery: connects the core, which makes all decisions, to peer socket, disk and timer.
 
-If the core fails by a defect, or its port cannot be bound, the node continues alone: nothing here may keep it
-from serving.
+If the core raises an exception, or the socket cannot be bound, the node continues without its peers; nothing
+here may prevent it from serving.
 """
 
 from __future__ import annotations
@@ -33,48 +33,48 @@
 
 log = logging.getLogger(__name__)
 
-START_MARGIN_MS = 500.0  # past the longest survey, after which the node serves in any case
+START_MARGIN_MS = 500.0  # after the longest survey and this margin a node serves even if it is not ready
 
 
 class RecoveryHost(Protocol):
-    """The node, as far as recovery steers it."""
+    """Operations of the node that recovery controls."""
 
     def now(self) -> float:
-        """Return the node's clock, ms."""
+        """Return the time of the node's clock, ms."""
 
     async def apply_ban(self, backend: str, banned: bool, since: float) -> None:
-        """Follow the register; `since` is Unix time, ms, 0 if unknown."""
+        """Apply or lift a ban to match the register; `since` is Unix time in ms, 0 if unknown."""
 
     def set_admission(self, phase: Phase, capacity: actions.CapacityGranted | None) -> None:
-        """Limit what the node may send to cold backends; None: as it would without recovery."""
+        """Limit the requests to cold backends to a capacity; with None, behave as without recovery."""
 
     def allow_polling(self) -> None:
         """Allow the node to poll discovery."""
 
     def restrict_saved_list(self, ids: frozenset[str]) -> None:
-        """Avoid these backends of the saved list, in place of the previous set."""
+        """Send no requests to these backends of the saved list; replaces the previous set."""
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryHandover:
-    """State that a process hands over to its successor."""
+    """Recovery state that a process hands over to its successor."""
 
     phase: Phase
     path: RecoveryPath
-    cold_since: float  # ms, node clock
+    cold_since: float  # backends with an unknown start time count as started then (node clock, ms)
     entries: tuple[BanEntry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Admission:
-    """Admission that was last set at the node."""
+    """Phase and capacity limit that were last set at the node."""
 
     phase: Phase
     capacity: actions.CapacityGranted | None
 
 
 class RecoveryShell:
-    """Recovery of one process of a node."""
+    """Recovery of one process of a node, including its I/O."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         host: RecoveryHost,
         disk: DurableStore | None,
     ) -> None:
-        """Create the recovery of node number `node` and register it at the port."""
+        """Create the recovery of node number `node` and register it at the peer socket."""
         self.config = config
         self.port = port
         self.host = host
@@ -94,18 +94,16 @@
         self.core = Recovery(config, node, len(port.peers), incarnation, seed, host.now())
         self.has_failed = False
         self._defects = DefectLog(log, "recovery")
-        self.serving = asyncio.Event()  # from the phase LISTED on
+        self.serving = asyncio.Event()  # set when the node may serve, which is from the phase LISTED on
         self._capacity: actions.CapacityGranted | None = None
         self._admission = Admission(Phase.FULL, None)
         self._timer = WakeupTimer(host.now, lambda: self.handle(events.Tick()))
         self._requests = BanRequests(disk, host.apply_ban, self.handle, self.is_banned, self._defects)
-        self._migrated: list[BanRequest] = []  # bans from before the register
+        self._migration_requests: list[BanRequest] = []
         port.register(RECOVERY_KINDS, lambda source, data: self.handle(events.DatagramReceived(source, data)))
 
-    # --- the start
-
     def start(self, saved: DurableState) -> None:
-        """Start from what the node's disk has."""
+        """Start recovery from the state on the node's disk."""
         disk = self.disk
         entries = saved_entries(saved)
         sample = saved.learned_sample
@@ -121,76 +119,77 @@
             )
         )
         changes = unregistered_changes(saved.banned, entries)
-        self._migrated = [self._requests.start(c.backend, c.banned, self.host.now()) for c in changes]
+        self._migration_requests = [
+            self._requests.start(c.backend, c.banned, self.host.now()) for c in changes
+        ]
 
     def inherit(self, handover: RecoveryHandover) -> None:
-        """Continue where the process before was."""
+        """Continue recovery in the state of the previous process."""
         state = events.StateInherited(handover.phase, handover.path, handover.cold_since, handover.entries)
         self.handle(state)
 
     def rejoin(self, saved: DurableState) -> None:
-        """Merge requests that a failed successor has recorded on the disk."""
+        """Merge requests that a failed successor process has recorded on disk."""
         cold_since = self.core.cold_since
         entries = saved_entries(saved)
         self.handle(events.StateInherited(Phase.VERIFY, RecoveryPath.UPGRADE, cold_since, entries))
 
     async def wait_until_serving(self) -> None:
-        """Return when the node may listen: its bans are known and in force, or enough has been waited."""
+        """Wait until the node may listen: its bans are in force, or the maximum wait has passed."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout((self.config.max_survey_ms + START_MARGIN_MS) / 1000):
                 await self.serving.wait()
-                if self._migrated:
-                    await asyncio.wait([request.done for request in self._migrated])
+                if self._migration_requests:
+                    await asyncio.wait([request.done for request in self._migration_requests])
                 await self._requests.applied()
         if not self.serving.is_set():
-            log.warning("recovery: not serving in time; the node continues alone")
+            log.warning("recovery: survey not completed in time; the node serves without its result")
             self.serving.set()
 
     def handover(self) -> RecoveryHandover:
-        """Return what a successor continues from."""
+        """Return the state from which a successor process continues."""
         core = self.core
         return RecoveryHandover(core.phase, core.path, core.cold_since, tuple(core.register.entries()))
 
-    # --- events
-
     def handle(self, event: events.Event, request: BanRequest | None = None) -> None:
-        """Hand an event to the core and perform its actions; `request` is the one that the event is about."""
+        """Pass an event to the core and perform its actions; `request` is the one that the event is about."""
         if self.has_failed:
             return
         try:
             wanted = self.core.handle(self.host.now(), event)
-        except Exception:  # guards the node against a defect of this subsystem
-            log.exception("recovery: %s failed; the node continues alone", type(event).__name__)
+        except Exception:  # a defect of recovery must not stop the node
+            log.exception(
+                "recovery: handling of %s failed; recovery stops and the node continues without it",
+                type(event).__name__,
+            )
             self._give_up()
             return
         for action in wanted:
             with self._defects.contain(type(action).__name__):
                 self._perform(action, request)
-        with self._defects.contain("the admission"):
+        with self._defects.contain("setting the admission"):
             self._update_admission()
         self._timer.arm(self.core.next_wakeup)
 
     def members_changed(self, incarnations: Mapping[int, int], quorum: bool) -> None:
-        """Record who is present, by the membership."""
+        """Pass membership's view of the present nodes to the core."""
         self.handle(events.MembershipChanged(incarnations, quorum))
 
     def peers_changed(self, change: PeerListChange) -> None:
-        """Record that the port has another list of addresses."""
+        """Pass a change of the peer addresses to the core."""
         self.handle(events.PeersChanged(change.count, change.replaced))
 
     async def request_ban(self, backend: str, banned: bool) -> bool:
         """Ban a backend, or lift its ban, for an operator.
 
         Returns:
-            Whether the backend is banned, once that is recorded and in force.
+            Whether the backend is banned, once the request is recorded and in force.
 
         Raises:
-            BalancerError: If it could not be recorded.
+            BalancerError: If the request could not be recorded or applied.
         """
         return await self._requests.result(self._requests.start(backend, banned, self.host.now()))
 
-    # --- queries
-
     def is_trusted(self, kind: StateKind) -> bool:
         """Return whether saved state of a kind may be used now."""
         return not self.has_failed and self.core.is_trusted(kind)
@@ -204,14 +203,12 @@
         return bool(self.core.register.entries_of(backend))
 
     def stats(self) -> dict[str, object]:
-        """Return the table for `/stats`."""
+        """Return the recovery table for `/stats`."""
         stats = msgspec.structs.replace(self.core.stats(), failed=self.has_failed)
         stats.counts["defects"] = self._defects.count
         table: dict[str, object] = msgspec.to_builtins(stats)
         return table
 
-    # --- actions
-
     def _perform(self, action: actions.Action, request: BanRequest | None) -> None:
         match action:
             case actions.SendDatagram():
@@ -235,7 +232,7 @@
         log.info("recovery: phase %s, path %s: %s", phase, entered.path.value, entered.reason)
 
     def _update_admission(self) -> None:
-        """Tell the node what has changed for its requests."""
+        """Set the phase and the capacity limit at the node if they have changed."""
         phase = self.core.phase
         if phase < Phase.LISTED:
             return
@@ -249,21 +246,19 @@
         self.has_failed = True
         self._requests.fail()
         self.serving.set()
-        with self._defects.contain("the saved list"):
+        with self._defects.contain("lifting the restriction of the saved list"):
             self.host.restrict_saved_list(frozenset())
-        with self._defects.contain("the admission"):
+        with self._defects.contain("setting the admission"):
             self.host.set_admission(Phase.FULL, None)
-        with self._defects.contain("the poll of discovery"):
+        with self._defects.contain("allowing polls of discovery"):
             self.host.allow_polling()
 
-    # --- the end
-
     def leave(self) -> None:
         """Announce a graceful shutdown without a successor."""
         self.handle(events.ShutdownStarted())
 
     def close(self) -> None:
-        """Stop handling and sending."""
+        """Stop handling events and sending datagrams."""
         self.has_failed = True
         self._timer.cancel()
         self._requests.close()
--- a/balancer/recovery/token_bucket.py
+++ b/balancer/recovery/token_bucket.py
@@ -1,12 +1,12 @@
-"""Rate limit of the datagrams of one protocol."""
+"""Token bucket that limits the datagram rate of one protocol."""
 
 from __future__ import annotations
 
-ROUNDING_MARGIN_MS = 1e-6  # so that a whole token has been earned at the time that was promised
+ROUNDING_MARGIN_MS = 1e-6  # ensures that rounding leaves a whole token at `available_at`
 
 
 class TokenBucket:
-    """Earns `rate` tokens a second, `burst` at most."""
+    """Bucket that gains `rate` tokens per second and holds at most `burst` tokens."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         """Create a full bucket; `now` is in ms."""
@@ -17,20 +17,20 @@
 
     @property
     def available_at(self) -> float:
-        """Time (ms) of the next whole token."""
+        """Time (ms) at which the next whole token is available."""
         missing = max(0.0, 1.0 - self._tokens)
         return self._refilled_at + missing / self.rate * 1000 + ROUNDING_MARGIN_MS
 
     def refill(self, now: float) -> None:
-        """Add what was earned by `now` (ms)."""
+        """Add the tokens gained until `now` (ms)."""
         self._tokens = min(self.burst, self._tokens + (now - self._refilled_at) / 1000 * self.rate)
         self._refilled_at = now
 
     @property
     def has_token(self) -> bool:
-        """Whether one may be taken."""
+        """Whether a whole token is available."""
         return self._tokens >= 1.0
 
     def take(self) -> None:
-        """Take a token."""
+        """Remove one token from the bucket."""
         self._tokens -= 1.0
--- a/balancer/recovery/trust.py
+++ b/balancer/recovery/trust.py
@@ -1,7 +1,7 @@
-"""Trust in each kind of saved state: one table, and the one function that enforces it.
+"""Trust table for the kinds of saved state, and the function that enforces it.
 
-Saved state is late, not right: a disk may be a month old, or empty, damaged, another node's. A disk that is
-not sound, or that is fresh, counts as empty in any case.
+Saved state may be outdated: a disk may be a month old, empty, damaged, or from another node. A disk that is
+not sound or that is fresh always counts as empty.
 """
 
 from __future__ import annotations
@@ -16,46 +16,50 @@
 class StateKind(Enum):
     """Kinds of saved state; the values are keys of `/stats`."""
 
-    BANS = "bans"  # active entries of the register
-    LIFTED_BANS = "returns"  # lifted entries: they stop older disks from banning again
-    LIST = "list"  # endpoint list, to be served from before discovery has sent one
-    REVISION = "revision"  # of that list: a peer that names a greater one may restrict it
-    INCARNATION = "life"  # of this node, by which its own bans are ordered
-    LEARNED = "learned"  # what the balancer had learned of backends
-    WARM_RATE = "rate"  # requests a second that this node carried when all was warm
+    BANS = "bans"  # active entries of the ban register
+    # Lifted entries of the register, which keep older disks from restoring their bans.
+    LIFTED_BANS = "returns"
+    LIST = "list"  # endpoint list to serve from before discovery has sent one
+    REVISION = "revision"  # revision of the saved list; a peer with a greater one may restrict the list
+    INCARNATION = "life"  # incarnation of this node, which orders the bans requested at it
+    LEARNED = "learned"  # state of the backends that the balancer has learned
+    WARM_RATE = "rate"  # requests/s that this node carried when all backends were warm
 
 
 class TrustLevel(Enum):
-    """Condition under which saved state may be used; the values are shown in `/stats`."""
+    """Condition under which saved state may be used; `/stats` shows the values."""
 
-    ALONE = "alone"  # at once
-    UNLESS_CONTRADICTED = "unless peers know better"  # after the peers were asked, if none contradicted
+    ALONE = "alone"  # saved state may be used immediately
+    # Saved state may be used after the survey, unless a source contradicts it.
+    UNLESS_CONTRADICTED = "unless peers know better"
     NEVER = "never"
 
 
 @dataclass(slots=True, frozen=True)
 class TrustRule:
-    """One row of the trust table."""
+    """Row of the trust table."""
 
     level: TrustLevel
-    max_age_ms: float = math.inf  # since it was written, by `durable.timestamp.Timestamp.age_ms`
+    # State is not trusted beyond this age, by `durable.timestamp.Timestamp.age_ms`.
+    max_age_ms: float = math.inf
 
 
 HOUR_MS = 3_600_000.0
 TRUST_TABLE: Mapping[StateKind, TrustRule] = MappingProxyType(
     {
-        # An acknowledged ban holds until a lift that has seen it.
+        # An acknowledged ban stays in force until a lift that has seen it.
         StateKind.BANS: TrustRule(TrustLevel.ALONE),
         # A lift proves that its ban was seen; a later ban has a greater counter.
         StateKind.LIFTED_BANS: TrustRule(TrustLevel.ALONE),
-        # At any age: peers restrict the list, discovery replaces it.
+        # A list of any age can be used, because peers restrict it and discovery replaces it.
         StateKind.LIST: TrustRule(TrustLevel.UNLESS_CONTRADICTED),
         StateKind.REVISION: TrustRule(TrustLevel.UNLESS_CONTRADICTED),
-        # A number too low is raised by entries of this node that peers have.
+        # An incarnation that is too low is raised by the entries of this node that peers have.
         StateKind.INCARNATION: TrustRule(TrustLevel.ALONE),
-        # Its limit counts requests in flight, which cold backends bear too; restarted backends start anew.
+        # The learned limit counts requests in flight, which cold backends can bear too. Backends that have
+        # restarted since start without learned state.
         StateKind.LEARNED: TrustRule(TrustLevel.UNLESS_CONTRADICTED, HOUR_MS),
-        # Only the median over all nodes counts.
+        # A wrong rate of one node has little effect, as only the median over all nodes counts.
         StateKind.WARM_RATE: TrustRule(TrustLevel.ALONE, 24 * HOUR_MS),
     }
 )
@@ -63,11 +67,11 @@
 
 @dataclass(slots=True, frozen=True)
 class DiskState:
-    """Condition in which the disk was found."""
+    """Condition of the disk at the node's start."""
 
     sound: bool = False
-    fresh: bool = True  # nothing was ever written to it
-    age_ms: float = math.inf  # at the node's start
+    fresh: bool = True  # true if nothing was ever written to the disk
+    age_ms: float = math.inf  # age of the saved state at the node's start
 
 
 def is_trusted(
@@ -80,11 +84,11 @@
     """Return whether saved state of a kind may be used now.
 
     Args:
-        kind: Kind of state.
-        disk: Condition of the disk that it was read from.
-        peers_asked: Whether the peer survey is over, answered or not.
-        contradicted: Whether a better source contradicts it.
-        table: Rules by kind.
+        kind: Kind of saved state.
+        disk: Condition of the disk that the state was read from.
+        peers_asked: Whether the survey of the peers is over, with or without answers.
+        contradicted: Whether a better source contradicts the saved state.
+        table: Trust rule of each kind.
     """
     rule = table[kind]
     if not disk.sound or disk.fresh or disk.age_ms > rule.max_age_ms or rule.level is TrustLevel.NEVER:
--- a/balancer/recovery/wakeup_timer.py
+++ b/balancer/recovery/wakeup_timer.py
@@ -1,4 +1,4 @@
-"""A timer on the running event loop that is set to the earliest wanted time."""
+"""Timer on the running event loop that fires at the earliest requested time."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class WakeupTimer:
-    """Calls back at the earliest time that it was armed for; it is to be armed anew then."""
+    """Timer that calls back at the earliest time it was armed for, and must then be armed again."""
 
     def __init__(self, clock: Callable[[], float], callback: Callable[[], None]) -> None:
-        """Create a timer that is not armed; `clock` returns ms."""
+        """Create an unarmed timer; `clock` returns the time in ms."""
         self._clock = clock
         self._callback = callback
         self._loop = asyncio.get_running_loop()
@@ -21,7 +21,7 @@
         self._wakeup_at = math.inf
 
     def arm(self, wakeup_at: float) -> None:
-        """Call back at `wakeup_at` (ms), unless an earlier time is set."""
+        """Arm the timer for `wakeup_at` (ms), unless it is armed for an earlier time."""
         if wakeup_at >= self._wakeup_at:
             return
         self.cancel()
@@ -30,7 +30,7 @@
         self._handle = self._loop.call_later(delay, self._wake)
 
     def cancel(self) -> None:
-        """Do not call back."""
+        """Cancel the pending callback."""
         if self._handle is not None:
             self._handle.cancel()
 
--- a/tests/test_recovery_exchange.py
+++ b/tests/test_recovery_exchange.py
@@ -9,7 +9,7 @@
 from balancer.recovery.messages import MAX_ENTRIES_BYTES, RegisterPage, encoded_entry_size
 from balancer.recovery.pages import Paginator
 from balancer.recovery.token_bucket import TokenBucket
-from balancer.recovery.urgent_entries import TRANSMISSIONS, UrgentEntries
+from balancer.recovery.urgent_entries import TRANSMISSIONS_PER_ENTRY, UrgentEntries
 from tests.recovery_tier import BAN, register_of
 
 
@@ -31,10 +31,10 @@
 
 
 def test_an_urgent_entry_is_sent_twice() -> None:
-    queue = UrgentEntries(register_of([BAN]), repeat_after=250.0)
+    queue = UrgentEntries(register_of([BAN]), repeat_after_ms=250.0)
     queue.add(BAN, now=0.0)
     sent = [now for now in range(0, 2_000, 50) if queue.take(float(now))]
-    assert sent == [0, 250] and len(sent) == TRANSMISSIONS
+    assert sent == [0, 250] and len(sent) == TRANSMISSIONS_PER_ENTRY
 
 
 def test_a_peer_agrees_once_all_parts_of_its_register_have_come() -> None:
