--- a/balancer/recovery/agreement.py
+++ b/balancer/recovery/agreement.py
@@ -26,7 +26,8 @@
         self.peer_hashes: dict[int, int] = {}  # last register hash of each peer, by node number
         self._register = register
         self._covered: dict[int, None] = {}  # insertion-ordered set, so that the oldest hash is dropped first
-        self._own_lower_halves: dict[int, None] = {}  # halves of all hashes that this node's register has had
+        # Lower halves of all hashes that this node's register has had.
+        self._own_lower_halves: dict[int, None] = {}
         self._received_parts: dict[tuple[int, int, int, int], set[int]] = {}
         self._cover(0)
         self.register_changed()
--- a/balancer/recovery/ban_controller.py
+++ b/balancer/recovery/ban_controller.py
@@ -47,7 +47,7 @@
         self.exchange = exchange
         self.ramp_time_ms = ramp_time_ms
         self.counts: Counter[str] = Counter()
-        self.pending: dict[int, PendingRequest] = {}  # maps the token of each request to the request
+        self.pending: dict[int, PendingRequest] = {}  # maps request tokens to pending requests
         self._actions = actions
         self._applied: dict[str, AppliedState] = {}
 
--- a/balancer/recovery/ban_requests.py
+++ b/balancer/recovery/ban_requests.py
@@ -77,7 +77,7 @@
         self._is_banned = is_banned
         self._defects = defects
         self._loop = asyncio.get_running_loop()
-        self._pending: dict[int, BanRequest] = {}  # maps the token of each request to the request
+        self._pending: dict[int, BanRequest] = {}  # maps request tokens to pending requests
         self._last_token = 0
         self._is_closed = False
         self._changes: asyncio.Queue[BanChange] = asyncio.Queue()
--- a/balancer/recovery/receiver.py
+++ b/balancer/recovery/receiver.py
@@ -103,7 +103,8 @@
         if message.kind is MessageKind.SURVEY:
             self._reply_to_survey(message.sender, status)
         elif StatusFlag.REPLY not in status.flags and self._exchange.agreement.is_behind(message.sender):
-            self._exchange.send_status(message.sender, context.now)  # shows the peer that it lacks entries
+            # The status shows the peer that it lacks entries.
+            self._exchange.send_status(message.sender, context.now)
         if StatusFlag.LISTED not in status.flags and context.has_fresh_list and context.phase >= Phase.LISTED:
             listed = sum(StatusFlag.LISTED in known.flags for known in self._survey.statuses())
             self._exchange.filters.plan(context.now, listed)
--- a/tests/recovery_strategies.py
+++ b/tests/recovery_strategies.py
@@ -1,4 +1,4 @@
-"""Hypothesis strategies of register entries and datagrams of recovery."""
+"""Hypothesis strategies for ban register entries and recovery datagrams."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     StatusFlag,
 )
 
-NOW = 100_000.0
+NOW_MS = 100_000.0
 
 entries = st.builds(
     BanEntry,
@@ -26,7 +26,7 @@
     st.integers(0, 2),
     st.integers(0, 3),
     st.booleans(),
-    st.sampled_from([-math.inf, 0.0, NOW]),
+    st.sampled_from([-math.inf, 0.0, NOW_MS]),
 )
 
 entry_lists = st.lists(entries, max_size=12)
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -1,4 +1,4 @@
-"""Tiers of real processes that lose their power, with faults between them, and their bans afterwards."""
+"""Bans in tiers of real processes after power losses, partitions and lost disks."""
 
 from __future__ import annotations
 
@@ -25,85 +25,87 @@
 
 @dataclass
 class Tier:
-    """Nodes, each with discovery, disk and `$TMPDIR` of its own, and the datagrams between them."""
+    """Nodes with their own discovery, disk and `$TMPDIR`, and relays for the datagrams between them."""
 
     folder: Path
     count: int
     block: AddressBlock
     backends: list[Backend] = field(default_factory=lambda: [Backend(name) for name in BACKENDS])
     discovery: list[FakeDiscovery] = field(default_factory=list)
-    cut: set[frozenset[int]] = field(default_factory=set)  # pairs between which nothing gets through
+    # Datagrams between the two nodes of each pair are dropped.
+    dropped_pairs: set[frozenset[int]] = field(default_factory=set)
     starts: int = 0
     sockets: dict[tuple[int, int], socket.socket] = field(default_factory=dict)
 
     async def prepare(self) -> None:
-        """Start everything but the nodes."""
+        """Start backends, discovery and relays, and write the files of the nodes."""
         places = self.block.places
         loop = asyncio.get_running_loop()
         for backend in self.backends:
             await backend.start()
-        for near in range(self.count):
+        for sender in range(self.count):
             self.discovery.append(FakeDiscovery())
-            await self.discovery[near].start()
-            for far in range(self.count):
-                sock = self.sockets[near, far] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            await self.discovery[sender].start()
+            for receiver in range(self.count):
+                sock = self.sockets[sender, receiver] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 sock.setblocking(False)
-                sock.bind(places.relay(near, far))
-                loop.add_reader(sock, self._pass, near, far)
-            self.write(near)
+                sock.bind(places.relay(sender, receiver))
+                loop.add_reader(sock, self._relay, sender, receiver)
+            self.write_files(sender)
 
-    def write(self, node: int) -> None:
-        """Write a node's files."""
+    def write_files(self, node: int) -> None:
+        """Write the configuration files of a node."""
         places = self.block.places
-        home = self.home(node)
-        home.mkdir(exist_ok=True)
+        directory = self.directory(node)
+        directory.mkdir(exist_ok=True)
         table = configuration([b.member() for b in self.backends], self.discovery[node].port,
                               console=CONSOLE, me=node)  # fmt: skip
-        table["settings"]["rules"]["cold-share"] = 1.0  # what cold backends bear is not in question here
+        # These tests need no limits for cold backends.
+        table["settings"]["rules"]["cold-share"] = 1.0
         table |= {"name": f"n{node}", "seed": f"{node + 1:016x}",
                   "peer_listen": format_address(places.peer(node)),
-                  "peers": [format_address(places.relay(node, far)) for far in range(self.count)],
+                  "peers": [format_address(places.relay(node, receiver)) for receiver in range(self.count)],
                   "peers_all": format_address(places.relay(node, node))}  # fmt: skip
-        (home / "config.json").write_text(json.dumps(table))
-        state = json.dumps(str(home / "state"))
-        (home / "fleet.toml").write_text(
+        (directory / "config.json").write_text(json.dumps(table))
+        state = json.dumps(str(directory / "state"))
+        (directory / "fleet.toml").write_text(
             f"[membership]\nperiod-ms = 100\n[recovery]\n[durable]\ndirectory = {state}\n"
         )
 
-    def home(self, node: int) -> Path:
+    def directory(self, node: int) -> Path:
         """Return a node's directory."""
         return self.folder / f"n{node}"
 
-    def _pass(self, near: int, far: int) -> None:
+    def _relay(self, sender: int, receiver: int) -> None:
         with contextlib.suppress(OSError):
-            data = self.sockets[near, far].recv(512)
-            for to in [far] if far != near else set(range(self.count)) - {near}:
-                if frozenset({near, to}) not in self.cut:
-                    self.sockets[to, near].sendto(data, self.block.places.peer(to))
+            data = self.sockets[sender, receiver].recv(512)
+            for target in [receiver] if receiver != sender else set(range(self.count)) - {sender}:
+                if frozenset({sender, target}) not in self.dropped_pairs:
+                    self.sockets[target, sender].sendto(data, self.block.places.peer(target))
 
-    def split(self, *nodes: int) -> None:
+    def partition(self, *nodes: int) -> None:
         """Partition these nodes from the others."""
         others = set(range(self.count)) - set(nodes)
-        self.cut = {frozenset({a, b}) for a in nodes for b in others}
+        self.dropped_pairs = {frozenset({a, b}) for a in nodes for b in others}
 
     def env(self, node: int, fresh_tmp: bool = True) -> dict[str, str]:
         """Return the environment of a process; `$TMPDIR` is empty unless `fresh_tmp` is false."""
         self.starts += fresh_tmp
-        tmp = self.home(node) / f"tmp-{self.starts}"
+        tmp = self.directory(node) / f"tmp-{self.starts}"
         tmp.mkdir(exist_ok=True)
-        return {"TMPDIR": str(tmp), "PROXY_FLEET": str(self.home(node) / "fleet.toml")}
+        return {"TMPDIR": str(tmp), "PROXY_FLEET": str(self.directory(node) / "fleet.toml")}
 
-    def up(self, node: int, fresh_tmp: bool = True) -> contextlib.AbstractAsyncContextManager[Rig]:
-        """Run a process of a node, from when it serves."""
-        path = self.home(node) / "config.json"
+    def run_process(self, node: int, fresh_tmp: bool = True) -> contextlib.AbstractAsyncContextManager[Rig]:
+        """Run a process of a node and wait until it serves."""
+        path = self.directory(node) / "config.json"
         return started(path, self.discovery[node], **self.env(node, fresh_tmp))
 
     @contextlib.asynccontextmanager
-    async def powered(self, *nodes: int) -> AsyncIterator[list[Rig]]:
-        """Run these nodes; at the end all lose their power."""
+    async def run_nodes(self, *nodes: int) -> AsyncIterator[list[Rig]]:
+        """Run the given nodes, or all; kill their processes at the end, as in a power loss."""
         async with contextlib.AsyncExitStack() as stack:
-            begin = [stack.enter_async_context(self.up(n)) for n in nodes or range(self.count)]
-            rigs = await asyncio.gather(*begin)
+            starting = [stack.enter_async_context(self.run_process(n)) for n in nodes or range(self.count)]
+            rigs = await asyncio.gather(*starting)
             yield rigs
             for rig in rigs:
                 if rig.process.returncode is None:
@@ -115,7 +117,7 @@
         self.discovery[node].news(50, *[b.member() for b in self.backends], complete=True)
 
     def close(self) -> None:
-        """Close everything but the nodes."""
+        """Close relays, discovery and backends."""
         for sock in self.sockets.values():
             asyncio.get_running_loop().remove_reader(sock)
             sock.close()
@@ -128,153 +130,154 @@
 
 
 @contextlib.asynccontextmanager
-async def tier(folder: Path, count: int = 3) -> AsyncIterator[Tier]:
-    """Provide a tier without its processes."""
-    one = Tier(folder, count, AddressBlock(count, 1))
+async def prepared_tier(folder: Path, count: int = 3) -> AsyncIterator[Tier]:
+    """Provide a tier whose nodes have not started."""
+    tier = Tier(folder, count, AddressBlock(count, 1))
     try:
-        await one.prepare()
-        yield one
+        await tier.prepare()
+        yield tier
     finally:
-        one.close()
+        tier.close()
 
 
 async def recovery(rig: Rig) -> dict[str, Any]:
-    """Return a node's progress of recovery."""
-    out: dict[str, Any] = (await rig.stats())["fleet"]["recovery"]
-    return out
+    """Return the recovery table of a node's `/stats`."""
+    progress: dict[str, Any] = (await rig.stats())["fleet"]["recovery"]
+    return progress
 
 
 async def fleet_recovery(rig: Rig) -> tuple[int, dict[str, Any]]:
-    """Return the same by the command: its exit code and what it prints."""
+    """Return the exit code and the JSON output of `balancer fleet recovery`."""
     line = ["fleet", "recovery", "--console", f"127.0.0.1:{rig.console_port}"]
     assert "phase" in (await asyncio.to_thread(CliRunner().invoke, app, line)).stdout
     done = await asyncio.to_thread(CliRunner().invoke, app, [*line, "--json"])
     return done.exit_code, json.loads(done.stdout)
 
 
-async def served(rig: Rig, requests: int = 24) -> set[str]:
-    """Return the backends that answer a client of the node."""
+async def serving_backends(rig: Rig, requests: int = 24) -> set[str]:
+    """Return the backends that serve a client's requests through a node."""
     client = await rig.client()
     return {(await client.ask("/read")).body.split()[0].decode() for _ in range(requests)}
 
 
 async def ban(rig: Rig, backend: str = "b1") -> None:
-    """Ban a backend for an operator, acknowledged."""
+    """Ban a backend and check that the request is acknowledged."""
     assert (await rig.call(f"/backends/{backend}/maint", "POST")).code == 200
 
 
-async def test_a_ban_outlasts_a_power_loss_and_a_lost_and_two_swapped_disks(tmp_path: Path) -> None:
-    async with tier(tmp_path) as one:
-        async with one.powered() as rigs:
+async def test_ban_survives_a_power_loss_with_a_lost_disk_and_swapped_disks(tmp_path: Path) -> None:
+    async with prepared_tier(tmp_path) as tier:
+        async with tier.run_nodes() as rigs:
             await ban(rigs[0])
             for rig in rigs[1:]:
                 await rig.logged("maintenance: b1 is out")
             assert [(await recovery(rig))["bans"] for rig in rigs] == [1, 1, 1]
-        shutil.rmtree(one.home(1) / "state")
-        async with one.powered() as rigs:
+        shutil.rmtree(tier.directory(1) / "state")
+        async with tier.run_nodes() as rigs:
             for rig in rigs:
-                assert "b1" not in await served(rig)
+                assert "b1" not in await serving_backends(rig)
             assert "no saved state" in "".join(rigs[1].log)
             await rigs[1].logged("path power")
-        (one.home(0) / "state").rename(tmp_path / "moved")
-        (one.home(1) / "state").rename(one.home(0) / "state")
-        (tmp_path / "moved").rename(one.home(1) / "state")
-        async with one.powered() as rigs:
+        (tier.directory(0) / "state").rename(tmp_path / "moved")
+        (tier.directory(1) / "state").rename(tier.directory(0) / "state")
+        (tmp_path / "moved").rename(tier.directory(1) / "state")
+        async with tier.run_nodes() as rigs:
             for rig in rigs:
-                assert "b1" not in await served(rig)
+                assert "b1" not in await serving_backends(rig)
             assert "the disk is not sound" in "".join(rigs[0].log + rigs[1].log)
             assert (await rigs[2].call("/backends/b1/ready", "POST")).code == 200
             await rigs[0].logged("maintenance: b1 is back")
 
 
-async def test_a_ban_of_a_partitioned_node_comes_back_with_it_and_a_partition_heals(tmp_path: Path) -> None:
-    async with tier(tmp_path) as one:
-        async with one.powered() as rigs:
-            one.split(0)
+async def test_ban_of_a_partitioned_node_spreads_when_the_node_or_the_network_returns(tmp_path: Path) -> None:
+    async with prepared_tier(tmp_path) as tier:
+        async with tier.run_nodes() as rigs:
+            tier.partition(0)
             await ban(rigs[0])
-        one.cut = set()
-        async with one.powered(1, 2) as rigs:  # the others say so by serving: see docs/fleet-recovery.md
-            assert "b1" in await served(rigs[0], 100)
-            async with one.up(0) as late:
-                assert "b1" not in await served(late)
+        tier.dropped_pairs = set()
+        # Without node 0 the tier does not know its ban and serves b1: see docs/fleet-recovery.md.
+        async with tier.run_nodes(1, 2) as rigs:
+            assert "b1" in await serving_backends(rigs[0], 100)
+            async with tier.run_process(0) as rejoined:
+                assert "b1" not in await serving_backends(rejoined)
                 for rig in rigs:
                     await rig.logged("maintenance: b1 is out")
-                one.split(2)
-                assert (await late.call("/backends/b1/ready", "POST")).code == 200
+                tier.partition(2)
+                assert (await rejoined.call("/backends/b1/ready", "POST")).code == 200
                 await rigs[0].logged("maintenance: b1 is back")
-                await ban(rigs[1])  # on the other side: ends in the ban
-                one.cut = set()
+                await ban(rigs[1])  # a concurrent ban in the other partition wins
+                tier.dropped_pairs = set()
                 await rigs[0].logged("maintenance: b1 is out")
-                await late.logged("maintenance: b1 is out")
+                await rejoined.logged("maintenance: b1 is out")
 
 
-async def test_one_crash_among_live_peers_is_classified_and_needs_no_wait(tmp_path: Path) -> None:
-    async with tier(tmp_path) as one, one.powered() as rigs:
+async def test_crash_among_running_peers_is_recognized_and_needs_no_wait(tmp_path: Path) -> None:
+    async with prepared_tier(tmp_path) as tier, tier.run_nodes() as rigs:
         assert (await fleet_recovery(rigs[0]))[0] == 1
-        await one.send_list(1)
-        await one.send_list(2)
-        await asyncio.wait_for(one.discovery[0].asked.get(), WAIT)
-        one.discovery[0].send(b"\n")  # the list that it was started with holds
+        await tier.send_list(1)
+        await tier.send_list(2)
+        await asyncio.wait_for(tier.discovery[0].asked.get(), WAIT)
+        tier.discovery[0].send(b"\n")  # an empty update confirms the saved list
         for rig in rigs:
             await rig.logged("phase full")
-        code, told = await fleet_recovery(rigs[0])
-        assert code == 0 and told["list"]["fresh"] and told["heard"] == told["asked"] == 2
+        code, progress = await fleet_recovery(rigs[0])
+        assert code == 0 and progress["list"]["fresh"] and progress["heard"] == progress["asked"] == 2
         await ban(rigs[0], "b2")
         rigs[2].process.kill()
-        async with one.up(2) as again:
-            assert any("phase full, path crash" in line for line in again.log)
-            assert "b2" not in await served(again)
+        async with tier.run_process(2) as restarted:
+            assert any("phase full, path crash" in line for line in restarted.log)
+            assert "b2" not in await serving_backends(restarted)
 
 
 @contextlib.asynccontextmanager
-async def successor(one: Tier) -> AsyncIterator[Rig]:
-    """Run a successor of node 0 beside it, once discovery has answered it."""
-    answer = asyncio.create_task(one.send_list(0))
-    async with one.up(0, fresh_tmp=False) as new:
-        await answer
-        yield new
-
-
-async def test_a_shutdown_and_a_successor_during_a_recovery(tmp_path: Path) -> None:
-    async with tier(tmp_path, 2) as one:
-        process = await spawn(one.home(0) / "config.json", **one.env(0))
-        rig = Rig(process, 0, one.discovery[0], [], one.home(0))
+async def started_successor(tier: Tier) -> AsyncIterator[Rig]:
+    """Run a successor process beside node 0 and answer its request to discovery."""
+    list_sent = asyncio.create_task(tier.send_list(0))
+    async with tier.run_process(0, fresh_tmp=False) as successor:
+        await list_sent
+        yield successor
+
+
+async def test_shutdown_and_upgrade_work_during_a_recovery(tmp_path: Path) -> None:
+    async with prepared_tier(tmp_path, 2) as tier:
+        process = await spawn(tier.directory(0) / "config.json", **tier.env(0))
+        rig = Rig(process, 0, tier.discovery[0], [], tier.directory(0))
         await rig.logged("phase ask")
         rig.terminate()
         assert await rig.end() == 0 and not any("serves on" in line for line in rig.log)
-        async with one.up(0) as old:
-            await ban(old)
-            assert (await recovery(old))["phase"] == "listed"
-            await one.discovery[0].asked.get()
-            async with successor(one) as new:
-                await ban(new, "b2")
-                new.process.kill()
-
-            async def learned() -> bool:
-                return bool((await recovery(old))["bans"] == 2)
-
-            async def returned() -> bool:
-                return (await old.call("/backends/b2/ready", "POST")).code == 200
-
-            await happens(learned)  # of a call that only the process that came to nothing had
-            await happens(returned)
-            async with successor(one) as new:
-                assert "phase listed, path upgrade" in "".join(new.log)
-                assert (await recovery(new))["bans"] == 1
-                old.terminate()
-                assert await old.end() == 0
-                await new.logged("membership: node 0")
+        async with tier.run_process(0) as predecessor:
+            await ban(predecessor)
+            assert (await recovery(predecessor))["phase"] == "listed"
+            await tier.discovery[0].asked.get()
+            async with started_successor(tier) as successor:
+                await ban(successor, "b2")
+                successor.process.kill()
+
+            async def has_learned_ban() -> bool:
+                return bool((await recovery(predecessor))["bans"] == 2)
+
+            async def can_lift_ban() -> bool:
+                return (await predecessor.call("/backends/b2/ready", "POST")).code == 200
+
+            await happens(has_learned_ban)  # only the killed successor had received this ban
+            await happens(can_lift_ban)
+            async with started_successor(tier) as successor:
+                assert "phase listed, path upgrade" in "".join(successor.log)
+                assert (await recovery(successor))["bans"] == 1
+                predecessor.terminate()
+                assert await predecessor.end() == 0
+                await successor.logged("membership: node 0")
 
 
 @pytest.mark.parametrize("name", ["peers", "disk"])
-async def test_nothing_keeps_a_node_from_serving_alone(tmp_path: Path, name: str) -> None:
-    async with tier(tmp_path, 2) as one:
+async def test_node_serves_alone_without_peer_socket_or_disk(tmp_path: Path, name: str) -> None:
+    async with prepared_tier(tmp_path, 2) as tier:
         if name == "disk":
-            (one.home(0) / "state").write_text("no directory")
+            (tier.directory(0) / "state").write_text("no directory")
         else:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.bind(one.block.places.peer(0))
-        async with one.up(0) as rig:
-            assert (await recovery(rig))["path"] == "alone" and await served(rig)
+            sock.bind(tier.block.places.peer(0))
+        async with tier.run_process(0) as rig:
+            assert (await recovery(rig))["path"] == "alone" and await serving_backends(rig)
             await ban(rig)
-            assert "b1" not in await served(rig)
+            assert "b1" not in await serving_backends(rig)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Nodes that are killed, stopped and restarted on one directory of durable state."""
+"""Durable and learned state across kills, pauses and restarts of a node's processes."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 
 @dataclass
-class Home:
-    """A node's files: settings, durable directory, and a `$TMPDIR` for each process."""
+class NodeFiles:
+    """Files of a node: settings, durable directory, and a `$TMPDIR` for each start."""
 
     folder: Path
     discovery: FakeDiscovery
@@ -41,23 +41,23 @@
         """Return the durable directory."""
         return self.folder / "state"
 
-    def kept(self) -> DurableState:
-        """Return what is in it now."""
+    def read_state(self) -> DurableState:
+        """Return the state in the durable directory."""
         loaded = read_directory(SystemDirectory(self.state))
         return replay(loaded.snapshot, loaded.records)
 
-    def kept_number(self) -> int:
-        """Return how many records are in it."""
-        with contextlib.suppress(OSError):  # a generation may go while it is read
+    def last_record_number(self) -> int:
+        """Return the number of the last record in the durable directory."""
+        with contextlib.suppress(OSError):  # a process may delete a generation of files during the read
             return read_directory(SystemDirectory(self.state)).last_number
         return 0
 
-    async def has_kept(self, number: int) -> bool:
-        """Return whether so many records are in it."""
-        return self.kept_number() >= number
+    async def has_records(self, number: int) -> bool:
+        """Return whether the durable directory has records up to a number."""
+        return self.last_record_number() >= number
 
     @contextlib.asynccontextmanager
-    async def up(self, fresh_tmp: bool = True) -> AsyncIterator[Rig]:
+    async def run_process(self, fresh_tmp: bool = True) -> AsyncIterator[Rig]:
         """Run a process of the node; `$TMPDIR` is empty unless `fresh_tmp` is false."""
         self.starts += fresh_tmp
         tmp = self.folder / f"tmp-{self.starts}"
@@ -68,10 +68,10 @@
 
 
 @contextlib.asynccontextmanager
-async def new_home(folder: Path) -> AsyncIterator[Home]:
+async def node_files(folder: Path) -> AsyncIterator[NodeFiles]:
     """Provide backends, discovery and the files of one node."""
     discovery = FakeDiscovery()
-    backends = [Backend(name) for name in BACKENDS]
+    backends = [Backend(backend) for backend in BACKENDS]
     await discovery.start()
     for backend in backends:
         await backend.start()
@@ -79,7 +79,7 @@
     (folder / "config.json").write_text(json.dumps(configuration(members, discovery.port, console=CONSOLE)))
     (folder / "fleet.toml").write_text(f"[durable]\ndirectory = {json.dumps(str(folder / 'state'))}\n")
     try:
-        yield Home(folder, discovery)
+        yield NodeFiles(folder, discovery)
     finally:
         assert discovery.server is not None
         discovery.server.close()
@@ -87,125 +87,123 @@
             backend.stop()
 
 
-async def test_a_ban_outlasts_kill_nine_and_a_lost_tmpdir(tmp_path: Path) -> None:
-    async with new_home(tmp_path) as home:
-        async with home.up() as rig:
+async def test_ban_survives_sigkill_and_a_lost_tmpdir(tmp_path: Path) -> None:
+    async with node_files(tmp_path) as files:
+        async with files.run_process() as rig:
             assert (await rig.call("/backends/b1/maint", "POST")).code == 200
             assert (await rig.call("/backends/b2/maint", "POST")).code == 200
             assert (await rig.call("/backends/b2/ready", "POST")).code == 200
             rig.process.kill()
-        async with home.up() as rig:
+        async with files.run_process() as rig:
             assert (await rig.stats())["members_unavailable"] == 1
             client = await rig.client()
-            served = {(await client.ask("/read")).body.split()[0] for _ in range(40)}
-            assert b"b1" not in served and len(served) >= 2
+            serving_backends = {(await client.ask("/read")).body.split()[0] for _ in range(40)}
+            assert b"b1" not in serving_backends and len(serving_backends) >= 2
             assert (await rig.call("/backends/b1/ready", "POST")).code == 200
             rig.process.kill()
-        async with home.up() as rig:
+        async with files.run_process() as rig:
             assert (await rig.stats())["members_unavailable"] == 0
 
 
-async def operate(rig: Rig, dice: random.Random, acknowledged: dict[str, bool]) -> None:
-    """Request bans and lifts until the node is dead; `acknowledged` has what succeeded."""
+async def send_random_requests(rig: Rig, generator: random.Random, acknowledged: dict[str, bool]) -> None:
+    """Request bans and lifts until the node is killed; record the acknowledged ones in `acknowledged`."""
     with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
         while True:
-            name = dice.choice(BACKENDS)
-            out = dice.random() < 0.5
-            before = acknowledged.pop(name, None)  # until the answer nobody knows
-            if (await rig.call(f"/backends/{name}/{'maint' if out else 'ready'}", "POST")).code == 200:
-                acknowledged[name] = out
-            elif before is not None:
-                acknowledged[name] = before
-
-
-async def test_kill_nine_at_any_moment_loses_no_acknowledged_ban(tmp_path: Path) -> None:
-    async with new_home(tmp_path) as home:
-        dice = random.Random(7)
+            backend = generator.choice(BACKENDS)
+            banned = generator.random() < 0.5
+            previous = acknowledged.pop(backend, None)  # a request's effect is unknown until it is answered
+            if (await rig.call(f"/backends/{backend}/{'maint' if banned else 'ready'}", "POST")).code == 200:
+                acknowledged[backend] = banned
+            elif previous is not None:
+                acknowledged[backend] = previous
+
+
+async def test_sigkill_at_any_time_loses_no_acknowledged_request(tmp_path: Path) -> None:
+    async with node_files(tmp_path) as files:
+        generator = random.Random(7)
         acknowledged = dict[str, bool]()
         for _ in range(6):
-            async with home.up() as rig:
-                calls = asyncio.create_task(operate(rig, dice, acknowledged))
-                target = dice.randint(1, 60)  # so many records, then the power of the process is cut
-                await happens(partial(home.has_kept, home.kept_number() + target), 0.001)
+            async with files.run_process() as rig:
+                requests = asyncio.create_task(send_random_requests(rig, generator, acknowledged))
+                target = generator.randint(1, 60)  # the process is killed after this number of new records
+                await happens(partial(files.has_records, files.last_record_number() + target), 0.001)
                 rig.process.kill()
-                await calls
-            kept = home.kept()
-            for name, out in acknowledged.items():
-                assert (name in kept.banned) == out, (name, out)
+                await requests
+            state = files.read_state()
+            for backend, banned in acknowledged.items():
+                assert (backend in state.banned) == banned, (backend, banned)
 
 
-async def test_a_process_that_sleeps_through_the_handover_cannot_undo_it(tmp_path: Path) -> None:
-    async def news(discovery: FakeDiscovery) -> None:
+async def test_process_paused_during_a_handover_cannot_overwrite_its_successor(tmp_path: Path) -> None:
+    async def send_list(discovery: FakeDiscovery) -> None:
         await discovery.asked.get()
         discovery.news(42)
 
-    async with new_home(tmp_path) as home, home.up() as old:
-        await home.discovery.asked.get()
-        assert (await old.call("/backends/b0/maint", "POST")).code == 200
-        old.process.send_signal(signal.SIGSTOP)
-        told = asyncio.create_task(news(home.discovery))
-        async with home.up(fresh_tmp=False) as new:
-            await told
-            assert (await new.stats())["members_unavailable"] == 1
-            assert (await new.call("/backends/b1/maint", "POST")).code == 200
-            old.process.send_signal(signal.SIGCONT)
-            assert (await old.call("/backends/b2/maint", "POST")).code == 503
-            assert set(home.kept().banned) == {"b0", "b1"}
-            new.process.kill()
-        await old.logged("is out")
-
-        async def taken_out() -> bool:
-            return (await old.call("/backends/b3/maint", "POST")).code == 200
-
-        await happens(taken_out)  # the successor is gone: the old one keeps the state again
-        assert {"b0", "b1", "b3"} <= set(home.kept().banned)
-
-
-def test_no_subsystem_is_imported_that_the_fleet_file_does_not_name() -> None:
+    async with node_files(tmp_path) as files, files.run_process() as predecessor:
+        await files.discovery.asked.get()
+        assert (await predecessor.call("/backends/b0/maint", "POST")).code == 200
+        predecessor.process.send_signal(signal.SIGSTOP)
+        list_sent = asyncio.create_task(send_list(files.discovery))
+        async with files.run_process(fresh_tmp=False) as successor:
+            await list_sent
+            assert (await successor.stats())["members_unavailable"] == 1
+            assert (await successor.call("/backends/b1/maint", "POST")).code == 200
+            predecessor.process.send_signal(signal.SIGCONT)
+            assert (await predecessor.call("/backends/b2/maint", "POST")).code == 503
+            assert set(files.read_state().banned) == {"b0", "b1"}
+            successor.process.kill()
+        await predecessor.logged("is out")
+
+        async def can_ban() -> bool:
+            return (await predecessor.call("/backends/b3/maint", "POST")).code == 200
+
+        await happens(can_ban)  # after the successor's end the predecessor writes the state again
+        assert {"b0", "b1", "b3"} <= set(files.read_state().banned)
+
+
+def test_subsystems_are_not_imported_unless_the_fleet_file_names_them() -> None:
     subsystems = ("durable", "membership", "recovery", "lab", "sim", "cli")
     code = f"import sys, balancer.net.fleet; print([m for m in sys.modules if m.split('.')[1:2] and " \
            f"m.split('.')[1] in {subsystems}], 'google_crc32c' in sys.modules)"  # fmt: skip
-    done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True,
+    completed = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True,
                           check=True)  # fmt: skip
-    assert done.stdout.strip() == "[] False"
-
-
-# --- learned state
+    assert completed.stdout.strip() == "[] False"
 
 
 def learned_state() -> tuple[api.LearnedState, float]:
-    """Return what a node has learned with a wide limit and an ejected backend, and the time then."""
-    one = node(replace(BASE, load_report_mode=api.LoadReportMode.NONE), ["x", "y"])
-    one.limit.limit = 20.0
-    one.classes.by_name["read"].expected_ms = 37.0
-    one.index.records["x"].slowness = 2.0
-    one.index.records["x"].min_response_ms = 5.0
-    one.ejection.eject(one.index.records["y"], one.now)
-    return one.learned_state(1000.0), 1000.0
+    """Return the learned state of a node with a high limit and an ejected backend, and its time."""
+    source = node(replace(BASE, load_report_mode=api.LoadReportMode.NONE), ["x", "y"])
+    source.limit.limit = 20.0
+    source.classes.by_name["read"].expected_ms = 37.0
+    source.index.records["x"].slowness = 2.0
+    source.index.records["x"].min_response_ms = 5.0
+    source.ejection.eject(source.index.records["y"], source.now)
+    return source.learned_state(1000.0), 1000.0
 
 
 @pytest.mark.parametrize(("age", "limit"), [(0.0, 20.0), (10_000.0, 12.0), (1e6, 4.0)])
-def test_what_was_learned_fades_to_the_cold_defaults(age: float, limit: float) -> None:
+def test_learned_state_decays_to_the_cold_defaults(age: float, limit: float) -> None:
     learned, _ = learned_state()
-    heir = node(BASE, ["x", "y"])
-    heir.handle(1000.0, api.LearnedStateRestored(learned, age))
-    assert heir.limit.limit == pytest.approx(limit)
+    successor = node(BASE, ["x", "y"])
+    successor.handle(1000.0, api.LearnedStateRestored(learned, age))
+    assert successor.limit.limit == pytest.approx(limit)
     cold = SAFE.latency_objective_ms / 4
-    assert heir.classes.by_name["read"].expected_ms == pytest.approx(
+    assert successor.classes.by_name["read"].expected_ms == pytest.approx(
         cold + (37.0 - cold) * 0.5 ** (age / 10_000.0)
     )
-    x = heir.index.records["x"]
+    x = successor.index.records["x"]
     assert 1.0 <= x.slowness <= 2.0 and x.min_response_ms >= 5.0
-    assert (heir.index.records["y"].ejected_until > 1000.0) == (age == 0)
-    assert [b.estimate for b in heir.index.records.values()] == [0, 0]  # the sends are gone with the process
+    assert (successor.index.records["y"].ejected_until > 1000.0) == (age == 0)
+    # Attempts in flight end with the process.
+    assert [b.estimate for b in successor.index.records.values()] == [0, 0]
 
 
-def test_a_backend_started_since_is_a_new_one_and_a_ban_holds() -> None:
+def test_restored_state_ignores_a_restarted_backend_and_keeps_a_ban() -> None:
     learned, _ = learned_state()
-    heir = node(BASE, ["y"])
-    heir.handle(1000.0, api.ListUpdate(api.ListUpdateKind.DELTA, [entry("x", started_at=900.0)]))
-    heir.handle(1000.0, api.MaintenanceChanged("y", True))
-    heir.handle(1000.0, api.LearnedStateRestored(learned, 0.0))
-    x = heir.index.records["x"]
-    assert x.slowness == 1.0 and heir.slow_start.warmth(x.entry, heir.now) < 1.0
-    assert heir.maintenance.banned == {"y"} and list(heir.index.order) == ["x"]
+    successor = node(BASE, ["y"])
+    successor.handle(1000.0, api.ListUpdate(api.ListUpdateKind.DELTA, [entry("x", started_at=900.0)]))
+    successor.handle(1000.0, api.MaintenanceChanged("y", True))
+    successor.handle(1000.0, api.LearnedStateRestored(learned, 0.0))
+    x = successor.index.records["x"]
+    assert x.slowness == 1.0 and successor.slow_start.warmth(x.entry, successor.now) < 1.0
+    assert successor.maintenance.banned == {"y"} and list(successor.index.order) == ["x"]
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -1,4 +1,4 @@
-"""What a node's recovery does with its list and with requests to discovery, without sockets."""
+"""Recovery adapter of a node: endpoint list and requests to discovery, without sockets."""
 
 from __future__ import annotations
 
@@ -19,70 +19,70 @@
 from balancer.recovery.phases import Phase
 from tests.helpers import BASE, entry, member
 
-HERE = ("127.0.0.1", 1)
+PEER_ADDRESS = ("127.0.0.1", 1)
 
 
-class Watcher:
-    """Records what is asked of discovery."""
+class RecordingWatcher:
+    """Record the calls to discovery."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
 
     def watch(self, on: bool) -> None:
-        """The watch."""
+        """Record that the watch is started or stopped."""
         self.calls.append(f"watch {on}")
 
     def fetch(self) -> None:
-        """The whole list."""
+        """Record a request for the complete list."""
         self.calls.append("fetch")
 
 
 @dataclass
-class ListSent:
-    """A list that the balancer was sent."""
+class SentList:
+    """Endpoint list that the adapter has sent to the balancer."""
 
     kind: api.ListUpdateKind
-    phases: dict[str, api.EndpointPhase]  # by backend
+    phases: dict[str, api.EndpointPhase]  # phase of each backend
 
 
-def news(revision: int, *names: str) -> EndpointUpdate:
-    """Return a list of backends that are in service."""
+def endpoint_update(revision: int, *names: str) -> EndpointUpdate:
+    """Return a complete list of backends that are in service."""
     return EndpointUpdate(revision, True, tuple(member(entry(name), "127.0.0.1:1") for name in names))
 
 
 @dataclass
-class Setup:
-    """The adapter of a tier's only node, with a saved list of three backends, and what surrounds it."""
+class AdapterSetup:
+    """Adapter of a tier's only node with a saved list of three backends, and records of its calls."""
 
     adapter: RecoveryAdapter
-    watcher: Watcher
-    lists: list[ListSent]
+    watcher: RecordingWatcher
+    lists: list[SentList]
 
 
 @pytest.fixture
-async def setup() -> AsyncIterator[Setup]:
-    """An adapter that has not started."""
-    lists: list[ListSent] = []
+async def setup() -> AsyncIterator[AdapterSetup]:
+    """Provide an adapter whose recovery has not started."""
+    lists: list[SentList] = []
 
-    def take(update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
-        lists.append(ListSent(kind, {m.backend: m.phase for m in update.members}))
+    def record_update(update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
+        lists.append(SentList(kind, {m.backend: m.phase for m in update.members}))
 
     node: Any = SimpleNamespace(
         settings=BASE,
         shared_path=Path("unused"),
         config=SimpleNamespace(seed=1),
         now=lambda: 1000.0,
-        update_endpoints=take,
+        update_endpoints=record_update,
         event=lambda event: None,
     )
-    watcher = Watcher()
-    port = PeerSocket(HERE, [HERE], HERE)
-    adapter = RecoveryAdapter(cast(Node, node), watcher, news(41, "a", "b", "c"), port, 1, None)
-    yield Setup(adapter, watcher, lists)
+    watcher = RecordingWatcher()
+    port = PeerSocket(PEER_ADDRESS, [PEER_ADDRESS], PEER_ADDRESS)
+    adapter = RecoveryAdapter(cast(Node, node), watcher, endpoint_update(41, "a", "b", "c"), port, 1, None)
+    yield AdapterSetup(adapter, watcher, lists)
     adapter.shell.close()
 
 
-async def test_discovery_is_polled_in_the_slot(setup: Setup) -> None:
+async def test_requests_to_discovery_wait_for_the_poll_slot(setup: AdapterSetup) -> None:
     adapter = setup.adapter
     watcher = setup.watcher
     adapter.watch(True)
@@ -93,7 +93,7 @@
     assert watcher.calls == ["watch True", "fetch"]
 
 
-async def test_a_failed_request_waits_for_the_next_slot(setup: Setup) -> None:
+async def test_watch_stops_after_a_failed_request_until_the_next_slot(setup: AdapterSetup) -> None:
     adapter = setup.adapter
     watcher = setup.watcher
     adapter.shell.start(adapter.saved_state)
@@ -105,37 +105,39 @@
     assert watcher.calls[2:] == ["watch True"]
 
 
-async def test_a_request_that_fails_once_the_list_was_sent_is_left_to_the_watcher(setup: Setup) -> None:
+async def test_failure_after_the_first_list_is_left_to_the_watcher(setup: AdapterSetup) -> None:
     adapter = setup.adapter
     watcher = setup.watcher
     adapter.shell.start(adapter.saved_state)
-    adapter.list_received(news(42, "a"), api.ListUpdateKind.SNAPSHOT)
+    adapter.list_received(endpoint_update(42, "a"), api.ListUpdateKind.SNAPSHOT)
     adapter.list_request_failed()
     assert watcher.calls == ["watch True"]
     assert adapter.shell.core.context.counts["list_failed"] == 0
 
 
-async def test_a_restriction_only_takes_away_and_ends_with_the_list_that_discovery_sends(
-    setup: Setup,
+async def test_restriction_drains_saved_backends_until_discovery_sends_a_list(
+    setup: AdapterSetup,
 ) -> None:
     adapter = setup.adapter
-    up = api.EndpointPhase.IN_SERVICE
+    in_service = api.EndpointPhase.IN_SERVICE
     draining = api.EndpointPhase.DRAINING
     adapter.restrict_saved_list(frozenset({"a", "b", "x"}))
-    assert setup.lists == [ListSent(api.ListUpdateKind.CACHED, {"a": draining, "b": draining, "c": up})]
+    assert setup.lists == [
+        SentList(api.ListUpdateKind.CACHED, {"a": draining, "b": draining, "c": in_service})
+    ]
     gone = member(entry("a", phase=api.EndpointPhase.REMOVED), "127.0.0.1:1")
     adapter.list_received(EndpointUpdate(42, False, (gone,)), api.ListUpdateKind.DELTA)
     adapter.restrict_saved_list(frozenset())
-    assert setup.lists[1:] == [ListSent(api.ListUpdateKind.DELTA, {"b": up})]
+    assert setup.lists[1:] == [SentList(api.ListUpdateKind.DELTA, {"b": in_service})]
 
 
-async def test_a_defect_of_recovery_leaves_a_node_that_serves(setup: Setup) -> None:
+async def test_node_serves_after_an_exception_in_recovery(setup: AdapterSetup) -> None:
     adapter = setup.adapter
 
-    def broken(now: float, event: object) -> list[Any]:
+    def fail(now: float, event: object) -> list[Any]:
         raise ZeroDivisionError
 
-    adapter.shell.core.handle = broken  # type: ignore[method-assign]
+    adapter.shell.core.handle = fail  # type: ignore[method-assign]
     adapter.shell.start(adapter.saved_state)
     await adapter.shell.wait_until_serving()
     assert adapter.shell.has_failed
--- a/tests/test_recovery_exchange.py
+++ b/tests/test_recovery_exchange.py
@@ -1,4 +1,4 @@
-"""Parts of the anti-entropy exchange, each alone."""
+"""Components of the anti-entropy exchange."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from balancer.recovery.pages import Paginator
 from balancer.recovery.token_bucket import TokenBucket
 from balancer.recovery.urgent_entries import TRANSMISSIONS_PER_ENTRY, UrgentEntries
-from tests.recovery_tier import BAN, register_of
+from tests.recovery_tier import BAN, merged_register
 
 
-def test_a_token_bucket_gives_its_burst_and_then_its_rate() -> None:
+def test_token_bucket_allows_its_burst_and_then_its_rate() -> None:
     bucket = TokenBucket(rate=2.0, burst=3.0, now=0.0)
     for _ in range(3):
         assert bucket.has_token
@@ -23,21 +23,21 @@
     assert bucket.has_token
 
 
-def test_pages_fit_into_datagrams_and_have_all_entries() -> None:
+def test_pages_fit_into_datagrams_and_contain_all_entries() -> None:
     entries = [BanEntry(f"backend-{i}", 1, 1, i, True, 0.0) for i in range(50)]
-    pages = Paginator(register_of(entries)).pages(ALL_BUCKETS)
+    pages = Paginator(merged_register(entries)).pages(ALL_BUCKETS)
     assert sorted(entry for page in pages for entry in page) == sorted(entries)
     assert all(sum(map(encoded_entry_size, page)) <= MAX_ENTRIES_BYTES for page in pages)
 
 
-def test_an_urgent_entry_is_sent_twice() -> None:
-    queue = UrgentEntries(register_of([BAN]), repeat_after_ms=250.0)
+def test_urgent_entry_is_sent_twice() -> None:
+    queue = UrgentEntries(merged_register([BAN]), repeat_after_ms=250.0)
     queue.add(BAN, now=0.0)
     sent = [now for now in range(0, 2_000, 50) if queue.take(float(now))]
     assert sent == [0, 250] and len(sent) == TRANSMISSIONS_PER_ENTRY
 
 
-def test_a_peer_agrees_once_all_parts_of_its_register_have_come() -> None:
+def test_peer_agrees_after_all_parts_of_its_register_have_arrived() -> None:
     agreement = RegisterAgreement(BanRegister(0, 1))
     agreement.peer_hashes[1] = 99
     for part in range(2):
