--- a/balancer/membership/__init__.py
+++ b/balancer/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of a tier: SWIM with Lifeguard's extensions, over datagrams between nodes."""
+"""Tier membership: the SWIM protocol with Lifeguard's extensions, run over UDP between nodes."""
--- a/balancer/membership/anti_entropy.py
+++ b/balancer/membership/anti_entropy.py
@@ -1,8 +1,8 @@
 """Anti-entropy: peers compare digests of their views and send each other the records that differ.
 
-A death reported by anti-entropy of a member that seems alive is not applied at once: after a partition each
-side believes that the other is dead, and either would adopt the other's deaths of its own neighbours. The
-member is probed with the report first, and refutes it if it is alive.
+If anti-entropy reports the death of a member that this node considers alive, the death is not applied at
+once: after a partition each side believes that the other is dead, and would adopt the other side's verdicts
+on its own members. The member is probed first with the report attached, and refutes it if it is alive.
 """
 
 from __future__ import annotations
@@ -21,63 +21,70 @@
 )
 from balancer.membership.sender import MessageSender
 
-JOIN_PEERS = 3  # that a node without peers sends its digest
-MAX_TRANSFERS = 8  # peers that are sent records at the same time
-STABLE_PERIODS = 1  # probe intervals of disagreement, without a change of the view, before a digest is sent
-MAX_WAIT_PERIODS = 3  # probe intervals of disagreement after which it is sent anyway
+# Number of random peers to which a node that knows no present peer sends its digest.
+JOIN_FANOUT = 3
+MAX_CONCURRENT_TRANSFERS = 8
+# A digest is sent once peers' views have differed for this many probe intervals while the local view has not
+# changed. Gossip may resolve the difference before that.
+DIGEST_STABLE_PERIODS = 1
+# A digest is sent after this many probe intervals of differing views even if the local view keeps changing.
+DIGEST_MAX_WAIT_PERIODS = 3
 
 
 class AntiEntropy:
-    """Sends digests, answers those of peers, and paces the transfer of records."""
+    """Sends digests, answers digests from peers, and paces the transfer of differing records."""
 
     def __init__(self, node: LocalNode, sender: MessageSender) -> None:
-        """Create the anti-entropy of a node."""
+        """Start with no transfer in progress and no unconfirmed death."""
         self._node = node
         self._sender = sender
-        self._transfers: dict[int, list[int]] = {}  # by receiver, the members whose records it lacks
-        self._is_sending = False  # a timer for the next datagram of the transfers is set
-        self._differing_since_ms = math.inf  # since when every reported view has differed
-        self._synced_ms = node.now_ms  # when a digest was last sent for a view that differed
-        self._unconfirmed_deaths: dict[int, Update] = {}  # by member
+        # Maps each receiver to the members whose records it still has to be sent.
+        self._transfers: dict[int, list[int]] = {}
+        self._is_chunk_scheduled = False
+        # Start of the current period in which every view reported by a peer differed from the local view.
+        self._differing_since_ms = math.inf
+        self._digest_sent_ms = node.now_ms
+        self._unconfirmed_deaths: dict[int, Update] = {}
 
     def join(self) -> None:
-        """Send digests to random peers of the list, whether they are known to be present or not."""
+        """Send this node's digest to random peers on the peer list, present or not."""
         node = self._node
         peers = [member for member in range(node.node_count) if member != node.node_id]
-        for peer in node.random.sample(peers, min(JOIN_PEERS, len(peers))):
+        for peer in node.random.sample(peers, min(JOIN_FANOUT, len(peers))):
             self.send_digest(peer, wants_reply=True)
 
     def sync_with_random_peer(self) -> None:
-        """Send a digest to a random present peer, even without a sign of a difference."""
+        """Send a digest to a random present peer even if no view difference has been reported."""
         peers = self._node.present_peers()
         if peers:
             self.send_digest(self._node.random.choice(peers), wants_reply=True)
 
     def send_digest(self, member: int, wants_reply: bool) -> None:
-        """Send the digest of this node's view, salted with the sequence number."""
+        """Send a member the digest of this node's view, salted with the message's sequence number."""
         sequence = self._node.next_sequence()
         hashes = self._node.view.digest(sequence)
         extra = DIGEST_STRUCT.pack(wants_reply, *hashes)
         self._sender.send(member, MessageKind.DIGEST, sequence, member, extra=extra)
 
     def on_view_reported(self, message: Message) -> None:
-        """Send a digest if all reported views have differed for long; gossip may end that sooner."""
+        """Send the peer a digest if all reported views have differed from the local view for too long."""
         node = self._node
         if message.view == node.view.state_hash:
             self._differing_since_ms = math.inf
             return
         self._differing_since_ms = min(self._differing_since_ms, node.now_ms)
         period_ms = node.config.probe_interval_ms
-        since_ms = max(self._differing_since_ms, self._synced_ms)
+        since_ms = max(self._differing_since_ms, self._digest_sent_ms)
         stable_since_ms = max(since_ms, node.view_changed_ms)
         if node.now_ms >= min(
-            stable_since_ms + STABLE_PERIODS * period_ms, since_ms + MAX_WAIT_PERIODS * period_ms
+            stable_since_ms + DIGEST_STABLE_PERIODS * period_ms,
+            since_ms + DIGEST_MAX_WAIT_PERIODS * period_ms,
         ):
-            self._synced_ms = node.now_ms
+            self._digest_sent_ms = node.now_ms
             self.send_digest(message.sender, wants_reply=True)
 
     def on_digest(self, message: Message) -> None:
-        """Start to send the records of all buckets that differ, and this node's digest if it is asked for."""
+        """Start sending the records in all differing buckets, and reply with a digest if requested."""
         if len(message.extra) < DIGEST_STRUCT.size:
             return
         wants_reply, *hashes = DIGEST_STRUCT.unpack_from(message.extra)
@@ -90,14 +97,14 @@
         self._start_transfer(message.sender, self._known_members(differing))
 
     def defer_death(self, update: Update) -> bool:
-        """Keep a reported death of a member that seems alive for a probe; return whether it is one."""
+        """Defer a reported death until a probe if the member seems alive; return whether it was deferred."""
         if not self._is_doubtful_death(update):
             return False
         self._unconfirmed_deaths[update.member] = update
         return True
 
     def take_unconfirmed_death(self) -> Update | None:
-        """Return a random one of the deferred deaths, if it is still newer than what is known."""
+        """Remove and return a random deferred death, or None if the member's record is newer by now."""
         if not self._unconfirmed_deaths:
             return None
         member = self._node.random.choice(sorted(self._unconfirmed_deaths))
@@ -105,7 +112,7 @@
         return update if update.key > self._node.view.records[member].key else None
 
     def forget(self, members: set[int]) -> None:
-        """Drop all that concerns members that are gone, as receivers and in the transfers of others."""
+        """Cancel transfers to removed members, and drop their records and deaths from pending work."""
         for member in members:
             self._unconfirmed_deaths.pop(member, None)
             self._transfers.pop(member, None)
@@ -131,22 +138,24 @@
         ]
 
     def _start_transfer(self, receiver: int, members: list[int]) -> None:
-        if receiver not in self._transfers and len(self._transfers) >= MAX_TRANSFERS:
+        if receiver not in self._transfers and len(self._transfers) >= MAX_CONCURRENT_TRANSFERS:
             self._node.counts["repairs_dropped"] += 1
         elif members:
-            self._node.random.shuffle(members)  # nodes that send the same receiver begin at different members
-            self._transfers[receiver] = members  # replaces the rest of an earlier transfer
+            # The random order keeps several nodes from sending the same receiver the same records first.
+            self._node.random.shuffle(members)
+            # An unfinished earlier transfer to this receiver is replaced, not continued.
+            self._transfers[receiver] = members
         self._schedule_chunk(0.0)
 
     def _schedule_chunk(self, wait_ms: float) -> None:
-        """Set the timer for the next datagram, unless it is set or nothing is to be sent."""
-        if self._transfers and not self._is_sending:
-            self._is_sending = True
+        """Schedule the next datagram of the transfers unless one is scheduled or no transfer remains."""
+        if self._transfers and not self._is_chunk_scheduled:
+            self._is_chunk_scheduled = True
             self._node.timers.call_later(wait_ms, self._send_chunk, is_essential=True)
 
     def _send_chunk(self) -> None:
-        """Send one datagram to the receiver whose turn it is, the next one a probe interval later."""
-        self._is_sending = False
+        """Send one datagram of records to the next receiver; the one after follows a probe interval later."""
+        self._is_chunk_scheduled = False
         if not self._transfers:
             return
         receiver = next(iter(self._transfers))
@@ -158,7 +167,7 @@
         self._sender.send_updates(receiver, chunk)
 
     def _take_chunk(self, members: list[int]) -> tuple[Update, ...]:
-        """Remove as many members from the end as have records that fit into a datagram."""
+        """Remove members from the end of the list and return their records, as many as fit in a datagram."""
         records = self._node.view.records
         chunk: list[Update] = []
         free_bytes = PAYLOAD_BYTES
--- a/balancer/membership/bulk_dissemination.py
+++ b/balancer/membership/bulk_dissemination.py
@@ -1,8 +1,9 @@
-"""Broadcasts of many updates where much is new at once: a cold start, a healed partition.
+"""Bulk broadcasts, for when many updates are new at once: after a cold start or a healed partition.
 
-Every node with new updates broadcasts a datagram full of them after an exponentially distributed wait whose
-mean grows with the tier, so that the tier as a whole sends a fixed number a second. An update received so is
-suppressed by the others, as in SRM (Floyd et al. 1997).
+Each node with new updates broadcasts a full datagram of them after an exponentially distributed delay. The
+mean delay grows with the tier size, so that the tier as a whole sends a fixed number of broadcasts per
+second. Nodes that receive an update this way suppress their own broadcast of it, as in SRM (Floyd et al.
+1997).
 """
 
 from __future__ import annotations
@@ -13,20 +14,21 @@
 from balancer.membership.messages import Message, MessageKind
 from balancer.membership.sender import MessageSender
 
-REMAINING_TRANSMITS = 4  # of an update received in bulk: some members have missed the broadcast
+# An update received in a bulk broadcast is still sent this often, because some members miss the broadcast.
+TRANSMITS_AFTER_BULK = 4
 
 
 class RandomizedTimer:
-    """A timer that the nodes of a tier run independently, together `bulk_updates_per_s` times a second."""
+    """Random timer whose rate across all nodes of the tier adds up to `bulk_updates_per_s`."""
 
     def __init__(self, node: LocalNode, callback: Callable[[], None]) -> None:
-        """Create a timer that is not running."""
+        """Create a stopped timer that calls `callback` when it fires."""
         self._node = node
         self._callback = callback
         self._is_pending = False
 
     def start(self) -> None:
-        """Start the timer unless it runs, the node leaves or bulk updates are off."""
+        """Start the timer unless it is pending, the node is leaving, or bulk updates are disabled."""
         node = self._node
         rate_per_s = node.config.bulk_updates_per_s
         if self._is_pending or node.is_leaving or not rate_per_s:
@@ -42,27 +44,27 @@
 
 
 class BulkDissemination:
-    """Broadcasts new updates, and suppresses those that somebody else has broadcast."""
+    """Broadcasts new updates in bulk, and suppresses those that another node has already broadcast."""
 
     def __init__(self, node: LocalNode, sender: MessageSender) -> None:
-        """Create the bulk dissemination of a node's queue of updates."""
+        """Create the bulk dissemination of the updates queued in `sender`."""
         self._node = node
         self._sender = sender
         self._timer = RandomizedTimer(node, self._broadcast_new)
 
     def schedule(self) -> None:
-        """Broadcast new updates some time, if they are still new then."""
+        """Schedule a bulk broadcast, which is skipped if no queued update is new any more when it is due."""
         self._timer.start()
 
     def broadcast(self) -> None:
-        """Broadcast the updates that were sent least often."""
+        """Broadcast one datagram with the queued updates that have been sent least often."""
         if self._sender.broadcast_queued(MessageKind.BULK_UPDATE):
             self._node.counts["pages"] += 1
 
     def suppress(self, message: Message) -> None:
-        """Send the updates of a peer's bulk broadcast a few more times only."""
+        """Reduce the remaining transmissions of updates that a peer has just broadcast in bulk."""
         queue = self._sender.queue
-        transmits = max(queue.limit - REMAINING_TRANSMITS, queue.limit // 2)
+        transmits = max(queue.limit - TRANSMITS_AFTER_BULK, queue.limit // 2)
         for update in message.updates:
             member = update.member
             is_queued_longer = queue.transmits.get(member, transmits) < transmits
--- a/balancer/membership/core.py
+++ b/balancer/membership/core.py
@@ -1,8 +1,8 @@
-"""The membership protocol of one node: events and the time in, actions out. No I/O, no clock of its own.
+"""Membership protocol of one node, free of I/O and clocks: takes events with their time, returns actions.
 
-It is SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2018). Beyond
-them, as the platform can send one datagram to all nodes, urgent updates are broadcast under a budget that
-counts the broadcasts of others, so that a node's cost does not grow with the tier.
+The protocol is SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2018).
+In addition, as the network can deliver one datagram to all nodes, urgent updates are broadcast. Broadcasts
+of other nodes count against a node's own budget, so that the cost per node does not grow with the tier.
 """
 
 from __future__ import annotations
@@ -42,22 +42,24 @@
 from balancer.membership.ping_relay import PingRelay
 from balancer.membership.sender import MessageSender
 from balancer.membership.suspicion import SuspicionTable
-from balancer.membership.view import View, unknown
+from balancer.membership.view import View, unknown_record
 
-LEAVE_BROADCASTS = 2  # the first may be lost
-MIN_PRESENT = 2  # fewer: this node is alone, and tries to join
+# A leaving node announces it twice because a single datagram may be lost.
+LEAVE_BROADCASTS = 2
+# With fewer present members the node is alone in its view, and tries to join instead of probing.
+MIN_PRESENT_TO_PROBE = 2
 
 
 class Membership:
-    """One node's view of its tier, and the protocol that maintains it."""
+    """A node's view of its tier, and the protocol that keeps it up to date."""
 
     def __init__(
         self, config: Config, node_id: int, node_count: int, generation: int, seed: int, now_ms: float
     ) -> None:
         """Start the protocol of node `node_id` in a tier of `node_count` nodes.
 
-        `generation` numbers the process; it must exceed that of the node's processes before it. The first
-        call of `handle` returns the actions of the start.
+        `generation` identifies the process and must exceed the generations of all earlier processes of this
+        node. The actions that starting causes are returned by the first call of `handle`.
         """
         self.node = LocalNode(config, node_id, node_count, generation, seed, now_ms)
         self.sender = MessageSender(self.node)
@@ -76,30 +78,30 @@
         )
         self._periods = 0
         self._last_event_ms = now_ms
-        self._told_hash = self.node.view.state_hash  # of the view that the last ViewChanged told
+        self._reported_state_hash = self.node.view.state_hash
         self._merger.apply(Update(node_id, generation, 0, MemberState.ALIVE))
-        # Nodes that start together must not probe in step.
+        # A random first delay keeps nodes that start together from probing at the same moments.
         first_probe_ms = self.node.random.uniform(0, config.probe_interval_ms)
         self.node.timers.call_later(first_probe_ms, self._run_period, is_essential=True)
         self._anti_entropy.join()
 
     @property
     def next_wakeup_ms(self) -> float:
-        """When a `Tick` is wanted; infinity if never."""
+        """Latest time for the next `Tick` event; infinity if no timer is pending."""
         return self.node.timers.next_due_ms
 
     @property
     def view(self) -> View:
-        """What this node knows of all members."""
+        """Membership table of this node: the newest record of each member."""
         return self.node.view
 
     def adopt_view(self, view: View) -> None:
-        """Replace the view without any action, as if the node had long known it."""
+        """Replace the view without reporting a change."""
         self.node.view = view
-        self._told_hash = view.state_hash
+        self._reported_state_hash = view.state_hash
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Return what to do about an event; `now_ms` is monotonic."""
+        """Process an event at the monotonic time `now_ms` and return the resulting actions."""
         node = self.node
         node.timers.advance(now_ms)
         self._detect_stall()
@@ -114,14 +116,14 @@
         self._last_event_ms = node.now_ms
         actions = node.take_actions()
         view = node.view
-        if view.state_hash != self._told_hash:
-            self._told_hash = view.state_hash
+        if view.state_hash != self._reported_state_hash:
+            self._reported_state_hash = view.state_hash
             reason = _change_reason(actions)
             actions.append(ViewChanged(view.state_hash, view.present_count, self.has_quorum(), reason))
         return actions
 
     def present_members(self) -> list[int]:
-        """Return the present members in order, this node included."""
+        """Return the numbers of the present members in ascending order, this node included."""
         return self.node.view.present_members()
 
     def has_quorum(self) -> bool:
@@ -129,7 +131,7 @@
         return 2 * self.node.view.present_count > self.node.node_count
 
     def agreement_ratio(self) -> float:
-        """Return the share of the present peers heard recently that have the same view."""
+        """Return the fraction of recently heard present peers whose view equals this node's view."""
         return self.peer_views.agreement_ratio()
 
     def _suspect(self, member: int) -> None:
@@ -139,7 +141,10 @@
         self._merger.declare_dead(member)
 
     def _detect_stall(self) -> None:
-        """Prolong suspicions and drop probes after a stall: what came meanwhile has not been read yet."""
+        """Extend suspicions and drop probes if this process was stalled.
+
+        Refutations and acks that arrived during the stall are still unread.
+        """
         node = self.node
         expected_ms = max(self._last_event_ms, min(node.timers.next_due_ms, node.now_ms))
         late_ms = node.now_ms - expected_ms
@@ -152,13 +157,13 @@
         self.suspicions.postpone(node.now_ms - self._last_event_ms)
 
     def _run_period(self) -> None:
-        """Do what is due once in a probe interval, and schedule the next one."""
+        """Run the periodic work of one probe interval and schedule the next interval."""
         node = self.node
         config = node.config
         period_ms = self.health.scale(config.probe_interval_ms)
         node.timers.call_later(period_ms, self._run_period, is_essential=True)
         self._periods += 1
-        if node.view.present_count < MIN_PRESENT:
+        if node.view.present_count < MIN_PRESENT_TO_PROBE:
             self._anti_entropy.join()
         else:
             self._detector.probe_next()
@@ -172,7 +177,7 @@
         self.peer_views.check_disagreement()
 
     def _ping_absent(self) -> None:
-        """Ping a random member that is not present: a healed partition is found this way."""
+        """Ping a random member that is not present, to discover that a partition has healed."""
         absent = list(self.node.view.in_state(MemberState.UNKNOWN, MemberState.DEAD))
         if absent:
             self.sender.ping(self.node.random.choice(absent).member)
@@ -190,9 +195,9 @@
             node.timers.call_later(wait_ms, partial(self.sender.broadcast_urgent, left))
 
     def _change_peers(self, event: PeersChanged) -> None:
-        """Drop members that are gone and add new ones as unknown.
+        """Drop members that are no longer on the peer list and add new members as unknown.
 
-        Nothing of it is disseminated: each node has the list from its own file, at a time of its own.
+        The changes are not disseminated, because every node reads the list from its own file.
         """
         node = self.node
         removed = {
@@ -210,7 +215,7 @@
         self._anti_entropy.join()
 
     def _remove(self, member: int) -> None:
-        old = self.node.view.put(unknown(member))
+        old = self.node.view.put(unknown_record(member))
         if old.state in PRESENT_STATES:
             self.node.emit(MemberChanged(member, old.state, MemberState.LEFT, old.generation))
         self.suspicions.forget(member)
@@ -247,7 +252,7 @@
                 self._merger.merge(update)
 
     def _dispatch(self, message: Message) -> None:
-        """Act on a message according to its kind; unknown kinds of later versions are ignored."""
+        """Act on a message according to its kind; unknown kinds, sent by later versions, are ignored."""
         node = self.node
         match message.kind:
             case MessageKind.PING if message.subject == node.node_id:
@@ -271,7 +276,7 @@
                 self._bulk.suppress(message)
 
     def _answer_liveness_query(self, message: Message) -> None:
-        """Refute this node's death to the sender alone, and do not query the other members again."""
+        """Refute this node's death to the querying peer alone, and note which other members were queried."""
         node = self.node
         for update in message.updates:
             if update.member == node.node_id and not node.is_leaving:
@@ -282,7 +287,7 @@
 
 
 def _change_reason(actions: list[Action]) -> str:
-    """Describe briefly why the view has changed."""
+    """Summarize in a few words why the view has changed, from the actions of the event."""
     changes = [action for action in actions if isinstance(action, MemberChanged)]
     if not changes:
         return "a member restarted"
--- a/balancer/membership/events.py
+++ b/balancer/membership/events.py
@@ -1,4 +1,4 @@
-"""What the protocol is given (events) and what it asks for (actions)."""
+"""Input events and output actions of the membership protocol."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed; due at `Membership.next_wakeup_ms` at the latest."""
+    """Time has passed; delivered no later than `Membership.next_wakeup_ms`."""
 
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """A datagram came from the address of node `source`."""
+    """A datagram arrived from the address of node `source`."""
 
     source: int
     data: bytes
@@ -22,12 +22,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Leave:
-    """The node is about to shut down gracefully. It goes on answering until it does."""
+    """The node is about to shut down gracefully, and answers peers until then."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeersChanged:
-    """The peer list was replaced: `count` nodes now, those in `replaced` at another address."""
+    """The peer list was replaced: it has `count` nodes, and those in `replaced` have a new address."""
 
     count: int
     replaced: frozenset[int] = frozenset()
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """Send a datagram to one node, or broadcast it to the tier where `node` is None."""
+    """Send a datagram to one node, or broadcast it to the tier if `node` is None."""
 
     node: int | None
     data: bytes
@@ -56,9 +56,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ViewChanged:
-    """The set of present members, or their generations, has changed; at most one for each event."""
+    """The set of present members or their generations have changed; emitted at most once per event.
 
-    state_hash: int  # of the present members and their generations
+    `state_hash` covers the present members and their generations.
+    """
+
+    state_hash: int
     present_count: int
     has_quorum: bool
     reason: str
@@ -66,15 +69,18 @@
 
 @dataclass(slots=True, frozen=True)
 class DisagreementChanged:
-    """Peers' views have differed for longer than `Config.disagreement_alert_ms`, or agree again."""
+    """Peers' views have differed for longer than `Config.disagreement_alert_ms`, or agree again.
+
+    `agreement_ratio` is the fraction of recently heard present peers whose view equals this node's view.
+    """
 
     is_active: bool
-    agreement_ratio: float  # of the present peers heard recently
+    agreement_ratio: float
 
 
 @dataclass(slots=True, frozen=True)
 class SuspicionRefuted:
-    """Others claimed that this node is suspect, dead or has left; it has refuted that."""
+    """Peers claimed that this node is suspect, is dead or has left, and this node has refuted the claim."""
 
     claimed: MemberState
 
--- a/balancer/membership/view.py
+++ b/balancer/membership/view.py
@@ -15,7 +15,7 @@
 HASH_BYTES = 8
 
 
-def unknown(member: int) -> Update:
+def unknown_record(member: int) -> Update:
     """Return the record of a member of which nothing is known."""
     return Update(member, 0, 0, MemberState.UNKNOWN)
 
@@ -32,7 +32,7 @@
     @classmethod
     def with_unknown_members(cls, node_count: int) -> View:
         """Return a view in which all members are unknown."""
-        return cls([unknown(member) for member in range(node_count)])
+        return cls([unknown_record(member) for member in range(node_count)])
 
     def copy(self) -> View:
         """Return an independent copy."""
@@ -50,7 +50,7 @@
     def resize(self, node_count: int) -> None:
         """Cut off members from `node_count` on, whose records must be unknown, or add unknown ones."""
         del self.records[node_count:]
-        self.records.extend(unknown(member) for member in range(len(self.records), node_count))
+        self.records.extend(unknown_record(member) for member in range(len(self.records), node_count))
 
     def present_members(self) -> list[int]:
         """Return the members that are alive or suspected, in order."""
