--- a/balancer/defects.py
+++ b/balancer/defects.py
@@ -1,4 +1,4 @@
-"""Containment of defects: what one callback raises ends neither the others nor a chain of timers."""
+"""Containment of unexpected exceptions, so that one failing callback stops no others and no timers."""
 
 from __future__ import annotations
 
@@ -9,51 +9,56 @@
 
 from balancer.errors import BalancerError
 
-MAX_KINDS = 64  # from which on other kinds are counted, not logged
+# Once this many kinds of defects have been logged, further kinds are only counted.
+MAX_LOGGED_KINDS = 64
 
 
 class DefectError(BalancerError):
-    """A part of the node has a defect; what it was about to do is not done, the rest goes on."""
+    """A component raised an unexpected exception; the failed action is skipped, and the node continues."""
 
     code = "DEF01"
-    remedy = "report the trace that follows in the log; start the node anew where what is named stays wrong"
+    remedy = (
+        "report the stack trace that follows in the log; restart the node if the named action keeps failing"
+    )
 
 
 class DefectKind(NamedTuple):
-    """What one kind of defect has in common."""
+    """Action, exception type and source line of the innermost frame, which identify a kind of defect."""
 
     action: str
     error: type[Exception]
-    line: int  # in the source, of the innermost frame
+    line: int
 
 
 class DefectLog:
-    """Counts the defects of one part of the program, and logs each kind once, with its trace."""
+    """Counts the defects of one component, and logs each kind once, with its stack trace."""
 
-    def __init__(self, logger: logging.Logger, part: str) -> None:
-        """Begin without defects; `part` is named in front of each line."""
+    def __init__(self, logger: logging.Logger, component: str) -> None:
+        """Start with a count of 0; `component` is the prefix of each log line."""
         self.count = 0
         self._logger = logger
-        self._part = part
+        self._component = component
         self._logged: set[DefectKind] = set()
 
     @contextmanager
     def contain(self, action: str) -> Iterator[None]:
-        """Keep an exception of the block from its caller; `action` says in the log what failed."""
+        """Catch and record any exception of the block; `action` names in the log what failed."""
         try:
             yield
         except Exception as error:
             self.record(action, error)
 
     def record(self, action: str, error: Exception) -> None:
-        """Count an exception that was caught, and log it if it is the first of its kind."""
+        """Count a caught exception, and log it if it is the first of its kind."""
         self.count += 1
         kind = DefectKind(action, type(error), _innermost_line(error))
-        if kind in self._logged or len(self._logged) >= MAX_KINDS:
+        if kind in self._logged or len(self._logged) >= MAX_LOGGED_KINDS:
             return
         self._logged.add(kind)
         defect = DefectError(f"{action} failed: {type(error).__name__}: {error}")
-        self._logger.error("%s: %s; it goes on without", self._part, defect.summary, exc_info=error)
+        self._logger.error(
+            "%s: %s; continuing without this action", self._component, defect.summary, exc_info=error
+        )
 
 
 def _innermost_line(error: Exception) -> int:
--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -1,12 +1,12 @@
-"""What an operator is told when something does not work: a stable code, what happened, what can be done.
+"""Base class of errors that are reported to operators, with a stable code, a message and a remedy.
 
-All errors whose text reaches an operator (on standard error, in the log, in an answer of the console, in what
-the `balancer` command prints) derive from `BalancerError` and stand where their subject is. Exceptions that
-never leave the program stay outside: signals between two of its parts (`FencedError`), what is counted and
-dropped (`MessageError`), and what a client of the balanced service is answered (`BadRequest`).
+All errors whose text reaches an operator (on standard error, in the log, in a console response or in the
+output of the `balancer` command) derive from `BalancerError` and are defined in the module of their subject.
+Internal exceptions do not: control signals (`FencedError`), errors that are counted and dropped
+(`MessageError`), and errors that are returned to clients of the balanced service (`BadRequest`).
 
-A code is three letters for the subject and two digits, `CFG01`: it is like nothing else in a log, and `grep`
-finds it. It is given once and never to another error. `docs/on-call.md` lists all of them.
+A code consists of three letters for the subject and two digits, such as `CFG01`, so that it is easy to find
+in a log with `grep`. A code is never reused for another error. `docs/on-call.md` lists all codes.
 """
 
 from __future__ import annotations
@@ -15,26 +15,29 @@
 
 
 class BalancerError(Exception):
-    """The base: a class has a code and a remedy of its own, `str` of an instance is what happened."""
+    """Base class of operator errors; `str` of an instance describes what happened in one line.
+
+    Each subclass defines its own code, and a remedy: one line on what an operator can do.
+    """
 
     code: ClassVar[str]
-    remedy: ClassVar[str]  # what an operator can do, one line
+    remedy: ClassVar[str]
 
     def __str__(self) -> str:
-        """Return what happened, in one line."""
+        """Return the message in one line, with all whitespace collapsed."""
         return " ".join(super().__str__().split())
 
     @property
     def summary(self) -> str:
-        """Return the code and what happened, for the log."""
+        """Return the code and the message in one line, for the log."""
         return f"{self.code}: {self}"
 
     @property
     def report_lines(self) -> tuple[str, str]:
-        """Return two lines for a person: the code and what happened, and what to do."""
+        """Return two lines for terminal output: code and message, then the remedy."""
         return self.summary, f"what to do: {self.remedy}"
 
     @property
     def one_line_report(self) -> str:
-        """Return the report in one line, for a process that does not run."""
+        """Return code, message and remedy in one line, for a process that exits."""
         return "; ".join(self.report_lines)
--- a/balancer/membership/liveness_query.py
+++ b/balancer/membership/liveness_query.py
@@ -1,8 +1,8 @@
-"""Broadcast queries to members believed dead, once one of them turned out to be alive.
+"""Broadcast queries to members believed dead, sent once one of them has turned out to be alive.
 
-After a partition each side believes that the other is dead. The queried members that are alive refute their
-death to the sender, whose next bulk update informs all. Gossip about the deaths instead would reach their
-neighbours, too, before they can refute it.
+After a partition each side believes that the other is dead. Queried members that are alive refute their
+death to the sender, whose next bulk broadcast informs the tier. Gossip about the deaths would instead spread
+them to further nodes before the members can refute them.
 """
 
 from __future__ import annotations
@@ -15,33 +15,34 @@
 from balancer.membership.sender import MessageSender
 
 MEMBERS_PER_QUERY = PAYLOAD_BYTES // UPDATE_STRUCT.size
-REQUERY_PERIODS = 10  # probe intervals between two queries of the same member
+# Number of probe intervals between two queries of the same member, whichever node sends them.
+REQUERY_PERIODS = 10
 
 
 class LivenessQuery:
-    """Asks members believed dead to refute it, except those that any node has asked recently."""
+    """Queries members believed dead, except those that any node has queried recently."""
 
     def __init__(self, node: LocalNode, sender: MessageSender, bulk: BulkDissemination) -> None:
-        """Create the queries of a node, of which none is due."""
+        """Create the liveness queries of a node without scheduling one."""
         self._node = node
         self._sender = sender
         self._bulk = bulk
         self._timer = RandomizedTimer(node, self._query)
-        self._queried_ms: dict[int, float] = {}  # by member, time of the last query
+        self._last_query_ms: dict[int, float] = {}
         self._ends_ms = -math.inf
 
     def start(self) -> None:
-        """Query for a while: a member believed dead is alive."""
+        """Send queries for the next `REQUERY_PERIODS`, because a member believed dead was alive."""
         self._ends_ms = self._node.now_ms + self._requery_ms
         self._timer.start()
 
     def note_queried(self, member: int) -> None:
-        """Skip a member for a while, as a peer has asked it."""
-        self._queried_ms[member] = self._node.now_ms
+        """Record that a member has just been queried, so that it is skipped for `REQUERY_PERIODS`."""
+        self._last_query_ms[member] = self._node.now_ms
 
     def forget(self, member: int) -> None:
-        """Drop what is known of queries of a member."""
-        self._queried_ms.pop(member, None)
+        """Forget when a removed member was last queried."""
+        self._last_query_ms.pop(member, None)
 
     @property
     def _requery_ms(self) -> float:
@@ -50,9 +51,13 @@
     def _query(self) -> None:
         node = self._node
         since_ms = node.now_ms - self._requery_ms
-        self._queried_ms = {member: at_ms for member, at_ms in self._queried_ms.items() if at_ms > since_ms}
+        self._last_query_ms = {
+            member: at_ms for member, at_ms in self._last_query_ms.items() if at_ms > since_ms
+        }
         dead = [
-            record for record in node.view.in_state(MemberState.DEAD) if record.member not in self._queried_ms
+            record
+            for record in node.view.in_state(MemberState.DEAD)
+            if record.member not in self._last_query_ms
         ]
         if not dead or node.now_ms > self._ends_ms:
             return
--- a/balancer/membership/local_health.py
+++ b/balancer/membership/local_health.py
@@ -1,23 +1,24 @@
-"""Lifeguard's local health: a node that may itself be slow gives its peers more time."""
+"""Lifeguard's local health: a node that seems slow itself gives its peers more time to answer."""
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # probe timeouts then are nine times as long
+# At the maximum score probe timeouts are nine times as long as those of a healthy node.
+MAX_SCORE = 8
 
 
 class LocalHealth:
-    """The local health multiplier of Lifeguard (Dadgar, Phillips, Currey 2018)."""
+    """Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2018); a score of 0 is healthy."""
 
     def __init__(self, is_enabled: bool) -> None:
-        """Start healthy; where it is not enabled, stay so."""
-        self.score = 0  # 0 is healthy
+        """Start healthy; the score stays 0 if local health is disabled."""
+        self.score = 0
         self._is_enabled = is_enabled
 
     def adjust(self, by: int) -> None:
-        """Raise the score for signs of a slow node, lower it for a timely ack."""
+        """Change the score: positive if this node seems slow, negative after a timely ack."""
         if self._is_enabled:
             self.score = max(0, min(MAX_SCORE, self.score + by))
 
     def scale(self, timeout_ms: float) -> float:
-        """Return a timeout multiplied according to the score."""
+        """Return a timeout multiplied by the score plus 1."""
         return timeout_ms * (1 + self.score)
--- a/balancer/membership/local_node.py
+++ b/balancer/membership/local_node.py
@@ -1,4 +1,4 @@
-"""State of the local node that all parts of the protocol share."""
+"""State of the local node that all components of the membership protocol share."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class LocalNode:
-    """Identity, clock, randomness and view of this node, and the actions of the current event."""
+    """Identity, clock, random generator and view of this node, and the pending actions of the event."""
 
     def __init__(
         self, config: Config, node_id: int, node_count: int, generation: int, seed: int, now_ms: float
     ) -> None:
-        """Create node `node_id` of a tier of `node_count`; `generation` numbers its process's start."""
+        """Create node `node_id` in a tier of `node_count` nodes; `generation` identifies its process."""
         self.config = config
         self.node_id = node_id
         self.node_count = node_count
@@ -34,25 +34,25 @@
 
     @property
     def now_ms(self) -> float:
-        """Time of the current event."""
+        """Monotonic time of the current event, in ms."""
         return self.timers.now_ms
 
     def present_peers(self, excluded: int | None = None) -> list[int]:
-        """Return the present members other than this node and `excluded`."""
+        """Return the present members except this node and `excluded`."""
         present = self.view.present_members()
         return [member for member in present if member not in (self.node_id, excluded)]
 
     def next_sequence(self) -> int:
-        """Return a new sequence number."""
+        """Return the next sequence number for a message."""
         self._sequence += 1
         return self._sequence
 
     def emit(self, action: Action) -> None:
-        """Add an action to the result of the current event."""
+        """Add an action to those that the current event returns."""
         self._actions.append(action)
 
     def take_actions(self) -> list[Action]:
-        """Return the actions emitted since the last call."""
+        """Remove and return the actions emitted since the last call."""
         actions = self._actions
         self._actions = []
         return actions
--- a/balancer/membership/merger.py
+++ b/balancer/membership/merger.py
@@ -1,8 +1,8 @@
-"""Merging of updates into the view, and what follows from each change.
+"""Merging of updates into the view, and the reactions to each change.
 
-All that is known of a member is ordered by (generation, incarnation, state); the greatest wins, so that
-updates may come late, twice or in any order. Only a member itself raises its incarnation, and LEFT ends a
-generation for good.
+Updates on a member are ordered by (generation, incarnation, state), and the greatest one wins. They may
+therefore arrive late, twice or in any order. Only a member itself raises its incarnation, and no update of
+the same generation overrides LEFT.
 """
 
 from __future__ import annotations
@@ -17,11 +17,12 @@
 from balancer.membership.sender import MessageSender
 from balancer.membership.suspicion import SuspicionTable
 
-VERIFIER_HELPERS = 1  # of the probe that verifies a suspicion: other nodes verify it, too
+# A probe that verifies another node's suspicion needs one helper only, as several nodes verify it.
+VERIFICATION_HELPERS = 1
 
 
 class UpdateMerger:
-    """Applies updates from peers, and this node's own conclusions, to its view."""
+    """Applies updates from peers and from the local failure detector to the view."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         bulk: BulkDissemination,
         liveness: LivenessQuery,
     ) -> None:
-        """Create the merger of a node."""
+        """Create a merger that updates the view of `node` and notifies the other components."""
         self._node = node
         self._sender = sender
         self._health = health
@@ -43,7 +44,7 @@
         self._liveness = liveness
 
     def merge(self, update: Update) -> None:
-        """Apply an update if it is newer than what is known, and refute a false claim about this node."""
+        """Apply an update if it is newer than the member's record; refute it if it is about this node."""
         node = self._node
         if not 0 <= update.member < node.node_count:
             node.counts["no_such_member"] += 1
@@ -58,7 +59,7 @@
             self._suspicions.confirm(update)
 
     def apply(self, update: Update) -> None:
-        """Replace the record of a member and disseminate it."""
+        """Replace the record of a member and queue it for dissemination."""
         node = self._node
         hash_before = node.view.state_hash
         old = node.view.put(update)
@@ -72,13 +73,13 @@
             node.emit(MemberChanged(update.member, old.state, update.state, update.generation))
 
     def suspect(self, member: int) -> None:
-        """Suspect a member whose probe has failed."""
+        """Mark a member as suspect because a probe of it has failed."""
         record = self._node.view.records[member]
         accuser = self._node.node_id
         self.merge(Update(member, record.generation, record.incarnation, MemberState.SUSPECT, accuser))
 
     def declare_dead(self, member: int) -> None:
-        """Declare a member dead whose suspicion was not refuted in time."""
+        """Declare a member dead that has not refuted its suspicion in time, and broadcast that."""
         record = self._node.view.records[member]
         self._node.counts["declared_dead"] += 1
         death = Update(member, record.generation, record.incarnation, MemberState.DEAD)
@@ -86,18 +87,19 @@
         self._sender.broadcast_urgent(death)
 
     def refute(self, claim: Update, *, announce: bool = True) -> None:
-        """Override a claim about this node by a greater incarnation, unless it is out of date.
+        """Refute a claim about this node by raising its own incarnation; ignore an outdated claim.
 
-        Without `announce` the refutation is not broadcast at once.
+        The refutation is broadcast at once if `announce` is set, and only gossiped otherwise.
         """
         node = self._node
         if claim.key <= node.view.records[node.node_id].key or node.is_leaving:
             return
-        if not self._outbid(claim):
+        if not self._raise_incarnation_above(claim):
             node.counts["outbid"] += 1
             return
         node.counts["refutations"] += 1
-        if claim.state is MemberState.SUSPECT:  # a death is no sign of slowness: partitions cause them, too
+        # Only a suspicion suggests that this node is slow. A partition causes false deaths as well.
+        if claim.state is MemberState.SUSPECT:
             self._health.adjust(1)
         node.emit(SuspicionRefuted(claim.state))
         alive = Update(node.node_id, node.generation, node.incarnation, MemberState.ALIVE)
@@ -105,14 +107,15 @@
         if announce:
             self._sender.broadcast_urgent(alive)
 
-    def _outbid(self, claim: Update) -> bool:
-        """Raise the incarnation, or the generation, above a claim; return whether that is possible."""
+    def _raise_incarnation_above(self, claim: Update) -> bool:
+        """Raise the incarnation, or if need be the generation, above a claim; return whether it succeeded."""
         node = self._node
         if claim.generation == node.generation and claim.incarnation < LEFT_INCARNATION - 1:
             node.incarnation = claim.incarnation + 1
             return True
         greatest = max(node.generation, claim.generation)
-        if greatest < MAX_GENERATION:  # this generation was too low, or its incarnations are used up
+        # A greater generation is needed if this one is too low or its incarnations are exhausted.
+        if greatest < MAX_GENERATION:
             node.generation = greatest + 1
             node.incarnation = 0
             return True
@@ -122,7 +125,7 @@
         if update.state is not MemberState.SUSPECT:
             self._suspicions.cancel(update.member)
         elif self._suspicions.begin(update):
-            self._detector.probe(update.member, VERIFIER_HELPERS)
+            self._detector.probe(update.member, VERIFICATION_HELPERS)
 
     def _update_flaps(self, old: Update, update: Update) -> None:
         if old.generation != update.generation:
@@ -130,5 +133,6 @@
         elif update.state is MemberState.ALIVE:
             was_dead = old.state is MemberState.DEAD
             self._suspicions.flaps.record_refutation(update.member, was_dead, self._node.now_ms)
-            if was_dead:  # other deaths may be false as well
+            # One false death suggests that other deaths are false as well, for example after a partition.
+            if was_dead:
                 self._liveness.start()
--- a/balancer/membership/peer_views.py
+++ b/balancer/membership/peer_views.py
@@ -1,4 +1,4 @@
-"""What peers last reported of their views, and whether these agree with this node's."""
+"""Views last reported by peers, and whether they agree with this node's view."""
 
 from __future__ import annotations
 
@@ -9,49 +9,50 @@
 from balancer.membership.local_node import LocalNode
 from balancer.membership.messages import PRESENT_STATES
 
-RECENT_PERIODS = 15  # probe intervals for which a report counts
+# A report counts as recent for this many probe intervals.
+RECENT_PERIODS = 15
 
 
 class ViewReport(NamedTuple):
-    """The state hash of a peer's view, as its last datagram had it."""
+    """State hash of a peer's view, from the last datagram of the peer."""
 
     received_ms: float
     state_hash: int
 
 
 class PeerViews:
-    """The reports of all peers, and a monitor of lasting disagreement."""
+    """Stores the view report of each peer, and detects disagreement that lasts."""
 
     def __init__(self, node: LocalNode) -> None:
-        """Start without any report."""
+        """Start without reports, in agreement."""
         self.reports: dict[int, ViewReport] = {}
         self._node = node
         self._disagreeing_since_ms: float | None = None
         self._is_alerted = False
 
     def record(self, member: int, state_hash: int) -> None:
-        """Note the view that a datagram of a peer reported."""
+        """Store the state hash that a peer's datagram reported."""
         self.reports[member] = ViewReport(self._node.now_ms, state_hash)
 
     def forget(self, member: int) -> None:
-        """Drop the report of a peer."""
+        """Drop the view report of a removed peer."""
         self.reports.pop(member, None)
 
     def last_heard_ms(self, member: int) -> float:
-        """Return when a peer's last datagram came; minus infinity if none did."""
+        """Return the time of a peer's last datagram, or minus infinity if there was none."""
         report = self.reports.get(member)
         return -math.inf if report is None else report.received_ms
 
     def agreement_ratio(self) -> float:
-        """Return the share of the present peers heard recently that have the same view.
+        """Return the fraction of recently heard present peers whose view equals this node's view.
 
-        Only reports since this node's own view changed count.
+        Reports from before the last change of this node's view do not count.
         """
         agreements = self._recent_agreements()
         return sum(agreements) / len(agreements) if agreements else 1.0
 
     def check_disagreement(self) -> None:
-        """Emit DisagreementChanged once peers have disagreed for long, and once they agree again."""
+        """Emit DisagreementChanged when disagreement exceeds the alert time, and when it ends."""
         node = self._node
         agreements = self._recent_agreements()
         ratio = sum(agreements) / len(agreements) if agreements else 1.0
--- a/balancer/membership/ping_relay.py
+++ b/balancer/membership/ping_relay.py
@@ -1,4 +1,4 @@
-"""SWIM's indirect probes on the helper's side: pings on behalf of peers."""
+"""Helper side of SWIM's indirect probes: pings members on behalf of peers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from balancer.membership.messages import Message, MessageKind
 from balancer.membership.sender import MessageSender
 
-NACK_SHARE = 0.8  # of the ping timeout, after which the requester is sent a nack
+# The requester is sent a nack after this fraction of the ping timeout without an ack.
+NACK_DELAY_FRACTION = 0.8
 
 
 @dataclass(slots=True, frozen=True)
 class PingRequest:
-    """The peer on whose behalf a member was pinged, and the sequence number under which it asked."""
+    """A peer's request to ping a member on its behalf, with the sequence number for the answer."""
 
     requester: int
     sequence: int
@@ -22,33 +23,34 @@
 
 
 class PingRelay:
-    """Forwards acks to the requesters of indirect probes, and nacks in time (Lifeguard)."""
+    """Forwards acks to the requesters of indirect probes, and sends a nack if none arrives (Lifeguard)."""
 
     def __init__(self, node: LocalNode, sender: MessageSender) -> None:
-        """Create a relay without requests."""
+        """Create a relay with no pending request."""
         self._node = node
         self._sender = sender
-        self._requests: dict[int, PingRequest] = {}  # by this node's own sequence number
+        # Keys are the sequence numbers of this node's own pings, not those of the requesters.
+        self._requests: dict[int, PingRequest] = {}
 
     def ping(self, message: Message) -> None:
-        """Ping the subject of a request."""
+        """Ping the subject of a ping request and remember the requester."""
         sequence = self._sender.ping(message.subject)
         self._requests[sequence] = PingRequest(message.sender, message.sequence, message.subject)
-        wait_ms = self._node.config.ping_timeout_ms * NACK_SHARE
+        wait_ms = self._node.config.ping_timeout_ms * NACK_DELAY_FRACTION
         self._node.timers.call_later(wait_ms, partial(self._send_nack, sequence))
 
     def forward_ack(self, message: Message) -> None:
-        """Pass an ack on if it answers a ping on behalf of a peer."""
+        """Forward an ack to the requester if it answers a ping on a peer's behalf."""
         request = self._requests.pop(message.sequence, None)
         if request is not None:
             self._sender.send(request.requester, MessageKind.ACK, request.sequence, message.subject)
 
     def clear(self) -> None:
-        """Drop all requests."""
+        """Drop all pending ping requests."""
         self._requests.clear()
 
     def forget(self, members: set[int]) -> None:
-        """Drop the requests of members that are gone, and those to ping them."""
+        """Drop ping requests that were sent by, or are about, members removed from the tier."""
         self._requests = {
             sequence: request
             for sequence, request in self._requests.items()
--- a/balancer/membership/sender.py
+++ b/balancer/membership/sender.py
@@ -1,4 +1,4 @@
-"""Building of the datagrams that this node sends, with piggybacked updates."""
+"""Construction of the datagrams that this node sends, with piggybacked updates."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class MessageSender:
-    """Sends messages to one member or to all; owns the queue of updates and the broadcast budget."""
+    """Sends messages to one member or to all; owns the gossip queue and the broadcast budget."""
 
     def __init__(self, node: LocalNode) -> None:
-        """Create the sender of a node."""
+        """Create a sender with an empty gossip queue and a full broadcast budget."""
         self.queue = TransmitLimitedQueue(transmit_limit(node.node_count))
         self.budget = BroadcastBudget(node.config.broadcasts_per_s, node.now_ms)
         self._node = node
@@ -38,9 +38,10 @@
         extra: bytes = b"",
         first: Update | None = None,
     ) -> None:
-        """Send a message with piggybacked updates, `first` ahead of all.
+        """Send a message with piggybacked updates, starting with `first`.
 
-        Without `first`, a member believed suspect or dead is notified of that (Lifeguard's Buddy System).
+        If `first` is None and the receiver is believed suspect or dead, the record of the receiver is sent
+        first, so that it can refute it (Lifeguard's Buddy System).
         """
         record = self._node.view.records[member]
         if (
@@ -53,28 +54,28 @@
         self._send(member, kind, sequence, subject, extra, updates)
 
     def ping(self, member: int, first: Update | None = None) -> int:
-        """Ping a member and return the sequence number of the ping."""
+        """Ping a member and return the ping's sequence number."""
         sequence = self._node.next_sequence()
         self.send(member, MessageKind.PING, sequence, member, first=first)
         return sequence
 
     def send_updates(self, member: int, updates: tuple[Update, ...]) -> None:
-        """Send just these updates to one member."""
+        """Send exactly these updates to one member, without piggybacked ones."""
         self._send(member, MessageKind.GOSSIP, 0, member, b"", updates)
 
     def broadcast(self, kind: MessageKind, updates: tuple[Update, ...]) -> None:
-        """Send just these updates to all, whatever the budget."""
+        """Broadcast exactly these updates, without regard to the broadcast budget."""
         self._node.emit(SendDatagram(None, self._encode(kind, 0, NO_MEMBER, b"", updates)))
 
     def broadcast_queued(self, kind: MessageKind) -> bool:
-        """Send all the updates that were sent least often; return whether there were any."""
+        """Broadcast the least often sent updates of the gossip queue; return whether there were any."""
         updates = self._next_updates(None, PAYLOAD_BYTES)
         if updates:
             self.broadcast(kind, updates)
         return bool(updates)
 
     def broadcast_urgent(self, update: Update) -> None:
-        """Send all an update that cannot wait for gossip, if the budget admits it."""
+        """Broadcast an update that cannot wait for gossip, if the broadcast budget allows it."""
         if self.budget.spend(self._node.now_ms, (update,)):
             self.broadcast(MessageKind.GOSSIP, self._next_updates(update, PAYLOAD_BYTES))
             self._node.counts["broadcasts"] += 1
--- a/balancer/membership/shell.py
+++ b/balancer/membership/shell.py
@@ -1,4 +1,7 @@
-"""The membership protocol on a real socket and clock: datagrams in and out, one timer. It decides nothing."""
+"""Runs the membership protocol core on the peer socket and the event loop's clock.
+
+The shell performs I/O, logging and timing. All protocol decisions are made in the core.
+"""
 
 from __future__ import annotations
 
@@ -30,24 +33,28 @@
 
 log = logging.getLogger(__name__)
 
-EPOCH_S = 1_577_836_800.0  # Unix time of the year 2020, from which generations are counted
-GENERATION_UNIT_S = 0.256  # a generation fits four bytes until 2054, and a process takes longer to start
-MAX_DEFECTS_PER_EVENT = 16  # after which what is still due waits for the next event
-COLUMNS = ("state", "life", "incarnation", "changed_ms", "view")  # of a member in `stats`
+# Generations count from the start of the year 2020, given here as Unix time.
+GENERATION_EPOCH_S = 1_577_836_800.0
+# With this unit a generation fits four bytes until 2054. A process takes longer than one unit to start, so
+# successive processes get different generations.
+GENERATION_UNIT_S = 0.256
+# After this many exceptions from one event, the remaining due timers wait for the next event.
+MAX_DEFECTS_PER_EVENT = 16
+MEMBER_COLUMNS = ("state", "life", "incarnation", "changed_ms", "view")
 
 
 def current_generation() -> int:
-    """Return the generation of a process that starts now; it grows with the wall clock."""
-    return max(1, int((time.time() - EPOCH_S) / GENERATION_UNIT_S)) & MAX_GENERATION
+    """Return the generation for a process that starts now, derived from the wall clock."""
+    return max(1, int((time.time() - GENERATION_EPOCH_S) / GENERATION_UNIT_S)) & MAX_GENERATION
 
 
 class MembershipShell:
-    """One node's membership, on the socket between nodes."""
+    """Runs a node's membership protocol on the socket between nodes."""
 
     def __init__(
         self, config: Config, node_id: int, peer_socket: PeerSocket, seed: int, min_generation: int = 0
     ) -> None:
-        """Register for the datagrams of membership; the protocol runs from `start` on."""
+        """Register for membership datagrams on the peer socket; `start` starts the protocol."""
         self.config = config
         self.node_id = node_id
         self.generation = max(min_generation, current_generation())
@@ -62,21 +69,26 @@
         self._defects = DefectLog(log, "membership")
         self._view_reason = ""
         self._view_changed_ms = 0.0
-        self._member_changed_ms: list[float] = []  # when the state of each member last changed
+        self._member_changed_ms: list[float] = []
         peer_socket.register(MEMBERSHIP_KINDS, self._receive, has_priority=True)
 
     def start(self) -> None:
-        """Take part from now on: the socket is bound."""
+        """Start the protocol; the peer socket must be bound."""
         node_count = len(self._socket.peers)
         now_ms = _now_ms()
         self.core = Membership(self.config, self.node_id, node_count, self.generation, self._seed, now_ms)
         self._view_changed_ms = now_ms
         self._member_changed_ms = [now_ms] * node_count
-        log.info("membership: node %d of %d on %s:%d", self.node_id, node_count, *self._socket.listen)
+        log.info(
+            "membership: node %d of %d starts on %s:%d",
+            self.node_id,
+            node_count,
+            *self._socket.listen,
+        )
         self._handle(Tick())
 
     def change_peers(self, change: PeerListChange) -> None:
-        """Follow another list of addresses, in which this node has the same number and address."""
+        """Apply a changed peer list, in which this node must keep its number and address."""
         count_before = len(self._member_changed_ms)
         remaining = self._member_changed_ms[: change.count]
         self._member_changed_ms = remaining + [_now_ms()] * (change.count - len(remaining))
@@ -85,17 +97,17 @@
         self._handle(PeersChanged(change.count, replaced))
 
     def leave(self) -> None:
-        """Announce that this node leaves; it goes on answering until `close`."""
+        """Announce that this node is leaving; it still answers peers until `close`."""
         self._handle(Leave())
 
     def close(self) -> None:
-        """Stop the protocol without a datagram."""
+        """Stop the protocol without notifying peers."""
         if self._timer is not None:
             self._timer.cancel()
         self.core = None
 
     def stats(self) -> dict[str, object]:
-        """Return the figures that operators are shown."""
+        """Return the `membership` object of `/stats`."""
         core = self.core
         if core is None:
             return {"present": False}
@@ -114,14 +126,14 @@
             "agreement": round(core.agreement_ratio(), 3),
             "quorum": core.has_quorum(),
             "health": core.health.score,
-            "columns": list(COLUMNS),
-            "members": [self._member_row(core, record) for record in view.records],  # by number
+            "columns": list(MEMBER_COLUMNS),
+            "members": [self._member_row(core, record) for record in view.records],
             "counts": dict(node.counts)
             | {"foreign": self._socket.counts["foreign"], "defects": self._defects.count},
         }
 
     def _member_row(self, core: Membership, record: Update) -> list[object]:
-        """Return the fields of a member in the order of `COLUMNS`."""
+        """Return the values of a member for `/stats`, in the order of `MEMBER_COLUMNS`."""
         report = core.peer_views.reports.get(record.member)
         return [
             record.state.name.lower(),
@@ -144,11 +156,14 @@
             self._set_timer(self.core.next_wakeup_ms)
 
     def _actions_of(self, core: Membership, event: Event) -> list[Action]:
-        """Return what the core wants done; where a callback of it raises the others still run."""
+        """Pass an event to the core and return its actions.
+
+        If a callback of the core raises, the exception is logged and the remaining due callbacks still run.
+        """
         for _ in range(MAX_DEFECTS_PER_EVENT):
             try:
                 return core.handle(_now_ms(), event)
-            except Exception as error:  # guards the node against a defect of the core
+            except Exception as error:
                 self._defects.record(type(event).__name__, error)
                 event = Tick()
         return []
@@ -158,7 +173,8 @@
             case SendDatagram():
                 self._socket.send(action.node, action.data)
             case MemberChanged():
-                if action.member < len(self._member_changed_ms):  # else it was removed from the peer list
+                # A member beyond the end of the list was removed from the peer list by the same event.
+                if action.member < len(self._member_changed_ms):
                     self._member_changed_ms[action.member] = _now_ms()
                 self._log.member_changed(action, self._loop.time())
             case ViewChanged():
@@ -172,7 +188,7 @@
                 self._log.refuted(action, self._loop.time())
 
     def _set_timer(self, wakeup_ms: float) -> None:
-        """Wake up at a time unless the timer is due sooner."""
+        """Set the timer to `wakeup_ms` unless it is already due sooner."""
         if wakeup_ms >= self._wakeup_ms:
             return
         if self._timer is not None:
@@ -192,5 +208,5 @@
 
 
 def _generations(core: Membership) -> dict[int, int]:
-    """Return the generations of the present members."""
+    """Return the generation of each present member by member number."""
     return {r.member: r.generation for r in core.view.records if r.state in PRESENT_STATES}
--- a/balancer/membership/suspicion.py
+++ b/balancer/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""Suspicions under way and their timeouts.
+"""Active suspicions and their timeouts.
 
-As in Lifeguard (Dadgar, Phillips, Currey 2018) a suspicion's timeout shrinks with independent confirmations.
-Beyond it, a member that was falsely declared dead lately gets a longer minimum (flap damping).
+As in Lifeguard (Dadgar, Phillips, Currey 2018), independent confirmations shorten the timeout of a suspicion.
+In addition, a member that was recently declared dead by mistake gets a longer minimum timeout (flap damping).
 """
 
 from __future__ import annotations
@@ -18,26 +18,33 @@
 from balancer.membership.sender import MessageSender
 
 MAX_FLAPS = 3
-UNHEALTHY_SCORE = MAX_SCORE // 2  # local health from which a node distrusts its own timeouts
-UNHEALTHY_PATIENCE = 3  # maximum suspicion timeouts for which it then waits for others to declare the death
-INVOLVED_MEMBERS = 3  # this node, the suspect and the accuser; the others can confirm a suspicion
-ACCUSER_AND_SUSPECT = 2  # do not verify a suspicion
-ROUNDING_MS = 1e-6
+# From this local health score on, a node does not trust its own suspicion timeouts.
+UNHEALTHY_SCORE = MAX_SCORE // 2
+# An unhealthy node leaves the death of a suspect to its peers for this many maximum suspicion timeouts.
+UNHEALTHY_MAX_TIMEOUTS = 3
+# This node, the suspect and the accuser cannot confirm a suspicion independently; all other members can.
+MEMBERS_UNABLE_TO_CONFIRM = 3
+# The accuser and the suspect do not take part in verifying a suspicion.
+MEMBERS_UNABLE_TO_VERIFY = 2
+DEADLINE_TOLERANCE_MS = 1e-6
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspicion under way; its timeout shrinks with each accuser that reports it independently."""
+    """An active suspicion; each further accuser shortens its timeout.
+
+    `confirmations_needed` confirmations reduce the timeout to its minimum.
+    """
 
     since_ms: float
     min_timeout_ms: float
     max_timeout_ms: float
-    confirmations_needed: int  # to bring the timeout to its minimum
+    confirmations_needed: int
     accusers: set[int]
 
     @property
     def deadline_ms(self) -> float:
-        """When the suspect is declared dead."""
+        """Time at which the suspect is declared dead unless it refutes the suspicion."""
         confirmations = min(len(self.accusers) - 1, self.confirmations_needed)
         if self.confirmations_needed:
             share = math.log(confirmations + 1) / math.log(self.confirmations_needed + 1)
@@ -48,35 +55,35 @@
 
     @property
     def needs_confirmation(self) -> bool:
-        """Whether another accuser would shorten the timeout further."""
+        """Whether another accuser would still shorten the timeout."""
         return len(self.accusers) <= self.confirmations_needed
 
 
 @dataclass(slots=True, frozen=True)
 class Flaps:
-    """False deaths of one member, and its last refutation."""
+    """Number of false deaths of a member, and the time of its last refutation."""
 
     count: int
     refuted_ms: float
 
 
 class FlapHistory:
-    """Members that were falsely declared dead: a node that stalls once is likely to stall again."""
+    """History of false deaths by member: a node that stalls once is likely to stall again."""
 
     def __init__(self, config: Config) -> None:
-        """Start without any flap."""
+        """Start with an empty history."""
         self._config = config
         self._flaps: dict[int, Flaps] = {}
 
     def record_refutation(self, member: int, was_dead: bool, now_ms: float) -> None:
-        """Note that a member has refuted its suspicion or its death."""
+        """Record that a member has refuted its suspicion or its death."""
         flaps = self._flaps.get(member)
         count = (flaps.count if flaps is not None else 0) + was_dead
         if count and self._config.flap_damping_ms:
             self._flaps[member] = Flaps(min(count, MAX_FLAPS), now_ms)
 
     def min_timeout_ms(self, member: int, now_ms: float) -> float:
-        """Return the minimum timeout of a suspicion: doubled with each recent flap."""
+        """Return the minimum suspicion timeout of a member, which doubles with each recent false death."""
         flaps = self._flaps.get(member)
         if flaps is not None and now_ms - flaps.refuted_ms > self._config.flap_damping_ms:
             self.forget(member)
@@ -85,18 +92,18 @@
         return min(self._config.min_suspicion_ms * (1 << count), self._config.max_suspicion_ms)
 
     def forget(self, member: int) -> None:
-        """Drop the flaps of a member."""
+        """Drop the recorded false deaths of a member."""
         self._flaps.pop(member, None)
 
 
 class SuspicionTable:
-    """The suspects and their timers."""
+    """Active suspicions by suspect, with their timers."""
 
     def __init__(
         self, node: LocalNode, sender: MessageSender, health: LocalHealth, on_expired: Callable[[int], None]
     ) -> None:
-        """Create an empty table; `on_expired` is called with each suspect whose timeout has passed."""
-        self.active: dict[int, Suspicion] = {}  # by suspect
+        """Create an empty table; `on_expired` is called with each suspect whose suspicion times out."""
+        self.active: dict[int, Suspicion] = {}
         self.flaps = FlapHistory(node.config)
         self._node = node
         self._sender = sender
@@ -104,12 +111,12 @@
         self._on_expired = on_expired
 
     def is_accused_by(self, member: int, accuser: int) -> bool:
-        """Return whether `accuser` is known to suspect a member."""
+        """Return whether `accuser` is among the known accusers of a member."""
         suspicion = self.active.get(member)
         return suspicion is not None and accuser in suspicion.accusers
 
     def begin(self, update: Update) -> bool:
-        """Start the timeout of a new suspicion; return whether this node is one of those to verify it."""
+        """Start the timeout of a new suspicion; return whether this node is drawn to verify it by a probe."""
         node = self._node
         suspicion = self._new_suspicion(update)
         self.active[update.member] = suspicion
@@ -117,11 +124,11 @@
         if update.accuser == node.node_id:
             self._sender.broadcast_urgent(update)
             return False
-        verifiers = max(1, node.view.present_count - ACCUSER_AND_SUSPECT)
+        verifiers = max(1, node.view.present_count - MEMBERS_UNABLE_TO_VERIFY)
         return node.random.random() * verifiers < node.config.expected_verifiers
 
     def confirm(self, update: Update) -> None:
-        """Shorten the timeout by a suspicion of the same incarnation from another accuser."""
+        """Shorten a timeout if another accuser reports the same suspicion."""
         suspicion = self.active.get(update.member)
         if suspicion is None or update.accuser in suspicion.accusers or update.accuser == NO_MEMBER:
             return
@@ -135,16 +142,16 @@
         self._call_at_deadline(update.member, suspicion)
 
     def cancel(self, member: int) -> None:
-        """End a suspicion without a death."""
+        """End the suspicion of a member without declaring it dead."""
         self.active.pop(member, None)
 
     def forget(self, member: int) -> None:
-        """Drop all that is known of a member."""
+        """Drop the suspicion and the false deaths of a removed member."""
         self.cancel(member)
         self.flaps.forget(member)
 
     def postpone(self, by_ms: float) -> None:
-        """Prolong all timeouts by the time in which this node was stalled."""
+        """Extend all timeouts by the time for which this node was stalled."""
         for suspicion in self.active.values():
             suspicion.since_ms += by_ms
 
@@ -152,7 +159,7 @@
         node = self._node
         config = node.config
         if config.dynamic_suspicion_enabled:
-            others = max(0, node.view.present_count - INVOLVED_MEMBERS)
+            others = max(0, node.view.present_count - MEMBERS_UNABLE_TO_CONFIRM)
             needed = min(config.suspicion_confirmations, others)
             min_timeout_ms = self.flaps.min_timeout_ms(update.member, node.now_ms)
         else:
@@ -170,7 +177,7 @@
         is_current = self.active.get(member) is suspicion
         if not is_current or node.view.records[member].state is not MemberState.SUSPECT:
             return
-        if suspicion.deadline_ms > node.now_ms + ROUNDING_MS:
+        if suspicion.deadline_ms > node.now_ms + DEADLINE_TOLERANCE_MS:
             self._call_at_deadline(member, suspicion)
         elif self._distrusts_own_timeout(suspicion):
             wait_ms = node.config.probe_interval_ms
@@ -179,7 +186,7 @@
             self._on_expired(member)
 
     def _distrusts_own_timeout(self, suspicion: Suspicion) -> bool:
-        """Return whether this node may have missed the refutation, and leaves the death to others."""
-        patience_ms = UNHEALTHY_PATIENCE * self._node.config.max_suspicion_ms
+        """Return whether this node may have missed a refutation and leaves the death to its peers."""
+        patience_ms = UNHEALTHY_MAX_TIMEOUTS * self._node.config.max_suspicion_ms
         is_unhealthy = self._health.score >= UNHEALTHY_SCORE
         return is_unhealthy and self._node.now_ms < suspicion.since_ms + patience_ms
--- a/balancer/membership/timers.py
+++ b/balancer/membership/timers.py
@@ -1,4 +1,4 @@
-"""Timers on the protocol's own clock."""
+"""Timer queue on the clock of the membership protocol."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class Timer(NamedTuple):
-    """A pending callback; timers are ordered by their first two fields."""
+    """A pending callback; timers are ordered by due time, then by the order of scheduling."""
 
     due_ms: float
-    number: int  # in the order of scheduling
+    number: int
     callback: Callable[[], None]
     is_essential: bool
 
 
 class TimerQueue:
-    """Callbacks by their due time; those due at the same time run in the order of scheduling."""
+    """Queue of callbacks; those due at the same time run in the order of scheduling."""
 
     def __init__(self, now_ms: float, counts: Counter[str]) -> None:
-        """Start the clock at `now_ms`; `counts` gets the number of timers dropped for want of space."""
+        """Start the clock at `now_ms`; timers dropped from a full queue are counted in `counts`."""
         self.now_ms = now_ms
         self._counts = counts
         self._heap: list[Timer] = []
@@ -36,17 +36,18 @@
 
     @property
     def next_due_ms(self) -> float:
-        """When the next timer is due; infinity if there is none."""
+        """Due time of the next timer, or infinity if there is none."""
         return self._heap[0].due_ms if self._heap else math.inf
 
     def advance(self, now_ms: float) -> None:
-        """Set the clock; it never goes back."""
+        """Advance the clock to `now_ms`; an earlier time is ignored."""
         self.now_ms = max(self.now_ms, now_ms)
 
     def call_later(self, delay_ms: float, callback: Callable[[], None], is_essential: bool = False) -> None:
-        """Schedule a callback, or drop it where too many are pending.
+        """Schedule a callback, or drop it if `MAX_TIMERS` are pending.
 
-        An essential one, which schedules its successor itself, takes the place of another that is due late.
+        An essential callback, which reschedules itself, is never dropped: it replaces the non-essential timer
+        with the latest due time.
         """
         if len(self._heap) >= MAX_TIMERS:
             self._counts["timers_dropped"] += 1
@@ -64,6 +65,6 @@
             heapq.heapify(self._heap)
 
     def run_due(self) -> None:
-        """Run all callbacks that are due, those included that others schedule for now."""
+        """Run all due callbacks, including those that a callback schedules for the current time."""
         while self._heap and self._heap[0].due_ms <= self.now_ms:
             heapq.heappop(self._heap).callback()
