--- a/balancer/durable/__init__.py
+++ b/balancer/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a node: a write-ahead log with snapshots, its records, and its file system layer."""
+"""Durable state of a node: write-ahead log with snapshots, record types and file system layer."""
--- a/balancer/durable/committer.py
+++ b/balancer/durable/committer.py
@@ -1,6 +1,6 @@
-"""Group commit: a thread writes queued records, and all that wait for the disk share one sync.
+"""Group commit: a writer thread writes queued records, and all records of a batch share one sync.
 
-The event loop never waits for a disk. After a failure the directory is opened again after a pause.
+The event loop never waits for the disk. After a failure the directory is reopened after a delay.
 """
 
 from __future__ import annotations
@@ -25,25 +25,30 @@
 log = logging.getLogger(__name__)
 
 MAX_QUEUED_RECORDS = 1024
-CLOSE_TIMEOUT_S = 0.1  # the end of the process does not wait for a disk that hangs
+# Process exit must not wait for a disk that hangs.
+CLOSE_TIMEOUT_S = 0.1
 REOPEN_DELAY_S = 5.0
-LIFTED_BAN_RETENTION_MS = 3_600_000.0  # longer than any slow start
+# Lifted bans are kept for longer than any slow start takes.
+LIFTED_BAN_RETENTION_MS = 3_600_000.0
 DIRECTORY_ID_BYTES = 8
 MS_PER_S = 1000
-SUPERSEDED = "another process of this node is the writer now"
+SUPERSEDED = "another process of this node has taken over the state directory"
 
 
 @dataclass(slots=True)
 class QueuedRecord:
-    """An encoded record on its way to the disk."""
+    """An encoded record that waits to be written.
+
+    `done` completes once the record is synced. Without `done` the record may be lost in a power cut.
+    """
 
     data: bytes
-    done: asyncio.Future[None] | None  # None: nobody waits for it, and it may be lost with the power
+    done: asyncio.Future[None] | None
 
 
 @dataclass(slots=True)
 class CommitStatistics:
-    """Counts of what was written, and the slowest sync."""
+    """Counts of written records, syncs and dropped records, and the duration of the slowest sync."""
 
     records: int = 0
     syncs: int = 0
@@ -52,10 +57,10 @@
 
 
 class GroupCommitter:
-    """Owner of the writer thread; `state` belongs to that thread once it runs."""
+    """Runs the writer thread; `state` may only be changed by that thread once it has started."""
 
     def __init__(self, directory: Directory, node: str, health: Health, clock: Callable[[], float]) -> None:
-        """Create a committer that has not been started; `clock` is monotonic, in s."""
+        """Create a committer whose thread is not running; `clock` returns monotonic time in s."""
         self.state = DurableState()
         self.writer: LogWriter | None = None
         self.is_fenced = False
@@ -72,21 +77,21 @@
 
     @property
     def is_running(self) -> bool:
-        """Return whether the thread has been started."""
+        """Return whether the writer thread has been started."""
         return self._thread is not None
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no record is queued."""
+        """Return whether the queue holds no record."""
         return self._queue.empty()
 
     @property
     def is_full(self) -> bool:
-        """Return whether no more records may be queued."""
+        """Return whether the queue has reached `MAX_QUEUED_RECORDS`."""
         return self._queue.qsize() >= MAX_QUEUED_RECORDS
 
     def take_over(self) -> None:
-        """Become the writer, in place of the current one."""
+        """Take the directory over from its current writer, and start the writer thread if necessary."""
         self.is_fenced = False
         self._is_takeover_requested = True
         if self._thread is None and self._health.disabled_by is None:
@@ -94,17 +99,17 @@
             self._thread.start()
 
     def enqueue(self, record: QueuedRecord) -> None:
-        """Queue a record."""
+        """Queue a record for the writer thread."""
         self._queue.put(record)
 
     def close(self) -> None:
-        """Write what is queued and end the thread, within `CLOSE_TIMEOUT_S`."""
+        """Write the queued records and stop the thread, waiting at most `CLOSE_TIMEOUT_S`."""
         if self._thread is not None:
             self._queue.put(None)
             self._thread.join(CLOSE_TIMEOUT_S)
             self._thread = None
 
-    # --- on the thread
+    # --- The methods below run on the writer thread.
 
     def _run(self) -> None:
         while True:
@@ -126,7 +131,7 @@
                 return
 
     def _commit(self, batch: list[QueuedRecord]) -> BalancerError | None:
-        """Write a batch; return why it is not on disk, or None if it is."""
+        """Write a batch of records; return the error if it could not be persisted, or None."""
         if self._health.disabled_by is not None:
             return self._health.disabled_by
         if self.is_fenced:
@@ -134,7 +139,7 @@
         try:
             writer = self._open_writer()
             if writer is None:
-                return NotPersistedError("the disk has failed a moment ago")
+                return NotPersistedError("the disk has failed recently, writes are not retried yet")
             self._append(writer, batch)
             if writer.needs_rotation:
                 self.state.prune_lifted_bans(time.time() * MS_PER_S - LIFTED_BAN_RETENTION_MS)
@@ -162,10 +167,11 @@
             self.state.apply(record.data)
 
     def _open_writer(self) -> LogWriter | None:
-        """Return the writer, opened again if it has failed or a takeover is due; None during the pause."""
+        """Return the writer, reopening it after a failure or for a takeover; None during the reopen delay."""
         writer = self.writer
         if writer is not None and not writer.has_failed:
-            # After a takeover request the other process may have written while this one had no records.
+            # Another process may have become the writer since the last write of this one. A takeover request
+            # then has to reopen the directory.
             if not (self._is_takeover_requested and writer.is_superseded()):
                 self._is_takeover_requested = False
                 return writer
@@ -176,7 +182,8 @@
         self._last_open_s = now_s
         if writer is not None:
             if not self._is_takeover_requested and writer.is_superseded():
-                raise FencedError  # a failed disk is no reason to take the directory back from a successor
+                # Reopening after a disk failure must not take the directory back from a successor.
+                raise FencedError
             writer.close()
         new_directory_id = os.urandom(DIRECTORY_ID_BYTES).hex()
         self.writer = LogWriter(self._directory, self._node, new_directory_id, self._recover)
--- a/balancer/durable/filesystem.py
+++ b/balancer/durable/filesystem.py
@@ -1,9 +1,9 @@
-"""File system interface of the write-ahead log, and its implementation on the operating system.
+"""File system interface of the write-ahead log, and its implementation for the operating system.
 
-The interface has only the few operations between which a crash can fall. Files are created, appended to and
-synced; names are created, renamed and removed, and survive a power cut once the directory has been synced.
-Nothing is written in the middle of a file and no file is truncated, so that the states that a power cut can
-leave stay enumerable (see `balancer/sim/disk.py`).
+The interface is limited to a few operations. Files are created, appended to and synced. File names are
+created, renamed and removed, and survive a power cut once the directory has been synced. Files are never
+truncated or overwritten in place, so that all states that a power cut can leave behind can be enumerated in
+tests (see `balancer/sim/disk.py`).
 """
 
 from __future__ import annotations
@@ -23,65 +23,65 @@
 
 
 class AppendFile(Protocol):
-    """A new file that is being appended to."""
+    """A new file that is open for appending."""
 
     def write(self, data: bytes) -> None:
         """Append all of `data`.
 
         Raises:
-            OSError: Any part of `data` may have been appended.
+            OSError: The write failed; any part of `data` may have been appended.
         """
 
     def sync(self) -> None:
-        """Make everything written so far survive a power cut.
+        """Make all data written so far survive a power cut.
 
         Raises:
-            OSError: It is unknown what survives.
+            OSError: The sync failed; it is unknown which data survives.
         """
 
     def close(self) -> None:
-        """Close the file; closing it again has no effect."""
+        """Close the file; further calls have no effect."""
 
 
 class Directory(Protocol):
-    """One directory. All operations raise OSError."""
+    """A directory of files; every operation may raise OSError."""
 
     def list_names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the names of all files in the directory, sorted."""
 
     def read(self, name: str) -> bytes:
-        """Return the contents of a file."""
+        """Return the contents of the named file."""
 
     def create(self, name: str) -> AppendFile:
-        """Create an empty file; raise FileExistsError if there is one of that name."""
+        """Create an empty file; raise FileExistsError if the name exists."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing any other file of the new name."""
+        """Rename a file, replacing any existing file with the new name."""
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Remove the named file."""
 
     def sync_names(self) -> None:
-        """Make all names as they are now survive a power cut."""
+        """Make the current names of all files survive a power cut."""
 
     def writer_lock(self) -> contextlib.AbstractContextManager[None]:
-        """Hold the lock that serialises opening writers.
+        """Hold the lock under which a writer takes the directory over.
 
         Raises:
-            BlockingIOError: Another process holds it.
+            BlockingIOError: Another process holds the lock.
         """
 
 
 class SystemFile:
-    """An append-only file of the operating system."""
+    """An append-only file on the file system of the operating system."""
 
     def __init__(self, path: Path) -> None:
-        """Create the file; raise FileExistsError if there is one."""
+        """Create the file for appending; raise FileExistsError if it exists."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
         self._descriptor = os.open(path, flags, FILE_MODE)
 
     def write(self, data: bytes) -> None:
-        """Append all of `data`."""
+        """Append all of `data`, repeating partial writes."""
         view = memoryview(data)
         while view:
             view = view[os.write(self._descriptor, view) :]
@@ -91,17 +91,17 @@
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
-        """Close the file; closing it again has no effect."""
+        """Close the file; further calls have no effect."""
         if self._descriptor != CLOSED_DESCRIPTOR:
             os.close(self._descriptor)
             self._descriptor = CLOSED_DESCRIPTOR
 
 
 class SystemDirectory:
-    """A directory of the operating system."""
+    """A directory on the file system of the operating system."""
 
     def __init__(self, path: Path) -> None:
-        """Refer to a directory, which need not exist yet."""
+        """Refer to the directory at `path`, which need not exist yet."""
         self.path = path
 
     def make(self) -> None:
@@ -109,27 +109,27 @@
         self.path.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
 
     def list_names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the names of all files in the directory, sorted."""
         return sorted(os.listdir(self.path))
 
     def read(self, name: str) -> bytes:
-        """Return the contents of a file."""
+        """Return the contents of the named file."""
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> AppendFile:
-        """Create an empty file."""
+        """Create an empty file for appending."""
         return SystemFile(self.path / name)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing any other file of the new name."""
+        """Rename a file, replacing any existing file with the new name."""
         os.replace(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Remove the named file."""
         (self.path / name).unlink()
 
     def sync_names(self) -> None:
-        """Flush the directory with fsync."""
+        """Flush the directory entries with fsync."""
         descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -138,19 +138,19 @@
 
     @contextlib.contextmanager
     def writer_lock(self) -> Iterator[None]:
-        """Hold an flock that ends with the process."""
+        """Hold an exclusive flock, which the kernel releases if the process dies."""
         with self._flock(WRITER_LOCK_NAME, fcntl.LOCK_EX):
             yield
 
     def shared_use(self) -> contextlib.AbstractContextManager[None]:
-        """Mark the directory as used by a live process; several processes of a node may."""
+        """Hold a shared lock that marks the directory as in use; several processes of a node may hold it."""
         return self._flock(USERS_LOCK_NAME, fcntl.LOCK_SH)
 
     def exclusive_use(self) -> contextlib.AbstractContextManager[None]:
-        """Keep processes of the node out.
+        """Hold an exclusive lock that keeps all processes of the node out of the directory.
 
         Raises:
-            BlockingIOError: A process of the node uses the directory.
+            BlockingIOError: A process of the node is using the directory.
         """
         return self._flock(USERS_LOCK_NAME, fcntl.LOCK_EX)
 
--- a/balancer/durable/frames.py
+++ b/balancer/durable/frames.py
@@ -1,13 +1,13 @@
-"""Framing of records: length-prefixed frames with chained checksums, so that a missing middle is detected.
+"""Framing of log records: length-prefixed frames with chained checksums.
 
     crc:u32 chain:u32 length:u32 batch:u64 number:u64 payload:bytes[length]
 
-All numbers are big-endian. `crc` is the CRC32C of everything that follows `chain`. `chain` is the CRC32C of
-the previous frame's chain and `crc`, so that a frame of another log, or of another position of this log, does
-not fit. `batch` is the number of the first record written since the last sync: a power cut tears only the
-last batch, so an invalid frame before a later batch is damage and not a torn tail.
+All numbers are big-endian. `crc` is the CRC32C of all fields after `chain`. `chain` is the CRC32C of the
+previous frame's chain and of `crc`, which detects missing frames and frames from another log or position.
+`batch` is the number of the first record written since the last sync: a power cut can tear only the last
+batch, so an invalid frame before a later batch is damage and not a torn tail.
 
-Source: the write-ahead log of etcd (chained CRC, rule on torn tails).
+The chained CRC and the rule for torn tails follow the write-ahead log of etcd.
 """
 
 from __future__ import annotations
@@ -19,23 +19,26 @@
 
 from balancer.errors import BalancerError
 
-HEADER = struct.Struct(">IIIQQ")  # crc, chain, length, batch, number
-CHECKED_FIELDS = struct.Struct(">IQQ")  # length, batch, number
+# The header fields are crc, chain, length, batch and number.
+HEADER = struct.Struct(">IIIQQ")
+# The header fields that `crc` covers are length, batch and number.
+CHECKED_FIELDS = struct.Struct(">IQQ")
 UINT32 = struct.Struct(">I")
 MAX_PAYLOAD_BYTES = 4 * 2**20
-MAX_NUMBER_GAP = 2**32  # a larger step between two records is not searched behind damage
+# Behind damage, a frame whose record number jumps by more than this is taken for random bytes.
+MAX_NUMBER_GAP = 2**32
 
 
 class RecordTooLongError(BalancerError):
-    """A record is too long to be written, for example a list of very many backends."""
+    """A record exceeds the size limit, for example an endpoint list with very many backends."""
 
     code = "STA03"
-    remedy = "the node serves on without [durable]; start it again once discovery's list is shorter"
+    remedy = "the node continues without [durable]; restart it once discovery's list of endpoints is shorter"
 
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One record and its position in a log."""
+    """A record's payload with its position in the log."""
 
     number: int
     batch: int
@@ -45,33 +48,40 @@
 
 @dataclass(slots=True)
 class ParsedFrames:
-    """The valid frames at the start of some bytes, and what follows them."""
+    """The valid frames at the start of a byte string, and a description of the bytes after them.
+
+    `end` is the offset after the last valid frame. `is_damaged` means that the invalid bytes are not a torn
+    tail, because valid frames of a later batch follow them. `last_lost_number` is the last lost record that
+    had certainly been synced, or 0 if there is none.
+    """
 
     frames: list[Frame] = field(default_factory=list)
-    end: int = 0  # offset of the first byte that is not part of a valid frame
+    end: int = 0
     trailing_bytes: int = 0
-    is_damaged: bool = False  # valid frames of a later batch follow, so this is no torn tail
-    last_lost_number: int = 0  # last record that had certainly been synced; 0 if nothing is lost
+    is_damaged: bool = False
+    last_lost_number: int = 0
 
 
 def crc32c(data: bytes) -> int:
-    """Return the CRC32C of `data`."""
+    """Return the CRC32C checksum of `data`."""
     return int(google_crc32c.value(data))
 
 
 def chain_crc(chain: int, crc: int) -> int:
-    """Return the chain value that follows a frame with checksum `crc` written after `chain`."""
+    """Return the chain value of a frame with checksum `crc` that is written after `chain`."""
     return int(google_crc32c.extend(chain, UINT32.pack(crc)))
 
 
 def make_frame(number: int, batch: int, chain: int, payload: bytes) -> Frame:
-    """Return the frame of a record that follows `chain`.
+    """Return the frame of a record that is written after `chain`.
 
     Raises:
         RecordTooLongError: The payload exceeds `MAX_PAYLOAD_BYTES`.
     """
     if len(payload) > MAX_PAYLOAD_BYTES:
-        raise RecordTooLongError(f"a record has {len(payload)} bytes, {MAX_PAYLOAD_BYTES} fit")
+        raise RecordTooLongError(
+            f"a record of {len(payload)} bytes is too long, the limit is {MAX_PAYLOAD_BYTES} bytes"
+        )
     return Frame(number, batch, chain_crc(chain, _frame_crc(number, batch, payload)), payload)
 
 
@@ -80,14 +90,14 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a frame."""
+    """Return the encoded frame."""
     crc = _frame_crc(frame.number, frame.batch, frame.payload)
     header = HEADER.pack(crc, frame.chain, len(frame.payload), frame.batch, frame.number)
     return header + frame.payload
 
 
 def parse_frames(data: bytes, offset: int, number: int, chain: int) -> ParsedFrames:
-    """Parse the frames of `data` from `offset` on, as they follow record `number` with its `chain`."""
+    """Parse the frames of `data` from `offset` on that continue record `number` and its chain value."""
     parsed = ParsedFrames()
     batch = number + 1
     while True:
@@ -110,7 +120,7 @@
 
 
 def _frame_at(data: bytes, offset: int) -> Frame | None:
-    """Return the frame at `offset` if its own checksum is valid, whatever its chain."""
+    """Return the frame at `offset` if its checksum is valid; the chain value is not checked."""
     if offset + HEADER.size > len(data):
         return None
     crc, chain, length, batch, number = HEADER.unpack_from(data, offset)
@@ -124,7 +134,7 @@
 
 
 def _last_synced_after(data: bytes, offset: int, number: int) -> int:
-    """Return the last record after `number` that was synced, by the batches of valid frames further on."""
+    """Return the number of the last synced record after `number`, derived from later valid frames."""
     last = 0
     while offset + HEADER.size <= len(data):
         _, _, length, batch, candidate = HEADER.unpack_from(data, offset)
--- a/balancer/durable/health.py
+++ b/balancer/durable/health.py
@@ -1,4 +1,4 @@
-"""Whether the durable state of a process is usable, and what is logged about it."""
+"""Tracking and logging of failures of the state directory, and the errors that report them."""
 
 from __future__ import annotations
 
@@ -10,43 +10,44 @@
 
 
 class NotPersistedError(BalancerError):
-    """A record is not on disk; the text says why."""
+    """A record could not be persisted; the message gives the reason."""
 
     code = "STA04"
-    remedy = "mend or free the disk of durable.directory and call again; the node tries it every 5 s"
+    remedy = "repair or free the disk of durable.directory, then call again; the node retries it every 5 s"
 
 
 class WriterSupersededError(NotPersistedError):
-    """A later process of this node writes the directory now."""
+    """A later process of this node has taken over the state directory."""
 
     code = "STA05"
-    remedy = "call the console of the process that was started last"
+    remedy = "send the call to the console of the process that was started last"
 
 
 class DirectoryUnusableError(NotPersistedError):
-    """The directory cannot be made or opened."""
+    """The state directory cannot be created or opened."""
 
     code = "STA06"
-    remedy = "let durable.directory name one that the node may write in, and start it again"
+    remedy = "set durable.directory to a directory that the node may write to, then restart the node"
 
 
 class Health:
-    """Failures of the state directory at `location`; each outage is logged once."""
+    """Health of the state directory at `location`; each outage is logged once."""
 
     def __init__(self, location: str) -> None:
-        """Start without failures."""
+        """Start enabled, with no failure counted."""
         self.location = location
-        self.disabled_by: BalancerError | None = None  # why nothing is written for the rest of the process
+        # If set, nothing more is written for the lifetime of the process.
+        self.disabled_by: BalancerError | None = None
         self.failures = 0
         self._is_outage_logged = False
 
     def disable(self, reason: BalancerError) -> None:
-        """Give up the directory for the rest of the process."""
+        """Stop using the state directory for the lifetime of the process."""
         self.disabled_by = reason
         log.warning("state: %s: %s; the node continues without durable state", self.location, reason.summary)
 
     def report_failure(self, err: OSError) -> NotPersistedError:
-        """Count a failed operation and return the error for whoever asked for it."""
+        """Count a failed disk operation and return the error to raise in its callers."""
         reason = NotPersistedError(err.strerror or str(err))
         self.failures += 1
         if not self._is_outage_logged:
@@ -59,7 +60,7 @@
         return reason
 
     def report_success(self) -> None:
-        """Log the end of an outage."""
+        """Log the end of an outage if one was logged."""
         if self._is_outage_logged:
             self._is_outage_logged = False
             log.info("state: %s: writes succeed again", self.location)
--- a/balancer/durable/layout.py
+++ b/balancer/durable/layout.py
@@ -1,8 +1,8 @@
-"""Files of a state directory: their names, magic bytes and headers.
+"""Files of a state directory: names, magic bytes and headers.
 
-A generation is a snapshot `snap-GENERATION-FENCE` and the log `log-GENERATION-FENCE` of the records after it.
-The file `fence` holds the fencing token of the writer that may write. A file in the making is a draft,
-`draft-NAME-FENCE`.
+A generation consists of a snapshot `snap-GENERATION-FENCE` and of the log `log-GENERATION-FENCE` with the
+records after it. The file `fence` holds the fencing token of the current writer. A file is written under the
+temporary name `draft-NAME-FENCE` and renamed once it is complete.
 """
 
 from __future__ import annotations
@@ -21,19 +21,20 @@
 FENCE_NAME = "fence"
 DRAFT_PREFIX = "draft-"
 MAX_HEADER_BYTES = 4096
-NUMBER_BEFORE_HEADER = -1  # so that the header's frame has number 0
+# The header frame of a file has number 0, so the parser is told that it follows number -1.
+NUMBER_BEFORE_HEADER = -1
 FILE_NAME = re.compile(r"(snap|log)-(\d{12})-(\d{8})")
 
 
 class FileKind(StrEnum):
-    """The kinds of files, by the beginning of their names."""
+    """Kind of a file; the value is the prefix of its name."""
 
     SNAPSHOT = "snap"
     LOG = "log"
     FENCE = "fence"
 
 
-# The magic bytes hold the program's former name: files outlive a rename.
+# The magic bytes contain the former name of the program, because existing files must stay readable.
 MAGIC = {
     FileKind.SNAPSHOT: b"dillport snap\n",
     FileKind.LOG: b"dillport  log\n",
@@ -42,19 +43,19 @@
 
 
 class IncompatibleDirectoryError(BalancerError):
-    """The directory is another node's or a newer program's. Nothing in it was changed."""
+    """The state directory belongs to another node or was written by a newer version; it was not changed."""
 
     code = "STA01"
-    remedy = "let durable.directory name one that is this node's alone, or start the version that wrote it"
+    remedy = "set durable.directory to a directory of this node alone, or start the version that wrote it"
 
 
 class InvalidFileError(Exception):
-    """A file is not as it was written; the reader reports it and goes on with the others."""
+    """A file is corrupt; the reader reports it and continues with the other files."""
 
 
 @dataclass(frozen=True, order=True)
 class GenerationId:
-    """Identity of a generation; all generations of a later writer come after those of an earlier one."""
+    """Identity of a generation; generations are ordered by writer, then by number."""
 
     fence: int
     number: int
@@ -62,14 +63,14 @@
 
 @dataclass(frozen=True)
 class FileName:
-    """The parts of the name of a snapshot or log."""
+    """Components of the name of a snapshot or log file."""
 
     kind: FileKind
     generation: GenerationId
 
     @classmethod
     def parse(cls, name: str) -> FileName | None:
-        """Return the parts of a name, or None if it is not that of a snapshot or log."""
+        """Return the components of a file name, or None if it does not name a snapshot or log."""
         found = FILE_NAME.fullmatch(name)
         if found is None:
             return None
@@ -77,50 +78,55 @@
         return cls(FileKind(kind), GenerationId(int(fence), int(number)))
 
     def __str__(self) -> str:
-        """Return the name."""
+        """Return the file name."""
         return f"{self.kind}-{self.generation.number:012d}-{self.generation.fence:08d}"
 
 
 def list_generations(names: Sequence[str]) -> list[GenerationId]:
-    """Return the generations of which there is a file, newest first."""
+    """Return the generations that have at least one file in `names`, newest first."""
     parsed = map(FileName.parse, names)
     return sorted({name.generation for name in parsed if name is not None}, reverse=True)
 
 
 def draft_name(name: str, fence: int) -> str:
-    """Return the name of a file while the writer with this fencing token makes it."""
+    """Return the temporary name of a file that the writer with this fencing token is writing."""
     return f"{DRAFT_PREFIX}{name}-{fence}"
 
 
 def draft_fence(name: str) -> int | None:
-    """Return the fencing token of the writer of a draft, or None if the name is not that of a draft."""
+    """Return the fencing token in the name of a draft, or None for any other name."""
     fence = name.rpartition("-")[2] if name.startswith(DRAFT_PREFIX) else ""
     return int(fence) if fence.isdecimal() else None
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
-    """The first frame of each file: the directory it belongs to and its position. The order is fixed."""
+    """First frame of each file: the directory that owns the file, and the file's position in the log.
+
+    The directory id is drawn when a directory is first used, so that files from another one are detected.
+    `number` and `chain` are those of the last record before the file. The order of the fields is part of the
+    file format.
+    """
 
     version: int
-    directory_id: str  # drawn when the directory was first used, so that files of another one are detected
+    directory_id: str
     node: str
     fence: int
     generation: int = 0
-    number: int = 0  # of the last record before this file
-    chain: int = 0  # of that record
+    number: int = 0
+    chain: int = 0
 
     @property
     def generation_id(self) -> GenerationId:
-        """Return the identity of the generation."""
+        """Return the identity of the generation that the file belongs to."""
         return GenerationId(self.fence, self.generation)
 
-    def has_owner_of(self, other: Header) -> bool:
-        """Return whether both files belong to the same directory and node."""
+    def has_same_owner(self, other: Header) -> bool:
+        """Return whether two files belong to the same directory and node."""
         return (self.directory_id, self.node) == (other.directory_id, other.node)
 
 
 def encode_file_start(kind: FileKind, header: Header) -> bytes:
-    """Return the magic bytes and header with which a file starts."""
+    """Return the magic bytes and the header frame of a new file."""
     magic = MAGIC[kind]
     frame = frames.make_frame(0, 0, frames.crc32c(magic), msgspec.msgpack.encode(header))
     return magic + frames.encode_frame(frame)
@@ -128,7 +134,7 @@
 
 @dataclass(frozen=True)
 class FileStart:
-    """The header of a file and the offset at which it ends."""
+    """Decoded header of a file, and the offset of the first byte after it."""
 
     header: Header
     end: int
@@ -138,24 +144,24 @@
     """Decode the magic bytes and header of a file.
 
     Raises:
-        InvalidFileError: They are not as they were written.
-        IncompatibleDirectoryError: A newer program wrote them.
+        InvalidFileError: The magic bytes or the header are corrupt.
+        IncompatibleDirectoryError: A newer version wrote the file.
     """
     magic = MAGIC[kind]
     if data[: len(magic)] != magic:
-        raise InvalidFileError("its first bytes are not those of such a file")
+        raise InvalidFileError("the file does not start with the magic bytes of its kind")
     limit = len(magic) + MAX_HEADER_BYTES
     parsed = frames.parse_frames(data[:limit], len(magic), NUMBER_BEFORE_HEADER, frames.crc32c(magic))
     if not parsed.frames:
-        raise InvalidFileError("its header is invalid")
+        raise InvalidFileError("the file header is missing or damaged")
     payload = parsed.frames[0].payload
     try:
         version = msgspec.msgpack.decode(payload, type=list[object])[0]
         if isinstance(version, int) and version > VERSION:
             raise IncompatibleDirectoryError(
-                f"it is of version {version}, this program reads up to {VERSION}"
+                f"the file has format version {version}, this program reads up to {VERSION}"
             )
         header = msgspec.msgpack.decode(payload, type=Header)
     except (msgspec.MsgspecError, IndexError):
-        raise InvalidFileError("its header is invalid") from None
+        raise InvalidFileError("the file header cannot be decoded") from None
     return FileStart(header, len(magic) + frames.HEADER.size + len(payload))
--- a/balancer/durable/reader.py
+++ b/balancer/durable/reader.py
@@ -1,9 +1,9 @@
-"""Reading of a state directory: the newest valid snapshot and the records that follow it.
+"""Read-only access to a state directory: its newest valid snapshot and the records that follow it.
 
-If a snapshot is invalid, the one before it and its complete log give the same state. Nothing is changed.
+If a snapshot is corrupt, the previous snapshot and its complete log give the same state.
 
-Sources: etcd's write-ahead log (torn tails); ALICE (Pillai et al. 2014) and SQLite on what a power cut
-leaves.
+The handling of torn tails follows etcd's write-ahead log; the assumptions on the effects of a power cut
+follow ALICE (Pillai et al. 2014) and SQLite.
 """
 
 from __future__ import annotations
@@ -31,30 +31,34 @@
 
 @dataclass(slots=True)
 class DirectoryContents:
-    """What a state directory holds."""
+    """Contents of a state directory, as far as they could be read.
+
+    `generation` is the newest generation with a file, `records` are those after the snapshot, and `problems`
+    describes each corrupt file in one line. `has_lost_records` means that synced records are missing.
+    """
 
     directory_id: str = ""
     node: str = ""
-    generation: int = 0  # the newest of which there is a file
+    generation: int = 0
     fence: int = 0
     last_number: int = 0
     last_chain: int = 0
     snapshot: bytes | None = None
-    records: list[bytes] = field(default_factory=list)  # after the snapshot
-    problems: list[str] = field(default_factory=list)  # what was not as it was written, one line each
-    has_lost_records: bool = False  # something that had been synced is missing
+    records: list[bytes] = field(default_factory=list)
+    problems: list[str] = field(default_factory=list)
+    has_lost_records: bool = False
     file_count: int = 0
     size_bytes: int = 0
 
     def report_loss(self, problem: str) -> None:
-        """Record a problem by which synced records are lost."""
+        """Add a problem that has lost synced records."""
         self.has_lost_records = True
         self.problems.append(problem)
 
 
 @dataclass(frozen=True)
 class LogTail:
-    """The records of a log up to some number, and the position after them."""
+    """Records of a log up to a limit, with the number and chain value of the last record."""
 
     records: list[bytes]
     last_number: int
@@ -62,7 +66,7 @@
 
 
 class Generation:
-    """One generation as it is read. What is invalid is added to the problems of `contents`."""
+    """The files of one generation; corrupt ones are added to the problems of `contents`."""
 
     def __init__(
         self,
@@ -71,14 +75,15 @@
         names: Sequence[str],
         contents: DirectoryContents,
     ) -> None:
-        """Read those files of the generation that are among `names`."""
+        """Read the snapshot and the log of a generation, as far as `names` lists them."""
         self.id = generation_id
         self.snapshot_header: Header | None = None
         self.snapshot = b""
         self.log_header: Header | None = None
         self.parsed = ParsedFrames()
         self._contents = contents
-        self._first_chain = 0  # the chain that the first record of the log follows
+        # Chain value that the first record of the log continues.
+        self._first_chain = 0
         for kind in (FileKind.SNAPSHOT, FileKind.LOG):
             name = str(FileName(kind, generation_id))
             if name in names:
@@ -86,16 +91,16 @@
 
     @property
     def header(self) -> Header | None:
-        """Return the header of the snapshot or of the log, or None if neither could be read."""
+        """Return the header of the snapshot, else that of the log, or None if neither is readable."""
         return self.snapshot_header or self.log_header
 
     def belongs_to(self, owner: Header) -> bool:
-        """Return whether all of it belongs to the owner's directory and node."""
+        """Return whether all readable files of the generation belong to the owner's directory and node."""
         headers = (self.snapshot_header, self.log_header)
-        return all(header is None or header.has_owner_of(owner) for header in headers)
+        return all(header is None or header.has_same_owner(owner) for header in headers)
 
     def log_after(self, number: int, chain: int, limit: int | None) -> LogTail | None:
-        """Return the records up to number `limit`, or None if the log does not follow that position."""
+        """Return the records up to number `limit`, or None if the log does not continue this position."""
         header = self.log_header
         if header is None or (header.number, header.chain) != (number, chain):
             return None
@@ -114,7 +119,7 @@
             start = layout.decode_file_start(data, kind)
             if start.header.generation_id != self.id:
                 raise InvalidFileError(
-                    f"it is that of generation {start.header.generation} under another name"
+                    f"its header names generation {start.header.generation}, unlike its file name"
                 )
             if kind is FileKind.SNAPSHOT:
                 self._parse_snapshot(data, start)
@@ -124,7 +129,7 @@
             problems.append(f"{name}: {err}")
         if self.parsed.is_damaged:
             problems.append(
-                f"{name}: damaged at byte {self.parsed.end}: records from there to number "
+                f"{name}: damaged at byte {self.parsed.end}: records from that position to number "
                 f"{self.parsed.last_lost_number} cannot be read"
             )
         elif self.parsed.trailing_bytes:
@@ -134,22 +139,22 @@
         chain = frames.crc32c(data[: start.end])
         body = frames.parse_frames(data, start.end, SNAPSHOT_FRAME_NUMBER - 1, chain)
         if len(body.frames) != 1 or body.trailing_bytes:
-            raise InvalidFileError("its snapshot is invalid")
+            raise InvalidFileError("the snapshot after the file header is corrupt")
         self.snapshot_header = start.header
         self.snapshot = body.frames[0].payload
 
     def _parse_log(self, data: bytes, start: layout.FileStart) -> None:
         self.log_header = start.header
-        # The header is part of the chain, so that records of one log do not fit another log's header.
+        # The chain starts with the header, so that records of one log cannot follow the header of another.
         self._first_chain = frames.crc32c(data[: start.end])
         self.parsed = frames.parse_frames(data, start.end, start.header.number, self._first_chain)
 
 
 def read_fence(directory: Directory, names: Sequence[str], problems: list[str]) -> Header | None:
-    """Return the header of the fence file, or None if there is no valid one.
+    """Return the header of the fence file, or None if the file is missing or corrupt.
 
     Raises:
-        IncompatibleDirectoryError: A newer program wrote it.
+        IncompatibleDirectoryError: A newer version wrote the file.
     """
     if FENCE_NAME not in names:
         return None
@@ -163,16 +168,16 @@
 def read_directory(
     directory: Directory, node: str | None = None, *, all_generations: bool = True
 ) -> DirectoryContents:
-    """Return what the directory holds from its newest valid snapshot on.
+    """Return the newest valid snapshot of a directory and all records after it.
 
     Args:
         directory: The state directory.
-        node: The node that the directory has to belong to, if any.
-        all_generations: Whether generations that the result does not depend on are checked as well.
+        node: The node that must own the directory; None accepts any owner.
+        all_generations: Whether to check also generations that do not affect the result.
 
     Raises:
-        IncompatibleDirectoryError: It is a newer program's or another node's.
-        OSError: It cannot be listed.
+        IncompatibleDirectoryError: A newer version or another node wrote the directory.
+        OSError: The directory cannot be listed.
     """
     names = directory.list_names()
     contents = DirectoryContents()
@@ -187,13 +192,15 @@
         return contents
     if node is not None and owner.node != node:
         raise IncompatibleDirectoryError(
-            f"the directory is that of node {owner.node!r}, this one is {node!r}"
+            f"the directory belongs to node {owner.node!r}, this node is {node!r}"
         )
     contents.directory_id = owner.directory_id
     contents.node = owner.node
     contents.fence = max([owner.fence, *(generation_id.fence for generation_id in ids)])
     if ids and generations and generations[0].id != ids[0]:
-        contents.report_loss(f"generation {ids[0].number}: nothing of it can be read, its records are lost")
+        contents.report_loss(
+            f"generation {ids[0].number}: neither snapshot nor log can be read, its records are lost"
+        )
     _replay_newest(_owned_by(owner, generations, contents), contents)
     if contents.snapshot is None and ids:
         contents.report_loss("no snapshot is valid: the node starts with empty state")
@@ -203,7 +210,7 @@
 def _read_generations(
     directory: Directory, names: Sequence[str], contents: DirectoryContents, sufficient_for: Header | None
 ) -> list[Generation]:
-    """Read generations, newest first; stop at the first that suffices for a known owner, if one is given."""
+    """Read generations, newest first, and stop at the first valid snapshot of a given owner."""
     generations: list[Generation] = []
     for generation_id in layout.list_generations(names):
         generation = Generation(directory, generation_id, names, contents)
@@ -216,7 +223,7 @@
 
 
 def _majority_owner(generations: list[Generation]) -> Header | None:
-    """Return the header of the owner of most files, for a directory without a valid fence file."""
+    """Return a header of the owner of most files; used if the fence file is missing or corrupt."""
     headers = [
         header
         for generation in generations
@@ -244,7 +251,8 @@
 def _newest_valid_snapshot(headers: list[Header], generations: list[Generation]) -> int | None:
     """Return the index of the newest generation whose snapshot is valid.
 
-    A later writer's header limits what is valid of an earlier one's: it says how far that writer had read.
+    The header of a later generation limits which records of an earlier one are valid, because it states up to
+    which record its writer had read.
     """
     limit: float = math.inf
     for index, generation in enumerate(generations):
@@ -256,7 +264,7 @@
 
 
 def _replay_newest(generations: list[Generation], contents: DirectoryContents) -> None:
-    """Take the newest valid snapshot and the records of its log and of the logs that continue it."""
+    """Load the newest valid snapshot, its log and all logs that continue it into `contents`."""
     headers = [generation.header for generation in generations if generation.header is not None]
     base = _newest_valid_snapshot(headers, generations)
     if base is None:
@@ -276,6 +284,6 @@
                 contents.has_lost_records = True
         if next_number is not None and next_number != contents.last_number:
             contents.report_loss(
-                f"records {contents.last_number + 1} to {next_number} are lost, and what came after them"
+                f"records {contents.last_number + 1} to {next_number} are lost, and so are all later records"
             )
             return
--- a/balancer/durable/records.py
+++ b/balancer/durable/records.py
@@ -1,9 +1,8 @@
 """Record types of the write-ahead log.
 
-Each record is a msgpack map with a tag. A later version may add fields and tags: a record of an unknown tag
-is kept in snapshots, so that an older program that runs for an hour loses nothing of a newer one's. Tags,
-keys and the order of array-like fields are the format on disk; names of attributes are not. Times are Unix
-time in ms.
+Each record is a msgpack map with a tag. A later version may add fields and tags: records with an unknown tag
+are preserved in snapshots, so that a temporary downgrade loses no data of the newer version. Tags, keys and
+the order of array-like fields are the on-disk format; attribute names are not. Times are Unix time in ms.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 
 class EndpointRow(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the endpoint list."""
+    """An endpoint of the saved endpoint list."""
 
     backend: str
     host: str
@@ -29,21 +28,21 @@
 
 
 class BanSet(msgspec.Struct, frozen=True, tag="out"):
-    """An operator put a backend into maintenance."""
+    """An operator has put a backend into maintenance."""
 
     backend: str
     at_ms: float = msgspec.field(name="at")
 
 
 class BanLifted(msgspec.Struct, frozen=True, tag="back"):
-    """An operator ended the maintenance of a backend."""
+    """An operator has ended the maintenance of a backend."""
 
     backend: str
     at_ms: float = msgspec.field(name="at")
 
 
 class EndpointListReceived(msgspec.Struct, frozen=True, tag="list"):
-    """Discovery sent the endpoint list, or changes of it."""
+    """Discovery has sent the complete endpoint list, or changes to it."""
 
     revision: int
     is_complete: bool = msgspec.field(name="whole")
@@ -52,33 +51,39 @@
 
 
 class IncarnationStarted(msgspec.Struct, frozen=True, tag="start"):
-    """A process joined the membership with this incarnation number."""
+    """A process has joined the membership with this incarnation number."""
 
     incarnation: int = msgspec.field(name="life")
     at_ms: float = msgspec.field(name="at")
 
 
 class LearnedSample(msgspec.Struct, frozen=True, tag="learned"):
-    """A periodic sample of what the decision module has learned."""
+    """Periodic sample of the state that the balancing policy has learned.
+
+    `request_rate` is the rate of requests per second at the node, or 0 if it is unknown.
+    """
 
     taken_at: Timestamp = msgspec.field(name="at")
     learned: LearnedState
-    request_rate: float = msgspec.field(name="rate", default=0.0)  # requests/s of the node; 0: unknown
+    request_rate: float = msgspec.field(name="rate", default=0.0)
 
 
 class RegisterRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row of the replicated ban register (see `balancer/recovery/register.py`)."""
+    """A row of the replicated ban register (see `balancer/recovery/register.py`).
+
+    `is_active` means that the ban has not been lifted. `at_ms` is minus infinity if the time is unknown.
+    """
 
     backend: str
     node: int
     incarnation: int
     sequence: int
-    is_active: bool  # a ban that has not been lifted
-    at_ms: float  # -inf if unknown
+    is_active: bool
+    at_ms: float
 
     @property
     def precedence(self) -> tuple[int, int, bool]:
-        """Return the merge key: of two rows of one backend and node, the greater one wins."""
+        """Return the merge key: of two rows for the same backend and node, the greater key wins."""
         return self.incarnation, self.sequence, not self.is_active
 
 
@@ -93,12 +98,12 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the bytes of a record."""
+    """Return the encoded record."""
     return msgspec.msgpack.encode(record)
 
 
 def decode_record(data: bytes) -> Record | None:
-    """Return the record of `data`, or None if this version does not know its type."""
+    """Return the decoded record, or None if this version cannot decode it."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError:
--- a/balancer/durable/state.py
+++ b/balancer/durable/state.py
@@ -1,4 +1,4 @@
-"""The state that results from replaying records, and its snapshot."""
+"""Durable state that results from replaying records, and its snapshot format."""
 
 from __future__ import annotations
 
@@ -22,29 +22,34 @@
 
 
 class SnapshotFormatError(BalancerError):
-    """A snapshot cannot be decoded; if its file is valid, a newer program wrote it."""
+    """A snapshot cannot be decoded; if its checksum is valid, a newer version wrote it."""
 
     code = "STA02"
-    remedy = "start the newer version again, or let durable.directory name an empty one"
+    remedy = "start the newer version again, or set durable.directory to an empty directory"
 
 
 class DurableState(msgspec.Struct, array_like=True):
-    """The state after all records so far; its msgpack encoding is the snapshot, so field order is fixed."""
+    """State after all records so far.
 
-    banned: dict[str, float] = {}  # backends in maintenance, since when (Unix ms)
-    lifted: dict[str, float] = {}  # backends whose maintenance ended, when (Unix ms)
+    Its msgpack encoding is the snapshot, so the order of the fields is fixed. All times are Unix time in ms.
+    """
+
+    # Backends in maintenance, with the time at which the ban was set.
+    banned: dict[str, float] = {}
+    # Backends whose maintenance has ended, with the time at which the ban was lifted.
+    lifted: dict[str, float] = {}
     list_revision: int = 0
     list_received_at_ms: float = 0.0
     endpoints: dict[str, EndpointRow] = {}
     incarnation: int = 0
     learned_sample: LearnedSample | None = None
     unknown_records: list[bytes] = []
-    # By backend and node. A snapshot holds them as the last of the unknown records, which is what a program
-    # from before the register preserves.
+    # Register rows by backend and node. A snapshot stores them as the last unknown record, because versions
+    # without the register preserve unknown records.
     register: dict[str, dict[int, RegisterRow]] = {}
 
     def apply(self, data: bytes) -> None:
-        """Apply one encoded record."""
+        """Apply one encoded record to the state."""
         record = decode_record(data)
         match record:
             case None:
@@ -79,7 +84,7 @@
                 by_node[row.node] = row
 
     def _update_ban_from_register(self, backend: str) -> None:
-        """Derive the ban of a backend from the register: the next start may run without the register."""
+        """Update the ban of a backend from its register rows, for a next start without the register."""
         rows = self.register[backend].values()
         if any(row.is_active for row in rows):
             self.banned[backend] = max(0.0, min(row.at_ms for row in rows if row.is_active))
@@ -89,9 +94,9 @@
             self.lifted[backend] = max(0.0, max(row.at_ms for row in rows))
 
     def restore_register(self) -> None:
-        """Merge register rows that an older program preserved as unknown records.
+        """Merge register rows that an older version has preserved as unknown records.
 
-        Bans are not derived from them: that program had its own records of bans.
+        Bans are not derived from these rows, because the older version has written its own ban records.
         """
         unknown = []
         for data in self.unknown_records:
@@ -103,19 +108,19 @@
         self.unknown_records = unknown
 
     def encode_snapshot(self) -> bytes:
-        """Return the snapshot of this state."""
+        """Return the encoded snapshot of this state."""
         rows = [row for by_node in self.register.values() for row in by_node.values()]
         extra = [encode_record(RegisterRowsChanged(rows))] if rows else []
         on_disk = msgspec.structs.replace(self, unknown_records=self.unknown_records + extra, register={})
         return msgspec.msgpack.encode(on_disk)
 
     def prune_lifted_bans(self, before_ms: float) -> None:
-        """Forget bans that were lifted before a Unix time, in ms."""
+        """Remove entries of bans that were lifted before `before_ms`."""
         self.lifted = {name: at_ms for name, at_ms in self.lifted.items() if at_ms >= before_ms}
 
 
 def replay(snapshot: bytes | None, records: list[bytes]) -> DurableState:
-    """Return the state after a snapshot and the records that follow it.
+    """Return the state that a snapshot and the records after it describe.
 
     Raises:
         SnapshotFormatError: The snapshot cannot be decoded.
@@ -123,7 +128,7 @@
     try:
         state = msgspec.msgpack.decode(snapshot, type=DurableState) if snapshot else DurableState()
     except msgspec.MsgspecError as err:
-        raise SnapshotFormatError(f"a snapshot is of a form this program does not know: {err}") from None
+        raise SnapshotFormatError(f"this version cannot decode the snapshot: {err}") from None
     state.restore_register()
     for data in records:
         state.apply(data)
--- a/balancer/durable/store.py
+++ b/balancer/durable/store.py
@@ -1,7 +1,7 @@
-"""The durable store of one process of a node, as the event loop sees it.
+"""Asynchronous interface to the durable state of a node's process.
 
-A disk that fails costs the records and not the node: `append` raises, the failure is logged once and counted,
-and the directory is opened again later.
+A failing disk does not stop the node: `append` raises, the failure is counted and logged once per outage, and
+the directory is reopened later.
 """
 
 from __future__ import annotations
@@ -27,52 +27,57 @@
 
 
 class DurableStore:
-    """Durable state of one process: `recover` reads it, and `take_over` makes this process its writer."""
+    """Durable state of a process: `recover` reads it, `take_over` makes the process its writer."""
 
     def __init__(
         self, directory: Directory, location: str, node: str, clock: Callable[[], float] = time.monotonic
     ) -> None:
-        """Create a store that has neither read nor written; `location` names the directory in log lines."""
+        """Create a store without accessing the disk; `location` names the directory in log lines."""
         self.directory = directory
         self.node = node
         self.health = Health(location)
         self.committer = GroupCommitter(directory, node, self.health, clock)
-        self.has_lost_records = False  # acknowledged records are missing
-        self.is_new = True  # the directory has never held a record
-        self._use = contextlib.ExitStack()  # marks the directory as used by a live process
+        # Whether acknowledged records are missing from the directory.
+        self.has_lost_records = False
+        # Whether the directory has never contained a record.
+        self.is_new = True
+        # Holds the lock that marks the directory as used by a live process.
+        self._shared_lock = contextlib.ExitStack()
 
     @classmethod
     def open(cls, path: Path, node: str, clock: Callable[[], float] = time.monotonic) -> DurableStore:
-        """Return the store of a directory of the operating system, which is created if it is missing.
+        """Return the store of the directory at `path`, which is created if it is missing.
 
-        If that fails the store is disabled.
+        If the directory cannot be created or locked, the returned store is disabled.
         """
         directory = SystemDirectory(path)
         store = cls(directory, str(path), node, clock)
         try:
             directory.make()
-            store._use.enter_context(directory.shared_use())
+            store._shared_lock.enter_context(directory.shared_use())
         except OSError as err:
-            store.health.disable(DirectoryUnusableError(f"cannot be used: {err.strerror}"))
+            store.health.disable(
+                DirectoryUnusableError(f"the directory cannot be created or locked: {err.strerror}")
+            )
         return store
 
     @property
     def state(self) -> DurableState:
-        """Return the current state; the writer thread changes it."""
+        """Return the current state, which the writer thread modifies."""
         return self.committer.state
 
     @property
     def disabled_by(self) -> BalancerError | None:
-        """Return why nothing is written for the rest of the process, or None."""
+        """Return the error that has disabled writing for the lifetime of the process, or None."""
         return self.health.disabled_by
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no record is queued for the disk."""
+        """Return whether no record is waiting to be written."""
         return self.committer.is_idle
 
     def recover(self) -> DurableState:
-        """Return the state that an earlier process left; empty, with one log line, if it cannot be read."""
+        """Return the state of an earlier process, or an empty state and a log line if it is unreadable."""
         if self.disabled_by is not None:
             return self.state
         try:
@@ -108,41 +113,45 @@
         )
 
     def reread(self) -> DurableState:
-        """Return what is on disk now, by whichever process; empty if it cannot be read."""
+        """Return the state now on disk, whichever process wrote it, or an empty state if it is unreadable."""
         try:
             contents = read_directory(self.directory, self.node, all_generations=False)
             return replay(contents.snapshot, contents.records)
         except (BalancerError, OSError) as err:
-            log.info("state: %s: cannot be reread: %s", self.health.location, err)
+            log.info(
+                "state: %s: the directory cannot be read again, assuming empty state: %s",
+                self.health.location,
+                err,
+            )
             return DurableState()
 
     def take_over(self) -> None:
-        """Become the writer, in place of a predecessor or of a successor that has ended."""
+        """Become the writer, replacing a predecessor or a successor that has ended."""
         self.committer.take_over()
 
     async def append(self, record: Record) -> None:
-        """Append a record; return once it survives a power cut.
+        """Append a record and return once it survives a power cut.
 
         Raises:
-            BalancerError: It may not be on disk.
+            BalancerError: The record may not be on disk.
         """
         await self.submit(record)
 
     def submit(self, record: Record) -> asyncio.Future[None]:
-        """Append a record; the future is done as `append` returns. Records keep the order of the calls."""
+        """Queue a record and return a future that completes once it survives a power cut; order is kept."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self.disabled_by is not None:
             done.set_exception(self.disabled_by)
         elif not self.committer.is_running:
-            done.set_exception(NotPersistedError("not yet open"))
+            done.set_exception(NotPersistedError("the state directory is not open yet"))
         elif self.committer.is_full:
-            done.set_exception(NotPersistedError("too many wait for the disk"))
+            done.set_exception(NotPersistedError("the queue of records to be written is full"))
         else:
             self.committer.enqueue(QueuedRecord(encode_record(record), done))
         return done
 
     def append_unsynced(self, record: Record) -> None:
-        """Append a record that may be lost with the power; drop it if the queue is full."""
+        """Append a record that may be lost in a power cut; drop it if the queue is full."""
         committer = self.committer
         if self.disabled_by is not None or not committer.is_running or committer.is_fenced:
             return
@@ -152,9 +161,9 @@
         committer.enqueue(QueuedRecord(encode_record(record), None))
 
     def close(self) -> None:
-        """Write what is queued and end; a disk that hangs is not waited for."""
+        """Write the queued records and stop, without waiting for a disk that hangs."""
         self.committer.close()
-        self._use.close()
+        self._shared_lock.close()
 
     def stats(self) -> dict[str, object]:
         """Return the `durable` object of `/stats`."""
--- a/balancer/durable/timestamp.py
+++ b/balancer/durable/timestamp.py
@@ -1,4 +1,4 @@
-"""Moments by the wall clock and the boot clock, so that an age is never underestimated."""
+"""Timestamps by wall clock and boot clock, so that an age is never underestimated."""
 
 from __future__ import annotations
 
@@ -13,15 +13,19 @@
 
 
 class Timestamp(msgspec.Struct, frozen=True, array_like=True):
-    """A moment by both clocks; `uptime_ms` is comparable only while `boot_id` is the same."""
+    """A point in time by wall clock and boot clock.
+
+    `uptime_ms` counts from boot, including suspended time, and is comparable only under the same `boot_id`.
+    The boot id is empty on systems that do not provide one.
+    """
 
     unix_ms: float
-    boot_id: str  # empty if the system has none
-    uptime_ms: float  # since boot, suspend included
+    boot_id: str
+    uptime_ms: float
 
     @classmethod
     def now(cls) -> Timestamp:
-        """Return the current moment."""
+        """Return the current time."""
         try:
             boot_id = BOOT_ID_PATH.read_text("ascii").strip()
         except (OSError, ValueError):
@@ -30,9 +34,9 @@
         return cls(time.time() * MS_PER_S, boot_id, uptime_s * MS_PER_S)
 
     def age_ms(self, now: Timestamp) -> float:
-        """Return how many ms have passed at least; infinity if no clock can tell.
+        """Return an age in ms that is never below the true one; infinity if no clock can tell.
 
-        A wall clock that was set back or forward makes the moment older, never younger.
+        Setting the wall clock back or forward can make a timestamp look older, but never younger.
         """
         wall_age_ms = now.unix_ms - self.unix_ms
         if self.boot_id and self.boot_id == now.boot_id and now.uptime_ms >= self.uptime_ms:
--- a/balancer/durable/writer.py
+++ b/balancer/durable/writer.py
@@ -1,15 +1,15 @@
-"""The writer of a state directory: appends records, rotates generations, and holds the fencing token.
+"""Writer of a state directory: appends records, rotates generations and holds the fencing token.
 
-A new generation begins at each start and when the log has grown: the snapshot is written as a draft, synced,
-renamed, the directory synced and the snapshot read back; then the log is created; only then is the generation
-before the previous one removed, so that two are kept.
+A new generation begins at each start and whenever the log has grown to its size limit. The snapshot is
+written as a draft, synced and renamed, the directory is synced, and the snapshot is read back. Then the log
+is created. Only after that are older generations removed, so that two generations are always kept.
 
 A new writer raises the token in the file `fence` before it reads the log. The previous writer checks that
-file after each sync, before it acknowledges. So an acknowledged record is one that the new writer has read,
-however long the previous one was suspended. The files of two writers have different names: neither can
-overwrite the other's.
+file after each sync and before each acknowledgement. Any acknowledged record has therefore been read by the
+new writer, however long the previous writer was suspended. The files of two writers have different names, so
+neither can overwrite the files of the other.
 
-Sources: etcd's write-ahead log; Serf's snapshot file; fencing tokens as the sequencers of Chubby.
+The design follows etcd's write-ahead log, Serf's snapshot file and the sequencers of Chubby.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
     read_fence,
 )
 
-ROTATION_BYTES = 2 * 2**20  # length of a log from which a new generation is due
+ROTATION_LOG_BYTES = 2 * 2**20
 KEPT_GENERATIONS = 2
 
 
 class FencedError(Exception):
-    """Another writer has taken over: a signal to the caller, which knows what that means."""
+    """Another writer has taken over the directory; callers handle this and do not report it."""
 
 
 @dataclass(frozen=True)
 class Position:
-    """The end of a log: its last record and the start of the batch that is not synced yet."""
+    """End of a log: number and chain value of its last record, and the first number of the open batch."""
 
     number: int
     chain: int
@@ -48,9 +48,9 @@
 
 
 class LogWriter:
-    """The writer of a state directory.
+    """Writer of a state directory.
 
-    Every method may raise OSError; after that nothing more can be written by this object.
+    Every method may raise OSError. After that this writer cannot write any more.
     """
 
     def __init__(
@@ -64,26 +64,27 @@
 
         Args:
             directory: The state directory.
-            node: The node that it has to belong to, if it is not new.
-            new_directory_id: Its identity if it is new.
-            make_snapshot: Returns the snapshot of what was read.
+            node: The node that must own the directory unless it is new.
+            new_directory_id: The directory id to use if the directory is new.
+            make_snapshot: Returns the snapshot for the contents that were read.
 
         Raises:
-            IncompatibleDirectoryError: It is a newer program's or another node's.
-            RecordTooLongError: The snapshot is too long.
-            BlockingIOError: Another process is opening it.
+            IncompatibleDirectoryError: A newer version or another node wrote the directory.
+            RecordTooLongError: The snapshot exceeds the size limit.
+            BlockingIOError: Another process is taking the directory over.
         """
         self.directory = directory
         self.node = node
         self.has_failed = False
-        self.log_bytes = 0  # of records in the current log
+        self.log_bytes = 0
         self._log: AppendFile | None = None
         with directory.writer_lock():
-            # Before anything is changed: does the directory belong to this node, and can it be read?
+            # Check that the directory belongs to this node and is readable before changing it.
             before = read_directory(directory, node, all_generations=False)
             self.directory_id = before.directory_id or new_directory_id
             self.fence = before.fence + 1
-            del before  # may be large
+            # The contents may be large and are read again below.
+            del before
             header = Header(layout.VERSION, self.directory_id, node, self.fence)
             self._write_file(FENCE_NAME, layout.encode_file_start(FileKind.FENCE, header))
             contents = read_directory(directory, node, all_generations=False)
@@ -93,18 +94,18 @@
 
     @property
     def needs_rotation(self) -> bool:
-        """Return whether a new generation is due."""
-        return self.log_bytes >= ROTATION_BYTES
+        """Return whether the log has grown to the size at which a new generation is due."""
+        return self.log_bytes >= ROTATION_LOG_BYTES
 
     def append(self, records: Sequence[bytes], sync: bool) -> None:
-        """Append records; with `sync` they survive a power cut once this returns.
+        """Append records; with `sync` they survive a power cut once this method returns.
 
         Raises:
             FencedError: Another writer has taken over; none of the records may be acknowledged.
-            RecordTooLongError: A record is too long; none is written.
+            RecordTooLongError: A record exceeds the size limit; no record is written.
         """
         if self.has_failed or self._log is None:
-            raise OSError(errno.EIO, "an earlier write has failed")
+            raise OSError(errno.EIO, "an earlier write has failed, so this log cannot be written to any more")
         parts: list[bytes] = []
         end = self._position
         for payload in records:
@@ -117,25 +118,26 @@
             if sync:
                 self._log.sync()
         except OSError:
-            self.has_failed = True  # what of it is on disk is unknown, so the file is not written to again
+            # It is unknown how much of the data is on disk, so this file must not be appended to again.
+            self.has_failed = True
             raise
         self._position = Position(end.number, end.chain, end.number + 1) if sync else end
         self.log_bytes += len(data)
         self.check_fence()
 
     def check_fence(self) -> None:
-        """Raise FencedError if another writer has taken over."""
+        """Raise FencedError if another writer has taken the directory over."""
         if self.is_superseded():
             self.has_failed = True
             raise FencedError
 
     def is_superseded(self) -> bool:
-        """Return whether another writer has taken over, as far as the fence file can be read."""
+        """Return whether the fence file names a later writer; an unreadable file counts as no."""
         header = read_fence(self.directory, [FENCE_NAME], [])
         return header is not None and header.fence > self.fence
 
     def rotate(self, snapshot: bytes) -> None:
-        """Begin a new generation with a snapshot of all records so far; the previous generation is kept."""
+        """Begin a new generation from a snapshot of all records so far; keep the previous generation."""
         self.check_fence()
         generation_id = GenerationId(self.fence, self.generation + 1)
         header = Header(
@@ -147,7 +149,8 @@
             self._position.number,
             self._position.chain,
         )
-        self.has_failed = True  # until the rotation is complete
+        # An exception during the rotation leaves the writer marked as failed.
+        self.has_failed = True
         self._write_snapshot(header, snapshot)
         names = self.directory.list_names()
         self._verify_snapshot(header, snapshot, names)
@@ -157,14 +160,14 @@
         self._remove_old_files(names)
 
     def close(self) -> None:
-        """Close the log; nothing more can be written."""
+        """Close the log; this writer cannot write any more."""
         if self._log is not None:
             self._log.close()
             self._log = None
         self.has_failed = True
 
     def _write_file(self, name: str, data: bytes) -> None:
-        """Write a file atomically: as a draft, synced, renamed, directory synced."""
+        """Write a file atomically: write and sync a draft, rename it, and sync the directory."""
         draft = layout.draft_name(name, self.fence)
         with contextlib.suppress(FileNotFoundError):
             self.directory.remove(draft)
@@ -187,7 +190,7 @@
     def _verify_snapshot(self, header: Header, snapshot: bytes, names: Sequence[str]) -> None:
         written = Generation(self.directory, header.generation_id, names, DirectoryContents())
         if written.snapshot_header != header or written.snapshot != snapshot:
-            raise OSError(errno.EIO, "a snapshot does not read as it was written")
+            raise OSError(errno.EIO, "the snapshot read back differs from the one written")
 
     def _start_log(self, header: Header) -> None:
         if self._log is not None:
@@ -201,13 +204,14 @@
         self.log_bytes = 0
 
     def _remove_old_files(self, names: Sequence[str]) -> None:
-        """Remove generations that are no longer kept, and drafts of earlier writers."""
+        """Remove generations beyond `KEPT_GENERATIONS`, and drafts that earlier writers left behind."""
         kept = layout.list_generations(names)[:KEPT_GENERATIONS]
         for name in names:
             file_name = FileName.parse(name)
             is_old = file_name is not None and file_name.generation not in kept
             fence = layout.draft_fence(name)
-            is_abandoned = fence is not None and fence < self.fence  # a later writer's may be in the making
+            # A later writer may still be writing its draft, so only drafts of earlier writers are removed.
+            is_abandoned = fence is not None and fence < self.fence
             if is_old or is_abandoned:
                 with contextlib.suppress(OSError):
                     self.directory.remove(name)
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -201,7 +201,7 @@
 def test_another_node_s_directory_is_refused_unchanged() -> None:
     image, _ = filled()
     disk = SimulatedDisk(image)
-    with pytest.raises(IncompatibleDirectoryError, match="of node 'n0', this one is 'n1'"):
+    with pytest.raises(IncompatibleDirectoryError, match="belongs to node 'n0', this node is 'n1'"):
         LogWriter(SimulatedDirectory(disk), "n1", DIRECTORY_ID, make_snapshot)
     assert disk.image() == image
 
