--- a/balancer/defects.py
+++ b/balancer/defects.py
@@ -9,7 +9,7 @@
 
 from balancer.errors import BalancerError
 
-# Once this many kinds of defects have been logged, further kinds are only counted.
+# Kinds of defects beyond the limit are counted but not logged.
 MAX_LOGGED_KINDS = 64
 
 
--- a/balancer/durable/frames.py
+++ b/balancer/durable/frames.py
@@ -19,13 +19,13 @@
 
 from balancer.errors import BalancerError
 
-# The header fields are crc, chain, length, batch and number.
+# Layout of a frame header: crc, chain, length, batch and number.
 HEADER = struct.Struct(">IIIQQ")
-# The header fields that `crc` covers are length, batch and number.
+# The header fields that the CRC of a frame covers: length, batch and number.
 CHECKED_FIELDS = struct.Struct(">IQQ")
 UINT32 = struct.Struct(">I")
 MAX_PAYLOAD_BYTES = 4 * 2**20
-# Behind damage, a frame whose record number jumps by more than this is taken for random bytes.
+# Behind damaged bytes, a frame whose record number jumps by 2**32 or more is taken for random data.
 MAX_NUMBER_GAP = 2**32
 
 
--- a/balancer/durable/health.py
+++ b/balancer/durable/health.py
@@ -36,7 +36,7 @@
     def __init__(self, location: str) -> None:
         """Start enabled, with no failure counted."""
         self.location = location
-        # If set, nothing more is written for the lifetime of the process.
+        # The error that has disabled all writes for the lifetime of the process.
         self.disabled_by: BalancerError | None = None
         self.failures = 0
         self._is_outage_logged = False
--- a/balancer/durable/writer.py
+++ b/balancer/durable/writer.py
@@ -83,7 +83,7 @@
             before = read_directory(directory, node, all_generations=False)
             self.directory_id = before.directory_id or new_directory_id
             self.fence = before.fence + 1
-            # The contents may be large and are read again below.
+            # The directory contents may be large and are read again after fencing, so they are freed first.
             del before
             header = Header(layout.VERSION, self.directory_id, node, self.fence)
             self._write_file(FENCE_NAME, layout.encode_file_start(FileKind.FENCE, header))
--- a/balancer/membership/anti_entropy.py
+++ b/balancer/membership/anti_entropy.py
@@ -24,10 +24,10 @@
 # Number of random peers to which a node that knows no present peer sends its digest.
 JOIN_FANOUT = 3
 MAX_CONCURRENT_TRANSFERS = 8
-# A digest is sent once peers' views have differed for this many probe intervals while the local view has not
-# changed. Gossip may resolve the difference before that.
+# Number of probe intervals for which peers' views must differ, without a change of the local view, before a
+# digest is sent. Gossip may resolve the difference sooner.
 DIGEST_STABLE_PERIODS = 1
-# A digest is sent after this many probe intervals of differing views even if the local view keeps changing.
+# Number of probe intervals of differing views after which a digest is sent even if the local view changes.
 DIGEST_MAX_WAIT_PERIODS = 3
 
 
--- a/balancer/membership/bulk_dissemination.py
+++ b/balancer/membership/bulk_dissemination.py
@@ -14,7 +14,7 @@
 from balancer.membership.messages import Message, MessageKind
 from balancer.membership.sender import MessageSender
 
-# An update received in a bulk broadcast is still sent this often, because some members miss the broadcast.
+# Number of further transmissions of an update received in bulk, because some members miss the broadcast.
 TRANSMITS_AFTER_BULK = 4
 
 
--- a/balancer/membership/core.py
+++ b/balancer/membership/core.py
@@ -46,7 +46,7 @@
 
 # A leaving node announces it twice because a single datagram may be lost.
 LEAVE_BROADCASTS = 2
-# With fewer present members the node is alone in its view, and tries to join instead of probing.
+# A node that sees no present member besides itself tries to join the tier instead of probing.
 MIN_PRESENT_TO_PROBE = 2
 
 
--- a/balancer/membership/dissemination.py
+++ b/balancer/membership/dissemination.py
@@ -12,7 +12,7 @@
 from balancer.membership.view import View
 
 RETRANSMIT_MULTIPLIER = 4
-# An update counts as new while it has been sent fewer times than this.
+# Number of transmissions from which an update no longer counts as new.
 NEW_UPDATE_MAX_TRANSMITS = 2
 
 
@@ -85,7 +85,7 @@
         """Start with both buckets full; a bucket holds the tokens of one second."""
         self._rate_per_s = rate_per_s
         self._updated_ms = now_ms
-        # One bucket per value of `is_refutation`.
+        # The keys tell whether a bucket is for refutations (True) or for other broadcasts (False).
         self._tokens = {False: rate_per_s, True: rate_per_s}
 
     def spend(self, now_ms: float, updates: tuple[Update, ...]) -> bool:
--- a/balancer/membership/failure_detector.py
+++ b/balancer/membership/failure_detector.py
@@ -16,9 +16,10 @@
 from balancer.membership.sender import MessageSender
 from balancer.membership.suspicion import SuspicionTable
 
-# A peer qualifies as a helper if a datagram from it arrived within this many probe intervals.
+# Number of probe intervals within which a peer must have been heard to serve as a helper.
 HELPER_MAX_SILENCE_PERIODS = 2
-# From this many concurrent suspicions on, a probe uses a single helper: lost datagrams are an unlikely cause.
+# Number of concurrent suspicions from which a probe uses a single helper. So many suspicions are unlikely to
+# be caused by lost datagrams, against which further helpers would help.
 MASS_FAILURE_SUSPICIONS = 4
 
 
--- a/balancer/membership/merger.py
+++ b/balancer/membership/merger.py
@@ -44,7 +44,7 @@
         self._liveness = liveness
 
     def merge(self, update: Update) -> None:
-        """Apply an update if it is newer than the member's record; refute it if it is about this node."""
+        """Apply an update that is newer than the member's record, or refute a false claim about this node."""
         node = self._node
         if not 0 <= update.member < node.node_count:
             node.counts["no_such_member"] += 1
--- a/balancer/membership/messages.py
+++ b/balancer/membership/messages.py
@@ -26,7 +26,7 @@
 HEADER_STRUCT = struct.Struct(">IBBHIHIIHB")
 UPDATE_STRUCT = struct.Struct(">HIHB")
 ACCUSER_STRUCT = struct.Struct(">H")
-# `extra` and the updates share these bytes of a datagram.
+# The extra field and the updates of a datagram share the space after its header.
 PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - HEADER_STRUCT.size
 # Value of a `subject` or `accuser` field that refers to no member.
 NO_MEMBER = 0xFFFF
--- a/balancer/membership/peer_socket.py
+++ b/balancer/membership/peer_socket.py
@@ -24,7 +24,7 @@
 KIND_OFFSET = 5
 MEMBERSHIP_KINDS = range(16)
 RECOVERY_KINDS = range(16, 32)
-# The burst limit of the token bucket is the same number of datagrams.
+# The token bucket for outgoing datagrams holds a burst of one second at its refill rate.
 MAX_DATAGRAMS_PER_S = 100.0
 RESERVED_FOR_PRIORITY = MAX_DATAGRAMS_PER_S / 2
 
--- a/balancer/membership/peer_views.py
+++ b/balancer/membership/peer_views.py
@@ -9,7 +9,7 @@
 from balancer.membership.local_node import LocalNode
 from balancer.membership.messages import PRESENT_STATES
 
-# A report counts as recent for this many probe intervals.
+# Number of probe intervals for which a peer's view report counts as recent.
 RECENT_PERIODS = 15
 
 
--- a/balancer/membership/ping_relay.py
+++ b/balancer/membership/ping_relay.py
@@ -9,7 +9,7 @@
 from balancer.membership.messages import Message, MessageKind
 from balancer.membership.sender import MessageSender
 
-# The requester is sent a nack after this fraction of the ping timeout without an ack.
+# Fraction of the ping timeout after which the requester is sent a nack if no ack has arrived.
 NACK_DELAY_FRACTION = 0.8
 
 
--- a/balancer/membership/shell.py
+++ b/balancer/membership/shell.py
@@ -35,10 +35,10 @@
 
 # Generations count from the start of the year 2020, given here as Unix time.
 GENERATION_EPOCH_S = 1_577_836_800.0
-# With this unit a generation fits four bytes until 2054. A process takes longer than one unit to start, so
+# In units of 256 ms a generation fits four bytes until 2054. A process takes longer than that to start, so
 # successive processes get different generations.
 GENERATION_UNIT_S = 0.256
-# After this many exceptions from one event, the remaining due timers wait for the next event.
+# Number of exceptions during one event after which the remaining due timers wait for the next event.
 MAX_DEFECTS_PER_EVENT = 16
 MEMBER_COLUMNS = ("state", "life", "incarnation", "changed_ms", "view")
 
--- a/balancer/membership/suspicion.py
+++ b/balancer/membership/suspicion.py
@@ -18,9 +18,9 @@
 from balancer.membership.sender import MessageSender
 
 MAX_FLAPS = 3
-# From this local health score on, a node does not trust its own suspicion timeouts.
+# Local health score from which a node does not trust its own suspicion timeouts.
 UNHEALTHY_SCORE = MAX_SCORE // 2
-# An unhealthy node leaves the death of a suspect to its peers for this many maximum suspicion timeouts.
+# Number of maximum suspicion timeouts for which an unhealthy node leaves the death of a suspect to its peers.
 UNHEALTHY_MAX_TIMEOUTS = 3
 # This node, the suspect and the accuser cannot confirm a suspicion independently; all other members can.
 MEMBERS_UNABLE_TO_CONFIRM = 3
