--- a/balancer/net/config_errors.py
+++ b/balancer/net/config_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration file."""
+"""Errors raised while loading the configuration file."""
 
 from __future__ import annotations
 
@@ -6,21 +6,23 @@
 
 
 class ConfigError(BalancerError):
-    """A field of the configuration is missing or makes no sense; the text names it."""
+    """A configuration field is missing or invalid; the message names the field."""
 
     code = "CFG01"
-    remedy = "correct the field that is named, then start the node again, or send SIGHUP once more"
+    remedy = "correct the named field, then restart the node or send SIGHUP again"
 
 
 class ConfigFileError(ConfigError):
-    """The platform's file cannot be had whole."""
+    """The configuration file is missing, unreadable, or not a complete JSON object."""
 
     code = "CFG02"
-    remedy = "let PROXY_CONFIG name a file that the node may read and that holds one whole JSON object"
+    remedy = "set PROXY_CONFIG to a file that the node can read and that holds one complete JSON object"
 
 
 class ConfigSizeError(ConfigError):
-    """The platform's file says more than the node's memory can hold; the text names the longest table."""
+    """The tables of the configuration exceed the node's memory limit; the message names the largest table."""
 
     code = "CFG05"
-    remedy = "raise limits.memory_mb, or let the file say less; after SIGHUP the node keeps what it has"
+    remedy = (
+        "raise limits.memory_mb or shorten the table; after SIGHUP the node keeps its current configuration"
+    )
--- a/balancer/net/config_file.py
+++ b/balancer/net/config_file.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file and the environment that overrides it."""
+"""Read the platform's configuration file and the environment variables that override it."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from balancer.net.endpoints import Address, AddressError, parse_address
 from balancer.net.json_fields import FieldError, convert
 
-PREFIX = "PROXY_"  # of environment variables
+ENV_PREFIX = "PROXY_"
 
 
 class Limits(msgspec.Struct):
-    """Limits that the node enforces itself."""
+    """Resource limits that the node enforces on itself."""
 
     sockets: Annotated[int, msgspec.Meta(ge=2 * RESERVED_FDS)] = 1024
     memory_mb: Annotated[float, msgspec.Meta(gt=0, le=sys.float_info.max)] = 192.0
 
 
 class ConfigFile(msgspec.Struct):
-    """The file's fields; `listen` and `discovery` are read by `address_at`."""
+    """Typed fields of the configuration file, except for the addresses, which `address_at` reads."""
 
     settings: dict[str, Any]
     limits: Limits = msgspec.field(default_factory=Limits)
@@ -38,23 +38,23 @@
 
 
 def read_config_file(env: Mapping[str, str]) -> dict[str, Any]:
-    """Return the JSON object in the file that the environment names. Raises ConfigFileError."""
-    path = env.get(PREFIX + "CONFIG")
+    """Return the JSON object in the file that PROXY_CONFIG names. Raises ConfigFileError."""
+    path = env.get(ENV_PREFIX + "CONFIG")
     if not path:
-        raise ConfigFileError(f"{PREFIX}CONFIG is missing")
+        raise ConfigFileError(f"{ENV_PREFIX}CONFIG is missing")
     try:
         raw = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as err:
-        raise ConfigFileError(f"{PREFIX}CONFIG cannot be read: {err}") from None
+        raise ConfigFileError(f"{ENV_PREFIX}CONFIG cannot be read: {err}") from None
     except (ValueError, RecursionError) as err:
-        raise ConfigFileError(f"{PREFIX}CONFIG is not JSON: {err}") from None
+        raise ConfigFileError(f"{ENV_PREFIX}CONFIG is not valid JSON: {err}") from None
     if not isinstance(raw, dict):
-        raise ConfigFileError(f"{PREFIX}CONFIG is not an object")
+        raise ConfigFileError(f"{ENV_PREFIX}CONFIG does not hold a JSON object")
     return raw
 
 
 def convert_file(raw: Mapping[str, Any]) -> ConfigFile:
-    """Return the file's fields as typed values. Raises ConfigError."""
+    """Convert the file's fields to typed values. Raises ConfigError if a field is missing or invalid."""
     try:
         return convert(raw, ConfigFile)
     except FieldError as err:
@@ -62,18 +62,18 @@
 
 
 def address_at(raw: Mapping[str, Any], env: Mapping[str, str], name: str) -> Address:
-    """Return an address field; the environment takes precedence over the file. Raises ConfigError."""
-    value = env.get(PREFIX + name.upper()) or raw.get(name)
+    """Return an address from the environment or, failing that, from the file. Raises ConfigError."""
+    value = env.get(ENV_PREFIX + name.upper()) or raw.get(name)
     if value is None:
         raise ConfigError(f"{name} is missing")
     try:
         return parse_address(value)
     except AddressError:
-        raise ConfigError(f"{name} makes no sense: {value!r:.120}") from None
+        raise ConfigError(f"{name} must be IP:PORT, got {value!r:.120}") from None
 
 
 def dotted_keys(table: Mapping[str, Any], parent: str = "") -> Iterator[str]:
-    """Yield the dotted names of all fields of a table; a list counts as one value."""
+    """Yield the dotted names of all fields of a table, including nested tables but not the items of lists."""
     for name, value in table.items():
         yield parent + name
         if isinstance(value, dict):
@@ -81,6 +81,9 @@
 
 
 def common_class_keys(raw: Mapping[str, Any]) -> frozenset[str]:
-    """Return the keys that all request classes of a checked file have; the group goes with the effect."""
+    """Return the keys that all request classes of a valid file have, except for `group` and `memory-span`.
+
+    Those two depend on the class's `effect`, so a reload that changes the effect may drop them.
+    """
     rows: list[dict[str, Any]] = raw["settings"]["request-classes"]
     return frozenset.intersection(*(frozenset(row) for row in rows)) - {"group", "memory-span"}
--- a/balancer/net/endpoint_decoder.py
+++ b/balancer/net/endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes endpoint lists and watch events from discovery's JSON; long lists in time slices."""
+"""Decode endpoint lists and watch events from discovery's JSON, long ones in slices of the event loop."""
 
 from __future__ import annotations
 
@@ -33,10 +33,11 @@
     "terminating": api.EndpointPhase.DRAINING,
     "terminated": api.EndpointPhase.REMOVED,
 }
-RELEASED_BYTES_PER_SLICE = 1024 * 1024  # of a decoded list, returned to the system
-RELEASED_MEMBERS_PER_SLICE = 512  # of a rejected list: to release all at once would be a long slice
+# Decoded JSON and rejected lists are freed in steps, because freeing all at once would block the event loop.
+RELEASED_BYTES_PER_SLICE = 1024 * 1024
+RELEASED_MEMBERS_PER_SLICE = 512
 
-# Few cells are in use and a list is long: one int object of each is enough.
+# Long lists repeat few cell numbers, so the cache shares one int object for each of them.
 _cell_number = lru_cache(4096)(int)
 
 Amount = Annotated[float, msgspec.Meta(ge=0, le=sys.float_info.max)]
@@ -44,7 +45,7 @@
 
 
 class EndpointRow(msgspec.Struct):
-    """An entry of a list in JSON. Fields of type `Any` are converted to text or a number."""
+    """An entry of an endpoint list in JSON. Fields of type `Any` are converted to text or an integer."""
 
     id: Annotated[str, msgspec.Meta(min_length=1)]
     host_port: str
@@ -57,7 +58,7 @@
 
 
 class EndpointListObject(msgspec.Struct):
-    """A complete list or a watch event in JSON. Unknown fields are skipped."""
+    """A complete endpoint list or a watch event in JSON. Unknown fields are ignored."""
 
     revision: int
     members: list[EndpointRow]
@@ -69,27 +70,27 @@
 
 
 def update_from_json(raw: object) -> EndpointUpdate:
-    """Return the update in decoded JSON. Raises EndpointListError."""
-    return _checked_update(_converted_list(raw))
+    """Convert decoded JSON to an update. Raises EndpointListError if an entry is invalid."""
+    return _validated_update(_convert_list(raw))
 
 
-def update_from_object(decoded: EndpointListObject, lookup: MemberLookup = no_member) -> EndpointUpdate:
-    """Return the update in a decoded object; ids may be listed twice. Raises EndpointListError."""
-    members = tuple(_members(decoded.members, 0, lookup))
-    return EndpointUpdate(decoded.revision, decoded.complete, members)
+def update_from_object(list_object: EndpointListObject, lookup: MemberLookup = no_member) -> EndpointUpdate:
+    """Convert a typed object to an update, without a check for duplicate ids. Raises EndpointListError."""
+    members = tuple(_members(list_object.members, 0, lookup))
+    return EndpointUpdate(list_object.revision, list_object.complete, members)
 
 
 def decode_update(data: bytes | bytearray, lookup: MemberLookup = no_member) -> EndpointUpdate:
-    """Decode an update. Raises EndpointListError, or what `json` raises where the data is no JSON."""
-    return _checked_update(_decoded_list(data), lookup)
+    """Decode an update from JSON. Raises EndpointListError, or what `json.loads` raises on malformed JSON."""
+    return _validated_update(_decode_list(data), lookup)
 
 
 def decode_update_in_slices(
     data: mmap, lookup: MemberLookup = no_member
 ) -> Generator[None, None, EndpointUpdate]:
-    """Decode an update as `decode_update` does, in slices of some milliseconds; closes `data`.
+    """Decode an update like `decode_update`, in slices of a few milliseconds, and close `data`.
 
-    A list with an unusual layout (`members` written with escapes, or there twice) takes one long slice.
+    A list with an unusual layout, such as a duplicate or escaped `members` key, takes one long slice.
     """
     try:
         for skip_rows in (True, False):
@@ -97,15 +98,17 @@
             failure = None
             try:
                 layout = yield from scan_layout(data, skip_rows)
-                update = yield from _decoded_by_runs(data, layout, lookup, members)
-                for at in range(0, len(data), RELEASED_BYTES_PER_SLICE):  # before the update takes memory
+                update = yield from _decode_by_runs(data, layout, lookup, members)
+                # The JSON is released before the complete update is allocated, which lowers peak memory.
+                for at in range(0, len(data), RELEASED_BYTES_PER_SLICE):
                     data.madvise(MADV_DONTNEED, at, min(RELEASED_BYTES_PER_SLICE, len(data) - at))
                     yield
                 return replace(update, members=tuple(members))
             except UnusualLayoutError:
                 pass
             except (EndpointListError, ValueError, RecursionError) as err:
-                failure = err.with_traceback(None)  # the traceback references all that was decoded
+                # The frames of the traceback would keep all decoded members alive.
+                failure = err.with_traceback(None)
             while members:
                 del members[-RELEASED_MEMBERS_PER_SLICE:]
                 yield
@@ -116,17 +119,17 @@
         data.close()
 
 
-def _decoded_by_runs(
+def _decode_by_runs(
     data: mmap, layout: ListLayout, lookup: MemberLookup, members: list[Member]
 ) -> Generator[None, None, EndpointUpdate]:
-    """Decode run after run into `members`; returns the rest of the update. Raises as `decode_update`."""
-    head = _decoded_list(data[: layout.first_row] + data[layout.rows_end :])
+    """Decode a list run by run into `members`, and return the rest of it. Raises like `decode_update`."""
+    head = _decode_list(data[: layout.first_row] + data[layout.rows_end :])
     seen = ShardedDict[Member]()
     begin = layout.first_row
     for end in layout.run_ends:
         run = b"[" + data[begin:end] + b"]"
         begin = end + 1
-        rows = _members(_decoded_rows(run, len(members)), len(members), lookup)
+        rows = _members(_decode_rows(run, len(members)), len(members), lookup)
         if head.complete:
             _check_distinct(rows, len(members), seen)
         members += rows
@@ -134,49 +137,49 @@
     return EndpointUpdate(head.revision, head.complete, (), by_id=seen if head.complete else None)
 
 
-def _checked_update(decoded: EndpointListObject, lookup: MemberLookup = no_member) -> EndpointUpdate:
-    update = update_from_object(decoded, lookup)
+def _validated_update(list_object: EndpointListObject, lookup: MemberLookup = no_member) -> EndpointUpdate:
+    update = update_from_object(list_object, lookup)
     if update.complete:
         _check_distinct(update.members, 0, ShardedDict())
     return update
 
 
 def _check_distinct(members: Sequence[Member], first_index: int, seen: ShardedDict[Member]) -> None:
-    """Raise EndpointListError where a complete list names a backend twice; adds the members to `seen`."""
+    """Add the members of a complete list to `seen`. Raises EndpointListError on a duplicate backend."""
     shard_of = seen.shard
     for index, member in enumerate(members, first_index):
         name = member.backend
         shard = shard_of(name)
         if name in shard:
-            raise EndpointListError(f"members[{index}].id makes no sense: {name!r:.120} is there twice")
+            raise EndpointListError(f"members[{index}].id must be unique, but {name!r:.120} is listed twice")
         shard[name] = member
 
 
-def _converted_list(raw: object) -> EndpointListObject:
+def _convert_list(raw: object) -> EndpointListObject:
     try:
         return convert(raw, EndpointListObject)
     except FieldError as err:
         raise EndpointListError(str(err)) from None
 
 
-def _decoded_list(data: bytes | bytearray) -> EndpointListObject:
+def _decode_list(data: bytes | bytearray) -> EndpointListObject:
     try:
         return _list_decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError):
-        # Again in two steps: the error names the field, and `json` accepts slightly more (NaN in a field that
-        # is not read, a duplicate key).
-        return _converted_list(json.loads(data))
+        # Decoding in two steps gives errors that name the field, and `json` accepts more than msgspec does:
+        # NaN in an ignored field, and duplicate keys.
+        return _convert_list(json.loads(data))
 
 
-def _decoded_rows(data: bytes | bytearray, first_index: int) -> list[EndpointRow]:
-    """Decode an array of rows that begins at an index of the list. Raises as `decode_update`."""
+def _decode_rows(data: bytes | bytearray, first_index: int) -> list[EndpointRow]:
+    """Decode the rows from index `first_index` of the list on. Raises like `decode_update`."""
     try:
         return _rows_decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError):
         try:
             raw = json.loads(data)
         except (ValueError, RecursionError) as err:
-            raise ValueError(f"from members[{first_index}] on: {err}") from None
+            raise ValueError(f"malformed JSON at or after members[{first_index}]: {err}") from None
         try:
             return [convert(row, EndpointRow, f"members[{i}]") for i, row in enumerate(raw, first_index)]
         except FieldError as err:
@@ -184,9 +187,9 @@
 
 
 def _members(rows: Sequence[EndpointRow], first_index: int, lookup: MemberLookup) -> list[Member]:
-    """Return the members of some rows. Raises EndpointListError.
+    """Convert rows to members. Raises EndpointListError if a cell or an address is invalid.
 
-    An unchanged row becomes the object that is in force, so that a list that is sent again takes no memory.
+    An unchanged row yields the member object already in use, so that a repeated list takes no extra memory.
     """
     members = list[Member]()
     started_at = 0.0
@@ -198,16 +201,18 @@
         try:
             cell = _cell_number(row.cell)
         except (TypeError, ValueError, OverflowError):
-            raise EndpointListError(f"members[{index}].cell makes no sense: {row.cell!r:.120}") from None
+            raise EndpointListError(
+                f"members[{index}].cell must be an integer, got {row.cell!r:.120}"
+            ) from None
         host_port = row.host_port
         if not is_canonical_address(host_port):
             try:
                 host_port = "{}:{}".format(*parse_address(host_port))
             except AddressError:
                 raise EndpointListError(
-                    f"members[{index}].host_port makes no sense: {host_port!r:.120}"
+                    f"members[{index}].host_port must be IP:PORT, got {host_port!r:.120}"
                 ) from None
-        # Few distinct texts and sizes, and many backends: one object of each is enough.
+        # Many backends share few zones, kinds and weights, so one object is shared for each of these values.
         zone = intern(str(row.locality))
         kind = intern(str(row.flavor))
         weight = 1.0 if row.size == 1.0 else row.size
--- a/balancer/net/json_fields.py
+++ b/balancer/net/json_fields.py
@@ -1,4 +1,4 @@
-"""Conversion of decoded JSON to typed values, with errors that name the field."""
+"""Convert decoded JSON to typed values, with errors that name the field."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 import msgspec
 
-Form = TypeVar("Form")
+T = TypeVar("T")
 
 
 class FieldError(ValueError):
-    """A field is missing or has no usable value; the text has its dotted name, value and expected type."""
+    """A field is missing or invalid; the message has its dotted name, its value and the expected type."""
 
 
-def convert(raw: object, form: type[Form], parent: str = "") -> Form:
-    """Convert decoded JSON to `form`. Raises FieldError.
+def convert(raw: object, target_type: type[T], parent: str = "") -> T:
+    """Convert decoded JSON to `target_type`. Raises FieldError if a field is missing or invalid.
 
-    `parent` is the dotted name of the field whose value `raw` is.
+    `parent` is the dotted name of the field that holds `raw`; it prefixes the field names in errors.
     """
     try:
-        return msgspec.convert(raw, form)
+        return msgspec.convert(raw, target_type)
     except msgspec.ValidationError as err:
         text, _, path = str(err).partition(" - at `$")
     path = path.strip(".`")
@@ -30,4 +30,6 @@
     path = f"{parent}.{path}".strip(".")
     if missing := re.fullmatch("Object missing required field `(.*)`", text):
         raise FieldError(f"{path}.{missing[1]} is missing".removeprefix("."))
-    raise FieldError(f"{path or 'the whole'} makes no sense: {value!r:.120}, {text[:1].lower()}{text[1:]}")
+    raise FieldError(
+        f"{path or 'the JSON document'} is invalid: {value!r:.120}, {text[:1].lower()}{text[1:]}"
+    )
--- a/balancer/net/json_stream.py
+++ b/balancer/net/json_stream.py
@@ -1,4 +1,4 @@
-"""Splitting of a stream of bytes into JSON objects: each ends where its JSON ends, whatever the lines are."""
+"""Split a byte stream into JSON objects by their brackets, independent of line breaks."""
 
 from __future__ import annotations
 
@@ -8,43 +8,53 @@
 
 from balancer.errors import BalancerError
 
-BLANKS = b" \t\r\n"
-EMPTY_LINE = b""  # yielded for empty lines between objects
+WHITESPACE = b" \t\r\n"
+# JsonSplitter yields this for empty lines between objects.
+EMPTY_LINE = b""
 QUOTE, BACKSLASH, COMMA, BRACE, BRACKET = b'"\\,{['
 OPENING_OF = {ord("}"): BRACE, ord("]"): BRACKET}
-LONG_OBJECT_BYTES = 64 * 1024  # a longer object is decoded in turns
-MAX_DEPTH = 64  # brackets within brackets; an endpoint list has three
-BUFFER_STEP_BYTES = 1024 * 1024  # by which the buffer of a long object grows; unwritten pages take no memory
-MAX_SHOWN_BYTES = 60  # of malformed JSON that an error shows
-
-# The runs of characters are possessive: a string that goes on in the next piece is not scanned again.
+# Longer objects are buffered in their own memory pages and decoded in slices of the event loop.
+LONG_OBJECT_BYTES = 64 * 1024
+MAX_NESTING_DEPTH = 64  # an endpoint list nests three brackets deep
+# The buffer of a long object grows in steps of this size; pages that are not yet written take no memory.
+BUFFER_GROWTH_BYTES = 1024 * 1024
+MAX_QUOTED_BYTES = 60  # errors quote at most this many bytes of malformed JSON
+
+# Possessive quantifiers prevent backtracking over a string that continues in the next chunk.
 _CHARACTERS = rb'[^"\\\x00-\x1f]*+'
 _ESCAPED = rb"\\[^\x00-\x1f]" + _CHARACTERS
-STRING = rb'"' + _CHARACTERS + rb'(?:"|(?:' + _ESCAPED + rb')+")'  # most have no backslash: one branch
-_NO_STRUCTURE = rb'[^"{}\[\]]*+'
-_FLAT = rb"[{\[]" + _NO_STRUCTURE + rb"(?:" + STRING + _NO_STRUCTURE + rb")*[}\]]"
-FLAT = re.compile(_FLAT)  # an object or array that nests nothing
-STRING_INSIDE = re.compile(_CHARACTERS + rb"(?:" + _ESCAPED + rb")*")  # up to its quote or to what breaks it
-PLAIN = re.compile(_NO_STRUCTURE + rb"(?:(?:" + STRING + rb"|" + _FLAT + rb")" + _NO_STRUCTURE + rb")*")
-GAP = re.compile(rb"[ \t\r\n]*+")
+# The first alternative matches strings without a backslash, which are the most common, in one branch.
+STRING = rb'"' + _CHARACTERS + rb'(?:"|(?:' + _ESCAPED + rb')+")'
+_PLAIN_BYTES = rb'[^"{}\[\]]*+'
+_FLAT_VALUE = rb"[{\[]" + _PLAIN_BYTES + rb"(?:" + STRING + _PLAIN_BYTES + rb")*[}\]]"
+FLAT_VALUE = re.compile(_FLAT_VALUE)
+# Matches the content of a string up to its closing quote or to an invalid character.
+STRING_CONTENT = re.compile(_CHARACTERS + rb"(?:" + _ESCAPED + rb")*")
+BALANCED_TEXT = re.compile(
+    _PLAIN_BYTES + rb"(?:(?:" + STRING + rb"|" + _FLAT_VALUE + rb")" + _PLAIN_BYTES + rb")*"
+)
+WHITESPACE_RUN = re.compile(rb"[ \t\r\n]*+")
 
 
 class JsonStreamError(BalancerError):
-    """What discovery says is no JSON object, breaks off, or is too long; the rest cannot be told apart."""
+    """Discovery sent something that is not a JSON object, is truncated or is too long.
+
+    The objects after it in the stream cannot be identified.
+    """
 
     code = "LST02"
-    remedy = "look at discovery, and at what stands before it and may spoil its answers"
+    remedy = "check discovery and any proxy in front of it that may alter its responses"
 
 
 class PageBuffer:
-    """The bytes of a long object in pages of their own, which go back to the system as soon as it is closed.
+    """A buffer for a long object in its own memory pages, which return to the system when it is closed.
 
-    An allocator would keep the memory of the longest list ever received, or scatter others over it.
+    The allocator would retain the memory of the longest list ever received, or fragment it.
     """
 
     def __init__(self, data: bytes | bytearray) -> None:
-        """Make a buffer that begins with `data`."""
-        self._map = mmap(-1, BUFFER_STEP_BYTES, flags=MAP_PRIVATE | MAP_ANONYMOUS)
+        """Create a buffer that starts with `data`."""
+        self._map = mmap(-1, BUFFER_GROWTH_BYTES, flags=MAP_PRIVATE | MAP_ANONYMOUS)
         self._size = 0
         self += data
 
@@ -52,7 +62,7 @@
         """Append bytes."""
         size = self._size + len(data)
         if size > len(self._map):
-            self._map.resize(-(-size // BUFFER_STEP_BYTES) * BUFFER_STEP_BYTES)
+            self._map.resize(-(-size // BUFFER_GROWTH_BYTES) * BUFFER_GROWTH_BYTES)
         self._map[self._size : size] = data
         self._size = size
         return self
@@ -66,56 +76,58 @@
         return self._map[self._size - 1]
 
     def finish(self) -> mmap:
-        """Return all of it, to be closed by the caller; nothing may be appended any more."""
+        """Return the memory map, which the caller has to close. Nothing may be appended after that."""
         self._map.resize(self._size)
         return self._map
 
 
 class JsonSplitter:
-    """Splits pieces of bytes, as they are received, into whole objects. Checks nesting only.
+    """Splits chunks of bytes into complete JSON objects, checking only how brackets and strings nest.
 
-    Takes time linear in the bytes, however they are cut: nothing is scanned twice. A malformed object shows
-    by the first bracket or line end that cannot stand where it does, mostly before the next object's end.
+    It takes time linear in the number of bytes, however they are split into chunks: no byte is scanned twice.
+    A malformed object is detected at the first misplaced bracket or line end, usually before the next object
+    ends.
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Make a splitter of objects up to `max_bytes`; blanks at the edges of pieces do not count."""
+        """Create a splitter of objects up to `max_bytes`, not counting whitespace at the edges of chunks."""
         self.max_bytes = max_bytes
-        self._pending: bytearray | PageBuffer = bytearray()  # of the object that has begun
-        self._brackets = bytearray()  # its open brackets
-        self._last_byte = 0  # its last byte that is no blank
+        self._incomplete_object: bytearray | PageBuffer = bytearray()
+        self._open_brackets = bytearray()
+        self._last_significant_byte = 0
         self._in_string = False
-        self._after_backslash = False  # in a string
-        self._line_is_open = False  # an object has ended, its line has not
+        self._after_backslash = False
+        # The line end after an object is not an empty line of its own.
+        self._awaits_line_end = False
 
     @property
     def is_between_objects(self) -> bool:
-        """Whether no object has begun."""
-        return not self._brackets
+        """Whether the bytes received so far end outside any object."""
+        return not self._open_brackets
 
     def feed(self, data: bytes) -> Iterator[bytes | mmap]:
-        """Yield the objects that end in `data`, and EMPTY_LINE where empty lines stand.
+        """Yield the objects that `data` completes, and EMPTY_LINE for empty lines between objects.
 
-        Those of over `LONG_OBJECT_BYTES` are not copied, and are the caller's to close.
+        Objects longer than `LONG_OBJECT_BYTES` are yielded as memory maps, which the caller has to close.
 
         Raises:
-            JsonStreamError: the bytes are no objects.
+            JsonStreamError: The bytes are not a sequence of JSON objects.
         """
         at = 0
         while at < len(data):
-            if not self._brackets:
+            if not self._open_brackets:
                 begin = at
-                at = match_end(GAP, data, at)
+                at = match_end(WHITESPACE_RUN, data, at)
                 line_ends = data.count(b"\n", begin, at)
-                if line_ends > self._line_is_open:
+                if line_ends > self._awaits_line_end:
                     yield EMPTY_LINE
-                self._line_is_open = self._line_is_open and not line_ends
+                self._awaits_line_end = self._awaits_line_end and not line_ends
                 if at == len(data):
                     return
                 if data[at] != BRACE:
-                    raise JsonStreamError(f"no object: {data[at : at + MAX_SHOWN_BYTES]!r}")
-                self._brackets.append(BRACE)
-                self._last_byte = BRACE
+                    raise JsonStreamError(f"expected a JSON object, got {data[at : at + MAX_QUOTED_BYTES]!r}")
+                self._open_brackets.append(BRACE)
+                self._last_significant_byte = BRACE
                 begin = at
                 at += 1
             else:
@@ -123,81 +135,87 @@
             began_in_string = self._in_string
             at = self._scan(data, at)
             self._append(data[begin:at], began_in_string)
-            if not self._brackets:
-                whole = self._pending
-                self._pending = bytearray()
-                self._line_is_open = True
+            if not self._open_brackets:
+                whole = self._incomplete_object
+                self._incomplete_object = bytearray()
+                self._awaits_line_end = True
                 yield whole.finish() if isinstance(whole, PageBuffer) else bytes(whole)
 
     def _append(self, piece: bytes, began_in_string: bool) -> None:
-        """Buffer a piece; blanks at its edges, unless in a string, become one."""
-        if not began_in_string and piece[0] in BLANKS:
-            piece = b" " + piece.lstrip(BLANKS)
-        if not self._in_string and piece[-1] in BLANKS:
-            piece = piece.rstrip(BLANKS) + b" "
-        pending = self._pending
-        if piece != b" " or not pending or _last_byte(pending) != BLANKS[0]:
-            self._pending += piece  # type: ignore[operator]
+        """Buffer a chunk; whitespace at its edges and outside strings is collapsed to one space."""
+        if not began_in_string and piece[0] in WHITESPACE:
+            piece = b" " + piece.lstrip(WHITESPACE)
+        if not self._in_string and piece[-1] in WHITESPACE:
+            piece = piece.rstrip(WHITESPACE) + b" "
+        pending = self._incomplete_object
+        if piece != b" " or not pending or _last_byte(pending) != WHITESPACE[0]:
+            self._incomplete_object += piece  # type: ignore[operator]
         if len(pending) > self.max_bytes:
-            raise JsonStreamError(f"an object of over {self.max_bytes} bytes")
+            raise JsonStreamError(f"JSON object exceeds the limit of {self.max_bytes} bytes")
         if isinstance(pending, bytearray) and len(pending) > LONG_OBJECT_BYTES:
-            self._pending = PageBuffer(pending)
+            self._incomplete_object = PageBuffer(pending)
 
     def _scan(self, data: bytes, at: int) -> int:
-        """Return the position behind the end of the object, or the end of the data."""
+        """Return the offset just past the end of the object, or of the data if the object continues."""
         while at < len(data):
             if self._in_string:
                 at = self._scan_string(data, at)
                 continue
             begin = at
-            at = match_end(PLAIN, data, at)
-            sign = data[at] if at < len(data) else 0
-            if sign in OPENING_OF:
-                if self._brackets.pop() != OPENING_OF[sign]:
-                    raise JsonStreamError(f"brackets do not match: {_shown(data, at)}")
+            at = match_end(BALANCED_TEXT, data, at)
+            char = data[at] if at < len(data) else 0
+            if char in OPENING_OF:
+                if self._open_brackets.pop() != OPENING_OF[char]:
+                    raise JsonStreamError(f"closing bracket does not match the open one: {_quoted(data, at)}")
             else:
-                if plain := data[begin:at].rstrip(BLANKS):
-                    self._last_byte = plain[-1]
-                if not sign:
+                if plain := data[begin:at].rstrip(WHITESPACE):
+                    self._last_significant_byte = plain[-1]
+                if not char:
                     return at
-                if sign == QUOTE:
+                if char == QUOTE:
                     self._in_string = True
                     at += 1
                     continue
-                self._open_bracket(sign, data, at)
+                self._open_bracket(char, data, at)
             at += 1
-            self._last_byte = sign
-            if not self._brackets:
+            self._last_significant_byte = char
+            if not self._open_brackets:
                 return at
         return at
 
-    def _open_bracket(self, sign: int, data: bytes, at: int) -> None:
-        """Open a bracket where one may stand; behind an object that breaks off it would pass for a part."""
-        if self._last_byte not in b":[" and (self._last_byte, self._brackets[-1]) != (COMMA, BRACKET):
-            raise JsonStreamError(f"an object breaks off: {_shown(data, at)}")
-        if len(self._brackets) >= MAX_DEPTH:
-            raise JsonStreamError(f"more than {MAX_DEPTH} brackets deep")
-        self._brackets.append(sign)
+    def _open_bracket(self, char: int, data: bytes, at: int) -> None:
+        """Open a bracket. Raises JsonStreamError if none may follow the last byte.
+
+        Without this check an object that follows a truncated one would be parsed as part of it.
+        """
+        if self._last_significant_byte not in b":[" and (
+            self._last_significant_byte,
+            self._open_brackets[-1],
+        ) != (COMMA, BRACKET):
+            raise JsonStreamError(f"bracket opens where no value may start: {_quoted(data, at)}")
+        if len(self._open_brackets) >= MAX_NESTING_DEPTH:
+            raise JsonStreamError(f"JSON has more than {MAX_NESTING_DEPTH} nested brackets")
+        self._open_brackets.append(char)
 
     def _scan_string(self, data: bytes, at: int) -> int:
         if self._after_backslash:
             self._after_backslash = False
             at += 1
-        at = match_end(STRING_INSIDE, data, at)
+        at = match_end(STRING_CONTENT, data, at)
         if at >= len(data):
             return at
         if data[at] == QUOTE:
             self._in_string = False
-            self._last_byte = QUOTE
+            self._last_significant_byte = QUOTE
         elif data[at] == BACKSLASH and at + 1 == len(data):
             self._after_backslash = True
         else:
-            raise JsonStreamError(f"a string breaks off: {_shown(data, at)}")
+            raise JsonStreamError(f"string ends without a closing quote: {_quoted(data, at)}")
         return at + 1
 
 
 def match_end(pattern: re.Pattern[bytes], data: bytes | mmap, at: int) -> int:
-    """Return the position behind what the pattern matches at `at`, or `at` if it matches nothing."""
+    """Return the offset just past the pattern's match at `at`, or `at` if it does not match there."""
     found = pattern.match(data, at)
     return found.end() if found else at
 
@@ -206,5 +224,5 @@
     return buffer.last_byte() if isinstance(buffer, PageBuffer) else buffer[-1]
 
 
-def _shown(data: bytes, at: int) -> str:
-    return repr(data[max(0, at - MAX_SHOWN_BYTES) : at + 1])
+def _quoted(data: bytes, at: int) -> str:
+    return repr(data[max(0, at - MAX_QUOTED_BYTES) : at + 1])
--- a/balancer/net/list_layout.py
+++ b/balancer/net/list_layout.py
@@ -9,16 +9,16 @@
 
 from balancer.net.json_stream import (
     BACKSLASH,
+    BALANCED_TEXT,
     BRACE,
     BRACKET,
     COMMA,
-    FLAT,
-    GAP,
+    FLAT_VALUE,
     OPENING_OF,
-    PLAIN,
     QUOTE,
     STRING,
-    STRING_INSIDE,
+    STRING_CONTENT,
+    WHITESPACE_RUN,
     match_end,
 )
 
@@ -28,14 +28,21 @@
 MEMBERS_KEY = b'"members"'
 ARRAY_END = ord("]")
 
-_GAP = rb"[ \t\r\n]*+"
+_WHITESPACE = rb"[ \t\r\n]*+"
 _ROW = rb"\{[^\"{}\[\]]*+(?:" + STRING + rb"[^\"{}\[\]]*+)*+\}"
 FLAT_ROWS = re.compile(
-    _GAP + _ROW + _GAP + rb"(?:," + _GAP + _ROW + _GAP + rb"){0,%d}+" % (ROWS_PER_MATCH - 1)
+    _WHITESPACE
+    + _ROW
+    + _WHITESPACE
+    + rb"(?:,"
+    + _WHITESPACE
+    + _ROW
+    + _WHITESPACE
+    + rb"){0,%d}+" % (ROWS_PER_MATCH - 1)
 )
 SCALAR = re.compile(rb'[^"{}\[\],]*+')
 ROW_BOUNDARY = b"},"
-COLON = re.compile(_GAP + rb":" + _GAP)
+COLON = re.compile(_WHITESPACE + rb":" + _WHITESPACE)
 
 
 class UnusualLayoutError(Exception):
@@ -66,9 +73,9 @@
 
 def _scan(data: bytes | mmap, skip_rows: bool) -> Generator[None, None, ListLayout]:
     layout: ListLayout | None = None
-    at = match_end(GAP, data, 0) + 1
+    at = match_end(WHITESPACE_RUN, data, 0) + 1
     while True:
-        at = match_end(GAP, data, at)
+        at = match_end(WHITESPACE_RUN, data, at)
         key_begin = at
         at = _string_end(data, at)
         if BACKSLASH in data[key_begin:at]:  # it may be "members" with escapes
@@ -83,7 +90,7 @@
             at = layout.rows_end + 1
         else:
             at = _value_end(data, value)
-        at = match_end(GAP, data, at)
+        at = match_end(WHITESPACE_RUN, data, at)
         if data[at] in OPENING_OF:
             break
         if data[at] != COMMA:
@@ -106,7 +113,7 @@
     while True:
         stop = match_end(FLAT_ROWS, data, at)
         if stop == at:  # a nested row, or something that is no row
-            stop = match_end(GAP, data, _value_end(data, match_end(GAP, data, at)))
+            stop = match_end(WHITESPACE_RUN, data, _value_end(data, match_end(WHITESPACE_RUN, data, at)))
         if data[stop] == ARRAY_END:
             return ListLayout(first_row, (*run_ends, stop), stop)
         if data[stop] != COMMA:
@@ -122,7 +129,7 @@
 def _string_end(data: bytes | mmap, at: int) -> int:
     if data[at] != QUOTE:
         raise UnusualLayoutError
-    at = match_end(STRING_INSIDE, data, at + 1)
+    at = match_end(STRING_CONTENT, data, at + 1)
     if data[at] != QUOTE:
         raise UnusualLayoutError
     return at + 1
@@ -136,7 +143,7 @@
         if (stop := match_end(SCALAR, data, at)) == at:
             raise UnusualLayoutError
         return stop
-    if (stop := match_end(FLAT, data, at)) > at:
+    if (stop := match_end(FLAT_VALUE, data, at)) > at:
         return stop
     depth = 0
     while True:  # ends, as the brackets match
@@ -150,4 +157,4 @@
         at += 1
         if not depth:
             return at
-        at = match_end(PLAIN, data, at)
+        at = match_end(BALANCED_TEXT, data, at)
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: apply a replaced configuration file."""
+"""Apply a replaced configuration file on SIGHUP."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def reload(node: Node, discovery: DiscoveryClient, fleet: Fleet | None) -> None:
-    """Apply the configuration file; one that makes no sense changes nothing."""
+    """Reload the configuration file and apply it; an invalid file leaves the configuration unchanged."""
     try:
         config = config_file.reload(os.environ, node.config)
         apply_to_fleet = fleet.prepare_reload(os.environ, config) if fleet is not None else None
     except ConfigError as err:
         node.statistics.reload_errors += 1
-        log.warning("reload: %s; nothing is taken", err.line)
+        log.warning("reload: %s; the configuration is unchanged", err.line)
         return
     node.reconfigure(config)
     if apply_to_fleet is not None:
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -55,7 +55,7 @@
     """Of 64 MB, 10 are for tables."""
     with pytest.raises(ConfigSizeError) as err:
         load(write_config(tmp_path, **counts))
-    assert str(err.value) == f"{line} of tables, and limits.memory_mb 64 leaves 10"
+    assert str(err.value) == f"{line} of tables, but limits.memory_mb 64 leaves 10"
 
 
 def test_tables_that_fit_are_loaded(tmp_path: Path) -> None:
--- a/tests/test_endpoint_decoder.py
+++ b/tests/test_endpoint_decoder.py
@@ -183,13 +183,13 @@
 
 
 @pytest.mark.parametrize(("over", "line"), [
-    ({"cell": None}, "members[3999].cell makes no sense: None"),
-    ({"id": ""}, "members[3999].id makes no sense: '', expected `str` of length >= 1"),
-    ({"id": 7}, "members[3999].id makes no sense: 7, expected `str`, got `int`"),
-    ({"id": "b5"}, "members[3999].id makes no sense: 'b5' is there twice"),
-    ({"id": "b3998"}, "members[3999].id makes no sense: 'b3998' is there twice"),
-    ({"phase": "up"}, "members[3999].phase makes no sense: 'up', invalid enum value 'up'"),
-    ({"host_port": "b.example:80"}, "members[3999].host_port makes no sense: 'b.example:80'"),
+    ({"cell": None}, "members[3999].cell must be an integer, got None"),
+    ({"id": ""}, "members[3999].id is invalid: '', expected `str` of length >= 1"),
+    ({"id": 7}, "members[3999].id is invalid: 7, expected `str`, got `int`"),
+    ({"id": "b5"}, "members[3999].id must be unique, but 'b5' is listed twice"),
+    ({"id": "b3998"}, "members[3999].id must be unique, but 'b3998' is listed twice"),
+    ({"phase": "up"}, "members[3999].phase is invalid: 'up', invalid enum value 'up'"),
+    ({"host_port": "b.example:80"}, "members[3999].host_port must be IP:PORT, got 'b.example:80'"),
 ])  # fmt: skip
 def test_one_invalid_entry_of_thousands_is_named(over: dict[str, Any], line: str) -> None:
     data = json.dumps(table(4000, **over)).encode()
@@ -206,7 +206,9 @@
 
 def test_malformed_json_within_the_rows_is_located() -> None:
     data = json.dumps(table(4000, cell=12345)).replace("12345", "1 2").encode()
-    with pytest.raises(ValueError, match=r"^from members\[\d+\] on: Expecting ',' delimiter"):
+    with pytest.raises(
+        ValueError, match=r"^malformed JSON at or after members\[\d+\]: Expecting ',' delimiter"
+    ):
         in_slices(data)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -160,7 +160,7 @@
     [
         ("[membership]\n", {"peers": None}, "peers is missing, and [membership] needs it"),
         ("[membership]\n", {"peers": ["127.0.0.1:1", "127.0.0.1:1"]}, "peers[1] is there twice: 127.0.0.1:1"),
-        ("[membership]\n", {"peer_listen": "x"}, "peer_listen makes no sense: 'x'"),
+        ("[membership]\n", {"peer_listen": "x"}, "peer_listen must be IP:PORT, got 'x'"),
         ("[membership]\nperiod-ms = -1.0\n", {}, "PROXY_FLEET: membership.period-ms makes no sense: -1.0"),
         ("[recovery]\n", {}, "PROXY_FLEET: recovery: it needs [membership]"),
         ("[membership]\nperiod = 1\n", {}, "PROXY_FLEET: membership: Object contains unknown field `period`"),
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -172,7 +172,7 @@
         text = (out / "logs" / f"n{node}-0.log").read_text()
         ports = re.findall(r"discovery: call \d+ to [\d.]+:(\d+) ", text)  # the first may come after SIGHUP
         assert ports == sorted(ports) and ports[-1] == last
-        assert text.count("reload: classes") == node + 1 and "nothing is taken" not in text
+        assert text.count("reload: classes") == node + 1 and "the configuration is unchanged" not in text
 
 
 def started(out: Path) -> list[int]:
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -37,14 +37,14 @@
 
 
 @pytest.mark.parametrize(("over", "line"), [
-    ({"id": ""}, "members[0].id makes no sense: '', expected `str` of length >= 1"),
-    ({"size": -1}, "members[0].size makes no sense: -1, expected `float` >= 0.0"),
-    ({"size": float("nan")}, "members[0].size makes no sense: nan, expected `float` >= 0.0"),
-    ({"up_since_ms": True}, "members[0].up_since_ms makes no sense: True, expected `float`, got `bool`"),
-    ({"phase": "up"}, "members[0].phase makes no sense: 'up', invalid enum value 'up'"),
-    ({"cell": None}, "members[0].cell makes no sense: None"),
-    ({"cell": float("inf")}, "members[0].cell makes no sense: inf"),
-    ({"host_port": "b.example:80"}, "members[0].host_port makes no sense: 'b.example:80'"),
+    ({"id": ""}, "members[0].id is invalid: '', expected `str` of length >= 1"),
+    ({"size": -1}, "members[0].size is invalid: -1, expected `float` >= 0.0"),
+    ({"size": float("nan")}, "members[0].size is invalid: nan, expected `float` >= 0.0"),
+    ({"up_since_ms": True}, "members[0].up_since_ms is invalid: True, expected `float`, got `bool`"),
+    ({"phase": "up"}, "members[0].phase is invalid: 'up', invalid enum value 'up'"),
+    ({"cell": None}, "members[0].cell must be an integer, got None"),
+    ({"cell": float("inf")}, "members[0].cell must be an integer, got inf"),
+    ({"host_port": "b.example:80"}, "members[0].host_port must be IP:PORT, got 'b.example:80'"),
 ])  # fmt: skip
 def test_an_invalid_entry_is_named_and_invalidates_the_list(over: dict[str, Any], line: str) -> None:
     with pytest.raises(EndpointListError) as err:
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(("text", "line"), [
     (b'{"revision": 1, "members": [{}]}', "members[0].id is missing"),
     (b'{"members": []}', "revision is missing"),
-    (b"[]", "the whole makes no sense: [], expected `object`, got `array`"),
+    (b"[]", "the JSON document is invalid: [], expected `object`, got `array`"),
 ])  # fmt: skip
 def test_text_that_is_no_list_is_named(text: bytes, line: str) -> None:
     with pytest.raises(EndpointListError) as err:
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -78,7 +78,7 @@
     )
     assert world.applied == [8] and len(world.module.in_force) == 30
     lines = [line for line in caplog.messages if "bad list" in line]
-    assert lines == ["discovery: bad list: LST01: members[28].id makes no sense: 'b28' is there twice"]
+    assert lines == ["discovery: bad list: LST01: members[28].id must be unique, but 'b28' is listed twice"]
     assert world.requests[1][1] == "/discovery/hosts?watch=1&from=0"
     assert not cast(DiscoveryClient, node.discovery).receiver.queue
 
@@ -157,7 +157,7 @@
     world.run_steps(send, seconds=5.0)
     assert "list: at most 16.0 MiB in one object, of 192 MB" in caplog.messages
     lines = [line for line in caplog.messages if "bad list" in line]
-    assert lines == ["discovery: bad list: LST02: an object of over 1000 bytes"]
+    assert lines == ["discovery: bad list: LST02: JSON object exceeds the limit of 1000 bytes"]
     assert world.applied == [] and world.requests[1][1].endswith("from=0")
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -423,7 +423,7 @@
         client = await rig.client()
         before = json.loads(rig.config.read_text())
         nowhere = json.dumps(before | {"discovery": "nowhere"})
-        for text, why in (("{", "JSON"), ("[]", "object"), ("{}", "missing"), (nowhere, "no sense")):
+        for text, why in (("{", "JSON"), ("[]", "object"), ("{}", "missing"), (nowhere, "IP:PORT")):
             rig.reload(text)
             await rig.logged(why)
         rig.reload(json.dumps(before | {"discovery": f"127.0.0.1:{moved.port}"}))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -137,7 +137,7 @@
         fresh["settings"]["request-classes"] = [CLASSES[2], CLASSES[0] | {"name": "read-2"}]
         for text in ("", json.dumps(fresh)[:-40], json.dumps(fresh | {"settings": {}})):
             rig.reload(text)
-            await rig.logged("nothing is taken")
+            await rig.logged("the configuration is unchanged")
             rig.log.clear()
         assert (await other.ask("/read-2")).code == 404
         rig.reload(json.dumps(fresh))
