--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -1,4 +1,4 @@
-"""Client of discovery: which calls go on, and when the next one is made."""
+"""Discovery client: decide which calls stay open and when to make the next one."""
 
 from __future__ import annotations
 
@@ -15,94 +15,98 @@
 from balancer.net.node import Node
 from balancer.net.random_source import RandomSource
 
-MAX_FORMER_CALLS = 3  # each has a descriptor
+MAX_OLD_ADDRESS_CALLS = 3  # each open call takes a descriptor
 
 
 class DiscoveryClient:
-    """Keeps the node's endpoint list up to date; the last list stays in force while discovery is away.
+    """Keeps the node's endpoint list up to date; the last list stays in force while discovery is unavailable.
 
-    While the watch is wanted there is a watch call, or a timer for the next one, or the decision module has
-    set its own; never two of these. In parallel a slow call may go on, and after a change of address those at
-    former addresses.
+    While the watch is on, there is exactly one of these: a watch call, a timer for the next one, or a timer
+    of the decision module. A slow call, and calls at earlier addresses, may stay open in parallel.
 
-    A call is not cancelled because the next one is due. Discovery takes calls in turn: the next one starts at
-    the end of its queue, while a response to the former may be on its way and counts as received.
+    A call is not cancelled when the next one is due. Discovery serves calls in order, so a new call joins the
+    end of its queue, while the response to the old call may already be on its way and counts as received.
     """
 
     def __init__(
         self, node: Node, address: Address, revision: int, random_source: RandomSource = random
     ) -> None:
-        """Begin without a call.
+        """Create a client that has made no call.
 
         Args:
-            node: gets the updates, and hears of failures.
-            address: of discovery.
-            revision: of the list that the node has.
-            random_source: draws timeouts and jitter.
+            node: Receives the updates and is told of failures.
+            address: Address of discovery.
+            revision: Revision of the node's current list.
+            random_source: Draws timeouts and jitter.
         """
         self.node = node
         self.address = address
-        self.watch_call: DiscoveryCall | None = None  # from the moment it is dialled
-        self.retry_timer: asyncio.TimerHandle | None = None  # for the next watch
-        self.slow_call: DiscoveryCall | None = None  # an older watch that still receives an object
-        self.former_calls: list[DiscoveryCall] = []  # at former addresses: until they end, or are superseded
+        # The current watch, set as soon as it is dialled.
+        self.watch_call: DiscoveryCall | None = None
+        # The timer that opens the next watch.
+        self.retry_timer: asyncio.TimerHandle | None = None
+        # An older watch that stays open because it is still receiving an object.
+        self.slow_call: DiscoveryCall | None = None
+        # Calls at earlier addresses stay open until they end or the new address answers.
+        self.old_address_calls: list[DiscoveryCall] = []
         self._loop = asyncio.get_running_loop()
         self._log = DiscoveryLog(self._loop.time)
         self.receiver = DiscoveryReceiver(node, revision, self, self._log)
         self._dialer = CallDialer(node, self, self.receiver, self._log, random_source)
         self._backoff = DiscoveryBackoff(self._loop.time, random_source)
         self._is_watching = False
-        self._is_moving = False  # the timer is for the first call at a new address
+        # The retry timer is for the first call at a new address.
+        self._awaits_new_address_call = False
         memory_mb = node.config.memory_mb
         self._log.object_limit(max_object_bytes(memory_mb), memory_mb)
 
-    # --- what the node asks for
+    # --- requests of the node
 
     def watch(self, on: bool) -> None:
         """Start or stop the watch."""
         self._is_watching = on
         if not on:
             self._close_all(CallEnd.CANCELLED)
-        elif not self._is_moving:
-            self._connect(CallReason.REQUESTED)
+        elif not self._awaits_new_address_call:
+            self._open_watch(CallReason.REQUESTED)
 
     def fetch(self) -> None:
-        """Call for the complete list once."""
+        """Request the complete list once."""
         self._dialer.dial_list(self.address, self.receiver.revision, CallReason.REQUESTED)
 
     def change_address(self, address: Address) -> None:
-        """Go to another address: the old one accepts no calls, and soon sends nothing more."""
+        """Switch to another address; the old one accepts no new calls and soon closes the open ones."""
         self.address = address
         self._backoff.reset()
         for call in (self.slow_call, self.watch_call):
             if call is not None and call.stage is CallStage.DIALLING:
                 call.close(CallEnd.ADDRESS_CHANGED)
             elif call is not None:
-                self.former_calls.append(call)
-        while len(self.former_calls) > MAX_FORMER_CALLS:
-            self.former_calls.pop(0).close(CallEnd.ADDRESS_CHANGED)
+                self.old_address_calls.append(call)
+        while len(self.old_address_calls) > MAX_OLD_ADDRESS_CALLS:
+            self.old_address_calls.pop(0).close(CallEnd.ADDRESS_CHANGED)
         self.watch_call = None
         self.slow_call = None
         self._cancel_timer()
         self._call_new_address()
 
-    # --- what becomes of calls
+    # --- callbacks of calls
 
     def may_become_slow(self, call: DiscoveryCall) -> bool:
-        """Return whether the call may go on in parallel with the next one."""
+        """Return whether the call may stay open in parallel with the next one."""
         return self.watch_call is call and self.slow_call is None
 
     def call_slowed(self, call: DiscoveryCall) -> None:
-        """Make the next call; the slow one goes on."""
+        """Make the next call while the slow one stays open."""
         self.watch_call = None
         self.slow_call = call
         self._retry(call, True)
 
     def call_ended(self, call: DiscoveryCall, is_silent: bool) -> None:
-        """Make the next call, unless it is there already, as beside a slow one."""
+        """Schedule the next call, unless one exists already, as it does in parallel with a slow call."""
         self._backoff.call_ended(call)
-        if call in self.former_calls:
-            self._former_call_ended(call)
+        if call in self.old_address_calls:
+            self._old_address_call_ended(call)
             return
         if call is self.slow_call:
             self.slow_call = None
@@ -113,10 +117,10 @@
             self._retry(call, is_silent)
 
     def message_accepted(self, call: DiscoveryCall) -> None:
-        """Close the calls that the one with a message supersedes, and the timer for the next."""
+        """Close the calls that the call with the new message supersedes, and cancel the retry timer."""
         self._backoff.message_received(call)
         if call in (self.watch_call, self.slow_call):
-            self._close_former(CallEnd.SUPERSEDED)
+            self._close_old_address_calls(CallEnd.SUPERSEDED)
         if call is self.slow_call:
             if self.watch_call is not None:
                 self.watch_call.close(CallEnd.SUPERSEDED)
@@ -128,51 +132,52 @@
             self.slow_call = None
 
     def message_applied(self, call: DiscoveryCall) -> None:
-        """Make the call at a new address that has waited for this one."""
-        if call in self.former_calls and self._is_moving:
+        """Make the pending call at a new address if it has waited for this call."""
+        if call in self.old_address_calls and self._awaits_new_address_call:
             self._call_new_address()
 
     def events_lost(self) -> None:
-        """Close former calls, which go on from the lost events."""
-        self._close_former(CallEnd.MALFORMED)
+        """Close calls at earlier addresses, as their later events build on the lost ones."""
+        self._close_old_address_calls(CallEnd.MALFORMED)
 
     # --- the next call
 
-    def _connect(self, reason: CallReason, is_urgent: bool = False) -> None:
+    def _open_watch(self, reason: CallReason, is_urgent: bool = False) -> None:
         self._cancel_timer()
         if self._is_watching and self.watch_call is None:
             self.watch_call = self._dialer.dial_watch(self.address, self.receiver.revision, reason, is_urgent)
 
     def _call_new_address(self) -> None:
-        """Call the new address once no former call is unanswered, or one has been for long.
+        """Call the new address once all calls at earlier addresses are answered or have waited long enough.
 
-        Addresses may change in quick succession: a call for each would overload discovery.
+        Addresses may change in quick succession, and a call for each of them would overload discovery.
         """
-        unanswered = [call.dialled_at for call in self.former_calls if call.stage is CallStage.SENT]
-        due_at = max(unanswered, default=-math.inf) + self._backoff.max_unanswered_s
+        unanswered = [call.dialled_at for call in self.old_address_calls if call.stage is CallStage.SENT]
+        due_at = max(unanswered, default=-math.inf) + self._backoff.max_address_change_wait_s
         if due_at <= self._loop.time():
-            self._connect(CallReason.ADDRESS_CHANGED, is_urgent=True)
+            self._open_watch(CallReason.ADDRESS_CHANGED, is_urgent=True)
         else:
-            self._call_new_address_at(due_at)
+            self._schedule_new_address_call(due_at)
 
-    def _call_new_address_at(self, due_at: float) -> None:
+    def _schedule_new_address_call(self, due_at: float) -> None:
         self._cancel_timer()
         if self._is_watching:
-            self._is_moving = True
-            self.retry_timer = self._loop.call_at(due_at, self._connect, CallReason.ADDRESS_CHANGED, True)
-
-    def _former_call_ended(self, call: DiscoveryCall) -> None:
-        self.former_calls.remove(call)
-        if self._is_moving and call.was_queued:  # the next one must not join the same queue at once
-            self._call_new_address_at(self._loop.time() + self._backoff.contended_delay())
-        elif self._is_moving:
+            self._awaits_new_address_call = True
+            self.retry_timer = self._loop.call_at(due_at, self._open_watch, CallReason.ADDRESS_CHANGED, True)
+
+    def _old_address_call_ended(self, call: DiscoveryCall) -> None:
+        self.old_address_calls.remove(call)
+        if self._awaits_new_address_call and call.was_queued:
+            # The ended call had waited in discovery's queue, so the next one joins it after a delay.
+            self._schedule_new_address_call(self._loop.time() + self._backoff.contended_delay())
+        elif self._awaits_new_address_call:
             self._call_new_address()
 
     def _retry(self, call: DiscoveryCall, is_silent: bool) -> None:
-        """Tell the decision module of a failed call where it calls itself, else schedule the next watch.
+        """Schedule the next watch, or report the failure to a decision module that schedules calls itself.
 
-        A watch that has become silent is opened anew at once, and once more if that fails, in either case: in
-        the module's first delay alone, what was missed may come to count as received.
+        In both cases a watch that has timed out is reopened at once, and a second time if that fails: the
+        decision module's first delay could exceed the time after which missed events count as received.
         """
         if is_silent:
             self._log.warn("discovery is silent")
@@ -180,13 +185,13 @@
         was_established = call.is_established(self._loop.time())
         is_repeat_due = call.request.is_urgent and call.first_message_at is None
         if call.request.is_watch and is_silent and was_established:
-            self._connect(CallReason.WATCH_SILENT, is_urgent=True)
+            self._open_watch(CallReason.WATCH_SILENT, is_urgent=True)
         elif self.node.settings.must_subscribe and not is_repeat_due:
             if not call.has_delivered_list:
                 self.node.discovery_failed(call.was_ended_by_discovery, call.was_queued)
         elif call.request.is_watch:
             self._schedule_retry(call)
-        has_other_call = self.slow_call is not None or bool(self.former_calls)
+        has_other_call = self.slow_call is not None or bool(self.old_address_calls)
         if self.node.fleet is not None and not (call.has_delivered_list or has_other_call):
             self.node.fleet.list_request_failed()
 
@@ -194,9 +199,9 @@
         is_slow = call is self.slow_call
         delay = self._backoff.next_delay(call, call.was_queued or (is_slow and self._backoff.is_contended))
         reason = CallReason.SLOW_CALL if is_slow else CallReason.RETRY
-        self.retry_timer = self._loop.call_later(delay, self._connect, reason)
+        self.retry_timer = self._loop.call_later(delay, self._open_watch, reason)
 
-    # --- the end of calls
+    # --- closing
 
     def _close_all(self, end: CallEnd) -> None:
         for call in (self.watch_call, self.slow_call):
@@ -204,16 +209,16 @@
                 call.close(end)
         self.watch_call = None
         self.slow_call = None
-        self._close_former(end)
+        self._close_old_address_calls(end)
         self._cancel_timer()
 
-    def _close_former(self, end: CallEnd) -> None:
-        for call in self.former_calls:
+    def _close_old_address_calls(self, end: CallEnd) -> None:
+        for call in self.old_address_calls:
             call.close(end)
-        self.former_calls.clear()
+        self.old_address_calls.clear()
 
     def _cancel_timer(self) -> None:
-        self._is_moving = False
+        self._awaits_new_address_call = False
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -1,4 +1,4 @@
-"""One call of discovery over HTTP: a watch that goes on until its connection ends, or one complete list."""
+"""One HTTP call to discovery: a watch that stays open until its connection ends, or one complete list."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
 )
 
 MIN_OBJECT_LIMIT_BYTES = 8 * 1024 * 1024
-# Of the node's memory: entries take three times their bytes, new ones twice.
-OBJECT_MEMORY_FRACTION = 1 / 12
+# The entries in use take three times the size of their JSON, and those of a new list twice its size.
+MAX_OBJECT_MEMORY_FRACTION = 1 / 12
 MAX_SLICE_BYTES = 64 * 1024
-ESTABLISHED_AFTER_S = 2.0  # from the first message of a watch
+ESTABLISHED_AFTER_S = 2.0  # a watch counts as established this long after its first message
 HTTP_OK = 200
 
 
 def max_object_bytes(memory_mb: float) -> int:
-    """Return the size limit of one object for a node with so much memory."""
-    return max(MIN_OBJECT_LIMIT_BYTES, int(memory_mb * OBJECT_MEMORY_FRACTION * 1024 * 1024))
+    """Return the size limit of one JSON object for a node with this memory limit."""
+    return max(MIN_OBJECT_LIMIT_BYTES, int(memory_mb * MAX_OBJECT_MEMORY_FRACTION * 1024 * 1024))
 
 
 class CallReason(Enum):
-    """Why a call is made."""
+    """The reason for a call, as written to the log."""
 
     REQUESTED = "list requested"
     ADDRESS_CHANGED = "new address"
-    WATCH_SILENT = "the watch was silent"
+    WATCH_SILENT = "previous watch timed out"
     RETRY = "retry after a failed call"
     SLOW_CALL = "in parallel with a slow call"
 
 
 class CallEnd(Enum):
-    """How a call ended."""
+    """How a call ended, as written to the log."""
 
     CLOSED = "closed by discovery"
     NO_CONNECTION = "no connection"
     REJECTED = "rejected by discovery"
-    SILENT = "silent"
+    SILENT = "timed out"
     MALFORMED = "malformed response"
     COMPLETE = "complete list received"
     ADDRESS_CHANGED = "cancelled for a new address"
@@ -61,62 +61,65 @@
 
 
 class CallStage(Enum):
-    """How far a call is."""
+    """The state of a call."""
 
-    DIALLING = "its connection is being established"
-    SENT = "it has sent its request and received no message"
-    OPEN = "it has received a message"
-    SLOW = "an object takes too long to arrive: the call goes on in parallel with the next one"
-    ENDED = "it is closed, and what else it receives is ignored"
+    DIALLING = "the connection is being established"
+    SENT = "the request is sent and no message received"
+    OPEN = "a message has been received"
+    SLOW = "the call timed out and stays open in parallel with the next one"
+    ENDED = "the call is closed and ignores further data"
 
 
 Message = bytes | mmap | JsonStreamError | CallEnd
-"""What a call receives: an object or an empty line, something that is no object, its end."""
+"""What a call passes on: a JSON object, an empty line, an error in the stream, or the end of the call."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallRequest:
-    """What a call asks for, and how it is timed."""
+    """The request of a call and its timeouts."""
 
-    number: int  # in the log
+    # Identifies the call in log lines.
+    number: int
     address: Address
     target: str
     is_watch: bool
-    is_urgent: bool  # the first message is due soon: after a silence, or at a new address
-    silence_timeout: float  # s
-    known_revision: int  # of the node as the call is dialled
+    # The first call after a timeout or a change of address has a shorter timeout for its first message.
+    is_urgent: bool
+    silence_timeout_s: float
+    # The revision of the node's list when the call is dialled.
+    known_revision: int
 
     @property
-    def message_timeout(self) -> float:
-        """Seconds from dialling to the first message."""
+    def message_timeout_s(self) -> float:
+        """The timeout from dialling to the first message."""
         return URGENT_MESSAGE_TIMEOUT_S if self.is_urgent else FIRST_MESSAGE_TIMEOUT_S
 
 
 class MessageSink(Protocol):
-    """Processes what calls receive."""
+    """Processes the messages of calls in order."""
 
     def put(self, call: DiscoveryCall, message: Message) -> None:
-        """Process a message after all that came before it."""
+        """Process a message after all earlier ones."""
 
     def has_messages_of(self, call: DiscoveryCall) -> bool:
-        """Return whether a message of the call is not processed yet."""
+        """Return whether messages of the call are still unprocessed."""
 
 
 class CallOwner(Protocol):
-    """Decides which calls go on."""
+    """Decides which calls stay open."""
 
     def may_become_slow(self, call: DiscoveryCall) -> bool:
-        """Return whether the call may go on in parallel with the next one."""
+        """Return whether the call may stay open in parallel with the next one."""
 
     def call_slowed(self, call: DiscoveryCall) -> None:
-        """Make the next call; this one goes on."""
+        """Make the next call while this one stays open."""
 
     def call_ended(self, call: DiscoveryCall, is_silent: bool) -> None:
-        """Handle the end of a call that the owner has not closed."""
+        """Handle the end of a call that the owner did not close itself."""
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call of discovery."""
+    """The connection of one call to discovery."""
 
     def __init__(
         self,
@@ -125,33 +128,37 @@
         sink: MessageSink,
         scheduler: CooperativeScheduler,
         log: DiscoveryLog,
-        object_limit: int,
+        object_limit_bytes: int,
     ) -> None:
-        """Begin as the call is dialled; `object_limit` is the most bytes of one object."""
+        """Create a call that is about to be dialled; `object_limit_bytes` is the size limit of one object."""
         self.request = request
         self.stage = CallStage.DIALLING
-        self.known_revision = request.known_revision  # or the one that the node last got from this call
+        # The revision of the node's list when the call was dialled, or the newer one that this call
+        # delivered.
+        self.known_revision = request.known_revision
         self.message_count = 0
         self.first_message_at: float | None = None
-        self.has_delivered_list = False  # and has nothing else to deliver
+        # Only a call for the complete list sets this; nothing can follow its list.
+        self.has_delivered_list = False
         self.transport: asyncio.Transport | None = None
-        self.splitter = JsonSplitter(object_limit)
+        self.splitter = JsonSplitter(object_limit_bytes)
         self._loop = asyncio.get_running_loop()
         self.owner = owner
         self._sink = sink
         self._scheduler = scheduler
         self._log = log
         self.dialled_at = self._loop.time()
-        self._timeout = LivenessTimeout(self.dialled_at, request.message_timeout, request.silence_timeout)
+        self._timeout = LivenessTimeout(self.dialled_at, request.message_timeout_s, request.silence_timeout_s)
         self._timer = LivenessTimer(self._loop, self._expires_at, self._is_backlogged, self._time_out)
         self._parser = httptools.HttpResponseParser(self)
         self._end: CallEnd | None = None
-        self._duration = 0.0  # s from dialling to the end
+        self._duration_s = 0.0
         self._unparsed = bytearray()
-        self._is_parsing = False  # in slices
+        self._is_parsing_in_slices = False
         self._is_paused = False
-        self._pending_end: CallEnd | None = None  # behind what is being parsed
-        self._is_discarding = False  # nothing else that comes is of use
+        # The connection ended while received data is still being parsed.
+        self._end_after_parsing: CallEnd | None = None
+        self._discards_data = False
 
     # --- state
 
@@ -162,22 +169,24 @@
 
     @property
     def was_ended_by_discovery(self) -> bool:
-        """Return whether discovery has ended the call: it may be up, and only overloaded."""
+        """Return whether discovery ended the call, in which case it may be up but overloaded."""
         return self._end in (CallEnd.REJECTED, CallEnd.CLOSED)
 
     @property
     def was_queued(self) -> bool:
-        """Return whether the call was rejected after a wait, with no message received."""
+        """Return whether discovery ended the call without a message after a wait in its queue."""
         return (
-            self.was_ended_by_discovery and self.first_message_at is None and self._duration >= QUEUED_AFTER_S
+            self.was_ended_by_discovery
+            and self.first_message_at is None
+            and self._duration_s >= QUEUED_AFTER_S
         )
 
     def is_established(self, now: float) -> bool:
-        """Return whether the call has received messages for long enough to count as working."""
+        """Return whether the call received its first message long enough ago to count as working."""
         return self.first_message_at is not None and now - self.first_message_at >= ESTABLISHED_AFTER_S
 
     def message_received(self) -> None:
-        """Note a valid message."""
+        """Record a valid message."""
         now = self._loop.time()
         self._timeout.message_received(now)
         self.stage = CallStage.OPEN
@@ -187,19 +196,19 @@
             self._log.call(f"call {self.request.number} answered after {now - self.dialled_at:.2f} s")
 
     def close(self, end: CallEnd) -> None:
-        """Close the call without notice to the owner."""
+        """Close the call without notifying the owner."""
         if self.stage is not CallStage.ENDED:
             self._end = end
-            self._duration = self._loop.time() - self.dialled_at
+            self._duration_s = self._loop.time() - self.dialled_at
             result = f"{self.message_count} objects: {end.value}"
-            self._log.call(f"call {self.request.number} ended after {self._duration:.2f} s, {result}")
+            self._log.call(f"call {self.request.number} ended after {self._duration_s:.2f} s, {result}")
         self.stage = CallStage.ENDED
         self._timer.stop()
         if self.transport is not None:
             self.transport.abort()
 
     def end(self, end: CallEnd) -> None:
-        """Close the call and tell the owner, once."""
+        """Close the call and notify the owner, unless the call is closed already."""
         if self.stage is not CallStage.ENDED:
             self.close(end)
             self.owner.call_ended(self, end is CallEnd.SILENT)
@@ -207,8 +216,9 @@
     # --- the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request, unless the call was closed meanwhile."""
-        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        """Send the request, unless the call was closed while connecting."""
+        # The transports of uvloop are not subclasses of asyncio.Transport, hence the cast.
+        self.transport = cast(asyncio.Transport, transport)
         if self.stage is CallStage.ENDED:
             self.transport.abort()
             return
@@ -223,22 +233,22 @@
             self._timer.start()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; long data in slices."""
-        if len(data) <= MAX_SLICE_BYTES and not self._is_parsing:
+        """Parse received data, in slices of the event loop if it is long."""
+        if len(data) <= MAX_SLICE_BYTES and not self._is_parsing_in_slices:
             self._parse(data)
             return
         self._unparsed += data
-        if not self._is_parsing:
-            self._is_parsing = True
+        if not self._is_parsing_in_slices:
+            self._is_parsing_in_slices = True
             self._scheduler.add(self._parse_in_slices())
         self.update_flow_control()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call, if discovery has closed the connection."""
+        """End the call because its connection was closed."""
         self._end_received(CallEnd.CLOSED)
 
     def update_flow_control(self) -> None:
-        """Pause reading while something is not processed: lists may come faster than that."""
+        """Pause reading while data is unprocessed, as lists may arrive faster than they are applied."""
         if self.transport is None or self.is_ended or self.transport.is_closing():
             return
         is_paused = self._is_backlogged()
@@ -251,8 +261,8 @@
     # --- callbacks of the HTTP parser
 
     def on_body(self, body: bytes) -> None:
-        """Pass on the objects that end in a piece of the body."""
-        if self.is_ended or self._is_discarding or self._parser.get_status_code() != HTTP_OK:
+        """Pass on the objects that a piece of the body completes."""
+        if self.is_ended or self._discards_data or self._parser.get_status_code() != HTTP_OK:
             return
         now = self._loop.time()
         self._timeout.bytes_received(now)
@@ -260,25 +270,25 @@
             for message in self.splitter.feed(body):
                 self._timeout.message_received(now)
                 self._sink.put(self, message)
-                if self.is_ended:  # because of that message
+                if self.is_ended:  # processing a message may close its own call
                     return
         except JsonStreamError as err:
-            self._is_discarding = True
+            self._discards_data = True
             self._sink.put(self, err)
 
     def on_message_complete(self) -> None:
         """Handle the end of the response."""
         is_cut_off = not (
-            self.request.is_watch or self.is_ended or self._is_discarding or self.splitter.is_between_objects
+            self.request.is_watch or self.is_ended or self._discards_data or self.splitter.is_between_objects
         )
         if is_cut_off:
-            self._sink.put(self, JsonStreamError("the answer ends before its JSON does"))
+            self._sink.put(self, JsonStreamError("response ended before its JSON was complete"))
         if self._parser.get_status_code() != HTTP_OK:
             self._end_received(CallEnd.REJECTED)
         else:
             self._end_received(CallEnd.CLOSED if self.request.is_watch else CallEnd.COMPLETE)
 
-    # --- parts
+    # --- internal
 
     def _parse(self, data: bytes) -> None:
         try:
@@ -294,21 +304,21 @@
             del self._unparsed[:MAX_SLICE_BYTES]
             self._parse(piece)
             yield
-        self._is_parsing = False
+        self._is_parsing_in_slices = False
         self._unparsed.clear()
-        if self._pending_end is not None:
-            self._end_received(self._pending_end)
+        if self._end_after_parsing is not None:
+            self._end_received(self._end_after_parsing)
         self.update_flow_control()
 
     def _is_backlogged(self) -> bool:
-        return self._is_parsing or self._sink.has_messages_of(self)
+        return self._is_parsing_in_slices or self._sink.has_messages_of(self)
 
     def _end_received(self, end: CallEnd) -> None:
-        """End the call once the complete messages before its end are processed."""
-        if self._is_parsing:
-            self._pending_end = end
+        """End the call once all messages received before its end are processed."""
+        if self._is_parsing_in_slices:
+            self._end_after_parsing = end
         elif self._sink.has_messages_of(self):
-            self._is_discarding = True
+            self._discards_data = True
             self._sink.put(self, end)
         else:
             self.end(end)
@@ -318,16 +328,17 @@
         return self._timeout.expires_at(is_patient)
 
     def _time_out(self) -> None:
-        """Go on in parallel with the next call where that is of use, else end the call.
+        """Keep the call open in parallel with the next one if it may still deliver, else end it.
 
-        An urgent call may be close to the head of discovery's queue; the next one would begin at its end.
+        A call that still receives bytes may complete its object. An urgent call may be close to the head of
+        discovery's queue, whereas the next one joins its end.
         """
-        goes_on = self.owner.may_become_slow(self)
-        if goes_on and not self._timeout.is_receiving_bytes(self._loop.time()):
-            goes_on = self.request.is_urgent and self.stage is CallStage.SENT
-            if goes_on:
+        stays_open = self.owner.may_become_slow(self)
+        if stays_open and not self._timeout.is_receiving_bytes(self._loop.time()):
+            stays_open = self.request.is_urgent and self.stage is CallStage.SENT
+            if stays_open:
                 self._timeout.extend(FIRST_MESSAGE_TIMEOUT_S)
-        if not goes_on:
+        if not stays_open:
             self.end(CallEnd.SILENT)
             return
         self.stage = CallStage.SLOW
--- a/balancer/net/discovery_dialer.py
+++ b/balancer/net/discovery_dialer.py
@@ -1,4 +1,4 @@
-"""Dials calls of discovery."""
+"""Dial calls to discovery."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 from balancer.net.discovery_log import DiscoveryLog
 from balancer.net.endpoints import Address
-from balancer.net.liveness import SILENCE_TIMEOUT_S, URGENT_MESSAGE_TIMEOUT_S
+from balancer.net.liveness import SILENCE_TIMEOUT_RANGE_S, URGENT_MESSAGE_TIMEOUT_S
 from balancer.net.node import Node
 from balancer.net.random_source import RandomSource
 
@@ -23,7 +23,7 @@
 
 
 class CallDialer:
-    """Dials calls; each gets the next number in the log."""
+    """Dials calls to discovery and numbers them for the log."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         log: DiscoveryLog,
         random_source: RandomSource,
     ) -> None:
-        """Begin with no call.
+        """Create a dialer that has made no call.
 
         Args:
-            node: has the memory limit and the scheduler.
-            owner: hears of the calls' ends.
-            sink: gets what calls receive.
-            log: gets lines on the calls.
-            random_source: draws the timeouts of silence.
+            node: Provides the memory limit and the scheduler.
+            owner: Is notified when calls end.
+            sink: Processes the messages that calls receive.
+            log: Receives a line for each call.
+            random_source: Draws the silence timeouts.
         """
         self._node = node
         self._owner = owner
@@ -54,7 +54,7 @@
     def dial_watch(
         self, address: Address, revision: int, reason: CallReason, is_urgent: bool
     ) -> DiscoveryCall:
-        """Begin a watch for what is newer than a revision."""
+        """Open a watch for changes after `revision`."""
         target = f"/discovery/hosts?watch=1&from={revision}"
         request = CallRequest(
             number=self._next_number(),
@@ -62,20 +62,20 @@
             target=target,
             is_watch=True,
             is_urgent=is_urgent,
-            silence_timeout=self._draw_silence_timeout(),
+            silence_timeout_s=self._draw_silence_timeout(),
             known_revision=revision,
         )
         return self._dial(request, reason)
 
     def dial_list(self, address: Address, revision: int, reason: CallReason) -> DiscoveryCall:
-        """Begin a call for the complete list; the node has the list of a revision."""
+        """Request the complete list; `revision` is that of the node's current list."""
         request = CallRequest(
             number=self._next_number(),
             address=address,
             target="/discovery/hosts",
             is_watch=False,
             is_urgent=False,
-            silence_timeout=self._draw_silence_timeout(),
+            silence_timeout_s=self._draw_silence_timeout(),
             known_revision=revision,
         )
         return self._dial(request, reason)
@@ -85,11 +85,13 @@
         return self._call_count
 
     def _draw_silence_timeout(self) -> float:
-        return self._random_source.uniform(*SILENCE_TIMEOUT_S)
+        return self._random_source.uniform(*SILENCE_TIMEOUT_RANGE_S)
 
     def _dial(self, request: CallRequest, reason: CallReason) -> DiscoveryCall:
-        object_limit = max_object_bytes(self._node.config.memory_mb)
-        call = DiscoveryCall(request, self._owner, self._sink, self._node.scheduler, self._log, object_limit)
+        object_limit_bytes = max_object_bytes(self._node.config.memory_mb)
+        call = DiscoveryCall(
+            request, self._owner, self._sink, self._node.scheduler, self._log, object_limit_bytes
+        )
         host, port = request.address
         self._log.call(f"call {request.number} to {host}:{port} for {request.target}: {reason.value}")
         task = self._loop.create_task(self._connect(call))
@@ -98,9 +100,9 @@
         return call
 
     async def _connect(self, call: DiscoveryCall) -> None:
-        timeout = URGENT_MESSAGE_TIMEOUT_S if call.request.is_urgent else CONNECT_TIMEOUT_S
+        timeout_s = URGENT_MESSAGE_TIMEOUT_S if call.request.is_urgent else CONNECT_TIMEOUT_S
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 await self._loop.create_connection(lambda: call, *call.request.address)
         except (OSError, TimeoutError) as err:
             if not call.is_ended:
--- a/balancer/net/discovery_log.py
+++ b/balancer/net/discovery_log.py
@@ -1,4 +1,4 @@
-"""Log lines of the discovery client, limited in rate."""
+"""Rate-limited log lines of the discovery client."""
 
 from __future__ import annotations
 
@@ -9,26 +9,30 @@
 
 log = logging.getLogger("balancer.net.discovery")
 
-MAX_CALL_LINES = 40  # in 10 s
+MAX_CALL_LINES_PER_10_S = 40
 MAX_REASON_LENGTH = 200
 
 
 class DiscoveryLog:
-    """Logs what becomes of calls, and what goes wrong."""
+    """Logs the progress of calls and their failures."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Begin with nothing logged; `clock` returns seconds."""
+        """Create a log; `clock` returns the time in seconds."""
         self._warnings = RateLimitedLog(log, clock)
-        self._calls = RateLimitedLog(log, clock, MAX_CALL_LINES, logging.INFO)
+        self._calls = RateLimitedLog(log, clock, MAX_CALL_LINES_PER_10_S, logging.INFO)
 
     def call(self, text: str) -> None:
-        """Log what becomes of a call."""
+        """Log that a call is made, answered or ended."""
         self._calls.log("call", f"discovery: {text}")
 
     def warn(self, fault: str, reason: str = "") -> None:
-        """Log a fault, one line of a kind in a while."""
+        """Log a fault, limited to one line of its kind per `PERIOD_S` of RateLimitedLog."""
         self._warnings.log(fault, f"{fault}: {reason[:MAX_REASON_LENGTH]}" if reason else fault)
 
     def object_limit(self, limit_bytes: int, memory_mb: float) -> None:
-        """Log the size limit of one object."""
-        log.info("list: at most %.1f MiB in one object, of %g MB", limit_bytes / 2**20, memory_mb)
+        """Log the size limit of one JSON object."""
+        log.info(
+            "list: JSON objects are limited to %.1f MiB, as limits.memory_mb is %g MB",
+            limit_bytes / 2**20,
+            memory_mb,
+        )
--- a/balancer/net/discovery_receiver.py
+++ b/balancer/net/discovery_receiver.py
@@ -1,4 +1,4 @@
-"""Decodes what calls of discovery receive, and applies it to the node by its revision."""
+"""Decode the messages of discovery calls and apply them to the node by revision."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class ReceiverListener(Protocol):
-    """Hears what becomes of messages."""
+    """Listener for the results of processing messages."""
 
     def message_accepted(self, call: DiscoveryCall) -> None:
-        """Handle a valid message, before it is applied."""
+        """Handle a valid message before it is applied."""
 
     def message_applied(self, call: DiscoveryCall) -> None:
-        """Handle that a message was passed to the node."""
+        """Handle a message after it was passed to the node."""
 
     def events_lost(self) -> None:
-        """Handle that events were lost: calls that go on from them are of no use."""
+        """Handle the loss of events, which makes open calls that build on them useless."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,43 +41,45 @@
 
 
 class DiscoveryReceiver:
-    """Processes messages in order: at once, or in slices from the first long list on."""
+    """Processes messages in order: immediately, or in slices of the event loop once a long list arrives."""
 
     def __init__(self, node: Node, revision: int, listener: ReceiverListener, log: DiscoveryLog) -> None:
-        """Begin with the revision of the node's list.
+        """Create a receiver without messages.
 
         Args:
-            node: gets the updates.
-            revision: of the list that the node has.
-            listener: hears what becomes of messages.
-            log: gets lines on malformed lists.
+            node: Receives the updates.
+            revision: Revision of the node's current list.
+            listener: Is told of the result of processing each message.
+            log: Receives warnings about malformed lists.
         """
         self.revision = revision
         self.queue: deque[ReceivedMessage] = deque()
         self._node = node
         self._listener = listener
         self._log = log
-        self._current: DiscoveryCall | None = None  # its message is being processed
+        # The call whose message is being processed.
+        self._current: DiscoveryCall | None = None
 
     def put(self, call: DiscoveryCall, message: Message) -> None:
-        """Process a message after all that came before it."""
+        """Process a message after all earlier ones."""
         self.queue.append(ReceivedMessage(call, message))
         if self._current is None:
-            work = self._process_queue()
-            if next(work, DONE) is not DONE:
-                self._node.scheduler.add(work)
+            steps = self._process_queue()
+            if next(steps, DONE) is not DONE:
+                self._node.scheduler.add(steps)
         call.update_flow_control()
 
     def has_messages_of(self, call: DiscoveryCall) -> bool:
-        """Return whether a message of the call is not processed yet."""
+        """Return whether messages of the call are still unprocessed."""
         return call is self._current or any(call is item.call for item in self.queue)
 
     def apply(self, call: DiscoveryCall, update: EndpointUpdate) -> None:
-        """Apply an update by its revision: an event that is not newer than the node's list is an old one.
+        """Apply an update, unless it is an event with an older revision than the node's list.
 
-        A watch begins with an event of the same revision where nothing has changed. A complete list may be
-        older where discovery has begun anew. Where another call has received more since this one was dialled
-        that is not certain: the next call sends the node's revision, and its response is valid.
+        A watch starts with an event of the node's own revision if nothing has changed. A complete list may
+        have an older revision after a restart of discovery. If another call has delivered a newer revision
+        since this call was dialled, the older list may just be outdated, so this call is ended: the next one
+        sends the node's revision, and its response can be relied on.
         """
         is_overtaken = call.known_revision < self.revision and update.revision < self.revision
         if update.complete and is_overtaken:
@@ -103,7 +105,8 @@
                     yield
                     if call.is_ended:
                         break
-            except Exception:  # a defect: later events of the call would be applied without the lost one
+            except Exception:
+                # After a defect the lost event must not be followed by later ones of the same call.
                 call.end(CallEnd.MALFORMED)
                 raise
             finally:
@@ -111,7 +114,7 @@
             call.update_flow_control()
 
     def _process(self, call: DiscoveryCall, message: Message) -> Iterator[None]:
-        """Process one message, unless its call was closed meanwhile."""
+        """Process one message, unless its call has been closed."""
         if call.is_ended:
             return
         if isinstance(message, CallEnd):
@@ -130,7 +133,7 @@
     def _decode(
         self, message: bytes | mmap | JsonStreamError
     ) -> Generator[None, None, EndpointUpdate | None]:
-        """Decode a message; None for an empty line. Raises as `decode_update`, or JsonStreamError."""
+        """Decode a message; return None for an empty line. Raises JsonStreamError or as `decode_update`."""
         if isinstance(message, JsonStreamError):
             raise message
         if isinstance(message, mmap):
@@ -148,7 +151,7 @@
         self._listener.message_applied(call)
 
     def _reject(self, call: DiscoveryCall, err: EndpointListError | JsonStreamError) -> None:
-        """End the call: its events are lost and later ones do not repeat them; the next gets all."""
+        """End the call and request a complete list next, because no later event repeats the rejected one."""
         if call.is_ended:
             return
         self._log.warn("discovery: bad list", err.line)
--- a/balancer/net/liveness.py
+++ b/balancer/net/liveness.py
@@ -1,37 +1,41 @@
-"""Liveness timeouts of calls of discovery: when a call counts as dead. Times are seconds on the loop's clock.
+"""Liveness timeouts of discovery calls, in seconds of the event loop's clock.
 
-A change counts as received 6 s after discovery had it and could be reached, whatever became of earlier calls:
-refused, not connected, not answered, cut off, broken. In the worst case discovery is back, or has the change,
-right after a call was dialled that fails:
+The node is taken to have received a change 6 s after discovery had it and was reachable, even if earlier
+calls were refused, timed out, were cut off or returned malformed data. In the worst case discovery recovers,
+or gets the change, right after a call was dialled that is going to fail. The 6 s are used as follows:
 
-    3.00  FIRST_MESSAGE_TIMEOUT_S: from dialling, connect included, to the first complete object or empty line
-    0.05  RECHECK_DELAY_S: a second check, for what the node itself had not read yet
-    0.90  MIN_RETRY_DELAY_S: the wait after that. A call that failed sooner leaves more: RETRY_PERIOD_S in
-          all, from dialling to dialling. Within it backoff doubles with jitter, so that nodes that failed
-          together do not come back together
-    2.00  left for discovery's own queue: it takes calls in turn, and one that waits there for 1 to 2 s fails.
-          200 calls of 4 ms are 0.8 s of work, spread over a backoff
+    3.00  FIRST_MESSAGE_TIMEOUT_S: from dialling, including the connect, to the first object or empty line
+    0.05  RECHECK_DELAY_S: a second check, as received data may still be unread
+    0.90  MIN_RETRY_DELAY_S: the delay before the retry. After a call that failed earlier it may be longer, up
+          to RETRY_PERIOD_S between the two dials. The backoff doubles within this period and has jitter, so
+          that nodes whose calls failed together do not retry together
+    2.00  reserve for discovery's own queue: it serves calls in order and fails those that wait for 1 to 2 s.
+          200 calls of 4 ms take 0.8 s and are spread by the backoff
 
-What a watch that has become silent misses counts as received 6 s after its last byte. In the worst case:
+Events missed by a watch that no longer receives data count as received 6 s after its last byte. The worst
+case:
 
-    3.25  SILENCE_TIMEOUT_S: an empty line comes every 2 s and may be late by 0.75 s; 0.5 s more is jitter
+    3.25  SILENCE_TIMEOUT_RANGE_S: empty lines arrive every 2 s, at most 0.75 s late, and 0.5 s are jitter
     0.05  RECHECK_DELAY_S
-    1.55  URGENT_MESSAGE_TIMEOUT_S: the first call after that, and a second check
+    1.55  URGENT_MESSAGE_TIMEOUT_S for the first call after that, and a recheck
     0.15  jitter before the second call, which has the usual timeout
-    1.00  left for discovery's own queue
-
-After SIGHUP the first call at the new address is urgent as well, and may wait until one that is under way has
-been unanswered for 1 s: the second one is dialled after 2.75 s of 4. An urgent call goes on beside the next
-one, for FIRST_MESSAGE_TIMEOUT_S in all: it may be close to the head of discovery's queue.
-
-An overloaded discovery may reject calls, at once or after a wait in its queue. Several calls have to fit into
-the 6 s then. The delay between two is CONTENDED_RETRY_DELAY_S at most while they last; later, as nobody can
-tell overload from an outage, REJECTED_RETRY_PERIOD_S lies between two calls at most: two of them, and 1 s in
-the queue, are 6.6 s, which the grace period of a drain covers.
-
-An object that comes in pieces and does not end is no answer and no sign of life: the next call is due as if
-nothing came. But it may be a list that really takes so long: the slow call goes on beside the next ones while
-bytes come, for MAX_OBJECT_DURATION_S at most, and whichever completes an object first is used.
+    1.00  reserve for discovery's own queue
+
+After SIGHUP the first call at a new address is urgent, too. It may wait until a call in progress has been
+unanswered for 1 s, so the second call is dialled after 2.75 s of the 4 s that count here. An urgent call
+stays open in parallel with the next one for up to FIRST_MESSAGE_TIMEOUT_S in total, because it may be close
+to the head of discovery's queue.
+
+An overloaded discovery may reject calls, immediately or after a wait in its queue, and several calls have to
+fit into the 6 s. While calls are known to wait in the queue, the delay between two calls is at most
+CONTENDED_RETRY_DELAY_S. After that, overload cannot be told from an outage, and the period between two calls
+is at most REJECTED_RETRY_PERIOD_S: two periods and 1 s in the queue take 6.6 s, which the drain grace period
+covers.
+
+An object that arrives in pieces and never ends is no proof of liveness, so the next call is made as if
+nothing had been received. As it may also be a list that takes this long to arrive, the slow call stays open
+in parallel while it receives bytes, for at most MAX_OBJECT_DURATION_S, and the call that first completes an
+object is used.
 """
 
 from __future__ import annotations
@@ -45,8 +49,10 @@
 MIN_RETRY_DELAY_S = polling.WAIT_AFTER_LONG_CALL_MS / 1000
 REJECTED_RETRY_PERIOD_S = polling.MAX_CALL_INTERVAL_WHEN_REJECTED_MS / 1000
 CONTENDED_RETRY_DELAY_S = polling.MAX_WAIT_WHEN_CROWDED_MS / 1000
-QUEUED_AFTER_S = 0.5  # a call that was rejected, or answered, after so long has waited in discovery's queue
-SILENCE_TIMEOUT_S = (2.75, 3.25)  # bounds, drawn for each call
+# A call that is answered or rejected this late has waited in discovery's queue.
+QUEUED_AFTER_S = 0.5
+# Each call draws its silence timeout from this range.
+SILENCE_TIMEOUT_RANGE_S = (2.75, 3.25)
 RECHECK_DELAY_S = 0.05
 URGENT_MESSAGE_TIMEOUT_S = 1.5
 FIRST_MESSAGE_TIMEOUT_S = 3.0
@@ -54,49 +60,49 @@
 
 
 class LivenessTimeout:
-    """The timeout of one call, extended by each piece of its body and each complete object or empty line."""
+    """The timeout of one call, extended by each complete object or empty line, and by bytes of its body."""
 
-    def __init__(self, dialled_at: float, message_timeout: float, silence_timeout: float) -> None:
-        """Begin as the call is dialled.
+    def __init__(self, dialled_at: float, message_timeout_s: float, silence_timeout_s: float) -> None:
+        """Start the timeout of a call.
 
         Args:
-            dialled_at: loop time.
-            message_timeout: seconds from dialling to the first complete object or empty line.
-            silence_timeout: seconds between two of them.
+            dialled_at: Loop time at which the call is dialled.
+            message_timeout_s: Timeout from dialling to the first complete object or empty line.
+            silence_timeout_s: Timeout between two objects or empty lines.
         """
         self.dialled_at = dialled_at
-        self.silence_timeout = silence_timeout
-        self._message_due_at = dialled_at + message_timeout
-        self._last_byte_at = dialled_at - silence_timeout
+        self.silence_timeout_s = silence_timeout_s
+        self._message_due_at = dialled_at + message_timeout_s
+        self._last_byte_at = dialled_at - silence_timeout_s
 
-    def extend(self, message_timeout: float) -> None:
-        """Set another timeout for the first message, from dialling."""
-        self._message_due_at = self.dialled_at + message_timeout
+    def extend(self, message_timeout_s: float) -> None:
+        """Replace the timeout from dialling to the first message."""
+        self._message_due_at = self.dialled_at + message_timeout_s
 
     def bytes_received(self, now: float) -> None:
-        """Note a piece of the body."""
+        """Record a piece of the body."""
         self._last_byte_at = now
 
     def message_received(self, now: float) -> None:
-        """Note a complete object or an empty line."""
-        self._message_due_at = now + self.silence_timeout
+        """Record a complete object or an empty line."""
+        self._message_due_at = now + self.silence_timeout_s
 
     def expires_at(self, is_patient: bool) -> float:
-        """Return when the call counts as dead; with `is_patient` not while bytes of an object come."""
+        """Return when the call times out; `is_patient` extends this while it receives bytes of an object."""
         if not is_patient:
             return self._message_due_at
         bytes_due_at = min(
-            self._last_byte_at + self.silence_timeout, self._message_due_at + MAX_OBJECT_DURATION_S
+            self._last_byte_at + self.silence_timeout_s, self._message_due_at + MAX_OBJECT_DURATION_S
         )
         return max(self._message_due_at, bytes_due_at)
 
     def is_receiving_bytes(self, now: float) -> bool:
-        """Return whether bytes come and only take too long to complete an object."""
+        """Return whether the call receives bytes that have not completed an object in time."""
         return now < self.expires_at(is_patient=True)
 
 
 class LivenessTimer:
-    """Checks a call when its timeout is due: nothing closes the connection of a discovery that is cut off."""
+    """Checks a call when its timeout is due, as a lost network link does not close the connection."""
 
     def __init__(
         self,
@@ -105,13 +111,13 @@
         is_backlogged: Callable[[], bool],
         expired: Callable[[], None],
     ) -> None:
-        """Begin without a timer.
+        """Create a timer that is not started.
 
         Args:
-            loop: runs the timer.
-            expires_at: returns the loop time at which the call counts as dead.
-            is_backlogged: returns whether something the call received is not processed yet.
-            expired: is called when the timeout is over; it may start the timer anew.
+            loop: Runs the timer.
+            expires_at: Returns the loop time at which the call times out.
+            is_backlogged: Returns whether data received by the call is still unprocessed.
+            expired: Called when the call has timed out; it may restart the timer.
         """
         self._loop = loop
         self._expires_at = expires_at
@@ -121,11 +127,11 @@
         self._is_recheck = False
 
     def start(self) -> None:
-        """Check the call when its timeout is due."""
+        """Schedule a check for when the timeout is due."""
         self._timer = self._loop.call_at(self._expires_at(), self._check)
 
     def stop(self) -> None:
-        """Check no more."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -134,7 +140,8 @@
             self._is_recheck = False
             self.start()
         elif not self._is_recheck or self._is_backlogged():
-            self._is_recheck = True  # the node itself may have stalled, or it decodes a list
+            # The node itself may have stalled, or it may still be decoding a list.
+            self._is_recheck = True
             self._timer = self._loop.call_later(RECHECK_DELAY_S, self._check)
         else:
             self._is_recheck = False
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -8,12 +8,12 @@
 import pytest
 
 from balancer.net.discovery_backoff import (
-    ANSWERED_DELAY_S,
-    CONTENTION_LASTS_S,
+    CONTENTION_WINDOW_S,
     INITIAL_DELAY_S,
+    MAX_ADDRESS_CHANGE_WAIT_CONTENDED_S,
+    MAX_ADDRESS_CHANGE_WAIT_S,
+    MAX_DELAY_AFTER_ANSWER_S,
     MAX_DELAY_S,
-    MAX_UNANSWERED_CONTENDED_S,
-    MAX_UNANSWERED_S,
     DiscoveryBackoff,
 )
 from balancer.net.discovery_call import DiscoveryCall
@@ -115,7 +115,7 @@
     delays(backoff, call(clock), 6)
     backoff.call_failed(call(clock))
     backoff.call_failed(call(clock, first_message_at=clock.now))
-    assert delays(backoff, call(clock), 1) == [ANSWERED_DELAY_S]
+    assert delays(backoff, call(clock), 1) == [MAX_DELAY_AFTER_ANSWER_S]
 
 
 def test_a_second_answered_call_does_not_shorten_the_delay(clock: Clock, backoff: DiscoveryBackoff) -> None:
@@ -133,11 +133,11 @@
 def test_discovery_counts_as_contended_for_a_while_after_a_queued_call(
     clock: Clock, backoff: DiscoveryBackoff
 ) -> None:
-    assert backoff.max_unanswered_s == MAX_UNANSWERED_S
+    assert backoff.max_address_change_wait_s == MAX_ADDRESS_CHANGE_WAIT_S
     backoff.call_ended(call(clock, was_queued=True))
     assert backoff.is_contended
-    assert backoff.max_unanswered_s == MAX_UNANSWERED_CONTENDED_S
-    clock.now += CONTENTION_LASTS_S
+    assert backoff.max_address_change_wait_s == MAX_ADDRESS_CHANGE_WAIT_CONTENDED_S
+    clock.now += CONTENTION_WINDOW_S
     assert not backoff.is_contended
 
 
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -26,7 +26,7 @@
 
 import pytest
 
-from balancer.net.discovery import MAX_FORMER_CALLS, DiscoveryClient
+from balancer.net.discovery import MAX_OLD_ADDRESS_CALLS, DiscoveryClient
 from tests.contended_discovery import Outage, QueueWorld, Rejection
 from tests.sockets import Backend, Client, FakeDiscovery, Rig, configuration, read_message, started
 from tests.virtual_discovery import (
@@ -115,7 +115,7 @@
             )
 
     world.run(22.0, lambda discovery: cast(None, world.loop.call_at(1.0, move, discovery, 1)))
-    assert 2 <= max(most) <= MAX_FORMER_CALLS + 1
+    assert 2 <= max(most) <= MAX_OLD_ADDRESS_CALLS + 1
     assert (
         max(connection.closed_at for connection in world.connections[:-1]) < 20.6
         and world.connections[-1].closed_at == 22.0
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -90,7 +90,7 @@
     ]
     reasons = [line.rpartition(": ")[2] for line in lines[3:]]
     assert reasons[:5] == [
-        "silent", "the watch was silent", "no connection", "retry after a failed call",
+        "timed out", "previous watch timed out", "no connection", "retry after a failed call",
         "rejected by discovery"
     ]  # fmt: skip
     assert lines[-1].endswith(": cancelled")
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -155,7 +155,7 @@
         world.send(complete_list(8, 30))(node, discovery)
 
     world.run_steps(send, seconds=5.0)
-    assert "list: at most 16.0 MiB in one object, of 192 MB" in caplog.messages
+    assert "list: JSON objects are limited to 16.0 MiB, as limits.memory_mb is 192 MB" in caplog.messages
     lines = [line for line in caplog.messages if "bad list" in line]
     assert lines == ["discovery: bad list: LST02: JSON object exceeds the limit of 1000 bytes"]
     assert world.applied == [] and world.requests[1][1].endswith("from=0")
