--- a/balancer/net/attempt.py
+++ b/balancer/net/attempt.py
@@ -1,4 +1,4 @@
-"""One request on its way to one backend, and its result."""
+"""An attempt: one request sent to one backend, and its result."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended; `body` and `content_type` are those of a buffered response with status 200."""
+    """Outcome of an attempt; only a buffered response with status 200 has `body` and `content_type`."""
 
     status: AttemptStatus
     report: LoadReport | None = None
@@ -25,41 +25,41 @@
 
 
 class ResponseSink(Protocol):
-    """Receiver of a streamed response."""
+    """Receiver of a streamed response body."""
 
     def feed(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Receive a chunk of the body."""
 
 
 OnStream = Callable[["BackendConnection", int | None, bytes], ResponseSink | None]
-"""Called when a response is to be streamed: its connection, its length if known, its content type.
+"""Callback for a response to be streamed: gets its connection, its length if known, its content type.
 
-Returns where it goes, or None if nobody wants it.
+It returns the receiver of the body, or None if the response is no longer wanted.
 """
 
 OnResult = Callable[[AttemptResult], None]
 
 IsWanted = Callable[[], bool]
-"""Called when a connection is established: whether the request may still be sent on it."""
+"""Callback once a connection is available: returns whether the request should still be sent."""
 
 
 def always_wanted() -> bool:
-    """Serve attempts that nobody abandons unseen."""
+    """Return True, as the default for attempts that are wanted until they are cancelled."""
     return True
 
 
 def reject_stream(
     connection: BackendConnection, size: int | None, content_type: bytes
 ) -> ResponseSink | None:
-    """Serve attempts whose responses are never streamed."""
+    """Return None, as the default for attempts that do not accept streamed responses."""
     return None
 
 
 class Attempt:
-    """One request on its way to one backend.
+    """One request sent, or to be sent, to one backend.
 
-    `on_result` is called once, unless the attempt is cancelled. `request` holds the request's bytes, or only
-    its head if an upload follows.
+    `on_result` is called exactly once unless the attempt is cancelled. `request` holds the bytes of the whole
+    request, or only of its head if its body is an upload.
     """
 
     __slots__ = ("connection", "is_wanted", "on_result", "on_stream", "request", "upload")
@@ -72,7 +72,7 @@
         upload: Upload | None,
         is_wanted: IsWanted,
     ) -> None:
-        """Make an attempt that has no connection yet."""
+        """Create an attempt that has no connection yet."""
         self.request = request
         self.on_result = on_result
         self.on_stream = on_stream
@@ -82,23 +82,23 @@
 
     @property
     def is_sent(self) -> bool:
-        """Whether the request's last byte may have left this node."""
+        """Whether the last byte of the request may have left this node."""
         return self.connection is not None and self.connection.is_request_sent
 
     @property
     def has_long_response(self) -> bool:
-        """Whether a long response is under way, as far as its rate so far shows."""
+        """Whether a long response is being received, judged by its length or its rate so far."""
         return self.connection is not None and self.connection.has_long_response
 
     def finish(self, result: AttemptResult) -> None:
-        """Report the result."""
+        """Report the result of the attempt."""
         self._detach()
         self.on_result(result)
 
     def cancel(self) -> None:
-        """End the attempt without a result.
+        """End the attempt without reporting a result.
 
-        The connection is closed before this returns, so that no two copies of a request are out at once.
+        The connection is closed before this returns, so that a retry never runs beside this attempt.
         """
         if self.connection is not None:
             self.connection.attempt = None
--- a/balancer/net/connection_limits.py
+++ b/balancer/net/connection_limits.py
@@ -1,42 +1,44 @@
-"""How many connections a process of a node may have, from the descriptors that the node may hold."""
+"""Connection limits of a process, derived from its share of the node's file descriptors."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# File descriptors that a process needs besides connections: 16 for event loop, log, listeners and lock, up
-# to 5 for calls of discovery, 4 for the files and the port of a fleet, the rest for callers of the console.
+# File descriptors that a process needs besides connections: 16 for the event loop, log, listeners and lock,
+# up to 5 for discovery calls, 4 for the files and the port of a fleet, the rest for console connections.
 RESERVED_FDS = 32
-CLOSING_FDS = 2  # of connections that are closed but not yet released by the event loop
-MIN_FDS = RESERVED_FDS + CLOSING_FDS + 3  # a client, one over the limit, a backend
-CLIENT_FRACTION = 0.6  # of the other descriptors, for clients; the rest is for backends
-MAX_OVERFLOW = 16
-CLIENTS_PER_OVERFLOW = 8
-PREDECESSOR_FRACTION = 5 / 8  # of all descriptors, for the processes beside a newer one
-PREDECESSOR_CLIENT_FRACTION = 0.75  # of a predecessor's descriptors that are not reserved, at most
+CLOSING_FDS = 2  # Closed connections keep their descriptors until the next event loop iteration.
+MIN_FDS = RESERVED_FDS + CLOSING_FDS + 3  # Room for one client, one client over the limit and one backend.
+CLIENT_FRACTION = 0.6  # Share of the unreserved descriptors that client connections may use.
+MAX_OVERFLOW_CONNECTIONS = 16
+CLIENTS_PER_OVERFLOW_CONNECTION = 8
+PREDECESSOR_FRACTION = 5 / 8  # Share of the node's descriptors for all processes older than the newest.
+# A predecessor may use at most this share of its unreserved descriptors for clients.
+PREDECESSOR_CLIENT_FRACTION = 0.75
 
 
 class ConnectionLimits(NamedTuple):
-    """Connections that a process may have."""
+    """Maximum numbers of client and backend connections of a process."""
 
     clients: int
     backends: int
 
 
 def overflow_limit(clients: int) -> int:
-    """Return how many connections over the limit of clients a process accepts, to answer and close them."""
-    return max(1, min(MAX_OVERFLOW, clients // CLIENTS_PER_OVERFLOW))
+    """Return how many client connections over the limit are accepted, to be answered and closed."""
+    return max(1, min(MAX_OVERFLOW_CONNECTIONS, clients // CLIENTS_PER_OVERFLOW_CONNECTION))
 
 
 def connection_limits(descriptors: int) -> ConnectionLimits:
-    """Return the limits of a process that may hold so many descriptors."""
+    """Return the limits of a process that may hold this many descriptors."""
     return _split(descriptors, int((descriptors - RESERVED_FDS) * CLIENT_FRACTION))
 
 
 def predecessor_limits(descriptors: int, node_descriptors: int) -> ConnectionLimits:
-    """Return the limits of a process beside a newer one: clients still have their connections here.
+    """Return the limits of a process beside a newer one.
 
-    Clients get a third of the node's descriptors at most.
+    Existing clients stay connected to it, so most of its descriptors are for clients, but not more than a
+    third of the node's.
     """
     clients = int((descriptors - RESERVED_FDS) * PREDECESSOR_CLIENT_FRACTION)
     return _split(descriptors, min(node_descriptors // 3, clients))
--- a/balancer/net/load_report.py
+++ b/balancer/net/load_report.py
@@ -1,4 +1,4 @@
-"""The load report that a backend sends in a header of its responses."""
+"""Parse the load report that backends send in the `Server-Load` response header."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class LoadReportError(ValueError):
-    """A header is no load report; it is logged, and the response counts without one."""
+    """The `Server-Load` header is invalid; this is logged and the response is used without a report."""
 
 
 def parse_load_report(value: str) -> LoadReport:
-    """Return the report in a header's value, without the fields of unknown names.
+    """Parse a header value of the form `TEXT name=number, ...`, ignoring unknown names.
 
     Raises:
-        LoadReportError: the value is not `TEXT name=number, ...`, or a number is negative or not finite.
+        LoadReportError: the value has another form, or a number is negative or not finite.
     """
     report_format, _, fields = value.partition(" ")
     report = LoadReport()
@@ -46,5 +46,7 @@
             if name in FIELDS:
                 setattr(report, FIELDS[name], number)
     except ValueError:
-        raise LoadReportError(f"not a load report: {value!r:.120}") from None
+        raise LoadReportError(
+            f"not a load report of the form 'TEXT name=number, ...': {value!r:.120}"
+        ) from None
     return report
--- a/balancer/net/open_request.py
+++ b/balancer/net/open_request.py
@@ -1,4 +1,4 @@
-"""The state of an open request and of its attempts."""
+"""State of an open request and of its attempts."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from balancer.net.stream import Upload
 
 Render = Callable[[float], bytes]
-"""Returns a request's bytes for a backend, which is told that the node waits so many milliseconds."""
+"""Function that renders a request to a backend; its argument is the `Request-Timeout` to send, in ms."""
 
 
 class RequestAttempt:
-    """One attempt of a request, with its timer."""
+    """One attempt of a request and its timeout timer."""
 
     __slots__ = (
         "attempt",
@@ -30,29 +30,29 @@
     )
 
     def __init__(self, request_id: str, number: int, endpoint: str, started_at: float) -> None:
-        """Begin attempt `number`, from 0, at `started_at` (ms)."""
+        """Record attempt `number`, counted from 0, as started at `started_at` (ms)."""
         self.request_id = request_id
         self.number = number
         self.endpoint = endpoint
         self.started_at = started_at
         self.attempt: Attempt | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.timeout_ms = 0.0  # 0: until the client's deadline
+        self.timeout_ms = 0.0  # With 0 the attempt may run until the client's deadline.
         self.is_over = False
-        self.status: AttemptStatus | None = None  # once it is over
+        self.status: AttemptStatus | None = None  # None until the attempt is over.
 
     @property
     def is_sent(self) -> bool:
-        """Whether the request's last byte may have left this node."""
+        """Whether the last byte of the request may have left this node."""
         return self.attempt is not None and self.attempt.is_sent
 
     def cancel_timer(self) -> None:
-        """Stop the timeout."""
+        """Stop the timeout timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def cancel(self) -> None:
-        """Stop the timeout and close the connection."""
+        """Stop the timeout timer and close the connection."""
         self.cancel_timer()
         if self.attempt is not None:
             self.attempt.cancel()
@@ -60,7 +60,7 @@
 
 
 class OpenRequest:
-    """A request whose response is to be sent, or that has an attempt under way."""
+    """A request that awaits its response or still has an attempt in progress."""
 
     __slots__ = (
         "attempts",
@@ -85,36 +85,36 @@
         render: Render,
         upload: Upload | None,
     ) -> None:
-        """Open a request; with an upload `deadline` (ms) holds once its last byte has been received."""
+        """Open a request; the `deadline` (ms) of an upload is valid once its last byte has been received."""
         self.request_id = request_id
         self.class_name = class_name
         self.client = client
         self.deadline = deadline
         self.render = render
         self.upload = upload
-        self.timeout_ms = 0.0  # that the client gives from its last byte on
-        self.is_streaming = False  # a streamed response has begun
+        self.timeout_ms = 0.0  # Time that the client allows after its last byte has been received.
+        self.is_streaming = False  # True once a streamed response has begun.
         self.attempts: list[RequestAttempt] = []
         self.is_answered = False
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_receiving(self) -> bool:
-        """Whether its body is still being received."""
+        """Whether the request body is still being received."""
         return self.upload is not None and not self.upload.is_complete
 
     @property
     def is_upload_prefix_dropped(self) -> bool:
-        """Whether the beginning of its body is no longer buffered for a retry."""
+        """Whether the start of the body is no longer buffered, which rules out a retry."""
         return self.upload is not None and self.upload.is_prefix_dropped
 
     @property
     def has_no_attempt(self) -> bool:
-        """Whether no attempt is under way."""
+        """Whether no attempt is in progress."""
         return all(attempt.is_over for attempt in self.attempts)
 
     def close(self) -> None:
-        """Note that it is answered, and free its body."""
+        """Mark the request as answered, stop its deadline and release its body."""
         self.is_answered = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
--- a/balancer/net/receive_timer.py
+++ b/balancer/net/receive_timer.py
@@ -1,4 +1,4 @@
-"""The deadline of a request that is being received: its head by a fixed time, its body by a minimum rate."""
+"""Timeout for receiving a request: a fixed time for the head, a minimum rate for the body."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 
 from balancer.net.request_parser import RequestParser
 
-HEADER_TIMEOUT_S = 2.5  # for a head, and for the first request of a connection
-MIN_BODY_RATE = 32_000  # bytes/s after that, half of the slowest that is to be served
+HEADER_TIMEOUT_S = 2.5  # Time to receive a complete head, counted from the accept for the first request.
+MIN_BODY_BYTES_PER_S = 32_000  # Half the rate of the slowest client that has to be served.
 
 
 class ReceiveTimer:
-    """Timer of one client connection; time in which this side pauses reading is not counted."""
+    """Receive timeout of one client connection; it does not count time in which reading is paused."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, parser: RequestParser, on_timeout: Callable[[], None]
     ) -> None:
-        """Make a timer that is not running; `on_timeout` is called when it expires."""
+        """Create a stopped timer; `on_timeout` is called when it expires."""
         self._loop = loop
         self._parser = parser
         self._on_timeout = on_timeout
         self._timer: asyncio.TimerHandle | None = None
-        self._body_started_at = 0.0  # loop time, later by each pause
-        self._paused_at = 0.0  # loop time; 0 while it is not paused
+        self._body_started_at = 0.0  # Loop time in seconds, shifted forward by the length of each pause.
+        self._paused_at = 0.0  # Loop time in seconds; 0 means that reading is not paused.
 
     @property
     def is_running(self) -> bool:
-        """Whether it has been started and has not expired."""
+        """Whether the timer has been started and has neither expired nor been cancelled."""
         return self._timer is not None
 
     @property
     def is_paused(self) -> bool:
-        """Whether this side does not read the body."""
+        """Whether reading the body is paused."""
         return self._paused_at > 0.0
 
     def start(self) -> None:
-        """Start the timeout of a head."""
+        """Start the timeout for a head."""
         self._timer = self._loop.call_later(HEADER_TIMEOUT_S, self._expire)
 
     def cancel(self) -> None:
@@ -46,20 +46,20 @@
             self._timer = None
 
     def reset(self) -> None:
-        """Forget the former request's body and pause."""
+        """Clear the body time and the pause of the previous request."""
         self._body_started_at = 0.0
         self._paused_at = 0.0
 
     def start_body(self) -> None:
-        """Count the body's time from now on."""
+        """Start timing the body."""
         self._body_started_at = self._loop.time()
 
     def pause(self) -> None:
-        """Stop counting, as this side does not read."""
+        """Stop counting time while reading is paused."""
         self._paused_at = self._loop.time()
 
     def resume(self) -> None:
-        """Count on."""
+        """Continue counting time after a pause."""
         self._body_started_at = self._body_started_at + self._loop.time() - self._paused_at
         self._paused_at = 0.0
 
@@ -73,9 +73,9 @@
         self._on_timeout()
 
     def _deadline(self) -> float:
-        """Return the loop time by which the rest of the request has to be received."""
+        """Return the loop time by which the rest of the request must be received."""
         if not self._parser.in_body:
             return 0.0
         if self.is_paused:
             return self._loop.time() + HEADER_TIMEOUT_S
-        return self._body_started_at + HEADER_TIMEOUT_S + self._parser.body_size / MIN_BODY_RATE
+        return self._body_started_at + HEADER_TIMEOUT_S + self._parser.body_size / MIN_BODY_BYTES_PER_S
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of each request: accepted, attempted as the decisions say, answered exactly once, forgotten."""
+"""Request lifecycle: accept, start attempts as decided, answer exactly once, remove."""
 
 from __future__ import annotations
 
@@ -19,14 +19,16 @@
 from balancer.net.statistics import RequestOutcome, RequestStatistics
 from balancer.net.stream import Upload
 
-LONG_RESPONSE_CHECK_S = 0.25  # between two checks whether a response past the deadline is still under way
-DEADLINE_MARGIN_MS = 10.0  # before the client's deadline, which counts from its own send
+# Interval between two checks whether a long response past its deadline is still being received.
+LONG_RESPONSE_CHECK_S = 0.25
+# Requests end this long before the deadline, because the client counts it from the time of its own send.
+DEADLINE_MARGIN_MS = 10.0
 
 
 class RequestLifecycle:
-    """All open requests of the node. It carries out decisions and makes none.
+    """Table of the open requests; it executes decisions of the balancer and makes none itself.
 
-    It has more than 20 methods, as each event in a request's life is one.
+    It has more than 20 methods because each event in the life of a request has its own.
     """
 
     def __init__(
@@ -37,8 +39,8 @@
         clock: Callable[[], float],
         handle_event: Callable[[api.Event], None],
     ) -> None:
-        """Make an empty table; `clock` returns ms, `handle_event` takes what happens to the requests."""
-        self.open: dict[str, OpenRequest] = {}  # by request id
+        """Create an empty table; `clock` returns ms, `handle_event` receives the events of requests."""
+        self.open: dict[str, OpenRequest] = {}  # Open requests by request id.
         self._pool = pool
         self._statistics = statistics
         self._counts = counts
@@ -46,19 +48,19 @@
         self._handle_event = handle_event
         self._loop = pool.loop
         self._log = RequestLog(pool.loop.time)
-        self._drained: asyncio.Event | None = None  # set once no request is open
+        self._drained: asyncio.Event | None = None  # Exists during shutdown; set when no request is open.
 
     @property
     def pending_count(self) -> int:
-        """Number of requests whose response is to be sent."""
+        """Number of requests that have not been answered yet."""
         return sum(not request.is_answered for request in self.open.values())
 
-    # --- from the client
+    # --- events from clients
 
     def accept(
         self, event: api.RequestArrived, client: Client, render: Render, upload: Upload | None = None
     ) -> None:
-        """Open a request; with an `upload` its time starts at `body_received`, and `render` is its head."""
+        """Open a request; with an `upload` its deadline starts at `body_received`, and `render` omits it."""
         self._counts["taken"] += 1
         deadline = event.deadline - DEADLINE_MARGIN_MS
         request = OpenRequest(event.request, event.class_name, client, deadline, render, upload)
@@ -69,7 +71,7 @@
         self._handle_event(event)
 
     def body_received(self, request_id: str, deadline: float) -> None:
-        """Start the time of a request whose upload is complete; `deadline` is the client's, in ms."""
+        """Start the deadline of a request whose upload is complete; `deadline` is the client's, in ms."""
         request = self.open.get(request_id)
         if request is None or request.is_answered or request.is_streaming:
             return
@@ -83,18 +85,19 @@
         self._handle_event(api.RequestBodyReceived(request_id, deadline))
 
     def client_disconnected(self, request_id: str) -> None:
-        """Abandon a request whose client has left."""
+        """Close a request whose client has disconnected, and cancel its attempts as needed."""
         request = self.open.get(request_id)
         if request is None or request.is_answered:
             return
         self._counts["left" if request.attempts else "left_unsent"] += 1
-        is_unbounded = request.is_streaming or request.is_receiving  # no timeout ends its attempts
+        # No timeout ends the attempts of a request with a streamed response or an incomplete upload.
+        is_unbounded = request.is_streaming or request.is_receiving
         self._close(request)
         self._handle_event(api.ClientDisconnected(request_id))
         self._cancel_attempts(request, is_unbounded)
 
     def abandon(self, request_id: str) -> None:
-        """Fail a request that cannot be decided on."""
+        """Fail a request and cancel its attempts, for example after an error in its decision."""
         request = self.open.get(request_id)
         if request is None:
             return
@@ -103,9 +106,9 @@
         self._cancel_attempts(request, include_sent=True)
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait until all requests are answered, then fail the rest.
+        """Wait up to `timeout_s` for all requests to be answered, then fail the rest.
 
-        A streamed response that is still under way is broken off: SIGKILL would do the same.
+        A streamed response still in progress is aborted, because SIGKILL would cut it off anyway.
         """
         self._drained = asyncio.Event()
         if self.open:
@@ -114,24 +117,24 @@
         for request_id in list(self.open):
             self.abandon(request_id)
 
-    # --- decisions
+    # --- decisions of the balancer
 
     def reject(self, action: api.RejectRequest) -> None:
-        """Reject a request."""
+        """Answer a request with a rejection."""
         self._counts["refused"] += 1
         request = self._log_unserved(action.request, "refused", action.reason)
         if request is not None:
             self._answer(request, RequestOutcome.REJECTED, lambda client: client.reject(action.retry_after))
 
     def fail(self, action: api.FailRequest) -> None:
-        """Fail a request."""
+        """Answer a request with a failure."""
         self._counts["failed"] += 1
         request = self._log_unserved(action.request, "failed", action.reason)
         if request is not None:
             self._answer(request, RequestOutcome.FAILED, lambda client: client.fail())
 
     def start_attempt(self, action: api.StartAttempt) -> None:
-        """Send a request to a backend, unless it is too late for that."""
+        """Send a request to a backend, unless it is answered, too late or no longer wanted."""
         request = self.open.get(action.request)
         now = self._now()
         number = len(request.attempts) if request else 0
@@ -151,7 +154,8 @@
             or 0 < action.before <= now
             or not self._is_wanted(request)
         ):
-            if not attempt.is_over:  # else it was cancelled with its request
+            # `_is_wanted` may have closed the request and ended this attempt with it.
+            if not attempt.is_over:
                 self._end_attempt(attempt, AttemptResult(AttemptStatus.NOT_STARTED))
             return
         attempt.attempt = self._pool.start_attempt(
@@ -168,7 +172,7 @@
             self._loop.call_later((action.before - now) / 1000, self._cancel_unsent, attempt)
 
     def cancel_attempt(self, action: api.CancelAttempt) -> None:
-        """Cancel an attempt, if it is under way."""
+        """Cancel an attempt if it is in progress."""
         request = self.open.get(action.request)
         if request is None or action.attempt >= len(request.attempts):
             return
@@ -182,16 +186,16 @@
         self._log.unserved(request_id, response, reason, len(request.attempts) if request else 0)
         return request
 
-    # --- timers
+    # --- deadlines and attempt timeouts
 
     def _start_deadline(self, request: OpenRequest) -> None:
         delay_s = max(0.0, request.deadline - self._now()) / 1000
         request.deadline_timer = self._loop.call_later(delay_s, self.expire_deadline, request)
 
     def expire_deadline(self, request: OpenRequest) -> None:
-        """End all attempts and fail the request, unless a long response is under way.
+        """End all attempts and fail the request, unless a long response is being received.
 
-        A small response of unknown length that never ends is no long one.
+        A small response of unknown length that never ends does not count as long.
         """
         if request.is_answered:
             return
@@ -208,7 +212,7 @@
             self._handle_event(api.ClientDisconnected(request.request_id))
 
     def _start_timeout(self, attempt: RequestAttempt, request: OpenRequest) -> float:
-        """Start an attempt's timeout; returns it in ms."""
+        """Start the timeout timer of an attempt and return the timeout in ms."""
         remaining = request.timeout_ms if request.is_receiving else request.deadline - self._now()
         timeout_ms = min(attempt.timeout_ms, remaining) if attempt.timeout_ms else remaining
         if timeout_ms > 0 and not request.is_receiving:
@@ -221,20 +225,20 @@
             return
         is_sent = attempt.is_sent
         attempt.cancel()
-        # What was not sent completely, as on a connection still being established, never ran.
+        # A backend cannot have executed a request that was not sent completely.
         status = AttemptStatus.TIMEOUT if is_sent else AttemptStatus.CONNECT_FAILED
         self._end_attempt(attempt, AttemptResult(status))
 
     def _cancel_unsent(self, attempt: RequestAttempt) -> None:
-        """Cancel an attempt not yet sent: from now on a backend might take a retry for a new request."""
+        """Cancel an attempt not yet sent: a backend may no longer recognize the repeated request as such."""
         if not attempt.is_over and not attempt.is_sent:
             attempt.cancel()
             self._end_attempt(attempt, AttemptResult(AttemptStatus.NOT_STARTED))
 
-    # --- attempts
+    # --- progress and end of attempts
 
     def _is_wanted(self, request: OpenRequest) -> bool:
-        """Return whether the response is still to be sent; detects a client that has left unseen."""
+        """Return whether the request still needs a response; detect a client that disconnected unnoticed."""
         if not request.is_answered and request.client.has_disconnected:
             self.client_disconnected(request.request_id)
         return not request.is_answered
@@ -242,12 +246,13 @@
     def _begin_stream(
         self, attempt: RequestAttempt, backend: BackendConnection, size: int | None, content_type: bytes
     ) -> ResponseSink | None:
-        """Begin a streamed response, which has no deadline while it goes on."""
+        """Begin a streamed response, which has no attempt timeout."""
         request = self.open.get(attempt.request_id)
         if request is None or request.is_answered:
             return None
         attempt.cancel_timer()
-        if request.deadline_timer is None:  # the rest of its upload is not wanted
+        # A response before the end of the upload makes the rest of it useless: the deadline starts now.
+        if request.deadline_timer is None:
             request.deadline = self._now() + request.timeout_ms
             self._start_deadline(request)
         request.is_streaming = True
@@ -259,7 +264,7 @@
         return request.client
 
     def _end_attempt(self, attempt: RequestAttempt, result: AttemptResult) -> None:
-        """Report the one result of an attempt; a complete response goes to the client."""
+        """Report the result of an attempt, and send a complete response to the client."""
         status = result.status
         attempt.is_over = True
         attempt.attempt = None
@@ -273,9 +278,9 @@
         if request is not None:
             self._answer_with_result(request, result)
         is_closed = request is None or request.is_answered
-        is_spent = request is not None and request.is_upload_prefix_dropped
+        is_prefix_dropped = request is not None and request.is_upload_prefix_dropped
         if request is not None and is_closed:
-            self._forget(request)
+            self._remove_if_done(request)
         elapsed_ms = self._now() - attempt.started_at
         self._handle_event(
             api.AttemptEnded(
@@ -286,15 +291,15 @@
                 elapsed_ms,
                 is_closed,
                 result.report,
-                is_spent,
+                is_prefix_dropped,
             )
         )
 
     def _cancel_attempts(self, request: OpenRequest, include_sent: bool) -> None:
-        """Cancel the attempts of a request that is answered: those not sent, or all of them.
+        """Cancel attempts of an answered request: those not sent completely, or with `include_sent` all.
 
-        The rest of an upload is dropped with its client, so an attempt that takes it must not go on: its end
-        would pass for the end of the whole body.
+        An answered request discards the rest of its upload. An attempt that is still sending it must stop, or
+        the backend would take the truncated body for a complete one.
         """
         for attempt in request.attempts:
             is_sent = attempt.is_sent
@@ -303,7 +308,7 @@
                 status = AttemptStatus.CANCELLED if is_sent else AttemptStatus.NOT_STARTED
                 self._end_attempt(attempt, AttemptResult(status))
 
-    # --- responses
+    # --- answering requests
 
     def _answer_with_result(self, request: OpenRequest, result: AttemptResult) -> None:
         is_ok = result.status is AttemptStatus.OK
@@ -331,10 +336,10 @@
 
     def _close(self, request: OpenRequest) -> None:
         request.close()
-        self._forget(request)
+        self._remove_if_done(request)
 
-    def _forget(self, request: OpenRequest) -> None:
-        """Remove a request that is answered and has no attempt under way."""
+    def _remove_if_done(self, request: OpenRequest) -> None:
+        """Remove an answered request once none of its attempts is in progress."""
         if request.request_id in self.open and request.has_no_attempt:
             del self.open[request.request_id]
             if not self.open and self._drained is not None:
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -1,43 +1,47 @@
-"""Flow control of bodies that are too long to be buffered, and the memory that they share."""
+"""Flow control for streamed bodies, and the memory budget that they share."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is streamed
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or a response
-MAX_REPLAY_BYTES = 2 * MAX_BUFFERED_BODY_BYTES  # of a streamed request body that are buffered for a retry
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # Longer bodies are streamed.
+MAX_BODY_BYTES = 32 * 1024 * 1024  # Longer request or response bodies are rejected.
+# A streamed request body can be sent again in a retry until more than this much of it has been sent.
+MAX_REPLAY_BYTES = 2 * MAX_BUFFERED_BODY_BYTES
 MIN_WINDOW_BYTES = 8 * 1024
 MAX_WINDOW_BYTES = 64 * 1024
-BUFFERS_PER_STREAM = 3  # of a window each: what waits, what was just read, and its framed copy
-BASE_MEMORY_MB = 22  # of a process without any bodies, including lists and small requests
-UPGRADE_PROCESS_COUNT = 2  # processes that share the memory limit during an upgrade
-USABLE_FRACTION = 1 / 2  # of the memory for bodies: allocators do not give all back
+# A stream holds up to three windows: the queued bytes, the bytes just read, and their framed copy.
+BUFFERS_PER_STREAM = 3
+# A process uses this much memory without any bodies, including endpoint lists and small requests.
+BASE_MEMORY_MB = 22
+UPGRADE_PROCESS_COUNT = 2  # Two processes share the memory limit of the node during an upgrade.
+USABLE_FRACTION = 1 / 2  # Half of the body memory is left unplanned: allocators do not return all of it.
 
-_read_buffer = memoryview(bytearray(MAX_WINDOW_BYTES))  # shared by all reads: each is copied out at once
+# All reads share this buffer, because each read is copied out before the next one.
+_read_buffer = memoryview(bytearray(MAX_WINDOW_BYTES))
 
 
 class StreamMemory:
-    """The memory for streamed bodies, divided evenly among the streams under way.
+    """Memory budget for streamed bodies, divided evenly among the streams in progress.
 
-    `window_bytes` is the high watermark of one stream's buffer, and the size of the largest read.
+    `window_bytes` is the high watermark of each stream's buffer and the maximum size of a read.
     """
 
     def __init__(self, memory_mb: float) -> None:
-        """Share out what a process that may use `memory_mb` has for bodies."""
+        """Create the budget of a process in a node that may use `memory_mb`."""
         available_mb = max(0.0, memory_mb / UPGRADE_PROCESS_COUNT - BASE_MEMORY_MB)
         self.total_bytes = available_mb * USABLE_FRACTION * 1024 * 1024
         self.stream_count = 0
 
     @property
     def stream_count(self) -> int:
-        """Number of streamed request and response bodies under way."""
+        """Number of streamed request and response bodies in progress."""
         return self._stream_count
 
     @stream_count.setter
     def stream_count(self, count: int) -> None:
         self._stream_count = count
-        # Computed here, not in `read_buffer`, which every read calls.
+        # The window is computed at each change of the count, because `read_buffer` is called for every read.
         fair_share = self.total_bytes / (BUFFERS_PER_STREAM * max(1, count))
         self.window_bytes = int(min(MAX_WINDOW_BYTES, max(MIN_WINDOW_BYTES, fair_share)))
         self._view = _read_buffer[: self.window_bytes]
@@ -47,29 +51,30 @@
         return self._view
 
     def copy_read(self, count: int) -> bytes:
-        """Return a copy of the `count` bytes that were just read into the buffer."""
+        """Return a copy of the first `count` bytes of the buffer, which were just read."""
         return bytes(_read_buffer[:count])
 
 
 class Upload:
-    """A streamed request body on its way from one client to one backend connection at a time."""
+    """Streamed request body, passed from a client to one backend connection at a time."""
 
     def __init__(self, size: int | None, memory: StreamMemory, set_reading: Callable[[bool], None]) -> None:
         """Begin a body of `size` bytes, if known; `set_reading` resumes or pauses reading from the client."""
         self.size = size
-        self.is_complete = False  # all of it has been received
-        self.is_prefix_dropped = False  # its beginning is no longer buffered, so no attempt may begin
+        self.is_complete = False  # True once the whole body has been received.
+        # True once the start of the body is no longer buffered, so that no further attempt is possible.
+        self.is_prefix_dropped = False
         self._memory = memory
         self._set_reading = set_reading
-        self._replay = bytearray()  # what an attempt has taken, for the next one
-        self._pending = bytearray()  # what no attempt has taken
+        self._replay = bytearray()  # Bytes that an attempt has sent, kept for a retry.
+        self._pending = bytearray()  # Received bytes that no attempt has sent yet.
         self._paused = False
         self._discarded = False
-        self._on_data: Callable[[], None] | None = None  # of the attached attempt
+        self._on_data: Callable[[], None] | None = None  # Set while an attempt is attached.
         memory.stream_count += 1
 
     def feed(self, data: bytes | bytearray) -> None:
-        """Add received bytes; pauses the client at the high watermark."""
+        """Add received bytes; pause reading from the client at the high watermark."""
         if self._discarded:
             return
         self._pending += data
@@ -80,24 +85,24 @@
             self._set_reading(False)
 
     def complete(self) -> None:
-        """Note that the last byte was received."""
+        """Mark the body as received completely."""
         if not self.is_complete and not self._discarded:
             self.is_complete = True
             if self._on_data is not None:
                 self._on_data()
 
     def attach(self, on_data: Callable[[], None]) -> None:
-        """Start an attempt at the first byte, unless it is dropped; `on_data` is called for more bytes."""
+        """Restart the body for an attempt while its prefix is buffered; `on_data` signals new bytes."""
         self._pending[:0] = self._replay
         self._replay.clear()
         self._on_data = on_data
 
     def detach(self) -> None:
-        """End the attempt."""
+        """Detach the current attempt."""
         self._on_data = None
 
     def take(self) -> bytes:
-        """Return the bytes that the attempt may write next, and let the client go on."""
+        """Return the bytes to send next, and resume reading from the client."""
         data = bytes(self._pending)
         self._pending.clear()
         if not self.is_prefix_dropped:
@@ -109,7 +114,7 @@
         return data
 
     def discard(self) -> None:
-        """Free the memory: what still comes from the client is read and dropped."""
+        """Release the buffers; bytes that still arrive from the client are read and dropped."""
         if not self._discarded:
             self._discarded = True
             self._on_data = None
