--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -1,7 +1,7 @@
-"""The types shared by the decisions and their callers: settings, events, actions, outcomes.
+"""The types that the balancing policy shares with its callers: settings, events, actions and outcomes.
 
-Times are milliseconds; points in time are on the caller's clock. Nothing here decides or knows a wire format.
-The file is longer than others, as both sides of the interface are read together.
+All times are in milliseconds; points in time are on the caller's clock. The module has no logic and knows no
+wire format. It is longer than other modules because both sides of the interface are best read together.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SettingsError(BalancerError):
-    """A setting is missing or makes no sense; the message names the field and the value."""
+    """A setting is missing or invalid; the message names the field and the value."""
 
     code = "SET01"
     remedy = "correct the setting that is named"
@@ -28,7 +28,7 @@
 
 
 class Idempotency(Enum):
-    """How often a request of a class may take effect."""
+    """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
@@ -36,7 +36,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints share idempotency keys, and so drop retries of each other's requests."""
+    """The endpoints that recognise duplicates of each other's requests, as they share idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -44,7 +44,7 @@
 
 
 class EndpointPhase(Enum):
-    """The phase of an endpoint in the list."""
+    """The lifecycle phase of an endpoint, as the endpoint list states it."""
 
     IN_SERVICE = "up"
     DRAINING = "draining"
@@ -52,7 +52,7 @@
 
 
 class ListUpdateKind(Enum):
-    """What an update of the endpoint list brings."""
+    """The kind of an update of the endpoint list."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
@@ -74,11 +74,11 @@
 
 
 NOT_EXECUTED = frozenset({AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED})
-"""Statuses that prove that the attempt had no effect."""
+"""Statuses that prove that the backend did not execute the attempt."""
 
 
 class GiveUpReason(StrEnum):
-    """Why a request was rejected or failed; the values stand in logs and counts."""
+    """Why a request was rejected or failed; the values appear in logs and counters."""
 
     TOO_LATE = "late"
     LOW_SUCCESS_RATE = "success"
@@ -88,7 +88,7 @@
 
 
 class LoadReportMode(Enum):
-    """How load reports reach a node."""
+    """How backends send load reports to a node."""
 
     IN_RESPONSES = "answers"
     IN_HEALTH_CHECKS = "probes"
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests and its objectives."""
+    """A class of requests, with its objectives and its rules for retries."""
 
     name: str
     idempotency: Idempotency
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and its quota over all nodes."""
+    """A tenant and its request quota, which all nodes share."""
 
     name: str
     quota_per_s: float
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Charges:
-    """Prices, as fractions of the result for one unit a request."""
+    """The cost of each kind of overhead, as the fraction of the score that one unit per request takes."""
 
     probe: float = 0.0
     waste: float = 0.0
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScoreWeights:
-    """Weights of the parts of the result."""
+    """Weights of the components of the score."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -153,7 +153,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of a node."""
+    """The settings of a node."""
 
     classes: tuple[RequestClass, ...]
     node_index: int = 0
@@ -197,7 +197,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A load report; a value that is not reported is None."""
+    """A load report of a backend; values that it does not include are None."""
 
     in_flight: float | None = None
     queue: float | None = None
@@ -220,35 +220,46 @@
     kind: str = ""
 
 
-# --- events -----------------------------------------------------------------------------------------
+# --- events that the caller passes to the policy ------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryFailure:
-    """How a call of discovery failed."""
+    """How a call to discovery failed.
 
-    silent_ms: float = math.inf  # ms since the last complete message of discovery
-    ended_by_discovery: bool = False  # discovery itself ended the call: it may be up, and only overloaded
-    ended_after_wait: bool = False  # and it did so after a wait, without any message
+    `silent_ms` is the time since the last complete message from discovery. With `ended_by_discovery`,
+    discovery itself ended the call, so it may be running but overloaded. With `ended_after_wait`, it did so
+    after making the caller wait without any message.
+    """
+
+    silent_ms: float = math.inf
+    ended_by_discovery: bool = False
+    ended_after_wait: bool = False
 
 
 @dataclass(slots=True)
 class ListUpdate:
-    """An update of the endpoint list; `FAILED` has no entries.
+    """An update of the endpoint list, or the failure to get one.
 
-    A list that is too long for one event comes in pieces, all but the first of kind `DELTA`, removals first.
+    A list that is too long for one event is split over several: all but the first are of kind `DELTA`,
+    removals come first, and `more_follows` is set on all but the last. `failure` describes an update of kind
+    `FAILED`, which has no entries; it is None where the cause is unknown.
     """
 
     kind: ListUpdateKind
     entries: list[Endpoint]
     revision: int = 0
-    more_follows: bool = False  # further pieces of the same list follow
-    failure: DiscoveryFailure | None = None  # of `FAILED`, where it is known
+    more_follows: bool = False
+    failure: DiscoveryFailure | None = None
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request, which gets exactly one final answer before `deadline`."""
+    """A client's request arrived; it must get exactly one final response before `deadline`.
+
+    While `body_pending`, the body is still being received, and `RequestBodyReceived` follows. `settings` are
+    those in force when the head of the request arrived; None means the present ones.
+    """
 
     request: str
     class_name: str
@@ -258,13 +269,13 @@
     tenant: str | None = None
     work_hint: float | None = None
     writes: bool = False
-    body_pending: bool = False  # its body is still arriving, see `RequestBodyReceived`
-    settings: Settings | None = None  # settings in force when its head arrived; None: the present ones
+    body_pending: bool = False
+    settings: Settings | None = None
 
 
 @dataclass(slots=True)
 class RequestBodyReceived:
-    """The body of a request is complete: its time counts from now."""
+    """The body of a request is complete; its latency is measured from now on."""
 
     request: str
     deadline: float
@@ -272,7 +283,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A long response, or one of a streamed class, began: the request can no longer be retried."""
+    """A long response, or one of a streamed class, started; the request can no longer be retried."""
 
     request: str
     attempt: int
@@ -284,7 +295,8 @@
 class AttemptEnded:
     """An attempt ended; after `ResponseStarted` this is the end of the response.
 
-    `closed`: the request has its final answer. `spent`: it cannot be retried, as its body was not buffered.
+    With `is_answered`, the client already has its final response. With `not_replayable`, the request cannot
+    be retried because its body was not buffered.
     """
 
     request: str
@@ -299,21 +311,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client disconnected and gets no answer."""
+    """The client disconnected and gets no response."""
 
     request: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set by `SetTimer` fired."""
+    """A timer that a `SetTimer` action started has fired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The result of a health check."""
+    """A health check ended."""
 
     backend: str
     status: AttemptStatus
@@ -323,7 +335,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message from another node."""
+    """A message from another node arrived."""
 
     sender: int
     content: bytes
@@ -331,16 +343,16 @@
 
 @dataclass(slots=True)
 class Reconfigured:
-    """New settings; requests under way keep the class and the attempts that they arrived with."""
+    """The settings changed; open requests keep the class and the maximum of attempts they arrived with."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class MaintenanceChanged:
-    """Operators take an endpoint out of service, or put it back, whatever the list says of it.
+    """Operators banned an endpoint for maintenance or lifted the ban, whatever the endpoint list says.
 
-    `since` is when it was put back: it counts as started then, unless the list has a later time.
+    After a lift the endpoint is treated as started at `lifted_at`, unless the list has a later start time.
     """
 
     backend: str
@@ -350,39 +362,46 @@
 
 @dataclass(slots=True)
 class TakeoverStarted:
-    """This process replaces another one of the same node and needs the endpoint list at once."""
+    """This process takes over from another one of the same node and needs the endpoint list at once."""
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """What a node has learned that a successor can use; all times are durations.
+    """What a node has learned that its successor process can use; the field names are keys of stored files.
 
-    The names are keys of files. Estimates are not included: the attempts they count end with the process.
+    `limit` is the concurrency limit, `trust` the success rate of attempts, `lost` the rate of lost responses.
+    A row of `classes` has the expected duration, its mean deviation and the overload. A row of `backends` has
+    the listed start time, slowness, minimum response time, consecutive failures and the remaining
+    ejection time. Durations are in ms. Load estimates are left out: the attempts they count end with the
+    process.
     """
 
-    limit: float  # the concurrency limit
+    limit: float
     trust: float
     lost: float
-    classes: dict[str, tuple[float, float, float]]  # expected duration, its mean deviation, overload
-    # Start as listed, slowness, minimum response time, consecutive failures, time left of the ejection.
+    classes: dict[str, tuple[float, float, float]]
     backends: dict[str, tuple[float, float, float, int, float]]
 
 
 class RecoveryPhase(Enum):
-    """Progress of a node that recovers with its tier from a loss of power, once it serves."""
+    """The phase of a serving node while its tier recovers from a power loss.
+
+    A node in `LISTED` serves from its cached endpoint list, so no node knows which endpoints are warming up.
+    A node in `WARMING` has a list from discovery.
+    """
 
-    LISTED = "listed"  # by the cached list: nobody knows which endpoints are warming up
-    WARMING = "warming"  # by a list from discovery
+    LISTED = "listed"
+    WARMING = "warming"
     FULL = "full"
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveryProgressed:
-    """The tier recovers from a loss of power: progress of this node and its quota.
+    """This node's recovery from a power loss of its tier advanced, or its quota changed.
 
-    `share` is this node's part of what all nodes together may send to warming endpoints. Endpoints that are
-    listed as started before `cold_since` count as started then (0: as listed). `rate` is what the whole tier
-    carried when it was warm, in requests a second (0: unknown).
+    `capacity_share` is this node's share of the requests that all nodes together may send to warming
+    endpoints. Endpoints listed as started before `cold_since` are treated as started then; 0 keeps the listed
+    times. `tier_requests_per_s` is the load that the whole tier carried when it was warm; 0 means unknown.
     """
 
     phase: RecoveryPhase
@@ -393,7 +412,7 @@
 
 @dataclass(slots=True)
 class LearnedStateRestored:
-    """What an earlier process of this node learned, `age` ms ago; comes after the list."""
+    """An earlier process of this node left its learned state, `age_ms` ago; it comes after the list."""
 
     learned: LearnedState
     age_ms: float
@@ -416,14 +435,14 @@
     | PeerMessage
 )
 
-# --- actions ----------------------------------------------------------------------------------------
+# --- actions that the policy asks the caller to perform -----------------------------------------------
 
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt; a timeout of 0 lasts until the deadline of the request.
+    """Start an attempt; with a timeout of 0 it may last until the deadline of the request.
 
-    It must not be sent after the clock time `before` (0: no such limit).
+    The attempt must not be sent after the clock time `latest_start`; 0 means that there is no such limit.
     """
 
     request: str
@@ -434,24 +453,30 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: the request is rejected, and a retry does no harm."""
+    """Reject a request, as its final response; the client may safely retry it.
+
+    `reason` is the value of a `GiveUpReason`, for the log.
+    """
 
     request: str
     retry_after_ms: float = 0.0
-    reason: str = ""  # a `GiveUpReason`, for the log
+    reason: str = ""
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: the request failed, and may have taken effect."""
+    """Fail a request, as its final response; a backend may have executed it.
+
+    `reason` is the value of a `GiveUpReason`, for the log.
+    """
 
     request: str
-    reason: str = ""  # a `GiveUpReason`, for the log
+    reason: str = ""
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt whose response is no longer needed."""
 
     request: str
     attempt: int
@@ -459,7 +484,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` event at the clock time `when`."""
+    """Start a timer that causes a `TimerFired` event at the clock time `fires_at`."""
 
     fires_at: float
     token: int
@@ -467,14 +492,14 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Check the health of an endpoint."""
+    """Send a health check to an endpoint."""
 
     backend: str
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list from now on, or no longer."""
+    """Start watching the endpoint list, or stop it."""
 
     enabled: bool = True
 
@@ -493,7 +518,7 @@
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send bytes to one node, or to all where `node` is None."""
+    """Send bytes to one node, or to all nodes if `node` is None."""
 
     node: int | None
     content: bytes
@@ -501,7 +526,7 @@
 
 @dataclass(slots=True)
 class WriteLog:
-    """Write a line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,6 +1,6 @@
-"""Reads settings: the object that a simulator's START line or a node's configuration holds.
+"""Parses the settings object of a simulator's START line or of a node's configuration.
 
-Its keys and values are mapped to the names of `balancer.interface` here and nowhere else.
+Only this module maps the object's keys and values to the names of `balancer.interface`.
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A table of the settings; errors name its path. All readers raise SettingsError."""
+    """A table of the settings and its path, which errors name. All getters raise SettingsError."""
 
     table: Table
     path: str = ""
 
     def invalid_value(self, name: str, value: object) -> api.SettingsError:
-        """Return the error of a value that makes no sense."""
-        return api.SettingsError(f"{self.path}{name} makes no sense: {value!r}")
+        """Return the error for an invalid value."""
+        return api.SettingsError(f"{self.path}{name} has an invalid value: {value!r}")
 
     def number(self, name: str, default: float | None, low: float = 0.0) -> float:
-        """Return a finite number of at least `low`; without a default it must be there."""
+        """Return a finite number of at least `low`; the key is required if `default` is None."""
         value = self.table.get(name, default)
         if value is None:
             raise api.SettingsError(f"{self.path}{name} is missing")
@@ -59,21 +59,21 @@
         return float(value)
 
     def integer(self, name: str, default: int, low: int) -> int:
-        """Return a whole number of at least `low`."""
+        """Return an integer of at least `low`."""
         value = self.number(name, default, low)
         if value != int(value):
             raise self.invalid_value(name, self.table[name])
         return int(value)
 
     def flag(self, name: str, default: bool = False) -> bool:
-        """Return a truth value."""
+        """Return a boolean."""
         value = self.table.get(name, default)
         if not isinstance(value, bool):
             raise self.invalid_value(name, value)
         return value
 
     def text(self, name: str, default: str | None) -> str:
-        """Return a text; without a default it must be there and not be empty."""
+        """Return a string; if `default` is None, the key is required and must not be empty."""
         value = self.table.get(name, default)
         if value is None or (value == "" and default is None):
             raise api.SettingsError(f"{self.path}{name} is missing")
@@ -82,28 +82,28 @@
         return value
 
     def texts(self, name: str) -> tuple[str, ...]:
-        """Return a list of texts, empty by default."""
+        """Return a list of strings; a missing key means an empty list."""
         value = self.table.get(name, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
             raise self.invalid_value(name, value)
         return tuple(value)
 
     def choice(self, name: str, among: dict[str, Any], default: str | None) -> Any:
-        """Return what a word stands for."""
+        """Return the value that `among` maps the string to."""
         value = self.text(name, default)
         if value not in among:
             raise self.invalid_value(name, value)
         return among[value]
 
     def section(self, name: str) -> Section:
-        """Return a table within this one, empty by default."""
+        """Return a nested table; a missing key means an empty table."""
         value = self.table.get(name, {})
         if not isinstance(value, dict):
             raise self.invalid_value(name, value)
         return Section(value, f"{self.path}{name}.")
 
     def sections(self, name: str) -> list[Section]:
-        """Return a list of tables, empty by default."""
+        """Return a list of nested tables; a missing key means an empty list."""
         value = self.table.get(name, [])
         if not isinstance(value, list):
             raise self.invalid_value(name, value)
@@ -114,21 +114,21 @@
 
 
 def parse_settings_text(text: str) -> api.Settings:
-    """Return the settings of a START line; raises SettingsError where one is missing or makes no sense."""
+    """Parse the settings of a START line; raises SettingsError if one is missing or invalid."""
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as err:
-        raise api.SettingsError(f"boot-info is not JSON: {err}") from None
+        raise api.SettingsError(f"boot-info is not valid JSON: {err}") from None
     if not isinstance(raw, dict):
-        raise api.SettingsError("boot-info is not an object")
+        raise api.SettingsError("boot-info must be a JSON object, not an array or a scalar")
     return parse_settings(raw)
 
 
 def parse_settings(raw: Table) -> api.Settings:
-    """Return the settings of their JSON object; raises SettingsError.
+    """Parse the settings from their decoded JSON object; raises SettingsError if one is missing or invalid.
 
-    Unknown keys are skipped. Of the known ones `family`, `stages` and `tier` are left out, as they say
-    nothing that a decision could use: an instance sends to one tier only.
+    Unknown keys are ignored, and so are `family`, `stages` and `tier`: an instance sends to one tier only, so
+    no decision depends on them.
     """
     root = Section(raw)
     limits = root.section("limits")
@@ -159,7 +159,7 @@
 
 
 def _node(root: Section, rules: Section, classes: list[Section]) -> api.Settings:
-    """Read how endpoints warm up, the classes, the zone and the tenants."""
+    """Parse the request classes, the tenants, the zone, the clock granularity and the slow start."""
     slow_start_ms = rules.number("ramp-time", 60_000.0)
     cold_capacity_fraction = rules.number("cold-share", 0.0)
     if cold_capacity_fraction > 1:
@@ -175,7 +175,7 @@
 
 
 def _class_sections(root: Section) -> list[Section]:
-    """Return the tables of the classes; raises SettingsError where none is there or a name is there twice."""
+    """Return the tables of the request classes; raises SettingsError on no class or a duplicate name."""
     sections = root.sections("request-classes")
     if not sections:
         raise api.SettingsError("request-classes is missing")
@@ -197,7 +197,7 @@
         deadline_ms=deadline,
         priority_weight=section.number("value", 1.0),
         late_weight_fraction=section.number("late-worth", 0.0),
-        # The cautious default: only the smallest scope drops a repeat, and forgets it at once.
+        # The defaults are the safest: duplicates are recognised only within a cell, and for no time at all.
         deduplication_scope=section.choice("group", DEDUPLICATION_SCOPES, "cell"),
         deduplication_window_ms=section.number("memory-span", 0.0),
         streamed=section.flag("streamed"),
@@ -237,7 +237,7 @@
 def _with_rules(
     settings: api.Settings, limits: Section, rules: Section, retry_after_heeded: bool
 ) -> api.Settings:
-    """Read how often and how long requests may be sent, and what endpoints bear."""
+    """Parse the rules for attempts, for the endpoint list and for the overload of endpoints."""
     return replace(
         settings,
         health_checks_allowed=limits.flag("probing"),
@@ -256,7 +256,7 @@
 def _with_environment(
     settings: api.Settings, root: Section, limits: Section, family: Section
 ) -> api.Settings:
-    """Read what is known of endpoints and clients."""
+    """Parse the properties of the endpoints, the network and the clients."""
     return replace(
         settings,
         has_endpoint_weights=root.choice("weight-source", WEIGHT_SOURCES, "off"),
@@ -271,7 +271,7 @@
 
 
 def _with_connection_limits(settings: api.Settings, limits: Section) -> api.Settings:
-    """Read the limits of connections and of processor time."""
+    """Parse the limits of connections and of processor time."""
     return replace(
         settings,
         connection_idle_ms=limits.number("conn-idle", 0.0),
--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decisions on the simulator's wire (standard input and output)."""
+"""Runs many instances of the balancing policy for a simulator, over standard input and output."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from balancer.policy import Balancer
 from balancer.settings import parse_settings_text
 
-START_PARTS = 3  # the word, the seed and the settings
+START_PARTS = 3  # A START line consists of the word, the seed and the settings.
 NO_INSTANCE = -1
 MAX_EXCEPTION_CHARS = 200
 CONTEXT_PREFIX = "CONTEXT "
 
 
 class Reply:
-    """The lines of a reply; a line names the instance that the following ones are of."""
+    """The lines of a reply, in sections that each begin with the number of an instance."""
 
     def __init__(self) -> None:
-        """Start without lines."""
+        """Create a reply without lines."""
         self.lines: list[str] = []
         self._section_instance = NO_INSTANCE
 
     def add_actions(self, instance: int, actions: list[Action]) -> None:
-        """Add what an instance does."""
+        """Add the actions of an instance."""
         if actions and instance != self._section_instance:
             self._start_section(instance)
         self.lines.extend(map(wire.format_action, actions))
 
     def add_exception(self, instance: int, err: Exception) -> None:
-        """Add that the decisions of an instance are broken."""
+        """Add an exception that the policy of an instance raised."""
         self._start_section(instance)
         text = " ".join(str(err).split())[:MAX_EXCEPTION_CHARS]
         self.lines.append(f"EXCEPTION {type(err).__name__}: {text}")
@@ -44,14 +44,14 @@
 
 
 class Host:
-    """Reads batches, hands each event to its instance, collects the reply. Instances share nothing."""
+    """Dispatches each event of a batch to its instance and collects the reply; instances share no state."""
 
     def __init__(self) -> None:
-        """Start without instances."""
+        """Create a host without instances."""
         self.instances: dict[int, tuple[Balancer, Settings]] = {}
 
     def handle_batch(self, now: float, lines: Iterator[str]) -> list[str]:
-        """Return the reply to one batch, whose SYNC line has been read; raises WireError or CallError."""
+        """Handle the lines that follow a SYNC line and return the reply; raises WireError or CallError."""
         reply = Reply()
         instance = NO_INSTANCE
         for line in lines:
@@ -67,10 +67,10 @@
                     self.instances.pop(instance, None)
                 case _:
                     self._handle(now, instance, line, lines, reply)
-        raise wire.WireError("input ended inside a batch")
+        raise wire.WireError("input ended inside a batch: expected GO after the last event")
 
     def _handle(self, now: float, instance: int, line: str, lines: Iterator[str], reply: Reply) -> None:
-        """Hand an event to its instance; `lines` gives what follows in the batch."""
+        """Pass an event to its instance; the entries of a list update are read from `lines`."""
         if instance not in self.instances:
             raise wire.WireError(
                 f"event for instance {instance}, which was never started: {line[: wire.MAX_QUOTED_CHARS]!r}"
@@ -81,7 +81,7 @@
             actions = balancer.handle(now, event)
         except CallError:
             raise
-        except Exception as err:  # the wire wants a broken decision module named, not a dead process
+        except Exception as err:  # The protocol wants a policy fault reported, not a dead process.
             reply.add_exception(instance, err)
         else:
             reply.add_actions(instance, actions)
@@ -90,13 +90,18 @@
     def _parse_instance(line: str) -> int:
         number = line[len(CONTEXT_PREFIX) :]
         if not number.isdecimal():
-            raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}")
+            raise wire.WireError(
+                f"malformed line: expected 'CONTEXT NUMBER', got {line[: wire.MAX_QUOTED_CHARS]!r}"
+            )
         return int(number)
 
     def _start(self, instance: int, line: str) -> None:
         parts = line.split(" ", START_PARTS - 1)
         if instance < 0 or len(parts) != START_PARTS or not parts[1].isdecimal():
-            raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}")
+            raise wire.WireError(
+                "malformed line: expected 'START SEED SETTINGS' after a CONTEXT line, "
+                f"got {line[: wire.MAX_QUOTED_CHARS]!r}"
+            )
         _, seed, text = parts
         settings = parse_settings_text(text)
         self.instances[instance] = (Balancer(settings, int(seed)), settings)
@@ -111,7 +116,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends between two of them; raises WireError or CallError."""
+    """Handle batches until the input ends after a complete one; raises WireError or CallError."""
     host = Host()
     lines = (line.rstrip("\n") for line in source)
     for line in lines:
@@ -121,21 +126,23 @@
         try:
             now = wire.parse_time(clock)
         except ValueError:
-            raise wire.WireError(f"malformed line: {line[: wire.MAX_QUOTED_CHARS]!r}") from None
+            raise wire.WireError(
+                f"malformed line: expected 'SYNC TIME_MS', got {line[: wire.MAX_QUOTED_CHARS]!r}"
+            ) from None
         sink.write("\n".join(host.handle_batch(now, lines)))
         sink.write("\n")
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input; faults of the input end the program with one plain line on standard error."""
+    """Serve standard input; invalid input ends the program with one line on standard error."""
     try:
         serve(sys.stdin, sys.stdout)
         return 0
     except BalancerError as err:
         reason = err
     except UnicodeDecodeError as err:
-        reason = wire.WireError(f"a line is not UTF-8: {err}")
+        reason = wire.WireError(f"a line of the input is not valid UTF-8: {err}")
     print(f"balancer: {reason.sentence}", file=sys.stderr)
     return 2
 
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: lines of text to events, and actions to lines of text.
+"""The codec of the simulator's wire protocol: parses lines of text to events and formats actions as lines.
 
-The words of the wire are mapped to the names of `balancer.interface` here and nowhere else.
+Only this module maps the words of the protocol to the names of `balancer.interface`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from balancer import interface as api
 from balancer.errors import BalancerError
 
-MAX_QUOTED_CHARS = 120  # of a line, in an error
+MAX_QUOTED_CHARS = 120
 ABSENT = "-"
 TRUE = "1"
 NO_TENANT = "0"
@@ -53,14 +53,14 @@
 
 
 class WireError(BalancerError):
-    """A line that the wire does not allow."""
+    """The input violates the wire protocol."""
 
     code = "WIR01"
-    remedy = "play a simulator whose wire page is the one this module was written for"
+    remedy = "run a simulator that implements the same version of the wire protocol"
 
 
 def parse_time(text: str) -> float:
-    """Return a finite number; raises ValueError."""
+    """Parse a finite number; raises ValueError."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(text)
@@ -68,9 +68,9 @@
 
 
 def parse_report(text: str, names: tuple[str, ...]) -> api.LoadReport | None:
-    """Return a load report with fields of these names; raises ValueError.
+    """Parse a load report whose values are in the order of `names`; raises ValueError.
 
-    Values of a name that is not on the wire page are skipped.
+    Values of a name that the wire protocol does not define are ignored.
     """
     if text == ABSENT:
         return None
@@ -82,7 +82,7 @@
 
 
 def parse_entry(line: str) -> api.Endpoint:
-    """Return the endpoint of one line of a list; raises WireError."""
+    """Parse one line of an endpoint list; raises WireError."""
     try:
         word, cell, kind, name, scale, phase, started_at, zone = line.split(" ")
         weight = 1.0 if scale == ABSENT else parse_time(scale)
@@ -98,11 +98,17 @@
             kind=kind,
         )
     except (ValueError, KeyError):
-        raise WireError(f"malformed list entry: {line[:MAX_QUOTED_CHARS]!r}") from None
+        raise WireError(
+            f"malformed list entry: expected 'ENTRY CELL KIND NAME WEIGHT PHASE STARTED ZONE', "
+            f"got {line[:MAX_QUOTED_CHARS]!r}"
+        ) from None
 
 
 def parse_list_update(line: str) -> tuple[api.ListUpdate, int]:
-    """Return a list update without entries, and how many lines of entries follow; raises WireError."""
+    """Parse the first line of a list update; raises WireError.
+
+    Returns the update without its entries, and the number of entry lines that follow.
+    """
     try:
         _, kind, revision, count = line.split(" ")
         number = 0 if revision == ABSENT else int(revision)
@@ -111,22 +117,32 @@
             raise ValueError(count)
         return api.ListUpdate(UPDATE_KINDS[kind], [], number), entry_count
     except (ValueError, KeyError):
-        raise WireError(f"malformed list update: {line[:MAX_QUOTED_CHARS]!r}") from None
+        raise WireError(
+            f"malformed list update: expected 'DIRECTORY_UPDATE KIND REVISION COUNT', "
+            f"got {line[:MAX_QUOTED_CHARS]!r}"
+        ) from None
 
 
 def parse_event(line: str, report_names: tuple[str, ...]) -> api.Event:
-    """Return the event of any other line; raises WireError. `report_names` are the load report's fields."""
+    """Parse the line of any event but a list update; raises WireError.
+
+    `report_names` gives the order of the values in load reports.
+    """
     parts = line.split(" ")
     if (parse := _EVENTS.get(parts[0])) is None:
-        raise WireError(f"unknown message: {line[:MAX_QUOTED_CHARS]!r}")
+        raise WireError(
+            f"unknown message: the first word is no event of the protocol: {line[:MAX_QUOTED_CHARS]!r}"
+        )
     try:
         return parse(parts, report_names)
     except (ValueError, KeyError, IndexError):
-        raise WireError(f"malformed line: {line[:MAX_QUOTED_CHARS]!r}") from None
+        raise WireError(
+            f"malformed line: a field of the event is missing or invalid: {line[:MAX_QUOTED_CHARS]!r}"
+        ) from None
 
 
 def format_action(action: api.Action) -> str:
-    """Return the line of an action."""
+    """Format an action as a line of the wire protocol."""
     return _ACTIONS[type(action)](action)
 
 
