--- a/balancer/lab/backend_stubs.py
+++ b/balancer/lab/backend_stubs.py
@@ -14,7 +14,7 @@
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan
 from balancer.lab.impaired_sockets import ImpairedConnection, ImpairedListener, RunClock
-from balancer.models.backend import EXECUTED, Backend, Cell, Job, OverloadCollapse, Verdict
+from balancer.models.backend import EXECUTED, Backend, Job, OverloadCollapse, SeenKeys, Verdict
 from balancer.models.connect_delay import connect_delays
 from balancer.models.network import NetworkConditions
 
@@ -99,7 +99,7 @@
 
     def offer(self, job: Job, connection: BackendConnection) -> None:
         """Offer a complete attempt to the model."""
-        collapsed = self.core.collapsed
+        collapsed = self.core.collapse
         verdict = self.core.offer(self.group.clock.now(), job)
         if verdict is not None:
             job.verdict = verdict
@@ -112,8 +112,8 @@
         else:
             self.owners[job] = connection
             self.arm()
-        if self.core.collapsed is not None and collapsed is None:
-            self.group.collapsed(self, self.core.collapsed)
+        if self.core.collapse is not None and collapsed is None:
+            self.group.collapsed(self, self.core.collapse)
             self.close()
 
     def arm(self) -> None:
@@ -258,7 +258,7 @@
             self.host.offer(job, self)
 
     def _probe(self) -> None:
-        handled, waiting = self.host.core.report
+        handled, waiting = self.host.core.request_counts
         report = f"Server-Load: TEXT inflight={handled}, queue={waiting}"
         self.send(answer("200 OK", b"", report))
 
@@ -318,7 +318,7 @@
         self.seed = seed
         self.classes = {c.name: c for c in spec.load.classes}
         self.serial = 0
-        cells: dict[int, Cell] = {}
+        cells: dict[int, SeenKeys] = {}
         self.hosts: dict[str, BackendStub] = {}
         for number in numbers:
             speed = float(stream(seed, "speed", number).uniform(*spec.backends.speed))
@@ -341,21 +341,21 @@
     def collapsed(self, host: BackendStub, collapse: OverloadCollapse) -> None:
         """Record a collapse."""
         self.seen.collapses.append(
-            records.CollapseRecord(host.number, collapse.at, collapse.started, collapse.work_by_node)
+            records.CollapseRecord(host.number, collapse.at, collapse.started_at, collapse.work_by_node)
         )
 
     def capacity(self) -> float:
         """Return the work a millisecond that all with power could do now, collapsed ones included."""
         now = self.clock.now()
         return sum(
-            h.core.capacity(now) for h in self.hosts.values() if h.alive or h.core.collapsed is not None
+            h.core.capacity(now) for h in self.hosts.values() if h.alive or h.core.collapse is not None
         )
 
     def live(self) -> dict[str, Any]:
         """Return live figures by backend for the screen."""
         return {
             name: {
-                "served": h.served, "errors": h.errors, "held": sum(h.core.report), "alive": h.alive,
+                "served": h.served, "errors": h.errors, "held": sum(h.core.request_counts), "alive": h.alive,
                 "warmth": round(h.core.warmth(self.clock.now()), 2),
             }
             for name, h in self.hosts.items()
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -236,19 +236,19 @@
     def _send_attempt(self, operation: Operation, row: int, scheduled_at: float, first: str) -> None:
         now = self.clock.now()
         self.seen.lateness.append(max(0.0, now - scheduled_at))
-        step = operation.begin(max(now, scheduled_at))
+        step = operation.begin_attempt(max(now, scheduled_at))
         ident = next_ident(first, step.number)
         cls = operation.cls
         record = records.ClientAttemptRecord(
-            ident, first, self.zone, int(self.arrivals.kind[row]), step.number, -1, operation.intended,
+            ident, first, self.zone, int(self.arrivals.kind[row]), step.number, -1, operation.intended_at,
             scheduled_at, 0.0, step.deadline, 0.0, "", key=f"k{first}" if cls.effect == "dedup" else "",
         )  # fmt: skip
         self.seen.client_attempts.append(record)
         data = _request(record, cls, float(self.arrivals.work[row]), step.deadline - max(now, scheduled_at))
         in_flight = InFlightAttempt(operation, row, step, record, data)
         self._at(in_flight, step.deadline, Outcome.TIMED_OUT)
-        if step.leaves is not None:
-            self._at(in_flight, step.leaves, Outcome.ABANDONED)
+        if step.disconnects_at is not None:
+            self._at(in_flight, step.disconnects_at, Outcome.ABANDONED)
         self._place(in_flight)
 
     def _at(self, in_flight: InFlightAttempt, retry_at: float, end: Outcome) -> None:
@@ -332,8 +332,10 @@
             asyncio.get_running_loop().call_later(OVERDUE_MS / 1000, self._hang_up, in_flight)
         self.counts[end.value] += 1
         if end is Outcome.SERVED:
-            self.recent.append(now - in_flight.operation.intended)
-        retry_at = in_flight.operation.ended(now, record.sent or record.scheduled_at, end, record.retry_after)
+            self.recent.append(now - in_flight.operation.intended_at)
+        retry_at = in_flight.operation.next_attempt_at(
+            now, record.sent or record.scheduled_at, end, record.retry_after
+        )
         if retry_at is None:
             record.last = True
             self.open -= 1
--- a/balancer/lab/discovery_stub.py
+++ b/balancer/lab/discovery_stub.py
@@ -16,7 +16,7 @@
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan, format_address
 from balancer.lab.impaired_sockets import ImpairedConnection, ImpairedListener, RunClock
-from balancer.models.directory import Directory, Listed, Phase, Watch
+from balancer.models.directory import Directory, ListedEndpoint, Phase, Watch
 from balancer.models.network import NetworkConditions
 
 FORMER_ADDRESS_CLOSE_S = 1.5  # after a move, until the former address closes its connections
@@ -31,7 +31,7 @@
         """Prepare the list and the listeners of all nodes."""
         self.spec, self.places, self.network, self.clock, self.seen = spec, places, network, clock, seen
         self.core = Directory({
-            name: Listed(name, spec.zone_of(name), spec.cell_of(number),
+            name: ListedEndpoint(name, spec.zone_of(name), spec.cell_of(number),
                          up_since=time.time() * 1000 if spec.backends.start_cold else 0.0)
             for number, name in enumerate(spec.backend_names)
         })  # fmt: skip
@@ -78,12 +78,12 @@
         """Silence the open watches of these nodes."""
         for connection in self.connections:
             if connection.watch is not None and connection.peer in names:
-                connection.watch.silent = True
+                connection.watch.is_silent = True
                 self.counts["silent"] += 1
 
     def plan(self, lag_s: float, name: str, phase: Phase, up_since: float | None = None) -> None:
         """Plan that a change of a backend becomes known `lag_s` from now."""
-        self.core.plan(self.clock.now() + lag_s * 1000, name, phase, up_since)
+        self.core.schedule_change(self.clock.now() + lag_s * 1000, name, phase, up_since)
         asyncio.get_running_loop().call_later(lag_s + 0.001, self._publish)
 
     def _publish(self) -> None:
@@ -127,12 +127,12 @@
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
         else:
             connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            connection.watch = Watch(since, brief=self.spec.discovery.watch_ends_on_change)
+            connection.watch = Watch(since, ends_on_change=self.spec.discovery.watch_ends_on_change)
             connection.send_pending()
             connection.send_heartbeat()
         self._next()
 
-    def line(self, node: int, entries: list[Listed], complete: bool) -> bytes:
+    def line(self, node: int, entries: list[ListedEndpoint], complete: bool) -> bytes:
         """Return entries as one line for a node, and record them as delivered."""
         now = self.clock.now()
         rows = []
@@ -193,7 +193,7 @@
 
     def send_pending(self) -> None:
         """Send the pending entries of the watch; or end a watch that ends at a change."""
-        if self.open and self.watch is not None and self.watch.ends(self.service.core):
+        if self.open and self.watch is not None and self.watch.should_end(self.service.core):
             self.watch = None
             self.send(b"0\r\n\r\n")
             self.finish()
@@ -205,7 +205,7 @@
 
     def send_heartbeat(self) -> None:
         """Send an empty line as a heartbeat, and plan the next."""
-        if self.open and self.watch is not None and not self.watch.silent:
+        if self.open and self.watch is not None and not self.watch.is_silent:
             self.send(b"1\r\n\n\r\n")
             self.heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self.send_heartbeat)
 
--- a/balancer/lab/scale/membership_tiers.py
+++ b/balancer/lab/scale/membership_tiers.py
@@ -33,7 +33,7 @@
     encode,
 )
 from balancer.membership.view import View
-from balancer.sim.members import GENERATION_UNIT_MS, Network, World
+from balancer.sim.members import GENERATION_UNIT_MS, MembershipSimulation, Network
 
 ROLE = "membership"
 LOSS_RATE = 0.01
@@ -65,7 +65,7 @@
         self.by_second[int(now / 1000)] += size
 
 
-class MeteredTier(World):
+class MeteredTier(MembershipSimulation):
     """A tier that counts received traffic and the processor time of its cores."""
 
     def __init__(self, count: int, seed: int, network: Network) -> None:
@@ -294,7 +294,7 @@
     def __init__(self, count: int, seed: int) -> None:
         """Start the core at time 0."""
         self.count, self.now, self.sequence = count, 0.0, 0
-        self.core = Membership(World(0, 0).config, 0, count, 1, seed, self.now)
+        self.core = Membership(MembershipSimulation(0, 0).config, 0, count, 1, seed, self.now)
         self.record: list[Message] = []  # what it sent
         self.core_ns = 0
 
--- a/balancer/lab/scale/power_recovery.py
+++ b/balancer/lab/scale/power_recovery.py
@@ -25,7 +25,7 @@
 from balancer.recovery.poll_schedule import PollSchedule
 from balancer.recovery.receiver import EXPECTED_SURVEY_REPLIES
 from balancer.sim.members import GENERATION_UNIT_MS, Network
-from balancer.sim.recovery_disks import Condition
+from balancer.sim.recovery_disks import DiskCondition
 from balancer.sim.recovery_environment import Discovery
 from balancer.sim.recovery_schedule import BACKENDS
 from balancer.sim.recovery_world import DAY_MS, Tier
@@ -63,7 +63,10 @@
         for name in BACKENDS:
             self.restart_backend(name)
         for node in range(count):
-            self.at(self.now + self.dice.uniform(0, SPREAD_MS), partial(self.boot, node, Condition.SOUND))
+            self.at(
+                self.now + self.tier_random.uniform(0, SPREAD_MS),
+                partial(self.boot, node, DiskCondition.SOUND),
+            )
         self.full: dict[int, float] = {}  # ms from power to a node's FULL
         self.listed_at: dict[int, float] = {}  # and until discovery told it the list
 
@@ -132,7 +135,7 @@
     def __init__(self, count: int, seed: int) -> None:
         """Start the node again at time 0."""
         super().__init__(0.0)
-        self.count, self.dice = count, random.Random(f"restart {seed}")
+        self.count, self.tier_random = count, random.Random(f"restart {seed}")
         self.core = Recovery(RecoveryConfig(), 0, count, 2, seed, self.now)
         self.full = self.listed_at = math.inf
         self._give(events.DiskRead(True, False, 1, OUTAGE_MS, (), 1, REQUESTS_PER_S))
@@ -148,7 +151,7 @@
         for action in self.core.handle(self.now, event):
             match action:
                 case actions.SendDatagram() if decode(action.data, self.now).kind is MessageKind.SURVEY:
-                    for peer in self.dice.sample(
+                    for peer in self.tier_random.sample(
                         range(1, self.count), min(EXPECTED_SURVEY_REPLIES, self.count - 1)
                     ):
                         self.at(self.now + ANSWER_MS, partial(self._answer, peer))
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -228,7 +228,7 @@
         case Stall() if on:
             host.core.stall(now)
         case Stall():
-            host.conclude(host.core.wake(now))
+            host.conclude(host.core.resume(now))
             host.arm()
         case GrayFailure():
             active_faults.gray, active_faults.gray_ms = (fault.share if on else 0.0), fault.answer_ms
--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -41,9 +41,9 @@
     node: int
     work: float  # ms, with what its new connection costs
     arrived: float
-    give_up: float  # when its caller stops waiting
+    gives_up_at: float  # when its caller stops waiting
     key: str = ""  # of a keyed request; empty otherwise
-    span: float = 0.0  # ms that the cell remembers the key
+    key_memory_ms: float = 0.0  # ms that the cell remembers the key
     started: bool = False
     verdict: Verdict = Verdict.SERVED
 
@@ -53,12 +53,12 @@
     """The collapse of a cold backend that was sent too much work: when, and from which nodes."""
 
     at: float
-    started: float
+    started_at: float
     budget: float
     work_by_node: dict[int, float]
 
 
-Cell = dict[str, float]
+SeenKeys = dict[str, float]
 """The keys that the backends of a cell have seen, and when the first attempt of each came."""
 
 
@@ -79,11 +79,11 @@
     spec: Backends
     rules: Rules
     speed: float
-    cell: Cell
+    seen_keys: SeenKeys
     random: np.random.Generator
-    started: float = -1e12  # ms; long ago: warm
+    started_at: float = -1e12  # ms; long ago: warm
     active_faults: ActiveFaults = field(default_factory=ActiveFaults)
-    collapsed: OverloadCollapse | None = None
+    collapse: OverloadCollapse | None = None
     stalled_at: float | None = None
 
     def __post_init__(self) -> None:
@@ -101,18 +101,18 @@
 
     def restart(self, now: float) -> None:
         """Restart cold; all requests in progress are lost."""
-        self.started, self.done_work, self.pressure = now, 0.0, 0.0
+        self.started_at, self.done_work, self.pressure = now, 0.0, 0.0
         self.running.clear()
         for job in self.waiting:  # the cell never ran these: their repeats must not be dropped
-            self.cell.pop(job.key, None)
+            self.seen_keys.pop(job.key, None)
         self.waiting.clear()
         self.recent_work.clear()
-        self.collapsed = self.stalled_at = None
+        self.collapse = self.stalled_at = None
         self.active_faults = ActiveFaults()
 
     def warmth(self, now: float) -> float:
         """Return the share of its capacity that it has now, which rises to 1 by time or by work done."""
-        by_time = (now - self.started) / (self.spec.warm_up_s * 1000)
+        by_time = (now - self.started_at) / (self.spec.warm_up_s * 1000)
         if by_time >= 1:
             return 1.0
         by_work = self.done_work / (self.spec.warm_up_s * 1000 * self.spec.cores)
@@ -125,7 +125,7 @@
         return self.spec.cores * self.speed * self.warmth(now)
 
     @property
-    def report(self) -> tuple[int, int]:
+    def request_counts(self) -> tuple[int, int]:
         """The numbers of requests in service and in the queue."""
         return len(self.running), len(self.waiting)
 
@@ -142,18 +142,18 @@
     def offer(self, now: float, job: Job) -> Verdict | None:
         """Accept a complete attempt; return how it ends at once, or None while it is in progress."""
         self._press(now, job)
-        if self.collapsed is not None:
+        if self.collapse is not None:
             return Verdict.REJECTED
         if self.active_faults.gray and self._next_uniform() < self.active_faults.gray:
             return Verdict.ERROR
         if job.key:
-            first = self.cell.get(job.key)
-            if first is not None and now - first <= job.span:
+            first = self.seen_keys.get(job.key)
+            if first is not None and now - first <= job.key_memory_ms:
                 return Verdict.REPEATED
         if len(self.waiting) >= self.queue_capacity and len(self.running) >= self.slots:
             return Verdict.REJECTED
         if job.key:
-            self.cell[job.key] = now
+            self.seen_keys[job.key] = now
         if len(self.running) < self.slots and self.stalled_at is None:
             self._begin(now, job)
         else:
@@ -173,10 +173,10 @@
     def _refill(self, now: float, out: list[Job]) -> None:
         while self.waiting and len(self.running) < self.slots:
             job = self.waiting.popleft()
-            if self.spec.drops_expired and now >= job.give_up:
+            if self.spec.drops_expired and now >= job.gives_up_at:
                 job.verdict = Verdict.EXPIRED
                 if job.key:
-                    self.cell.pop(job.key, None)
+                    self.seen_keys.pop(job.key, None)
                 out.append(job)
             else:
                 self._begin(now, job)
@@ -201,7 +201,7 @@
         """Stand still."""
         self.stalled_at = now
 
-    def wake(self, now: float) -> list[Job]:
+    def resume(self, now: float) -> list[Job]:
         """Continue after a stall; requests in service continue from where they stood.
 
         Of two stalls that overlap the earlier end counts, and none is left of one that a restart has ended.
@@ -217,7 +217,7 @@
 
     def _press(self, now: float, job: Job) -> None:
         """Count the work that reaches it while cold; it collapses over the budget of a window."""
-        if self.collapsed is not None or now - self.started >= self.spec.warm_up_s * 1000:
+        if self.collapse is not None or now - self.started_at >= self.spec.warm_up_s * 1000:
             self.recent_work.clear()
             self.pressure = 0.0
             return
@@ -231,4 +231,4 @@
             shares: dict[int, float] = {}
             for _, node, work in self.recent_work:
                 shares[node] = shares.get(node, 0.0) + work
-            self.collapsed = OverloadCollapse(now, self.started, budget, shares)
+            self.collapse = OverloadCollapse(now, self.started_at, budget, shares)
--- a/balancer/models/client.py
+++ b/balancer/models/client.py
@@ -28,43 +28,43 @@
 
     number: int
     deadline: float  # ms on the run's clock
-    leaves: float | None  # when an impatient client closes
+    disconnects_at: float | None  # when an impatient client closes
 
 
 class Operation:
-    """One operation over all its attempts: `begin` plans each, `ended` says when the next one is sent."""
+    """A client operation: `begin_attempt` plans an attempt, `next_attempt_at` the time of a retry."""
 
-    __slots__ = ("backoff", "clients", "cls", "first_risk", "give_up", "honours", "impatient", "intended",
-                 "leave_share", "number")  # fmt: skip
+    __slots__ = ("backoff_ms", "clients", "cls", "first_possible_execution", "gives_up_at",
+                 "honors_retry_after", "intended_at", "is_impatient", "number", "patience")  # fmt: skip
 
     def __init__(
-        self, cls: RequestClass, clients: Clients, intended: float, client_draws: tuple[float, ...]
+        self, cls: RequestClass, clients: Clients, intended_at: float, client_draws: tuple[float, ...]
     ) -> None:
         """Plan an operation; `client_draws` are four uniform numbers, see `models.load.Arrivals`."""
-        self.cls, self.clients, self.intended = cls, clients, intended
-        self.give_up = intended + cls.deadline_ms
-        self.impatient, self.leave_share = client_draws[0] < clients.impatient_share, client_draws[1]
-        self.honours, self.backoff = (
+        self.cls, self.clients, self.intended_at = cls, clients, intended_at
+        self.gives_up_at = intended_at + cls.deadline_ms
+        self.is_impatient, self.patience = client_draws[0] < clients.impatient_share, client_draws[1]
+        self.honors_retry_after, self.backoff_ms = (
             client_draws[2] < clients.retry_after_share,
             clients.backoff_ms * (0.5 + client_draws[3]),
         )
         self.number = -1
-        self.first_risk: float | None = None  # when a try first may have run
+        self.first_possible_execution: float | None = None  # when a try first may have run
 
-    def begin(self, now: float) -> PlannedAttempt:
+    def begin_attempt(self, now: float) -> PlannedAttempt:
         """Plan the next attempt, which is sent now."""
         self.number += 1
         last = self.number >= self.clients.retries
-        deadline = self.give_up
+        deadline = self.gives_up_at
         if not last:
             deadline = min(deadline, now + self.clients.attempt_time_share * self.cls.deadline_ms)
-        leaves = None
-        if self.impatient:
-            share = MIN_PATIENCE_SHARE + (1 - MIN_PATIENCE_SHARE) * self.leave_share
-            leaves = now + share * (deadline - now)
-        return PlannedAttempt(self.number, deadline, leaves)
+        disconnects_at = None
+        if self.is_impatient:
+            share = MIN_PATIENCE_SHARE + (1 - MIN_PATIENCE_SHARE) * self.patience
+            disconnects_at = now + share * (deadline - now)
+        return PlannedAttempt(self.number, deadline, disconnects_at)
 
-    def ended(self, now: float, sent: float, end: Outcome, retry_after: float) -> float | None:
+    def next_attempt_at(self, now: float, sent: float, end: Outcome, retry_after: float) -> float | None:
         """Return when the next attempt is sent, in ms; None if there is none. `retry_after` is in ms."""
         if end in (Outcome.SERVED, Outcome.ABANDONED) or self.number >= self.clients.retries:
             return None
@@ -75,10 +75,12 @@
             if self.cls.effect == "dedup":
                 if self.cls.group != "all":
                     return None
-                self.first_risk = sent if self.first_risk is None else self.first_risk
-                if now - self.first_risk > self.cls.memory_span_ms:
+                self.first_possible_execution = (
+                    sent if self.first_possible_execution is None else self.first_possible_execution
+                )
+                if now - self.first_possible_execution > self.cls.memory_span_ms:
                     return None
-        wait = self.backoff
-        if end is Outcome.REJECTED and self.honours:
+        wait = self.backoff_ms
+        if end is Outcome.REJECTED and self.honors_retry_after:
             wait = max(wait, retry_after)
-        return now + wait if now + wait < self.give_up else None
+        return now + wait if now + wait < self.gives_up_at else None
--- a/balancer/models/directory.py
+++ b/balancer/models/directory.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListedEndpoint:
     """One entry; `up_since` is Unix time in ms, 0 for long ago."""
 
     name: str
@@ -33,48 +33,56 @@
     """The state of a watch: the revision up to which it was sent the list. Its first event always comes."""
 
     sent_revision: int
-    first: bool = True
-    silent: bool = False
-    brief: bool = False  # it ends at a change instead of sending an event
+    is_first_event: bool = True
+    is_silent: bool = False
+    ends_on_change: bool = False  # it ends at a change instead of sending an event
 
-    def ends(self, directory: Directory) -> bool:
+    def should_end(self, directory: Directory) -> bool:
         """Return whether it is to end now."""
-        return self.brief and not (self.first or self.silent) and self.sent_revision != directory.revision
+        return (
+            self.ends_on_change
+            and not (self.is_first_event or self.is_silent)
+            and self.sent_revision != directory.revision
+        )
 
-    def pending(self, directory: Directory) -> tuple[list[Listed], bool] | None:
+    def pending(self, directory: Directory) -> tuple[list[ListedEndpoint], bool] | None:
         """Return the entries to send and whether they are a snapshot; None where there is nothing to send."""
-        if self.silent or (self.sent_revision == directory.revision and not self.first):
+        if self.is_silent or (self.sent_revision == directory.revision and not self.is_first_event):
             return None
         changed = directory.since(self.sent_revision)
-        self.sent_revision, self.first = directory.revision, False
+        self.sent_revision, self.is_first_event = directory.revision, False
         return (list(directory.entries.values()), True) if changed is None else (changed, False)
 
 
 @dataclass
 class Directory:
-    """The list with its history: `plan` adds a change that becomes known later, `advance` applies it."""
+    """Endpoint list with its history; `schedule_change` adds a future change, `advance` applies it."""
 
-    entries: dict[str, Listed]
+    entries: dict[str, ListedEndpoint]
     revision: int = 1
-    changes: list[tuple[int, Listed]] = field(default_factory=list)
-    planned: list[tuple[float, int, Listed]] = field(default_factory=list)
-    count: int = 0
+    changes: list[tuple[int, ListedEndpoint]] = field(default_factory=list)
+    scheduled: list[tuple[float, int, ListedEndpoint]] = field(default_factory=list)
+    change_count: int = 0
 
-    def plan(self, known_at: float, name: str, phase: Phase, up_since: float | None = None) -> None:
+    def schedule_change(
+        self, known_at: float, name: str, phase: Phase, up_since: float | None = None
+    ) -> None:
         """Plan that discovery learns at `known_at` (ms) of a backend's phase."""
-        self.count += 1
-        entry = self.entries[name] if name in self.entries else self._last(name)
+        self.change_count += 1
+        entry = self.entries[name] if name in self.entries else self._last_entry(name)
         since = entry.up_since if up_since is None else up_since
-        heapq.heappush(self.planned, (known_at, self.count, replace(entry, phase=phase, up_since=since)))
+        heapq.heappush(
+            self.scheduled, (known_at, self.change_count, replace(entry, phase=phase, up_since=since))
+        )
 
-    def _last(self, name: str) -> Listed:
+    def _last_entry(self, name: str) -> ListedEndpoint:
         return next(entry for _, entry in reversed(self.changes) if entry.name == name)
 
-    def advance(self, now: float) -> list[Listed]:
+    def advance(self, now: float) -> list[ListedEndpoint]:
         """Apply the changes that become known by `now`, and return them."""
-        out: list[Listed] = []
-        while self.planned and self.planned[0][0] <= now:
-            entry = heapq.heappop(self.planned)[2]
+        out: list[ListedEndpoint] = []
+        while self.scheduled and self.scheduled[0][0] <= now:
+            entry = heapq.heappop(self.scheduled)[2]
             if self.entries.get(entry.name) == entry or (
                 entry.phase is Phase.REMOVED and entry.name not in self.entries
             ):
@@ -89,7 +97,7 @@
         del self.changes[:-MAX_HISTORY]
         return out
 
-    def since(self, revision: int) -> list[Listed] | None:
+    def since(self, revision: int) -> list[ListedEndpoint] | None:
         """Return the latest state of what changed after a revision; None where a snapshot is needed."""
         if revision > self.revision or revision < self.revision - len(self.changes):
             return None
--- a/balancer/sim/member_schedule.py
+++ b/balancer/sim/member_schedule.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from balancer.sim.members import Network, World
+from balancer.sim.members import MembershipSimulation, Network
 
 NODE_COUNTS = (3, 6, 12, 40)
 LOSS_RATES = (0.0, 0.1, 0.3)
@@ -44,7 +44,9 @@
         self.seed = seed
         self.random = random.Random(f"members {seed}")
         self.count = self.random.choice(NODE_COUNTS)
-        self.world = World(self.count, seed, network=Network(loss_rate=self.random.choice(LOSS_RATES)))
+        self.world = MembershipSimulation(
+            self.count, seed, network=Network(loss_rate=self.random.choice(LOSS_RATES))
+        )
 
     def run(self) -> None:
         """Play the faults, end them, and wait until all agree."""
--- a/balancer/sim/members.py
+++ b/balancer/sim/members.py
@@ -70,7 +70,7 @@
     change: MemberChanged
 
 
-class World(EventScheduler):
+class MembershipSimulation(EventScheduler):
     """A tier of `count` nodes and its network; all times are virtual, in ms."""
 
     def __init__(
--- a/balancer/sim/recovery_actions.py
+++ b/balancer/sim/recovery_actions.py
@@ -103,7 +103,7 @@
         """Write records in the order of their calls, by a thread that may be slow."""
         tier = self._tier
         begins = max(self._written_until[node], tier.now)
-        self._written_until[node] = begins + tier.dice.uniform(*self._write_ms)
+        self._written_until[node] = begins + tier.tier_random.uniform(*self._write_ms)
         written = partial(self._written, node, number, action.entries, action.token)
         tier.at(self._written_until[node], written)
 
@@ -114,7 +114,7 @@
         if process is None or tier.hosts[node].process_number != number:
             return
         process.writing[token] -= 1
-        if token is not None and tier.dice.random() < self.sync_failure_rate:
+        if token is not None and tier.tier_random.random() < self.sync_failure_rate:
             tier.handle_event(node, events.WriteCompleted(token, False))
             process.pending.pop(token, None)
             return
--- a/balancer/sim/recovery_budget.py
+++ b/balancer/sim/recovery_budget.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Toppled:
+class OverloadedBackend:
     """A backend that was sent more than its budget."""
 
     name: str
     age_ms: float
 
 
-def toppled_backends(tier: Tier) -> Iterator[Toppled]:
+def overloaded_backends(tier: Tier) -> Iterator[OverloadedBackend]:
     """Send what nodes may for `OBSERVATION_MS`; yield the backends that topple."""
     cold = {name: backend for name, backend in tier.backends.items() if backend.is_cold(tier.now)}
     serving = [(node, p) for node, p in enumerate(tier.processes) if p is not None and p.serves]
@@ -31,7 +31,7 @@
         for name, backend in cold.items():
             work = _work(tier, node, process, name, len(serving))
             if work is not None and backend.offer(tier.now, work):
-                yield Toppled(name, tier.now - backend.start)
+                yield OverloadedBackend(name, tier.now - backend.start)
 
 
 def _work(tier: Tier, node: int, process: Process, name: str, serving_count: int) -> float | None:
--- a/balancer/sim/recovery_disks.py
+++ b/balancer/sim/recovery_disks.py
@@ -24,7 +24,7 @@
     return tuple(entry._replace(changed_at=entry.changed_at + by) for entry in entries)
 
 
-class Condition(Enum):
+class DiskCondition(Enum):
     """Condition of a disk at a node's start."""
 
     SOUND = "sound"  # all that was synced, and some of what was not
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
+class DiskContents:
     """What a start reads."""
 
     sound: bool
@@ -99,19 +99,19 @@
         self.records += self.unsynced[: generator.randint(0, len(self.unsynced))]
         self.unsynced = []
 
-    def read(self, condition: Condition, wall_time: float, generator: random.Random) -> Found:
+    def read(self, condition: DiskCondition, wall_time: float, generator: random.Random) -> DiskContents:
         """Return what the next start finds; the disk is in that condition from now on."""
         age_ms = wall_time - self.written_at
         self.sync()  # after a mere crash the page cache has all of it
         match condition:
-            case Condition.LOST | Condition.DAMAGED | Condition.SWAPPED:
+            case DiskCondition.LOST | DiskCondition.DAMAGED | DiskCondition.SWAPPED:
                 self._clear()
-                is_empty = condition is Condition.LOST
-                return Found(sound=is_empty, fresh=is_empty)
-            case Condition.OLDER:
+                is_empty = condition is DiskCondition.LOST
+                return DiskContents(sound=is_empty, fresh=is_empty)
+            case DiskCondition.OLDER:
                 self.records = self.records[: -generator.randint(1, MAX_LOST_RECORDS)]
                 self.epoch += 1
-            case Condition.MONTH:
+            case DiskCondition.MONTH:
                 self.records = self.records[: self.image.record_count]
                 self.revision = self.image.revision
                 self.saved_ids = self.image.saved_ids
@@ -119,7 +119,7 @@
                 age_ms += MONTH_MS
         is_fresh = not self.is_used
         self.is_used = True
-        return Found(
+        return DiskContents(
             sound=True,
             fresh=is_fresh,
             incarnation=self.incarnation,
--- a/balancer/sim/recovery_environment.py
+++ b/balancer/sim/recovery_environment.py
@@ -45,13 +45,13 @@
     sent: deque[SentWork] = field(default_factory=deque)
     pressure: float = 0.0
     max_used: float = 0.0  # of the budget of a window
-    has_toppled: bool = False
+    is_overloaded: bool = False
 
     def restart(self, now: float) -> None:
         """Start anew, cold; what it was sent before is over."""
         self.start = now
         self.pressure = 0.0
-        self.has_toppled = False
+        self.is_overloaded = False
         self.sent.clear()
 
     def is_cold(self, now: float) -> bool:
@@ -70,9 +70,9 @@
             self.pressure -= self.sent.popleft().work
         used = self.pressure / (FALL_MULTIPLE * warmth(now - self.start) * FALL_MS)
         self.max_used = max(self.max_used, used)
-        if used <= 1.0 + ROUNDING_MARGIN or self.has_toppled:
+        if used <= 1.0 + ROUNDING_MARGIN or self.is_overloaded:
             return False
-        self.has_toppled = True
+        self.is_overloaded = True
         return True
 
 
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -223,7 +223,7 @@
 class Fault:
     """A core with something wrong, and what finds it."""
 
-    make: MakeCore
+    make_core: MakeCore
     found_by: frozenset[str]
     counts: tuple[int, ...] = (3, 4, 5, 6)  # sizes of the tiers in which it is looked for
     draw_schedule: Callable[[int, Iterable[int]], Schedule] = draw
@@ -264,7 +264,7 @@
     ),
     "a phase is entered again": Fault(WarmsAgain, frozenset({"phase"})),
     "a lost majority begins anew": Fault(FullByMembers, frozenset({"phase"})),
-    "discovery is polled without slots": Fault(  # or by `mass_return`
+    "discovery is polled without slots": Fault(  # or by `measure_mass_restart`
         _planted(RecoveryComponents(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
     ),
     "a peer's filter restricts everything": Fault(
--- a/balancer/sim/recovery_figures.py
+++ b/balancer/sim/recovery_figures.py
@@ -1,6 +1,7 @@
 """Figures of a whole tier's recovery: requests to discovery, datagrams, and the time until all are full.
 
-python -c "from balancer.sim.recovery_figures import mass_return; print(mass_return(200, 1))"
+python -c "from balancer.sim import recovery_figures
+print(recovery_figures.measure_mass_restart(200, 1))"
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from functools import partial
 
 from balancer.recovery.core import Recovery
-from balancer.sim.members import World
-from balancer.sim.recovery_disks import Condition
+from balancer.sim.members import MembershipSimulation
+from balancer.sim.recovery_disks import DiskCondition
 from balancer.sim.recovery_environment import Discovery, Outage, retry_delays
 from balancer.sim.recovery_play import play
 from balancer.sim.recovery_process import MakeCore
@@ -27,8 +28,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Return:
-    """What a recovery cost; `breaches` has what must not be."""
+class MassRestartFigures:
+    """What a recovery cost; `violations` has what must not be."""
 
     count: int
     seed: int
@@ -36,10 +37,10 @@
     worst: float  # and in the worst second after it
     calls: int  # of discovery in the worst second
     full_ms: float  # from power to the last FULL
-    breaches: tuple[str, ...]
+    violations: tuple[str, ...]
 
 
-def mass_return(
+def measure_mass_restart(
     count: int,
     seed: int,
     spread: float = 2_000.0,
@@ -47,28 +48,28 @@
     loss: float = 0.0,
     serve_ms: float = 4.0,
     slot: float = 25.0,
-    make: MakeCore = Recovery,
-) -> Return:
+    make_core: MakeCore = Recovery,
+) -> MassRestartFigures:
     """Cut the power of all nodes, which return over `spread` ms, discovery `down` ms after the cut."""
     schedule = replace(_schedule(count, seed, spread, down), loss=loss, serve_ms=serve_ms, slot=slot)
-    played = play(schedule, make)
+    played = play(schedule, make_core)
     second = int((played.begun + CUT_MS) / 1000)
     usual = [played.datagrams[s] / count for s in range(second - BASELINE_S, second)]
     fulls = [at for at, text in played.log if "phase full" in text]
-    return Return(
+    return MassRestartFigures(
         count,
         seed,
         usual=sum(usual) / len(usual),
         worst=max(n / count for s, n in played.datagrams.items() if s >= second),
         calls=max((n for s, n in played.calls.items() if s >= second), default=0),
         full_ms=fulls[-1] - played.begun - CUT_MS if fulls else float("inf"),
-        breaches=tuple(f"{b.invariant}: {b.text}" for b in played.breaches),
+        violations=tuple(f"{b.invariant}: {b.text}" for b in played.violations),
     )
 
 
 def _schedule(count: int, seed: int, spread: float, down: float) -> Schedule:
     generator = random.Random(f"return {seed}")
-    sound = Condition.SOUND.value
+    sound = DiskCondition.SOUND.value
     power_at = CUT_MS + DARK_MS
     steps = [Step(generator.uniform(0, BOOT_SPREAD_MS), StepKind.BOOT, node, sound) for node in range(count)]
     steps += [
@@ -85,7 +86,7 @@
     return Schedule(seed, count, tuple(sorted(steps, key=lambda step: step.at)), outages=outages)
 
 
-def calls_without(
+def peak_calls_without_slots(
     count: int, seed: int, spread: float = 2_000.0, down: float = 0.0, serve_ms: float = 4.0
 ) -> int:
     """Return the requests to discovery in the worst second where nodes poll without slots.
@@ -95,7 +96,7 @@
     """
     schedule = _schedule(count, seed, spread, down)
     generator = random.Random(f"calls {seed}")
-    world = World(0, seed)
+    world = MembershipSimulation(0, seed)
     discovery = Discovery(world.at, lambda: world.now, serve_ms)
     begun = world.now
     discovery.outages = tuple(Outage(begun + o.begin, begun + o.until) for o in schedule.outages)
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -33,7 +33,7 @@
 from balancer.recovery.actions import PhaseEntered
 from balancer.recovery.ban_register import BanEntry, EntryKey
 from balancer.recovery.phases import Phase, RecoveryPath
-from balancer.sim.recovery_budget import toppled_backends
+from balancer.sim.recovery_budget import overloaded_backends
 from balancer.sim.recovery_process import OperatorRequest, Process
 from balancer.sim.recovery_world import Tier
 
@@ -41,12 +41,12 @@
 SETTLED_MS = 8_000.0
 SPREAD_MS = 1_000.0  # within which an acknowledged ban has reached all that hear each other without loss
 SURVEY_MARGIN_MS = 1.0
-MAX_BREACHES = 20
-MAX_LISTED_NODES = 8  # in a breach's text
+MAX_VIOLATIONS = 20
+MAX_LISTED_NODES = 8  # in a violation's text
 
 
 @dataclass(slots=True, frozen=True)
-class Breach:
+class InvariantViolation:
     """Something that must not be."""
 
     at: float
@@ -97,7 +97,7 @@
         self.tier = tier
         self.learn_ms = learn_ms
         self.is_lossy = bool(tier.network.loss_rate or tier.network.late_rate or tier.network.corrupt_rate)
-        self.breaches: list[Breach] = []
+        self.violations: list[InvariantViolation] = []
         self.answered_count = 0
         self._bans: list[AcknowledgedBan] = []
         self._floors: list[dict[EntryKey, BanEntry]] = [{} for _ in range(tier.count)]
@@ -114,7 +114,7 @@
         epoch = self.tier.disks[node].epoch
         for ban in self._lasting():
             if ban.node == node and ban.epoch == epoch and not self._knows(node, ban):
-                self._breach("ban", f"n{node} forgot its own ban of {ban.backend} on a sound disk")
+                self._report_violation("ban", f"n{node} forgot its own ban of {ban.backend} on a sound disk")
 
     def phase_entered(self, node: int, entered: PhaseEntered) -> None:
         """Check that no phase is an earlier one, and none serves without what a peer at hand could tell."""
@@ -122,7 +122,7 @@
         path = process.phases[-1].path if process.phases else entered.path
         is_refined = entered.phase is process.phase and (entered.path is not path or process.inherits)
         if entered.phase <= process.phase and not is_refined:
-            self._breach("phase", f"n{node} enters {entered.phase.name} from {process.phase.name}")
+            self._report_violation("phase", f"n{node} enters {entered.phase.name} from {process.phase.name}")
         process.inherits = False
         if entered.phase is Phase.LISTED and process.phase < Phase.LISTED:
             self._check_start(node, process, entered.path)
@@ -147,7 +147,7 @@
         own = process.core.register.get(request.backend, request.node)
         if own is None:
             text = f"n{request.node} acknowledged a ban of {request.backend} that it has no entry of"
-            self._breach("ban", text)
+            self._report_violation("ban", text)
             return
         epoch = self.tier.disks[request.node].epoch
         ban = AcknowledgedBan(request.backend, request.node, own.counter, epoch, self.tier.now)
@@ -161,7 +161,9 @@
         saved = self._process(node).saved_ids
         if not ids <= saved or 2 * len(ids) > len(saved):
             strange = len(ids - saved)
-            self._breach("list", f"n{node} restricts {len(ids)} ids, {strange} not of its {len(saved)}")
+            self._report_violation(
+                "list", f"n{node} restricts {len(ids)} ids, {strange} not of its {len(saved)}"
+            )
 
     def time_passed(self) -> None:
         """Check what holds at any time."""
@@ -170,9 +172,9 @@
                 self._compare_register(node)
         for ban in self._lasting():
             self._check_ban(ban)
-        for toppled in toppled_backends(self.tier):
-            text = f"{toppled.name} topples {toppled.age_ms:.0f} ms after its start"
-            self._breach("budget", text)
+        for overloaded in overloaded_backends(self.tier):
+            text = f"{overloaded.name} topples {overloaded.age_ms:.0f} ms after its start"
+            self._report_violation("budget", text)
 
     def is_settled(self) -> bool:
         """Return whether all that live are full and agree."""
@@ -185,16 +187,16 @@
         processes = {node: p for node, p in enumerate(self.tier.processes) if p is not None}
         late = [f"n{node} {p.phase.name}" for node, p in processes.items() if p.phase is not Phase.FULL]
         if late:
-            self._breach("full", f"not full in time: {', '.join(late[:MAX_LISTED_NODES])}")
+            self._report_violation("full", f"not full in time: {', '.join(late[:MAX_LISTED_NODES])}")
         calls = max(self.tier.discovery.requests_per_second.values(), default=0)
         if calls > 2_000.0 / self.tier.recovery_config.poll_slot_ms:
-            self._breach("turns", f"{calls} requests to discovery in one second")
+            self._report_violation("turns", f"{calls} requests to discovery in one second")
         views = {
             frozenset((entry.key, entry.version) for entry in process.core.register.entries())
             for process in processes.values()
         }
         if len(views) > 1:
-            self._breach("agree", f"{len(views)} different registers at the end")
+            self._report_violation("agree", f"{len(views)} different registers at the end")
 
     # --- bans
 
@@ -227,12 +229,14 @@
         known = {entry.key: entry for entry in register.entries()}
         for key, before in self._floors[node].items():
             if key not in known or not is_at_least(known[key], before):
-                self._breach("known", f"n{node} knew {before}, now {known.get(key)}")
+                self._report_violation("known", f"n{node} knew {before}, now {known.get(key)}")
         self._floors[node] = known
         active = {entry.backend for entry in known.values() if entry.active}
         if process.serves and active != process.banned:
             avoided = sorted(process.banned)
-            self._breach("applied", f"n{node} keeps out {avoided}, its register has {sorted(active)}")
+            self._report_violation(
+                "applied", f"n{node} keeps out {avoided}, its register has {sorted(active)}"
+            )
 
     def _check_ban(self, ban: AcknowledgedBan) -> None:
         tier = self.tier
@@ -253,7 +257,7 @@
         """Check whether a node that sends to a banned backend could have known of the ban."""
         tier = self.tier
         if node == ban.node and ban.epoch == tier.disks[node].epoch:
-            self._breach("ban", f"n{node} sends to {ban.backend} whose ban it has acknowledged")
+            self._report_violation("ban", f"n{node} sends to {ban.backend} whose ban it has acknowledged")
         for peer in knowing:
             touch = tier.in_touch_since(node, peer.node)
             if touch is None:
@@ -265,7 +269,7 @@
             elapsed = tier.now - max(touch, since)
             if elapsed > (DIRECT_SPREAD_MS if is_direct else self.learn_ms):
                 text = f"n{node} sends to {ban.backend}; n{peer.node} knows the ban and is in touch"
-                self._breach("ban", f"{text} for {elapsed:.0f} ms")
+                self._report_violation("ban", f"{text} for {elapsed:.0f} ms")
                 break
 
     def _check_start(self, node: int, process: Process, path: RecoveryPath) -> None:
@@ -283,7 +287,7 @@
             peer = self._peer_that_knew(node, process, ban)
             if peer is not None:
                 text = f"n{node} begins to serve after {asked_ms:.0f} ms of asking without the ban of"
-                self._breach("ban", f"{text} {ban.backend} that n{peer} knew")
+                self._report_violation("ban", f"{text} {ban.backend} that n{peer} knew")
                 return
 
     def _peer_that_knew(self, node: int, process: Process, ban: AcknowledgedBan) -> int | None:
@@ -298,7 +302,7 @@
                 return knower.node
         return None
 
-    def _breach(self, invariant: str, text: str) -> None:
-        self.tier.note(f"BREACH {invariant}: {text}")
-        if len(self.breaches) < MAX_BREACHES:
-            self.breaches.append(Breach(self.tier.now, invariant, text))
+    def _report_violation(self, invariant: str, text: str) -> None:
+        self.tier.note(f"VIOLATION {invariant}: {text}")
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(InvariantViolation(self.tier.now, invariant, text))
--- a/balancer/sim/recovery_play.py
+++ b/balancer/sim/recovery_play.py
@@ -17,9 +17,9 @@
 from balancer.recovery.config import RecoveryConfig
 from balancer.recovery.core import Recovery
 from balancer.sim.members import Network
-from balancer.sim.recovery_disks import Condition
+from balancer.sim.recovery_disks import DiskCondition
 from balancer.sim.recovery_environment import Outage
-from balancer.sim.recovery_observer import Breach, Observer
+from balancer.sim.recovery_observer import InvariantViolation, Observer
 from balancer.sim.recovery_process import MakeCore, Partition
 from balancer.sim.recovery_schedule import BACKENDS, NODE_COUNTS, Schedule, Step, StepKind, draw
 from balancer.sim.recovery_world import Tier
@@ -41,18 +41,18 @@
 
 
 @dataclass
-class Played:
+class PlayResult:
     """What came of a schedule."""
 
     schedule: Schedule
-    breaches: list[Breach]
+    violations: list[InvariantViolation]
     log: list[tuple[float, str]]
     begun: float
     full_ms: float  # from the last fault until all were full and agreed; infinity if they were not
     datagrams: Counter[int]  # of all nodes and protocols, by second
     calls: Counter[int]  # of discovery, by second
-    yes: int  # requests of operators that succeeded
-    budget_worst: float  # part of its budget that a cold backend was sent at the most
+    acknowledged_count: int  # requests of operators that succeeded
+    max_budget_use: float  # part of its budget that a cold backend was sent at the most
 
     def __str__(self) -> str:
         """Return the log."""
@@ -62,7 +62,7 @@
 
 
 ACTIONS: dict[StepKind, Callable[[Tier, Step], None]] = {
-    StepKind.BOOT: lambda tier, step: tier.boot(step.node, Condition(step.arg)),
+    StepKind.BOOT: lambda tier, step: tier.boot(step.node, DiskCondition(step.arg)),
     StepKind.CUT: lambda tier, step: tier.cut(list(range(tier.count))),
     StepKind.KILL: lambda tier, step: tier.kill(step.node),
     StepKind.SHUT_DOWN: lambda tier, step: tier.shut_down(step.node),
@@ -90,40 +90,42 @@
     return Bounds(learn, config.max_survey_ms + rounds + config.max_warming_ms + 2 * learn + 3_000.0)
 
 
-def play(schedule: Schedule, make: MakeCore = Recovery) -> Played:
+def play(schedule: Schedule, make_core: MakeCore = Recovery) -> PlayResult:
     """Let a schedule happen; stop soon after the last fault where all is well."""
     config = RecoveryConfig(established_after_ms=schedule.window, poll_slot_ms=schedule.slot)
     limits = bounds(schedule, config)
-    tier = _tier(schedule, config, make)
+    tier = _tier(schedule, config, make_core)
     observer = Observer(tier, limits.learn)
     for step in schedule.steps:
         tier.at(BEGIN_MS + step.at, partial(ACTIONS[step.kind], tier, step))
     last = BEGIN_MS + schedule.last_fault
     tier.run(last)
-    while tier.now < last + limits.full and not observer.breaches:
+    while tier.now < last + limits.full and not observer.violations:
         if tier.now > last + QUIET_MS and observer.is_settled():
             break  # nothing is left that could change
         tier.run(tier.now + SETTLE_MS)
     full_ms = tier.now - last if observer.is_settled() else float("inf")
-    if not observer.breaches:
+    if not observer.violations:
         observer.judge_end()
-    return Played(
+    return PlayResult(
         schedule,
-        observer.breaches,
+        observer.violations,
         tier.log,
         BEGIN_MS,
         full_ms,
         datagrams=tier.sent_by_second,
         calls=tier.discovery.requests_per_second,
-        yes=observer.answered_count,
-        budget_worst=max(backend.max_used for backend in tier.backends.values()),
+        acknowledged_count=observer.answered_count,
+        max_budget_use=max(backend.max_used for backend in tier.backends.values()),
     )
 
 
-def _tier(schedule: Schedule, config: RecoveryConfig, make: MakeCore) -> Tier:
+def _tier(schedule: Schedule, config: RecoveryConfig, make_core: MakeCore) -> Tier:
     network = Network(loss_rate=schedule.loss, duplicate_rate=schedule.duplicate, late_rate=schedule.late)
     partitions = tuple(Partition(BEGIN_MS + p.begin, BEGIN_MS + p.until, p.side) for p in schedule.partitions)
-    tier = Tier(schedule.count, schedule.seed, network, config, make, BACKENDS, partitions, schedule.write_ms)
+    tier = Tier(
+        schedule.count, schedule.seed, network, config, make_core, BACKENDS, partitions, schedule.write_ms
+    )
     tier.discovery.serve_ms = schedule.serve_ms
     tier.discovery.outages = tuple(Outage(BEGIN_MS + o.begin, BEGIN_MS + o.until) for o in schedule.outages)
     tier.runner.sync_failure_rate = schedule.sync_failure_rate
@@ -132,58 +134,58 @@
 
 
 @dataclass
-class Explored:
+class ExplorationResult:
     """What many schedules came to."""
 
     schedules: int = 0
-    yes: int = 0  # requests of operators that succeeded
-    failures: list[Played] = field(default_factory=list)
-    worst_budget: float = 0.0
+    acknowledged_count: int = 0  # requests of operators that succeeded
+    failures: list[PlayResult] = field(default_factory=list)
+    max_budget_use: float = 0.0
     full_ms: list[float] = field(default_factory=list)
 
-    def first(self) -> Breach | None:
-        """Return the first thing that must not be."""
-        return self.failures[0].breaches[0] if self.failures else None
+    def first_violation(self) -> InvariantViolation | None:
+        """Return the first violation of the exploration; None if there is none."""
+        return self.failures[0].violations[0] if self.failures else None
 
 
 def explore(
     seeds: Iterable[int],
     counts: Iterable[int] = NODE_COUNTS,
-    make: MakeCore = Recovery,
+    make_core: MakeCore = Recovery,
     stop: int = MAX_FAILURES,
     draw_schedule: Callable[[int, Iterable[int]], Schedule] = draw,
-) -> Explored:
+) -> ExplorationResult:
     """Play a schedule of each seed until `stop` have failed."""
-    explored = Explored()
+    explored = ExplorationResult()
     sizes = tuple(counts)
     for seed in seeds:
-        played = play(draw_schedule(seed, sizes), make)
+        played = play(draw_schedule(seed, sizes), make_core)
         explored.schedules += 1
-        explored.yes += played.yes
-        explored.worst_budget = max(explored.worst_budget, played.budget_worst)
+        explored.acknowledged_count += played.acknowledged_count
+        explored.max_budget_use = max(explored.max_budget_use, played.max_budget_use)
         explored.full_ms.append(played.full_ms)
-        if played.breaches:
+        if played.violations:
             explored.failures.append(played)
             if len(explored.failures) >= stop:
                 break
     return explored
 
 
-def shrink(failed: Played, make: MakeCore = Recovery) -> Played:
-    """Return the same breach with fewer faults: they are taken away, many at once and then few."""
+def shrink(failed: PlayResult, make_core: MakeCore = Recovery) -> PlayResult:
+    """Return the same violation with fewer faults: they are taken away, many at once and then few."""
     best = failed
-    invariant = failed.breaches[0].invariant
+    invariant = failed.violations[0].invariant
     plain = Schedule(best.schedule.seed, best.schedule.count, ())
     for name in SHRUNK_FIELDS:
         if getattr(best.schedule, name) != getattr(plain, name):
             smaller = dataclasses.replace(best.schedule, **{name: getattr(plain, name)})
-            best = _played_if_broken(smaller, make, invariant) or best
+            best = _played_if_broken(smaller, make_core, invariant) or best
     size = len(best.schedule.steps) // 2
     while size:
         begin = 0
         while begin < len(steps := best.schedule.steps):
             smaller = dataclasses.replace(best.schedule, steps=steps[:begin] + steps[begin + size :])
-            if (played := _played_if_broken(smaller, make, invariant)) is None:
+            if (played := _played_if_broken(smaller, make_core, invariant)) is None:
                 begin += size
             else:
                 best = played
@@ -191,6 +193,6 @@
     return best
 
 
-def _played_if_broken(schedule: Schedule, make: MakeCore, invariant: str) -> Played | None:
-    played = play(schedule, make)
-    return played if any(breach.invariant == invariant for breach in played.breaches) else None
+def _played_if_broken(schedule: Schedule, make_core: MakeCore, invariant: str) -> PlayResult | None:
+    played = play(schedule, make_core)
+    return played if any(violation.invariant == invariant for violation in played.violations) else None
--- a/balancer/sim/recovery_schedule.py
+++ b/balancer/sim/recovery_schedule.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from balancer.sim.recovery_disks import Condition
+from balancer.sim.recovery_disks import DiskCondition
 from balancer.sim.recovery_environment import Outage
 from balancer.sim.recovery_process import Partition
 
@@ -95,7 +95,7 @@
     """Draw a schedule: most lose power as a whole, in the others single nodes have faults."""
     generator = random.Random(f"schedule {seed}")
     count = generator.choice(tuple(counts))
-    sound = Condition.SOUND.value
+    sound = DiskCondition.SOUND.value
     plain = Schedule(
         seed,
         count,
@@ -196,7 +196,7 @@
         conditions = _draw_conditions(generator, self.count)
         if generator.random() < NODE_LOSES_DISK_ALONE:
             self.alone = generator.randrange(self.count)
-            conditions[self.alone] = Condition.LOST
+            conditions[self.alone] = DiskCondition.LOST
         for index, cut in enumerate(self.cuts):
             self.steps.append(Step(cut, StepKind.CUT))
             self.steps += [
@@ -209,7 +209,7 @@
                 if node == absent or any(cut < other <= back for other in self.cuts):
                     continue
                 is_hurt = index == 0 or node == self.alone or generator.random() < DISK_HURT_AT_SECOND_CUT
-                condition = conditions[node] if is_hurt else Condition.SOUND
+                condition = conditions[node] if is_hurt else DiskCondition.SOUND
                 self.steps.append(Step(back, StepKind.BOOT, node, condition.value))
 
     def _draw_processes(self) -> None:
@@ -224,7 +224,7 @@
             at = generator.uniform(last + 1_000, end + 3_000)
             self.steps.append(Step(at, StepKind.SHUT_DOWN, node))
             back = at + generator.uniform(900, 4_000)
-            self.steps.append(Step(back, StepKind.BOOT, node, Condition.SOUND.value))
+            self.steps.append(Step(back, StepKind.BOOT, node, DiskCondition.SOUND.value))
         if generator.random() < SUCCESSOR_DURING_RETURN:
             at = generator.uniform(last + 1_000, end + 4_000)
             self.steps.append(Step(at, StepKind.SUCCEED, generator.randrange(self.count)))
@@ -255,27 +255,27 @@
         yield Step(self.cuts[-1] + generator.uniform(2_000, 9_000), StepKind.BAN, node, name)
 
 
-def _draw_conditions(generator: random.Random, count: int) -> list[Condition]:
+def _draw_conditions(generator: random.Random, count: int) -> list[DiskCondition]:
     """Return what the cut leaves of each node's disk."""
-    conditions = [Condition.SOUND] * count
+    conditions = [DiskCondition.SOUND] * count
     hurt = generator.sample(range(count), count)
     match generator.choice(("sound", "third", "month", "swapped", "most", "older", "mixed")):
         case "third":
             for node in hurt[: max(1, count // 3)]:
-                conditions[node] = Condition.LOST
+                conditions[node] = DiskCondition.LOST
         case "month":
-            conditions[hurt[0]] = Condition.MONTH
+            conditions[hurt[0]] = DiskCondition.MONTH
         case "swapped":
             for node in hurt[:2]:
-                conditions[node] = Condition.SWAPPED
+                conditions[node] = DiskCondition.SWAPPED
         case "most":
             for node in hurt[: count // 2 + 1]:
-                conditions[node] = Condition.DAMAGED
+                conditions[node] = DiskCondition.DAMAGED
         case "older":
             for node in hurt[: max(1, count // 2)]:
-                conditions[node] = Condition.OLDER
+                conditions[node] = DiskCondition.OLDER
         case "mixed":
-            conditions = [generator.choice(tuple(Condition)) for _ in range(count)]
+            conditions = [generator.choice(tuple(DiskCondition)) for _ in range(count)]
     return conditions
 
 
@@ -303,7 +303,7 @@
             continue
         steps.append(Step(at, kind, node))
         if kind is not StepKind.SUCCEED:
-            condition = generator.choice((Condition.SOUND, Condition.SOUND, *Condition))
+            condition = generator.choice((DiskCondition.SOUND, DiskCondition.SOUND, *DiskCondition))
             back = at + generator.uniform(900, 4_000)
             steps.append(Step(back, StepKind.BOOT, node, condition.value))
     return dataclasses.replace(plain, steps=(*plain.steps, *steps), window=SHORT_WINDOW_MS)
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -16,9 +16,9 @@
 from balancer.recovery.core import Recovery
 from balancer.recovery.messages import FIRST_MESSAGE_KIND
 from balancer.recovery.phases import Phase
-from balancer.sim.members import GENERATION_UNIT_MS, Network, World
+from balancer.sim.members import GENERATION_UNIT_MS, MembershipSimulation, Network
 from balancer.sim.recovery_actions import ActionRunner
-from balancer.sim.recovery_disks import Condition, Disk, Found
+from balancer.sim.recovery_disks import Disk, DiskCondition, DiskContents
 from balancer.sim.recovery_environment import Backend, Discovery
 from balancer.sim.recovery_process import MakeCore, OperatorRequest, Partition, Process, TierObserver
 
@@ -34,7 +34,7 @@
 WATCH_DELAY_MS = (5, 200)  # until a change of the list comes
 
 
-class Tier(World):
+class Tier(MembershipSimulation):
     """Nodes with disks; `boot`, `kill`, `cut`, `request` and the like are called by a schedule."""
 
     def __init__(
@@ -54,7 +54,7 @@
         self.make_core = make_core
         self.partitions = partitions
         self.network.is_cut = self._is_cut
-        self.dice = random.Random(f"tier {seed}")
+        self.tier_random = random.Random(f"tier {seed}")
         self.disks = [Disk() for _ in range(count)]
         self.processes: list[Process | None] = [None] * count
         self.backends = {name: Backend(self.now - DAY_MS) for name in backends}
@@ -64,14 +64,14 @@
         self.observer: TierObserver | None = None
         self.log: list[tuple[float, str]] = []
         self.runner = ActionRunner(self, write_ms)
-        self._demands = [MAX_DEMAND * self.dice.random() ** DEMAND_SKEW for _ in range(count)]
+        self._demands = [MAX_DEMAND * self.tier_random.random() ** DEMAND_SKEW for _ in range(count)]
         self._last_token = 0
         self._blacked_out: set[int] = set()  # nodes whose last process ended as all lost power
         self.at(self.now, self._observe)
 
     # --- for the schedule
 
-    def boot(self, node: int, condition: Condition) -> None:
+    def boot(self, node: int, condition: DiskCondition) -> None:
         """Start a node's process; its disk is read a little later."""
         if self.processes[node] is not None:
             return
@@ -82,7 +82,7 @@
             core, self.now, power_cut=node in self._blacked_out, saved_ids=frozenset(found.saved_ids)
         )
         self.start(node, incarnation)
-        read_at = self.now + self.dice.uniform(*DISK_READ_MS)
+        read_at = self.now + self.tier_random.uniform(*DISK_READ_MS)
         self.at(read_at, partial(self._disk_read, node, self.hosts[node].process_number, found))
 
     def succeed(self, node: int) -> None:
@@ -94,7 +94,7 @@
         left = events.StateInherited(core.phase, core.path, core.cold_since, tuple(core.register.entries()))
         self.note(f"n{node} has a successor")
         self.kill(node)
-        found = self._turn_on(node, Condition.SOUND)
+        found = self._turn_on(node, DiskCondition.SOUND)
         incarnation = self.disks[node].incarnation
         self.processes[node] = Process(
             self._new_core(node, incarnation),
@@ -126,7 +126,7 @@
         for node in nodes:
             if self.hosts[node].core is not None:
                 self.kill(node)
-            self.disks[node].cut_power(self.dice)
+            self.disks[node].cut_power(self.tier_random)
         self._blacked_out = set(range(self.count)) if len(nodes) == self.count else set()
         self.note(f"power is cut: {len(nodes)} of {self.count} nodes")
 
@@ -145,7 +145,7 @@
         self.note(f"{name} restarts")
         for node, process in enumerate(self.processes):
             if process is not None and process.listed_starts:  # a node that has a list has a watch
-                when = self.discovery.up_again() + self.dice.uniform(*WATCH_DELAY_MS)
+                when = self.discovery.up_again() + self.tier_random.uniform(*WATCH_DELAY_MS)
                 self.at(when, partial(self.runner.list_answered, node, self.hosts[node].process_number))
 
     def request(self, node: int, backend: str, banned: bool) -> None:
@@ -212,13 +212,13 @@
     def _is_cut(self, source: int, target: int) -> bool:
         return any(p.begin <= self.now < p.until and p.separates(source, target) for p in self.partitions)
 
-    def _turn_on(self, node: int, condition: Condition) -> Found:
+    def _turn_on(self, node: int, condition: DiskCondition) -> DiskContents:
         """Return what a new process finds on its disk; its incarnation is written, its clocks are new."""
         disk = self.disks[node]
-        self.wall_offsets[node] = self.dice.uniform(-self.max_wall_offset, self.max_wall_offset)
-        self.hosts[node].clock_offset = self.dice.uniform(-MAX_CLOCK_SHIFT_MS, MAX_CLOCK_SHIFT_MS)
+        self.wall_offsets[node] = self.tier_random.uniform(-self.max_wall_offset, self.max_wall_offset)
+        self.hosts[node].clock_offset = self.tier_random.uniform(-MAX_CLOCK_SHIFT_MS, MAX_CLOCK_SHIFT_MS)
         wall_time = self.now + self.wall_offsets[node]
-        found = disk.read(condition, wall_time, self.dice)
+        found = disk.read(condition, wall_time, self.tier_random)
         incarnation = max(int(wall_time / GENERATION_UNIT_MS), found.incarnation + 1)
         disk.incarnation = incarnation
         disk.written_at = wall_time
@@ -226,7 +226,7 @@
         self.note(f"n{node} starts, disk {condition.value}, {entry_count} entries, incarnation {incarnation}")
         return found
 
-    def _disk_read(self, node: int, number: int, found: Found) -> None:
+    def _disk_read(self, node: int, number: int, found: DiskContents) -> None:
         if self.hosts[node].process_number != number or self.processes[node] is None:
             return
         self.handle_event(node, events.SavedListLoaded(found.saved_ids))
@@ -261,5 +261,5 @@
         """Tell nodes how much comes to them: to a few of them nearly all of it."""
         for node, process in enumerate(self.processes):
             if process is not None and Phase.LISTED <= process.phase < Phase.FULL:
-                demand = self._demands[node] * self.dice.uniform(*DEMAND_VARIATION)
+                demand = self._demands[node] * self.tier_random.uniform(*DEMAND_VARIATION)
                 self.handle_event(node, events.DemandMeasured(demand))
--- a/balancer/sim/request_path.py
+++ b/balancer/sim/request_path.py
@@ -144,7 +144,7 @@
 
     def send_attempt(self, operation: Operation, row: int, zone: str, work: float, first: str) -> None:
         """Send an operation's next attempt from a zone."""
-        step = operation.begin(self.now)
+        step = operation.begin_attempt(self.now)
         self.request_count += 1
         key = f"k{first}" if operation.cls.effect == "dedup" else ""
         send_retry = partial(self.send_attempt, operation, row, zone, work, first)
@@ -182,11 +182,11 @@
         operation = request.operation
         self.figures.ends[end.value] += 1
         if end is Outcome.SERVED:
-            took, cls = self.now - operation.intended, operation.cls
+            took, cls = self.now - operation.intended_at, operation.cls
             part = 1.0 if took <= cls.objective_ms else cls.late_value
-            self.figures.value_served[int(operation.intended // 100)] += cls.value * part
+            self.figures.value_served[int(operation.intended_at // 100)] += cls.value * part
             self.served += 1
-        when = operation.ended(self.now, request.sent, end, retry_after_ms)
+        when = operation.next_attempt_at(self.now, request.sent, end, retry_after_ms)
         if when is not None:
             self.at(when, request.send_retry)
 
@@ -281,9 +281,9 @@
         if not host.alive:
             self.at(self.now + back, partial(self._outcome, node, item, api.AttemptStatus.CONNECT_FAILED))
             return
-        was = host.core.collapsed
+        was = host.core.collapse
         verdict = host.core.offer(self.now, job)
-        if host.core.collapsed is not None and was is None:
+        if host.core.collapse is not None and was is None:
             self.figures.collapsed += 1
             self._collapse(host)
         if verdict is not None:
--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -33,7 +33,7 @@
     never: int = 0  # nodes that do not return
 
 
-class World(RequestSimulation):
+class PowerLossSimulation(RequestSimulation):
     """A tier through a power loss of all its nodes and backends; times are ms since the begin."""
 
     def __init__(self, spec: Experiment, seed: int, cut: PowerCut, with_recovery: bool) -> None:
@@ -59,7 +59,7 @@
                 self.figures.value_asked[tenth] += cls.value
                 self.figures.work[tenth] += work
                 ident = f"{int(arrivals.ident[row]):016x}"
-                self.at(operation.intended, partial(self.send_attempt, operation, row, zone, work, ident))
+                self.at(operation.intended_at, partial(self.send_attempt, operation, row, zone, work, ident))
         self.at(self.cut.at * 1000, self._lose_power)
         for tenth in range(int(self.spec.seconds * 10)):
             self.at(tenth * 100.0, partial(self._measure, tenth))
@@ -126,7 +126,7 @@
         """Send a node the snapshot of discovery."""
         if self.nodes[node.number] is not node:
             return
-        entries = [self._entry(i, h.core.started) for i, h in enumerate(self.hosts.values()) if h.alive]
+        entries = [self._entry(i, h.core.started_at) for i, h in enumerate(self.hosts.values()) if h.alive]
         self.handle_event(node, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, entries, 2))
         if self.with_recovery:
             self.handle_event(node, self._progress(node, api.RecoveryPhase.WARMING, 0.0))
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -129,15 +129,15 @@
     lossy = members.Network(loss_rate=0.1, duplicate_rate=0.05, late_rate=0.02, corrupt_rate=0.01)
     count = 120 if seed % 10 == 0 else 5 + 4 * (seed % 5)
     network = members.Network() if seed % 2 else lossy
-    world = members.World(count, seed, MembershipConfig(), network)
+    world = members.MembershipSimulation(count, seed, MembershipConfig(), network)
     sent: list[str] = []
-    original = members.World._send
+    original = members.MembershipSimulation._send
 
-    def send(self: members.World, source: int, target: int, data: bytes) -> None:
+    def send(self: members.MembershipSimulation, source: int, target: int, data: bytes) -> None:
         sent.append(f"{self.now:.3f} {source} {target} {data.hex()}")
         original(self, source, target, data)
 
-    with mock.patch.object(members.World, "_send", send):
+    with mock.patch.object(members.MembershipSimulation, "_send", send):
         for node in range(world.count):
             world.at(world.now + 37.0 * node, partial(world.start, node))
         begin = world.now
@@ -157,17 +157,20 @@
 
 def recovery(seed: int) -> Iterator[str]:
     """Yield each datagram of a tier under a drawn schedule of power cuts, in order, and what came of it."""
-    original = members.World._send
+    original = members.MembershipSimulation._send
     sent: list[str] = []
 
-    def send(self: members.World, source: int, target: int, data: bytes) -> None:
+    def send(self: members.MembershipSimulation, source: int, target: int, data: bytes) -> None:
         sent.append(f"{self.now:.3f} {source} {target} {data.hex()}")
         original(self, source, target, data)
 
-    with mock.patch.object(members.World, "_send", send):
+    with mock.patch.object(members.MembershipSimulation, "_send", send):
         played = recovery_play.play(recovery_schedule.draw(seed))
     yield from sent
-    yield f"{played.full_ms:.3f} {played.yes} {played.budget_worst:.6f} {len(played.breaches)}"
+    yield (
+        f"{played.full_ms:.3f} {played.acknowledged_count} {played.max_budget_use:.6f} "
+        f"{len(played.violations)}"
+    )
     yield from (f"calls {second} {count}" for second, count in sorted(played.calls.items()))
 
 
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -25,7 +25,7 @@
 from balancer.models.backend import Backend, Job, Verdict
 from balancer.models.client import Operation, Outcome
 from balancer.models.connect_delay import CONNECT_DELAY_S, MIN_REST_S, connect_delays
-from balancer.models.directory import Directory, Listed, Phase, Watch
+from balancer.models.directory import Directory, ListedEndpoint, Phase, Watch
 from balancer.models.load import draw_arrivals
 from balancer.models.network import NetworkConditions
 
@@ -41,7 +41,7 @@
 
 
 def job(name: str, work: float = 10.0, **over: object) -> Job:
-    return Job(name, 0, work, 0.0, **({"give_up": 1e9} | over))  # type: ignore[arg-type]
+    return Job(name, 0, work, 0.0, **({"gives_up_at": 1e9} | over))  # type: ignore[arg-type]
 
 
 def ends(core: Backend, now: float) -> list[tuple[str, str]]:
@@ -52,7 +52,7 @@
     core = backend()
     assert [core.offer(0.0, job(n)) for n in "abc"] == [None] * 3
     assert core.offer(0.0, job("d")) is Verdict.REJECTED
-    assert core.report == (1, 2) and core.next_end == 10.0
+    assert core.request_counts == (1, 2) and core.next_end == 10.0
     assert ends(core, 29.0) == [("a", "served"), ("b", "served")]
     assert core.next_end == 30.0
 
@@ -60,17 +60,17 @@
 def test_a_queued_request_past_its_deadline_never_starts() -> None:
     core = backend()
     core.offer(0.0, job("a"))
-    core.offer(0.0, job("b", give_up=5.0, key="k", span=100.0))
+    core.offer(0.0, job("b", gives_up_at=5.0, key="k", key_memory_ms=100.0))
     assert ends(core, 50.0) == [("a", "served"), ("b", "expired")]
-    assert core.offer(60.0, job("c", key="k", span=100.0)) is None  # it did not run: no repeat
+    assert core.offer(60.0, job("c", key="k", key_memory_ms=100.0)) is None  # it did not run: no repeat
 
 
 def test_a_duplicate_of_a_keyed_request_is_answered_and_not_run_within_its_span() -> None:
     core = backend()
-    core.offer(0.0, job("a", key="k", span=50.0))
+    core.offer(0.0, job("a", key="k", key_memory_ms=50.0))
     core.advance(10.0)
-    assert core.offer(50.0, job("b", key="k", span=50.0)) is Verdict.REPEATED
-    assert core.offer(51.0, job("c", key="k", span=50.0)) is None
+    assert core.offer(50.0, job("b", key="k", key_memory_ms=50.0)) is Verdict.REPEATED
+    assert core.offer(51.0, job("c", key="k", key_memory_ms=50.0)) is None
 
 
 def test_a_cold_backend_is_slower_and_warms_by_time_or_by_work() -> None:
@@ -85,14 +85,14 @@
 def test_a_cold_backend_collapses_over_its_budget_and_names_the_nodes_whose_work_it_was() -> None:
     core = backend(started=0.0, spec=replace_spec(queue_per_core=1000), fall_multiple=2.0)
     sent = 0
-    while core.collapsed is None:
+    while core.collapse is None:
         core.offer(1.0, job(f"j{sent}"))
         sent += 1
     # Two times half a core for a second, and ten requests for chance.
-    assert sent == 111 and core.collapsed.work_by_node == {0: 1110.0}
+    assert sent == 111 and core.collapse.work_by_node == {0: 1110.0}
     assert core.offer(2.0, job("late")) is Verdict.REJECTED
     core.restart(5.0)
-    assert core.collapsed is None and core.offer(6.0, job("again")) is None
+    assert core.collapse is None and core.offer(6.0, job("again")) is None
 
 
 def test_a_stalled_backend_goes_on_where_it_stood() -> None:
@@ -100,7 +100,7 @@
     core.offer(0.0, job("a"))
     core.stall(4.0)
     assert core.offer(5.0, job("b")) is None and core.next_end is None and core.advance(100.0) == []
-    assert core.wake(104.0) == [] and core.next_end == 110.0
+    assert core.resume(104.0) == [] and core.next_end == 110.0
     assert ends(core, 130.0) == [("a", "served"), ("b", "served")]
 
 
@@ -132,18 +132,18 @@
 )  # fmt: skip
 def test_a_client_retries_only_as_the_class_allows(cls: object, end: Outcome, again: bool) -> None:
     operation = Operation(cls, Clients(), 0.0, (1.0,) * 4)  # type: ignore[arg-type]
-    operation.begin(0.0)
-    assert (operation.ended(100.0, 0.0, end, 0.0) is not None) == again
+    operation.begin_attempt(0.0)
+    assert (operation.next_attempt_at(100.0, 0.0, end, 0.0) is not None) == again
 
 
 def test_retries_end_and_a_client_that_follows_retry_after_waits_for_it() -> None:
     operation = Operation(
         BROWSE, Clients(retries=1, backoff_ms=10.0, retry_after_share=1.0), 0.0, (1.0, 0.0, 0.0, 0.5)
     )
-    assert operation.begin(0.0).deadline == 400.0
-    assert operation.ended(100.0, 0.0, Outcome.REJECTED, 300.0) == 400.0
-    assert operation.begin(400.0).deadline == 800.0
-    assert operation.ended(500.0, 400.0, Outcome.REJECTED, 10.0) is None
+    assert operation.begin_attempt(0.0).deadline == 400.0
+    assert operation.next_attempt_at(100.0, 0.0, Outcome.REJECTED, 300.0) == 400.0
+    assert operation.begin_attempt(400.0).deadline == 800.0
+    assert operation.next_attempt_at(500.0, 400.0, Outcome.REJECTED, 10.0) is None
 
 
 # --- discovery
@@ -154,11 +154,11 @@
     steps: list[tuple[int, Phase, int]],
 ) -> None:
     names = [f"s{i}" for i in range(4)]
-    core = Directory({n: Listed(n, "a", 0) for n in names})
-    views: list[dict[str, Listed]] = [dict(core.entries) for _ in range(4)]
-    sent_revision = [Watch(core.revision, first=False) for _ in range(4)]
+    core = Directory({n: ListedEndpoint(n, "a", 0) for n in names})
+    views: list[dict[str, ListedEndpoint]] = [dict(core.entries) for _ in range(4)]
+    sent_revision = [Watch(core.revision, is_first_event=False) for _ in range(4)]
     for now, (which, phase, watcher) in enumerate(steps):
-        core.plan(float(now), names[which], phase, float(now))
+        core.schedule_change(float(now), names[which], phase, float(now))
         core.advance(float(now))
         for entry in (sent_revision[watcher].pending(core) or ((), False))[0]:
             views[watcher].pop(entry.name, None)
@@ -168,31 +168,31 @@
 
 
 def test_an_unknown_revision_gets_a_snapshot() -> None:
-    core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
+    core = Directory({"s0": ListedEndpoint("s0", "a", 0)}, revision=7)
     assert core.since(8) is None and core.since(3) is None and core.since(7) == []
-    whole = ([Listed("s0", "a", 0)], True)
+    whole = ([ListedEndpoint("s0", "a", 0)], True)
     assert Watch(3).pending(core) == whole and Watch(7).pending(core) == ([], False)
 
 
 def test_a_silent_watch_gets_no_event_and_the_next_one_gets_what_was_missed() -> None:
-    core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
-    watch = Watch(7, first=False, silent=True)
-    core.plan(1.0, "s0", Phase.DRAINING)
+    core = Directory({"s0": ListedEndpoint("s0", "a", 0)}, revision=7)
+    watch = Watch(7, is_first_event=False, is_silent=True)
+    core.schedule_change(1.0, "s0", Phase.DRAINING)
     drained = core.advance(1.0)
     assert watch.pending(core) is None and watch.sent_revision == 7
     assert Watch(watch.sent_revision).pending(core) == (drained, False)
 
 
 def test_a_brief_watch_ends_at_the_first_change_after_its_first_event() -> None:
-    core = Directory({"s0": Listed("s0", "a", 0)}, revision=7)
-    watch = Watch(5, brief=True)
-    assert not watch.ends(core)
-    assert watch.pending(core) is not None and not watch.ends(core)
-    core.plan(1.0, "s0", Phase.DRAINING)
+    core = Directory({"s0": ListedEndpoint("s0", "a", 0)}, revision=7)
+    watch = Watch(5, ends_on_change=True)
+    assert not watch.should_end(core)
+    assert watch.pending(core) is not None and not watch.should_end(core)
+    core.schedule_change(1.0, "s0", Phase.DRAINING)
     core.advance(1.0)
-    assert watch.ends(core)
-    assert not Watch(7, first=False).ends(core)
-    assert not Watch(7, first=False, brief=True, silent=True).ends(core)
+    assert watch.should_end(core)
+    assert not Watch(7, is_first_event=False).should_end(core)
+    assert not Watch(7, is_first_event=False, ends_on_change=True, is_silent=True).should_end(core)
 
 
 @pytest.mark.parametrize("share", [0.05, 0.2, 0.45])
--- a/tests/test_membership_tier.py
+++ b/tests/test_membership_tier.py
@@ -10,22 +10,22 @@
 from balancer.membership.core import Membership
 from balancer.membership.messages import MemberState
 from balancer.sim.member_schedule import explore
-from balancer.sim.members import GENERATION_UNIT_MS, Network, World
+from balancer.sim.members import GENERATION_UNIT_MS, MembershipSimulation, Network
 
 SETTLE_MS = 15_000.0  # after which a small tier has converged
 SHUTDOWN_MS = 800  # from a node's Leave to its end
 
 
-def converged(count: int, seed: int = 1, network: Network | None = None) -> World:
+def converged(count: int, seed: int = 1, network: Network | None = None) -> MembershipSimulation:
     """Return a tier that has started and converged."""
-    tier = World(count, seed, network=network)
+    tier = MembershipSimulation(count, seed, network=network)
     for node in range(count):
         tier.start(node)
     assert tier.run_until_converged(SETTLE_MS) < SETTLE_MS
     return tier
 
 
-def running(tier: World) -> list[Membership]:
+def running(tier: MembershipSimulation) -> list[Membership]:
     """Return the protocols of all running nodes."""
     return [host.core for host in tier.hosts if host.core is not None]
 
@@ -40,7 +40,7 @@
     return False
 
 
-def stall_repeatedly(tier: World, node: int, times: int) -> float:
+def stall_repeatedly(tier: MembershipSimulation, node: int, times: int) -> float:
     """Schedule stalls of 2 s, one every 10 s; return the time of the first."""
     begin = tier.now
     for number in range(times):
@@ -195,7 +195,7 @@
 
 
 def test_plain_swim_detects_a_death_without_broadcasts() -> None:
-    tier = World(12, 1, Config.plain_swim())
+    tier = MembershipSimulation(12, 1, Config.plain_swim())
     for node in range(tier.count):
         tier.start(node)
     assert tier.run_until_converged(4 * SETTLE_MS) < 4 * SETTLE_MS
--- a/tests/test_recovery_sim.py
+++ b/tests/test_recovery_sim.py
@@ -8,10 +8,10 @@
 import pytest
 
 from balancer.recovery.ban_register import BanEntry
-from balancer.sim.recovery_disks import Condition, Disk
+from balancer.sim.recovery_disks import Disk, DiskCondition
 from balancer.sim.recovery_environment import Backend, Discovery, warmth
 from balancer.sim.recovery_faults import FAULTS
-from balancer.sim.recovery_figures import calls_without, mass_return
+from balancer.sim.recovery_figures import measure_mass_restart, peak_calls_without_slots
 from balancer.sim.recovery_play import explore, play, shrink
 from balancer.sim.recovery_schedule import draw, draw_crossings
 
@@ -21,21 +21,21 @@
 def test_recovery_of_small_tiers_keeps_the_invariants() -> None:
     exploration = explore(range(60), SMALL_TIER_SIZES, stop=1)
     assert not exploration.failures, str(shrink(exploration.failures[0]))
-    assert exploration.yes > 100
+    assert exploration.acknowledged_count > 100
 
 
 @pytest.mark.parametrize("seed", [1000])
 def test_crossing_seeds_that_broke_an_invariant_once(seed: int) -> None:
     """Limits the time until all nodes know a ban after a partition has healed."""
     played = play(draw_crossings(seed, (3, 4, 5, 7, 9)))
-    assert not played.breaches, str(shrink(played))
+    assert not played.violations, str(shrink(played))
 
 
 def test_requests_during_slow_writes_keep_the_invariants() -> None:
     """Guards against entry versions that decrease when the disks of several nodes are slow and fail."""
     exploration = explore(range(40), SMALL_TIER_SIZES, stop=1, draw_schedule=draw_crossings)
     assert not exploration.failures, str(shrink(exploration.failures[0]))
-    assert exploration.yes > 300
+    assert exploration.acknowledged_count > 300
 
 
 @pytest.mark.parametrize(
@@ -53,17 +53,17 @@
 )
 def test_injected_faults_are_found(name: str) -> None:
     fault = FAULTS[name]
-    breach = explore(range(40), fault.counts, fault.make, 1, fault.draw_schedule).first()
-    assert breach is not None and breach.invariant in fault.found_by
+    violation = explore(range(40), fault.counts, fault.make_core, 1, fault.draw_schedule).first_violation()
+    assert violation is not None and violation.invariant in fault.found_by
 
 
 def test_failure_shrinks_to_a_shorter_schedule() -> None:
-    make = FAULTS["lifted bans are dropped at a restart"].make
-    failed = explore(range(40), (3,), make, stop=1).failures[0]
-    shrunk = shrink(failed, make)
+    make_core = FAULTS["lifted bans are dropped at a restart"].make_core
+    failed = explore(range(40), (3,), make_core, stop=1).failures[0]
+    shrunk = shrink(failed, make_core)
     assert len(shrunk.schedule.steps) < len(failed.schedule.steps) / 2
-    assert shrunk.breaches[0].invariant == failed.breaches[0].invariant
-    assert f"seed {failed.schedule.seed}" in str(shrunk) and "BREACH" in str(shrunk)
+    assert shrunk.violations[0].invariant == failed.violations[0].invariant
+    assert f"seed {failed.schedule.seed}" in str(shrunk) and "VIOLATION" in str(shrunk)
 
 
 def test_same_seed_results_in_the_same_log() -> None:
@@ -71,14 +71,14 @@
 
 
 def test_poll_slots_limit_the_requests_to_discovery() -> None:
-    polled_in_slots = mass_return(16, 1, spread=300.0, slot=250.0)
-    assert not polled_in_slots.breaches and polled_in_slots.calls < 16 < calls_without(
+    polled_in_slots = measure_mass_restart(16, 1, spread=300.0, slot=250.0)
+    assert not polled_in_slots.violations and polled_in_slots.calls < 16 < peak_calls_without_slots(
         16, 1, spread=300.0, down=8_000.0
     )
-    polled_without_slots = mass_return(
-        16, 1, 300.0, slot=250.0, make=FAULTS["discovery is polled without slots"].make
+    polled_without_slots = measure_mass_restart(
+        16, 1, 300.0, slot=250.0, make_core=FAULTS["discovery is polled without slots"].make_core
     )
-    assert polled_without_slots.breaches[0].startswith("turns")
+    assert polled_without_slots.violations[0].startswith("turns")
 
 
 def test_discovery_answers_requests_in_turn() -> None:
@@ -108,15 +108,15 @@
 @pytest.mark.parametrize(
     ("condition", "found_entries", "sound"),
     [
-        (Condition.SOUND, 3, True),
-        (Condition.LOST, 0, True),
-        (Condition.DAMAGED, 0, False),
-        (Condition.SWAPPED, 0, False),
-        (Condition.MONTH, 1, True),
+        (DiskCondition.SOUND, 3, True),
+        (DiskCondition.LOST, 0, True),
+        (DiskCondition.DAMAGED, 0, False),
+        (DiskCondition.SWAPPED, 0, False),
+        (DiskCondition.MONTH, 1, True),
     ],
 )
 def test_start_reads_what_the_condition_of_the_disk_leaves(
-    condition: Condition, found_entries: int, sound: bool
+    condition: DiskCondition, found_entries: int, sound: bool
 ) -> None:
     entries = [BanEntry(f"b{i}", 0, 1, i, True, 0.0) for i in range(3)]
     disk = Disk(records=[(entries[0],)], is_used=True)
@@ -124,11 +124,11 @@
     disk.records += [(entries[1],), (entries[2],)]
     found = disk.read(condition, 1_000.0, random.Random(1))
     assert (len(found.entries), found.sound) == (found_entries, sound)
-    assert disk.epoch == (condition is not Condition.SOUND)
+    assert disk.epoch == (condition is not DiskCondition.SOUND)
 
 
 @pytest.mark.parametrize("seed", [703848, 800662, 900294])
 def test_seeds_of_former_breaches_keep_the_invariants(seed: int) -> None:
     """Guards against a ban lost to a slow clock, an overloaded cold backend, a decreasing entry version."""
     played = play(draw(seed, (3, 4, 5, 7, 9)))
-    assert not played.breaches, str(shrink(played))
+    assert not played.violations, str(shrink(played))
