--- a/balancer/models/__init__.py
+++ b/balancer/models/__init__.py
@@ -1,1 +1,1 @@
-"""Models of what surrounds the nodes: backends, clients, discovery and the network, without I/O."""
+"""Models of backends, clients, discovery and the network around the nodes, without I/O."""
--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -1,8 +1,8 @@
-"""A backend: cores, slots, a queue, a cold start that can collapse under overload, duplicates per cell.
+"""Model of a backend: cores, slots, a queue, overload while cold, and deduplication per cell.
 
-All times are milliseconds on the caller's clock. Work is time on a standard core that is warm and not
-crowded. The model follows the platform's pages (WIRE: the four rules, `ramp-time`, `fall`; DEPLOY: what a
-backend is).
+All times are milliseconds on the caller's clock. Work is processor time on a warm standard core without
+contention. The model follows the platform's documentation (WIRE: the four rules, `ramp-time`, `fall`; DEPLOY:
+what a backend is).
 """
 
 from __future__ import annotations
@@ -16,18 +16,22 @@
 
 from balancer.experiments.tables import Backends, Rules
 
-RANDOM_BATCH = 64  # numbers drawn at a time
+UNIFORM_BATCH_SIZE = 64
 
 
 class Verdict(Enum):
-    """The ends of an attempt at the backend."""
+    """How an attempt ended at the backend; only SERVED and RESET attempts have executed the request.
+
+    REPEATED: a duplicate idempotency key, answered like SERVED. EXPIRED: the deadline passed in the queue.
+    RESET: the connection broke after the request was executed.
+    """
 
     SERVED = "served"
-    REPEATED = "repeated"  # a keyed repeat: answered as served, run no second time
+    REPEATED = "repeated"
     ERROR = "error"
-    REJECTED = "turned_away"  # never started
-    EXPIRED = "expired"  # never started: its time was over
-    RESET = "reset"  # it has run, and the connection breaks
+    REJECTED = "turned_away"
+    EXPIRED = "expired"
+    RESET = "reset"
 
 
 EXECUTED = frozenset({Verdict.SERVED, Verdict.RESET})
@@ -35,22 +39,26 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One attempt as the backend sees it."""
+    """An attempt that a backend has received; an empty `key` means that the request has no idempotency key.
+
+    `work` includes the handshake of a new connection. The node stops waiting for the response at
+    `gives_up_at`; the cell remembers the key for `key_memory_ms`.
+    """
 
     ident: str
     node: int
-    work: float  # ms, with what its new connection costs
+    work: float
     arrived: float
-    gives_up_at: float  # when its caller stops waiting
-    key: str = ""  # of a keyed request; empty otherwise
-    key_memory_ms: float = 0.0  # ms that the cell remembers the key
+    gives_up_at: float
+    key: str = ""
+    key_memory_ms: float = 0.0
     started: bool = False
     verdict: Verdict = Verdict.SERVED
 
 
 @dataclass(slots=True)
 class OverloadCollapse:
-    """The collapse of a cold backend that was sent too much work: when, and from which nodes."""
+    """A cold backend's collapse under overload: its time, the budget, and the work that each node sent."""
 
     at: float
     started_at: float
@@ -59,12 +67,15 @@
 
 
 SeenKeys = dict[str, float]
-"""The keys that the backends of a cell have seen, and when the first attempt of each came."""
+"""Idempotency keys that a cell's backends have received, with the time of each key's first attempt."""
 
 
 @dataclass
 class ActiveFaults:
-    """The faults of a backend that are in force: shares of requests, and a factor on times."""
+    """Active faults of a backend: `gray` and `resets` are request shares, `slow` multiplies service times.
+
+    A gray failure answers with an error after `gray_ms`.
+    """
 
     slow: float = 1.0
     gray: float = 0.0
@@ -74,36 +85,40 @@
 
 @dataclass
 class Backend:
-    """One backend. `offer` and `advance` are its events; both return what ends now."""
+    """A simulated backend; `offer` adds an attempt, and `advance` returns the attempts that have ended.
+
+    The default of `started_at` is far enough in the past for a warm backend.
+    """
 
     spec: Backends
     rules: Rules
     speed: float
     seen_keys: SeenKeys
     random: np.random.Generator
-    started_at: float = -1e12  # ms; long ago: warm
+    started_at: float = -1e12
     active_faults: ActiveFaults = field(default_factory=ActiveFaults)
     collapse: OverloadCollapse | None = None
     stalled_at: float | None = None
 
     def __post_init__(self) -> None:
-        """Derive the slots and the queue length."""
+        """Derive the number of slots and the queue capacity, and start without requests."""
         self.slots = max(1, round(self.spec.cores * self.spec.slots_per_core))
         self.queue_capacity = self.spec.cores * self.spec.queue_per_core
-        self.running: list[tuple[float, int, Job]] = []  # a heap by the time of the end
+        # `running` is a heap, ordered by the end time of each request.
+        self.running: list[tuple[float, int, Job]] = []
         self.waiting: deque[Job] = deque()
-        self.recent_work: deque[tuple[float, int, float]] = (
-            deque()
-        )  # work that came while cold: when, from whom
-        self.done_work = self.pressure = 0.0
+        # Work received while the backend is cold: arrival time, sending node, and work of each attempt.
+        self.recent_work: deque[tuple[float, int, float]] = deque()
+        self.done_work = self.cold_work = 0.0
         self.count = 0
         self._uniforms: list[float] = []
 
     def restart(self, now: float) -> None:
-        """Restart cold; all requests in progress are lost."""
-        self.started_at, self.done_work, self.pressure = now, 0.0, 0.0
+        """Restart the backend cold; all requests in progress are lost."""
+        self.started_at, self.done_work, self.cold_work = now, 0.0, 0.0
         self.running.clear()
-        for job in self.waiting:  # the cell never ran these: their repeats must not be dropped
+        # Queued requests were never executed, so their retries must not count as duplicates.
+        for job in self.waiting:
             self.seen_keys.pop(job.key, None)
         self.waiting.clear()
         self.recent_work.clear()
@@ -111,7 +126,7 @@
         self.active_faults = ActiveFaults()
 
     def warmth(self, now: float) -> float:
-        """Return the share of its capacity that it has now, which rises to 1 by time or by work done."""
+        """Return the available share of full capacity, which rises to 1 with time or with completed work."""
         by_time = (now - self.started_at) / (self.spec.warm_up_s * 1000)
         if by_time >= 1:
             return 1.0
@@ -121,27 +136,27 @@
         )
 
     def capacity(self, now: float) -> float:
-        """Return the work a millisecond that it can do now."""
+        """Return the work that the backend can complete per millisecond."""
         return self.spec.cores * self.speed * self.warmth(now)
 
     @property
     def request_counts(self) -> tuple[int, int]:
-        """The numbers of requests in service and in the queue."""
+        """The numbers of requests in service and in the queue, in this order."""
         return len(self.running), len(self.waiting)
 
     @property
     def next_end(self) -> float | None:
-        """The time at which the next request ends; None where none is in service."""
+        """The time at which the next request ends; None while stalled or without a request in service."""
         return self.running[0][0] if self.running and self.stalled_at is None else None
 
     def _next_uniform(self) -> float:
         if not self._uniforms:
-            self._uniforms = self.random.random(RANDOM_BATCH).tolist()
+            self._uniforms = self.random.random(UNIFORM_BATCH_SIZE).tolist()
         return self._uniforms.pop()
 
     def offer(self, now: float, job: Job) -> Verdict | None:
-        """Accept a complete attempt; return how it ends at once, or None while it is in progress."""
-        self._press(now, job)
+        """Receive an attempt; return its verdict if it ends immediately, None if it runs or waits."""
+        self._count_cold_work(now, job)
         if self.collapse is not None:
             return Verdict.REJECTED
         if self.active_faults.gray and self._next_uniform() < self.active_faults.gray:
@@ -161,7 +176,7 @@
         return None
 
     def advance(self, now: float) -> list[Job]:
-        """Return the jobs that have ended by `now`, in order; a late call does not slow the backend down."""
+        """Return the jobs that ended by `now`, in order of time; a late call does not delay later jobs."""
         out: list[Job] = []
         while self.running and self.running[0][0] <= now and self.stalled_at is None:
             end, _, job = heapq.heappop(self.running)
@@ -190,7 +205,7 @@
             job.verdict = Verdict.RESET
         in_progress = (len(self.running) + len(self.waiting)) / self.spec.cores
         slowdown = 1 + self.spec.thrash * max(0.0, in_progress - self.spec.thrash_at)
-        # Slots over the cores share them; under them each has a core of its own.
+        # With more slots than cores the slots share the cores; otherwise each slot has a core of its own.
         per_slot = min(1.0, self.spec.cores / self.slots) * self.speed * self.warmth(now)
         self.count += 1
         heapq.heappush(
@@ -198,36 +213,37 @@
         )
 
     def stall(self, now: float) -> None:
-        """Stand still."""
+        """Stop serving until `resume`; requests in service keep their progress."""
         self.stalled_at = now
 
     def resume(self, now: float) -> list[Job]:
-        """Continue after a stall; requests in service continue from where they stood.
+        """Resume service after a stall, and return the jobs that expired in the queue meanwhile.
 
-        Of two stalls that overlap the earlier end counts, and none is left of one that a restart has ended.
+        Requests in service continue with the progress that they had. Of two overlapping stalls the earlier
+        end counts; a restart also ends a stall, and resuming afterwards has no effect.
         """
         if self.stalled_at is None:
             return []
-        lost, self.stalled_at = now - self.stalled_at, None
-        self.running = [(end + lost, number, job) for end, number, job in self.running]
+        stall_ms, self.stalled_at = now - self.stalled_at, None
+        self.running = [(end + stall_ms, number, job) for end, number, job in self.running]
         heapq.heapify(self.running)
         out: list[Job] = []
         self._refill(now, out)
         return out
 
-    def _press(self, now: float, job: Job) -> None:
-        """Count the work that reaches it while cold; it collapses over the budget of a window."""
+    def _count_cold_work(self, now: float, job: Job) -> None:
+        """Count work received while cold; the backend collapses when a window's work exceeds its budget."""
         if self.collapse is not None or now - self.started_at >= self.spec.warm_up_s * 1000:
             self.recent_work.clear()
-            self.pressure = 0.0
+            self.cold_work = 0.0
             return
         self.recent_work.append((now, job.node, job.work))
-        self.pressure += job.work
+        self.cold_work += job.work
         while self.recent_work[0][0] < now - self.rules.fall_ms:
-            self.pressure -= self.recent_work.popleft()[2]
-        # A little slack for chance: ten requests of this size.
+            self.cold_work -= self.recent_work.popleft()[2]
+        # Ten more requests of this size are tolerated, as random arrivals cluster.
         budget = self.rules.fall_multiple * self.capacity(now) * self.rules.fall_ms + 10 * job.work
-        if self.pressure > budget:
+        if self.cold_work > budget:
             shares: dict[int, float] = {}
             for _, node, work in self.recent_work:
                 shares[node] = shares.get(node, 0.0) + work
--- a/balancer/models/client.py
+++ b/balancer/models/client.py
@@ -1,4 +1,4 @@
-"""A client's operation: its attempts, the backoff between them, its end. It is given the time."""
+"""Model of a client's operation: its attempts, the backoff between them, and its end, without a clock."""
 
 from __future__ import annotations
 
@@ -7,32 +7,37 @@
 
 from balancer.experiments.tables import Clients, RequestClass
 
-MIN_PATIENCE_SHARE = 0.2  # of an attempt's time
+MIN_PATIENCE_SHARE_OF_TIMEOUT = 0.2
 
 
 class Outcome(Enum):
-    """How an attempt ended, as the client saw it."""
+    """How an attempt ended from the client's point of view.
+
+    REJECTED is a response 429 or 503, FAILED any other complete response except success. DISCONNECTED means
+    that the connection closed before a complete response, UNREACHABLE that none could be opened, ABANDONED
+    that an impatient client closed it before the attempt timed out.
+    """
 
     SERVED = "served"
-    REJECTED = "refused"  # 429 or 503
-    FAILED = "failed"  # any other complete answer
-    DISCONNECTED = "cut"  # the connection ended with an incomplete answer, or none
-    UNREACHABLE = "unreachable"  # no connection came up
-    TIMED_OUT = "silent"  # nothing by the end of its time
-    ABANDONED = "left"  # the client gave up early
+    REJECTED = "refused"
+    FAILED = "failed"
+    DISCONNECTED = "cut"
+    UNREACHABLE = "unreachable"
+    TIMED_OUT = "silent"
+    ABANDONED = "left"
 
 
 @dataclass(slots=True)
 class PlannedAttempt:
-    """An attempt that is about to be sent."""
+    """An attempt to send now; an impatient client disconnects before the deadline. Times are in ms."""
 
     number: int
-    deadline: float  # ms on the run's clock
-    disconnects_at: float | None  # when an impatient client closes
+    deadline: float
+    disconnects_at: float | None
 
 
 class Operation:
-    """A client operation: `begin_attempt` plans an attempt, `next_attempt_at` the time of a retry."""
+    """A client's operation with its retries: `begin_attempt` plans an attempt, `next_attempt_at` a retry."""
 
     __slots__ = ("backoff_ms", "clients", "cls", "first_possible_execution", "gives_up_at",
                  "honors_retry_after", "intended_at", "is_impatient", "number", "patience")  # fmt: skip
@@ -40,7 +45,7 @@
     def __init__(
         self, cls: RequestClass, clients: Clients, intended_at: float, client_draws: tuple[float, ...]
     ) -> None:
-        """Plan an operation; `client_draws` are four uniform numbers, see `models.load.Arrivals`."""
+        """Plan an operation; `client_draws` are four uniform random numbers, see `models.load.Arrivals`."""
         self.cls, self.clients, self.intended_at = cls, clients, intended_at
         self.gives_up_at = intended_at + cls.deadline_ms
         self.is_impatient, self.patience = client_draws[0] < clients.impatient_share, client_draws[1]
@@ -49,10 +54,10 @@
             clients.backoff_ms * (0.5 + client_draws[3]),
         )
         self.number = -1
-        self.first_possible_execution: float | None = None  # when a try first may have run
+        self.first_possible_execution: float | None = None
 
     def begin_attempt(self, now: float) -> PlannedAttempt:
-        """Plan the next attempt, which is sent now."""
+        """Return the plan of the next attempt, which the client sends now."""
         self.number += 1
         last = self.number >= self.clients.retries
         deadline = self.gives_up_at
@@ -60,16 +65,16 @@
             deadline = min(deadline, now + self.clients.attempt_time_share * self.cls.deadline_ms)
         disconnects_at = None
         if self.is_impatient:
-            share = MIN_PATIENCE_SHARE + (1 - MIN_PATIENCE_SHARE) * self.patience
+            share = MIN_PATIENCE_SHARE_OF_TIMEOUT + (1 - MIN_PATIENCE_SHARE_OF_TIMEOUT) * self.patience
             disconnects_at = now + share * (deadline - now)
         return PlannedAttempt(self.number, deadline, disconnects_at)
 
     def next_attempt_at(self, now: float, sent: float, end: Outcome, retry_after: float) -> float | None:
-        """Return when the next attempt is sent, in ms; None if there is none. `retry_after` is in ms."""
+        """Return the time (ms) of the next attempt, None without one; `retry_after` is a wait in ms."""
         if end in (Outcome.SERVED, Outcome.ABANDONED) or self.number >= self.clients.retries:
             return None
-        harmless = end in (Outcome.REJECTED, Outcome.UNREACHABLE)
-        if not harmless:
+        was_not_executed = end in (Outcome.REJECTED, Outcome.UNREACHABLE)
+        if not was_not_executed:
             if self.cls.effect == "fragile":
                 return None
             if self.cls.effect == "dedup":
--- a/balancer/models/directory.py
+++ b/balancer/models/directory.py
@@ -1,4 +1,4 @@
-"""The endpoint list of discovery: its revisions, and when changes become known. Times are ms."""
+"""Model of discovery's endpoint list: its revisions, history and scheduled changes; times are in ms."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-MAX_HISTORY = 500  # changes; a watch from an older revision gets a snapshot
+# A watch that starts before the oldest kept change receives a snapshot of the whole list.
+MAX_HISTORY_CHANGES = 500
 
 
 class Phase(Enum):
-    """A backend's state in the list."""
+    """State of a backend in the endpoint list."""
 
     IN_SERVICE = "in_service"
     DRAINING = "terminating"
@@ -19,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """One entry; `up_since` is Unix time in ms, 0 for long ago."""
+    """An entry of the endpoint list; `up_since` is Unix time in ms, or 0 if the backend has long been up."""
 
     name: str
     zone: str
@@ -30,15 +31,19 @@
 
 @dataclass
 class Watch:
-    """The state of a watch: the revision up to which it was sent the list. Its first event always comes."""
+    """State of a watch: the revision that its caller has, and whether its first event is still to be sent.
+
+    The first event is sent even without a change. A silent watch sends nothing; one that `ends_on_change`
+    closes at the first change after that event instead of sending it.
+    """
 
     sent_revision: int
     is_first_event: bool = True
     is_silent: bool = False
-    ends_on_change: bool = False  # it ends at a change instead of sending an event
+    ends_on_change: bool = False
 
     def should_end(self, directory: Directory) -> bool:
-        """Return whether it is to end now."""
+        """Return whether the watch must close now."""
         return (
             self.ends_on_change
             and not (self.is_first_event or self.is_silent)
@@ -46,7 +51,7 @@
         )
 
     def pending(self, directory: Directory) -> tuple[list[ListedEndpoint], bool] | None:
-        """Return the entries to send and whether they are a snapshot; None where there is nothing to send."""
+        """Return the entries to send and whether they are a snapshot; None if there is nothing to send."""
         if self.is_silent or (self.sent_revision == directory.revision and not self.is_first_event):
             return None
         changed = directory.since(self.sent_revision)
@@ -56,7 +61,7 @@
 
 @dataclass
 class Directory:
-    """Endpoint list with its history; `schedule_change` adds a future change, `advance` applies it."""
+    """Endpoint list with its history; `schedule_change` adds a later change, and `advance` applies it."""
 
     entries: dict[str, ListedEndpoint]
     revision: int = 1
@@ -67,7 +72,7 @@
     def schedule_change(
         self, known_at: float, name: str, phase: Phase, up_since: float | None = None
     ) -> None:
-        """Plan that discovery learns at `known_at` (ms) of a backend's phase."""
+        """Schedule the time `known_at` (ms) at which discovery learns of a backend's new phase."""
         self.change_count += 1
         entry = self.entries[name] if name in self.entries else self._last_entry(name)
         since = entry.up_since if up_since is None else up_since
@@ -79,7 +84,7 @@
         return next(entry for _, entry in reversed(self.changes) if entry.name == name)
 
     def advance(self, now: float) -> list[ListedEndpoint]:
-        """Apply the changes that become known by `now`, and return them."""
+        """Apply the changes that are due by `now`, and return the changed entries."""
         out: list[ListedEndpoint] = []
         while self.scheduled and self.scheduled[0][0] <= now:
             entry = heapq.heappop(self.scheduled)[2]
@@ -94,11 +99,11 @@
             else:
                 self.entries[entry.name] = entry
             out.append(entry)
-        del self.changes[:-MAX_HISTORY]
+        del self.changes[:-MAX_HISTORY_CHANGES]
         return out
 
     def since(self, revision: int) -> list[ListedEndpoint] | None:
-        """Return the latest state of what changed after a revision; None where a snapshot is needed."""
+        """Return the newest entry of each backend changed after a revision; None if a snapshot is needed."""
         if revision > self.revision or revision < self.revision - len(self.changes):
             return None
         return list({entry.name: entry for number, entry in self.changes if number > revision}.values())
--- a/balancer/models/network.py
+++ b/balancer/models/network.py
@@ -1,4 +1,4 @@
-"""The conditions of the network between two parties, by the link faults in force. Times are ms."""
+"""Model of the network between two parties under the active link faults; times are in ms."""
 
 from __future__ import annotations
 
@@ -12,16 +12,21 @@
 from balancer.experiments.selectors import select_parties
 
 MAX_UNNOTICED_DELAY_MS = 0.5
-MAX_SEGMENT_LOSS = 0.99  # of each transmission, so that a stream goes on at last
-RETRANSMISSION_MS = 200.0  # the least retransmission timeout of the kernel
+# Limits the loss rate of a TCP segment's transmissions, so that each segment arrives eventually.
+MAX_SEGMENT_LOSS = 0.99
+# The kernel's shortest retransmission timeout for TCP.
+RETRANSMISSION_MS = 200.0
 
 
 @dataclass(slots=True, frozen=True)
 class LinkConditions:
-    """One direction between two parties."""
+    """Conditions in one direction between two parties; times are in ms.
 
-    delay: float  # ms
-    jitter: float  # ms, uniform and added
+    A uniform random time of up to `jitter` is added to each delay.
+    """
+
+    delay: float
+    jitter: float
     loss: float = 0.0
     duplicate: float = 0.0
     reorder: float = 0.0
@@ -30,7 +35,7 @@
 
     @property
     def is_unimpaired(self) -> bool:
-        """Whether bytes pass at once: event loops count whole milliseconds."""
+        """Whether bytes need no delay of their own: event loops round timers to whole milliseconds."""
         return self.delay + self.jitter < MAX_UNNOTICED_DELAY_MS and not (
             self.loss or self.cut or self.ms_per_byte
         )
@@ -38,7 +43,7 @@
 
 @dataclass
 class NetworkConditions:
-    """The conditions of all links. `random` is a stream of its own, so that a fault changes no other draw."""
+    """Conditions of all links; `random` is a separate stream, so that faults change no other draws."""
 
     spec: Experiment
     random: np.random.Generator
@@ -46,19 +51,19 @@
     watchers: list[Callable[[], None]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Prepare the caches."""
+        """Create the caches of conditions, selected parties and random numbers."""
         self._conditions: dict[tuple[str, str], LinkConditions] = {}
         self._uniforms: list[float] = []
         self._selected: dict[str, frozenset[str]] = {}
 
     def next_uniform(self) -> float:
-        """Draw a uniform number from 0 to 1."""
+        """Draw a uniform random number from 0 to 1."""
         if not self._uniforms:
             self._uniforms = self.random.random(256).tolist()
         return self._uniforms.pop()
 
     def change(self, fault: LinkFault, on: bool) -> None:
-        """Put a fault into force, or end it."""
+        """Activate a link fault, or end it, and notify the watchers."""
         (self.active.append if on else self.active.remove)(fault)
         self._conditions.clear()
         for watcher in list(self.watchers):
@@ -70,7 +75,7 @@
         return self._selected[selector]
 
     def affects_direction(self, fault: LinkFault, source: str, target: str) -> bool:
-        """Return whether a fault affects what `source` sends to `target`."""
+        """Return whether a fault affects traffic from `source` to `target`."""
         here, there = self._selected_parties(fault.source), self._selected_parties(fault.destination)
         return (source in here and target in there) or (fault.both and source in there and target in here)
 
@@ -79,11 +84,11 @@
         return self.affects_direction(fault, one, other) or self.affects_direction(fault, other, one)
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Return whether either direction between two parties is cut: no connection comes up then."""
+        """Return whether either direction is cut, so that no connection can be opened between the parties."""
         return self.conditions(one, other).cut or self.conditions(other, one).cut
 
     def conditions(self, source: str, target: str) -> LinkConditions:
-        """Return the conditions from `source` to `target` now."""
+        """Return the current conditions from `source` to `target`."""
         found = self._conditions.get((source, target))
         if found is None:
             found = self._conditions[source, target] = self._combined_conditions(source, target)
@@ -113,20 +118,21 @@
         return LinkConditions(delay, jitter, 1 - passes, duplicate, reorder, cut, per_byte)
 
     def tcp_delay_ms(self, link: LinkConditions, size: int) -> float:
-        """Draw the milliseconds that a segment of a TCP stream of `size` bytes takes."""
+        """Draw the delay, in ms, of a TCP segment of `size` bytes, retransmissions included."""
         out = link.delay + link.jitter * self.next_uniform() + size * link.ms_per_byte
         while link.loss and self.next_uniform() < min(link.loss, MAX_SEGMENT_LOSS):
             out += RETRANSMISSION_MS
         return out
 
     def datagram_delays_ms(self, link: LinkConditions, size: int) -> list[float]:
-        """Draw the delays of a datagram's copies, in ms; none if it is lost."""
+        """Draw the delay, in ms, of each copy of a datagram; the list is empty if the datagram is lost."""
         if link.cut or (link.loss and self.next_uniform() < link.loss):
             return []
         out = []
         for _ in range(2 if link.duplicate and self.next_uniform() < link.duplicate else 1):
             late = link.delay + link.jitter * self.next_uniform() + size * link.ms_per_byte
             if link.reorder and self.next_uniform() < link.reorder:
-                late += 2 * (link.delay + link.jitter) + 5  # behind what is sent in the next 5 ms at least
+                # A reordered copy arrives after every datagram that is sent within the next 5 ms.
+                late += 2 * (link.delay + link.jitter) + 5
             out.append(late)
         return out
--- a/balancer/sim/__init__.py
+++ b/balancer/sim/__init__.py
@@ -1,1 +1,1 @@
-"""Whole fleets under a virtual clock: the cores of all rooms in a seeded, faulty world."""
+"""Deterministic simulations of whole fleets, disks and networks with seeded faults, in virtual time."""
--- a/balancer/sim/crash.py
+++ b/balancer/sim/crash.py
@@ -1,8 +1,9 @@
-"""Crash testing of the write-ahead log: a power cut at every call, and every state of the disk it may leave.
+"""Crash testing of the write-ahead log: a power cut at every disk call, and the crash states it may leave.
 
-A workload appends numbered records, some of them synced, and rotates generations in between. After a cut at
-each of its calls, for each crash state: the directory can be read and taken over and goes on from where it
-was; its records are a prefix of what was written, and all acknowledged ones are among them.
+A workload appends numbered records, syncs some of them, and rotates the log. Power is cut at each of its disk
+calls, and for each possible crash state of the disk the check requires that a new writer can read the
+directory, take it over and append to it, that the records are a prefix of those written, and that no
+acknowledged record is missing.
 """
 
 from __future__ import annotations
@@ -23,7 +24,8 @@
 ROTATION_PROBABILITY = 0.2
 SYNC_PROBABILITY = 0.7
 MAX_BATCH_RECORDS = 3
-PADDING_BYTES = (3, 40, 700)  # the longest spans two blocks
+# The longest padding makes a record span two disk blocks.
+PADDING_BYTES = (3, 40, 700)
 MAX_VIOLATIONS = 5
 
 MakeDirectory = Callable[[SimulatedDisk], Directory]
@@ -31,7 +33,7 @@
 
 @dataclass
 class CrashReport:
-    """The extent of an exploration, and the violations that it found."""
+    """Number of power cuts and crash states that were checked, and the violations found."""
 
     cuts: int = 0
     states: int = 0
@@ -40,32 +42,35 @@
 
 @dataclass
 class History:
-    """What a workload did before it ended."""
+    """Records that a workload wrote, in order, and how many of them were acknowledged.
 
-    written: list[bytes] = field(default_factory=list)  # in order, also those whose call did not return
-    acknowledged: int = 0  # how many of them
+    `written` includes the records of a call that did not return.
+    """
+
+    written: list[bytes] = field(default_factory=list)
+    acknowledged_count: int = 0
 
 
 def all_records(contents: DirectoryContents) -> list[bytes]:
-    """Return all records, from the snapshot and the log."""
-    older = contents.snapshot.split(SEPARATOR) if contents.snapshot else []
-    return older + contents.records
+    """Return the records of the snapshot, followed by those of the log."""
+    snapshot_records = contents.snapshot.split(SEPARATOR) if contents.snapshot else []
+    return snapshot_records + contents.records
 
 
 def make_snapshot(contents: DirectoryContents) -> bytes:
-    """Return a snapshot that lists all records."""
+    """Return a snapshot that contains all records of a directory."""
     return SEPARATOR.join(all_records(contents))
 
 
 def run_workload(directory: Directory, seed: int, steps: int, history: History) -> None:
-    """Append batches of records of various lengths, synced or not, and rotate now and then."""
+    """Append batches of records of random lengths, some of them synced, and rotate the log at random."""
     rng = random.Random(f"workload {seed}")
     writer = LogWriter(directory, NODE, DIRECTORY_ID, make_snapshot)
-    history.acknowledged = len(history.written)
+    history.acknowledged_count = len(history.written)
     for _ in range(steps):
         if rng.random() < ROTATION_PROBABILITY:
             writer.rotate(SEPARATOR.join(history.written))
-            history.acknowledged = len(history.written)
+            history.acknowledged_count = len(history.written)
         count = rng.randint(1, MAX_BATCH_RECORDS)
         sync = rng.random() < SYNC_PROBABILITY
         first = len(history.written)
@@ -73,30 +78,30 @@
         history.written += records
         writer.append(records, sync)
         if sync:
-            history.acknowledged = len(history.written)
+            history.acknowledged_count = len(history.written)
     writer.close()
 
 
 def find_violation(image: DiskImage, history: History, make_directory: MakeDirectory) -> str:
-    """Return what is wrong with a crash state, or an empty string."""
+    """Return a description of what is wrong with a crash state; empty if nothing is."""
     try:
         records = all_records(read_directory(make_directory(SimulatedDisk(image)), NODE))
     except Exception as err:
-        return f"cannot be read: {type(err).__name__} {err}"
+        return f"the directory cannot be read: {type(err).__name__} {err}"
     if records != history.written[: len(records)]:
-        return f"holds what was not written: {records[-1][:20]!r}"
-    if len(records) < history.acknowledged:
-        return f"holds {len(records)} records, {history.acknowledged} were acknowledged"
+        return f"expected a prefix of the written records, but the last one is {records[-1][:20]!r}"
+    if len(records) < history.acknowledged_count:
+        return f"read {len(records)} records, fewer than the {history.acknowledged_count} acknowledged"
     disk = SimulatedDisk(image)
     try:
         writer = LogWriter(make_directory(disk), NODE, DIRECTORY_ID, make_snapshot)
         writer.append([b"after"], True)
         writer.close()
     except Exception as err:
-        return f"cannot be taken over: {type(err).__name__} {err}"
+        return f"a new writer cannot take over the directory: {type(err).__name__} {err}"
     reread = all_records(read_directory(make_directory(SimulatedDisk(disk.image())), NODE))
     if reread != [*records, b"after"]:
-        return "does not go on from where it was"
+        return "a record appended after the crash does not follow the records read before it"
     return ""
 
 
@@ -107,7 +112,7 @@
     make_directory: MakeDirectory = SimulatedDirectory,
     max_violations: int = MAX_VIOLATIONS,
 ) -> CrashReport:
-    """Cut the power at each call of a workload, and check up to about `images_per_cut` crash states each."""
+    """Cut power at each disk call of a workload, and check about `images_per_cut` crash states at most."""
     report = CrashReport()
     rng = random.Random(f"states {seed}")
     uncut = SimulatedDisk()
--- a/balancer/sim/disk.py
+++ b/balancer/sim/disk.py
@@ -1,10 +1,10 @@
 """Simulated disk that can lose power: the write-ahead log's directory in memory, and its crash states.
 
-What a power cut can leave: the data of a file survives as far as it was synced; of what was written since,
-any block of `BLOCK_BYTES` may be missing (zeros, or cut off at the end) and the first may be torn. A name
-created, changed or removed since the directory was last synced may have reached the disk or not, each by
-itself, as POSIX promises no order. A rename is atomic. After a failed sync nothing more of that file becomes
-durable.
+After a power cut the synced data of a file is intact. Of the data written since the last sync any block of
+`BLOCK_BYTES` may be missing (zeros, or cut off at the end), and the first one may be torn. Each name created,
+changed or removed since the directory was last synced may or may not have reached the disk, independently of
+the others, as POSIX guarantees no order. A rename is atomic. After a failed sync no more data of that file
+becomes durable.
 
 Source: the crash states of ALICE (Pillai et al. 2014).
 """
@@ -22,18 +22,19 @@
 from balancer.durable.filesystem import AppendFile
 
 BLOCK_BYTES = 512
-MAX_EXHAUSTIVE_NAME_CHANGES = 6  # unsynced name changes of which every subset is explored
+# Every subset of up to six unsynced name changes is explored; of more changes, only some subsets.
+MAX_EXHAUSTIVE_NAME_CHANGES = 6
 
 DiskImage = dict[str, bytes]
 NameTable = dict[str, "Inode"]
 
 
 class PowerCutError(Exception):
-    """Power was cut; the call did not return."""
+    """Raised in place of a disk call during which power was cut."""
 
 
 class DiskCall(Enum):
-    """Calls of the file system interface that reach the disk."""
+    """Calls of the file system interface that access the disk."""
 
     READ = auto()
     CREATE = auto()
@@ -48,19 +49,19 @@
 
 
 def no_fault(count: int, call: DiskCall, name: str) -> None:
-    """Let every call succeed."""
+    """Let a disk call succeed."""
 
 
 @dataclass
 class Inode:
-    """The bytes of a file, and how many of them are durable."""
+    """Contents of a file and the length of its durable part, which is final after a failed sync."""
 
     data: bytearray = field(default_factory=bytearray)
     durable_bytes: int = 0
-    has_sync_failed: bool = False  # nothing more becomes durable
+    has_sync_failed: bool = False
 
     def crash_variants(self) -> list[bytes]:
-        """Return the contents that a power cut may leave."""
+        """Return the possible contents of the file after a power cut."""
         durable = bytes(self.data[: self.durable_bytes])
         complete = bytes(self.data)
         size = len(complete)
@@ -72,24 +73,27 @@
         torn = {self.durable_bytes + 1, (self.durable_bytes + first_end) // 2, first_end - 1}
         cuts = sorted({*edges, *(cut for cut in torn if self.durable_bytes < cut < size)})
         variants = [durable, complete, *(complete[:cut] for cut in cuts)]
-        variants.append(durable + bytes(size - len(durable)))  # the size is durable, the data is not
+        # The file size may have become durable without the data, which then reads as zeros.
+        variants.append(durable + bytes(size - len(durable)))
         for begin, end in itertools.pairwise([self.durable_bytes, *edges, size]):
-            variants.append(
-                complete[:begin] + bytes(end - begin) + complete[end:]
-            )  # a later block came first
+            # A later block may have become durable before an earlier one, which then reads as zeros.
+            variants.append(complete[:begin] + bytes(end - begin) + complete[end:])
         return list(dict.fromkeys(variants))
 
 
 @dataclass(frozen=True)
 class NameChange:
-    """A change of the directory that is not durable yet."""
+    """A change of the directory that is not durable yet: a creation, rename or removal.
+
+    `former_name` differs from `name` only in a rename; `inode` is None in a removal.
+    """
 
     name: str
-    former_name: str  # equal to `name` unless it is a rename
-    inode: Inode | None  # None: the name was removed
+    former_name: str
+    inode: Inode | None
 
     def apply(self, table: NameTable) -> None:
-        """Make the change in a table of names."""
+        """Apply the change to a table of names."""
         if self.inode is None:
             table.pop(self.name, None)
         else:
@@ -99,36 +103,39 @@
 
 @dataclass(frozen=True)
 class CrashTable:
-    """A table of names that may be left, with the variants of each file in it."""
+    """A possible table of names after a power cut, with the possible contents of each file.
+
+    The keys of `variants` are the ids of the inode objects.
+    """
 
     names: NameTable
-    variants: dict[int, list[bytes]]  # by id of the inode
+    variants: dict[int, list[bytes]]
 
     @classmethod
     def of(cls, names: NameTable) -> CrashTable:
-        """Return the table with the variants of its files."""
+        """Create the table of these names, with the possible contents of each file."""
         return cls(names, {id(inode): inode.crash_variants() for inode in names.values()})
 
     @property
     def state_count(self) -> int:
-        """Return how many images the table stands for."""
+        """Return the number of disk images that the table's variants can form."""
         count = 1
         for variants in self.variants.values():
             count *= len(variants)
         return count
 
     def images(self) -> Iterator[DiskImage]:
-        """Yield each image."""
+        """Yield each disk image that the table's variants can form."""
         for choice in itertools.product(*self.variants.values()):
             contents = dict(zip(self.variants, choice, strict=True))
             yield {name: contents[id(inode)] for name, inode in self.names.items()}
 
 
 class SimulatedDisk:
-    """One directory on a disk. `before_call` may raise OSError or PowerCutError in place of a call."""
+    """A disk with one directory; `before_call` may raise OSError or PowerCutError in place of a call."""
 
     def __init__(self, image: DiskImage | None = None) -> None:
-        """Start with the durable contents of `image`."""
+        """Create a disk whose durable contents are those of `image`."""
         self.files: NameTable = {
             name: Inode(bytearray(data), len(data)) for name, data in (image or {}).items()
         }
@@ -139,16 +146,16 @@
         self.is_locked = False
 
     def record_call(self, call: DiskCall, name: str) -> None:
-        """Count a call and run the hook."""
+        """Count a disk call and run the hook `before_call`."""
         self.call_count += 1
         self.before_call(self.call_count, call, name)
 
     def image(self) -> DiskImage:
-        """Return the contents of the directory while power lasts."""
+        """Return the current contents of the directory, durable or not."""
         return {name: bytes(inode.data) for name, inode in self.files.items()}
 
     def crash_images(self, rng: random.Random, limit: int) -> Iterator[DiskImage]:
-        """Yield the images that a power cut now may leave: all, or about `limit` drawn ones of more."""
+        """Yield the possible disk images after a power cut now; if there are more than `limit`, a sample."""
         tables = [CrashTable.of(names) for names in self._crash_tables()]
         total = sum(table.state_count for table in tables)
         for table in tables:
@@ -158,13 +165,14 @@
                 yield image
 
     def _crash_tables(self) -> list[NameTable]:
-        """Return the tables of names that a power cut may leave."""
+        """Return the possible tables of names after a power cut."""
         count = len(self.pending)
         if count <= MAX_EXHAUSTIVE_NAME_CHANGES:
             subsets = list(itertools.product((False, True), repeat=count))
-        else:  # each prefix, and all but one
+        else:
+            # Of many changes only the prefixes are explored, and the sets that lack a single change.
             subsets = [tuple(index < length for index in range(count)) for length in range(count + 1)]
-            subsets += [tuple(index != left_out for index in range(count)) for left_out in range(count)]
+            subsets += [tuple(index != skipped for index in range(count)) for skipped in range(count)]
         tables: dict[tuple[tuple[str, int], ...], NameTable] = {}
         for subset in subsets:
             table = dict(self.durable_names)
@@ -176,16 +184,16 @@
 
 
 class SimulatedFile:
-    """A file that is being appended to."""
+    """A file of the simulated disk that is open for appending."""
 
     def __init__(self, disk: SimulatedDisk, name: str, inode: Inode) -> None:
-        """Append to an inode of the disk."""
+        """Open an inode of the disk for appending."""
         self._disk = disk
         self._name = name
         self._inode = inode
 
     def write(self, data: bytes) -> None:
-        """Append; a power cut during the call leaves any part of it, an error half."""
+        """Append data; a power cut during the call leaves any part of it, an error leaves the first half."""
         size = len(self._inode.data)
         self._inode.data += data
         try:
@@ -195,7 +203,7 @@
             raise
 
     def sync(self) -> None:
-        """Make the contents durable."""
+        """Make the file's contents durable, unless an earlier sync has failed."""
         try:
             self._disk.record_call(DiskCall.SYNC, self._name)
         except OSError:
@@ -209,23 +217,23 @@
 
 
 class SimulatedDirectory:
-    """The file system interface on a simulated disk."""
+    """File system interface of the write-ahead log on a simulated disk."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
-        """Use the one directory of a disk."""
+        """Access the directory of a simulated disk."""
         self.disk = disk
 
     def list_names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Return the sorted names of all files in the directory."""
         return sorted(self.disk.files)
 
     def read(self, name: str) -> bytes:
-        """Return the contents of a file."""
+        """Return the current contents of a file."""
         self.disk.record_call(DiskCall.READ, name)
         return bytes(self._inode(name).data)
 
     def create(self, name: str) -> AppendFile:
-        """Create an empty file."""
+        """Create an empty file and open it for appending."""
         self.disk.record_call(DiskCall.CREATE, name)
         if name in self.disk.files:
             raise FileExistsError(errno.EEXIST, "file exists", name)
@@ -235,7 +243,7 @@
         return SimulatedFile(self.disk, name, inode)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing any other file of the new name."""
+        """Rename a file, replacing any file that has the new name."""
         self.disk.record_call(DiskCall.RENAME, new)
         inode = self._inode(old)
         del self.disk.files[old]
@@ -243,21 +251,21 @@
         self.disk.pending.append(NameChange(new, old, inode))
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Remove a file from the directory."""
         self.disk.record_call(DiskCall.REMOVE, name)
         self._inode(name)
         del self.disk.files[name]
         self.disk.pending.append(NameChange(name, name, None))
 
     def sync_names(self) -> None:
-        """Make all names durable."""
+        """Make all creations, renames and removals in the directory durable."""
         self.disk.record_call(DiskCall.SYNC_NAMES, "")
         self.disk.durable_names = dict(self.disk.files)
         self.disk.pending = []
 
     @contextlib.contextmanager
     def writer_lock(self) -> Iterator[None]:
-        """Hold the lock, which does not survive its process."""
+        """Hold the writer lock, which the system releases when its process ends."""
         if self.disk.is_locked:
             raise BlockingIOError
         self.disk.is_locked = True
--- a/balancer/sim/interleavings.py
+++ b/balancer/sim/interleavings.py
@@ -1,8 +1,8 @@
-"""Model checking of two writers on one directory: every order in which their calls to the disk can fall.
+"""Stateless model checking of two log writers on one directory: the interleavings of their disk calls.
 
-Stateless model checking of the writer itself: each schedule is played from the start; where both writers have
-a call to make, both orders are tried, depth first, up to a bound on preemptions. In every schedule an
-acknowledged record is there at the end, and no record is there twice.
+The production writer is run from the start for each schedule. Where both writers have a call to make, both
+orders are tried, depth first, up to a bound on preemptions. After every schedule each acknowledged record
+must be in the log, and no record twice.
 
 Source: CHESS (Musuvathi et al. 2008), including the bound on preemptions.
 """
@@ -26,12 +26,12 @@
 
 
 class WriterProcess:
-    """One process on a thread of its own, which makes a call to the disk only when it is scheduled."""
+    """A writer process on its own thread, which makes a disk call only when it is scheduled."""
 
     def __init__(
         self, disk: SimulatedDisk, writer: LogWriter, behaviour: Behaviour, make_directory: MakeDirectory
     ) -> None:
-        """Create a process that has `writer` open and has not been started."""
+        """Create a process that has `writer` open; `start` runs its behaviour."""
         self.writer = writer
         self.acknowledged: list[bytes] = []
         self.error: BaseException | None = None
@@ -43,26 +43,26 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Run up to the first call."""
+        """Run the process up to its first disk call."""
         self._thread.start()
         self._has_stopped.acquire()
 
     def step(self) -> None:
-        """Make one call, and run up to the next one."""
+        """Let the process make one disk call, and run it up to the next one."""
         self._may_run.release()
         self._has_stopped.acquire()
 
     def wait_for_turn(self) -> None:
-        """Stop before a call until the process is scheduled."""
+        """Block before a disk call until the process is scheduled."""
         self._has_stopped.release()
         self._may_run.acquire()
 
     def take_over(self) -> None:
-        """Open a writer of its own."""
+        """Open a new writer on the directory, which takes it over from the current one."""
         self.writer = LogWriter(self._directory, NODE, DIRECTORY_ID, make_snapshot)
 
     def append(self, record: bytes) -> None:
-        """Append a record, which is acknowledged once the call returns."""
+        """Append and sync a record, which counts as acknowledged once the call returns."""
         self.writer.append([record], True)
         self.acknowledged.append(record)
 
@@ -79,32 +79,35 @@
 
 @dataclass
 class InterleavingReport:
-    """The extent of an exploration, and the violations that it found."""
+    """Number of schedules that were run, the longest one's disk calls, and the violations found.
+
+    `is_exhaustive` is true if every schedule within the bound on preemptions was run.
+    """
 
     schedules: int = 0
-    max_calls: int = 0  # of one schedule
-    is_exhaustive: bool = True  # every schedule within the bound on preemptions was played
+    max_calls: int = 0
+    is_exhaustive: bool = True
     violations: list[str] = field(default_factory=list)
 
 
 @dataclass
-class PlayedSchedule:
-    """One schedule: who made each call, who could have, and what is wrong with the outcome."""
+class ScheduleRun:
+    """A schedule that was run: the process of each call, the runnable ones at each call, any violation."""
 
     turns: list[int] = field(default_factory=list)
     runnable: list[list[int]] = field(default_factory=list)
     violation: str = ""
 
     def preemptions(self, turns: Sequence[int]) -> int:
-        """Return how often `turns`, with the same choices, switches away from a process that could go on."""
+        """Return how often `turns` switches away from a process that was still runnable."""
         steps = zip(turns, turns[1:], self.runnable[1:], strict=False)
         return sum(before != after and before in runnable for before, after, runnable in steps)
 
 
-def play_schedule(
+def run_schedule(
     behaviours: Sequence[Behaviour], prefix: Sequence[int], make_directory: MakeDirectory
-) -> PlayedSchedule:
-    """Play one schedule: the turns of `prefix`, then without preemptions."""
+) -> ScheduleRun:
+    """Run a schedule: first the turns of `prefix`, then the rest without preemptions."""
     disk = SimulatedDisk()
     first = LogWriter(SimulatedDirectory(disk), NODE, DIRECTORY_ID, make_snapshot)
     first.append([INITIAL_RECORD], True)
@@ -118,20 +121,20 @@
     for process in processes:
         scheduled.append(process)
         process.start()
-    played = PlayedSchedule()
-    turns = played.turns
+    run = ScheduleRun()
+    turns = run.turns
     while runnable := [index for index, process in enumerate(processes) if not process.has_ended]:
         if len(turns) < len(prefix):
             chosen = prefix[len(turns)]
         else:
             chosen = turns[-1] if turns and turns[-1] in runnable else runnable[0]
-        played.runnable.append(runnable)
+        run.runnable.append(runnable)
         turns.append(chosen)
         scheduled.append(processes[chosen])
         processes[chosen].step()
     disk.before_call = no_fault
-    played.violation = _find_violation(disk, processes)
-    return played
+    run.violation = _find_violation(disk, processes)
+    return run
 
 
 def _find_violation(disk: SimulatedDisk, processes: Sequence[WriterProcess]) -> str:
@@ -142,9 +145,9 @@
     acknowledged = [record for process in processes for record in process.acknowledged]
     missing = [record for record in acknowledged if record not in records]
     if missing or INITIAL_RECORD not in records:
-        return f"acknowledged {missing}, holds {records}"
+        return f"acknowledged {missing} are missing from the log, which holds {records}"
     if len(set(records)) < len(records):
-        return f"holds a record twice: {records}"
+        return f"expected each record once, the log holds {records}"
     return ""
 
 
@@ -154,7 +157,7 @@
     max_schedules: int,
     make_directory: MakeDirectory = SimulatedDirectory,
 ) -> InterleavingReport:
-    """Play every schedule with up to `max_preemptions`, but no more than `max_schedules`."""
+    """Run every schedule with up to `max_preemptions` preemptions, but at most `max_schedules`."""
     report = InterleavingReport()
     prefixes = [[index] for index in range(len(behaviours))]
     while prefixes:
@@ -162,37 +165,38 @@
             report.is_exhaustive = False
             break
         prefix = prefixes.pop()
-        played = play_schedule(behaviours, prefix, make_directory)
+        run = run_schedule(behaviours, prefix, make_directory)
         report.schedules += 1
-        report.max_calls = max(report.max_calls, len(played.turns))
-        if played.violation:
-            report.violations.append(f"turns {''.join(map(str, played.turns))}: {played.violation}")
+        report.max_calls = max(report.max_calls, len(run.turns))
+        if run.violation:
+            report.violations.append(f"turns {''.join(map(str, run.turns))}: {run.violation}")
             if len(report.violations) >= MAX_VIOLATIONS:
                 break
-        prefixes += _alternatives(played, len(prefix), max_preemptions)
+        prefixes += _alternatives(run, len(prefix), max_preemptions)
     return report
 
 
-def _alternatives(played: PlayedSchedule, begin: int, max_preemptions: int) -> list[list[int]]:
-    """Return the prefixes that differ from a schedule in one choice from turn `begin` on."""
+def _alternatives(run: ScheduleRun, begin: int, max_preemptions: int) -> list[list[int]]:
+    """Return the prefixes that differ from a schedule in the last turn, at turn `begin` or later."""
     alternatives = []
-    for index in range(begin, len(played.turns)):
-        for other in played.runnable[index]:
-            turns = [*played.turns[:index], other]
-            if other != played.turns[index] and played.preemptions(turns) <= max_preemptions:
+    for index in range(begin, len(run.turns)):
+        for other in run.runnable[index]:
+            turns = [*run.turns[:index], other]
+            if other != run.turns[index] and run.preemptions(turns) <= max_preemptions:
                 alternatives.append(turns)
     return alternatives
 
 
 def run_predecessor(process: WriterProcess) -> None:
-    """Go on acknowledging records as the current writer, and rotate in between."""
-    with contextlib.suppress(OSError):  # the successor may remove its draft: that call is not acknowledged
+    """Append records as the current writer, and rotate the log between them."""
+    # The successor may remove the predecessor's draft file; the failed call is then not acknowledged.
+    with contextlib.suppress(OSError):
         process.append(b"old 1")
         process.writer.rotate(SEPARATOR.join([INITIAL_RECORD, b"old 1"]))
         process.append(b"old 2")
 
 
 def run_successor(process: WriterProcess) -> None:
-    """Take over and append one record."""
+    """Take over the directory as a new writer, and append one record."""
     process.take_over()
     process.append(b"new")
--- a/balancer/sim/member_schedule.py
+++ b/balancer/sim/member_schedule.py
@@ -1,7 +1,7 @@
-"""Seeded schedules of a tier of membership protocols: peer lists change among deaths, stalls and leaves.
+"""Seeded fault schedules for a tier's membership protocol: changed peer lists, crashes, stalls and leaves.
 
-An exception of a core ends a play and is its failure, as is a tier that does not agree a while after the last
-fault. One by hand:
+A schedule fails if a core raises an exception, or if the views of the nodes do not agree some time after the
+last fault. To run a single seed:
 
     python -c "from balancer.sim.member_schedule import play; print(play(17))"
 """
@@ -16,105 +16,108 @@
 
 NODE_COUNTS = (3, 6, 12, 40)
 LOSS_RATES = (0.0, 0.1, 0.3)
-START_MS = 3_000.0  # until the first fault
+START_MS = 3_000.0
 FAULT_COUNT = 25
-LIST_CHANGE_WEIGHT = 4  # of another list against each other fault
-MAX_PAUSE_MS = 600.0  # between two faults
+# A change of the peer list is drawn four times as often as each other fault.
+LIST_CHANGE_WEIGHT = 4
+MAX_FAULT_INTERVAL_MS = 600.0
 MAX_STALL_MS = 2_000.0
-MAX_REPLACED = 3  # peers that one list replaces
-AWAY_MS = 1_500.0  # from the end of a process to the next one
+MAX_REPLACED_PEERS = 3
+RESTART_DELAY_MS = 1_500.0
 FINAL_LOSS_RATE = 0.05
 AGREEMENT_TIMEOUT_MS = 60_000.0
-MAX_FAILURES = 5  # of an exploration
+MAX_FAILURES = 5
 
 
 @dataclass(slots=True, frozen=True)
 class Failure:
-    """What must not be."""
+    """The failure of a schedule: its seed, the virtual time in ms, and a description."""
 
     seed: int
-    at: float  # ms of virtual time
+    at: float
     text: str
 
 
-class _Play:
-    """One seed's tier and its faults."""
+class _ScheduleRun:
+    """A simulated tier with the faults that its seed determines."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.random = random.Random(f"members {seed}")
         self.count = self.random.choice(NODE_COUNTS)
-        self.world = MembershipSimulation(
+        self.simulation = MembershipSimulation(
             self.count, seed, network=Network(loss_rate=self.random.choice(LOSS_RATES))
         )
 
     def run(self) -> None:
-        """Play the faults, end them, and wait until all agree."""
-        world = self.world
+        """Run the schedule of faults, then restart the missing nodes with the full peer list."""
+        simulation = self.simulation
         for node in range(self.count):
-            world.start(node)
-        world.run(world.now + START_MS)
+            simulation.start(node)
+        simulation.run(simulation.now + START_MS)
         faults: list[Callable[[int], None]] = [self._stall, self._kill, self._leave]
         faults += [self._change_list] * LIST_CHANGE_WEIGHT
         for _ in range(FAULT_COUNT):
             node = self.random.randrange(self.count)
-            if world.hosts[node].core is not None:
+            if simulation.hosts[node].core is not None:
                 self.random.choice(faults)(node)
-            world.run(world.now + self.random.uniform(0.0, MAX_PAUSE_MS))
-        self._end_faults()
+            simulation.run(simulation.now + self.random.uniform(0.0, MAX_FAULT_INTERVAL_MS))
+        self._restore_tier()
 
-    def has_agreed(self) -> bool:
-        """Return whether all come to the same view of a tier that is whole again."""
-        return self.world.run_until_converged(AGREEMENT_TIMEOUT_MS) < AGREEMENT_TIMEOUT_MS
+    def reaches_agreement(self) -> bool:
+        """Run until all views agree on a complete tier; return whether they do so in time."""
+        return self.simulation.run_until_converged(AGREEMENT_TIMEOUT_MS) < AGREEMENT_TIMEOUT_MS
 
     def _change_list(self, node: int) -> None:
         draws = self.random
         shortest = node + 1
-        listed = draws.choice((self.count, max(shortest, self.count - 1), max(shortest, self.count // 2)))
-        replaced = draws.sample(range(listed), min(listed, draws.randint(0, MAX_REPLACED)))
-        self.world.change_peers(node, listed, frozenset(replaced))
+        listed_count = draws.choice(
+            (self.count, max(shortest, self.count - 1), max(shortest, self.count // 2))
+        )
+        replaced = draws.sample(range(listed_count), min(listed_count, draws.randint(0, MAX_REPLACED_PEERS)))
+        self.simulation.change_peers(node, listed_count, frozenset(replaced))
 
     def _stall(self, node: int) -> None:
-        self.world.stall(node, self.random.uniform(0.0, MAX_STALL_MS))
+        self.simulation.stall(node, self.random.uniform(0.0, MAX_STALL_MS))
 
     def _kill(self, node: int) -> None:
-        self.world.kill(node)
-        self._start_later(node)
+        self.simulation.kill(node)
+        self._restart_later(node)
 
     def _leave(self, node: int) -> None:
-        self.world.leave(node)
-        self._start_later(node)
+        self.simulation.leave(node)
+        self._restart_later(node)
 
-    def _start_later(self, node: int) -> None:
-        self.world.at(self.world.now + AWAY_MS, lambda: self._start(node))
+    def _restart_later(self, node: int) -> None:
+        self.simulation.at(self.simulation.now + RESTART_DELAY_MS, lambda: self._start(node))
 
     def _start(self, node: int) -> None:
-        if self.world.hosts[node].core is None:
-            self.world.start(node)
-
-    def _end_faults(self) -> None:
-        world = self.world
-        world.run(world.now + MAX_STALL_MS + AWAY_MS)
-        world.network.loss_rate = min(world.network.loss_rate, FINAL_LOSS_RATE)
-        for node, host in enumerate(world.hosts):
+        if self.simulation.hosts[node].core is None:
+            self.simulation.start(node)
+
+    def _restore_tier(self) -> None:
+        simulation = self.simulation
+        simulation.run(simulation.now + MAX_STALL_MS + RESTART_DELAY_MS)
+        simulation.network.loss_rate = min(simulation.network.loss_rate, FINAL_LOSS_RATE)
+        for node, host in enumerate(simulation.hosts):
             self._start(node)
-            if host.listed != self.count:
-                world.change_peers(node, self.count)
+            if host.listed_count != self.count:
+                simulation.change_peers(node, self.count)
 
 
 def play(seed: int) -> Failure | None:
-    """Play one seed; return what failed."""
-    one = _Play(seed)
+    """Run the schedule of a seed; return its failure, None if it succeeds."""
+    run = _ScheduleRun(seed)
     try:
-        one.run()
-        has_agreed = one.has_agreed()
-    except Exception as error:  # any of a core
-        return Failure(seed, one.world.now, f"{type(error).__name__}: {error}")
-    return None if has_agreed else Failure(seed, one.world.now, "the views do not agree")
+        run.run()
+        agrees = run.reaches_agreement()
+    except Exception as error:
+        return Failure(seed, run.simulation.now, f"{type(error).__name__}: {error}")
+    return None if agrees else Failure(seed, run.simulation.now, "the views of the nodes still differ")
 
 
 def explore(seeds: Iterable[int], stop: int = MAX_FAILURES) -> list[Failure]:
-    """Play seeds until `stop` have failed; return the failures."""
+    """Run the schedules of seeds until `stop` of them have failed; return the failures."""
     failures: list[Failure] = []
     for seed in seeds:
         failure = play(seed)
--- a/balancer/sim/members.py
+++ b/balancer/sim/members.py
@@ -1,8 +1,8 @@
-"""A tier of membership protocols in one process, under virtual time.
+"""Simulation of a tier's membership protocol in one process, in virtual time.
 
-Simulated are the network, which loses, delays, repeats and corrupts datagrams, and nodes that die and stall.
-The protocol is the very one that real nodes run. All randomness comes from the seed, one stream for the
-network and one for the nodes; two simulations of one seed are equal.
+The network loses, delays, duplicates and corrupts datagrams, and nodes crash and stall. The nodes run the
+production protocol. All random numbers come from the seed, with one stream for the network and one for the
+nodes; two simulations with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -29,15 +29,16 @@
 from balancer.membership.messages import MemberState
 from balancer.sim.scheduler import EventScheduler
 
-CLOCK_ROUNDING_MS = 1e-6  # added to a tick, so that rounding between two clocks does not make it early
+# Added to the time of a tick, as rounding between two clocks could otherwise make the tick early.
+CLOCK_ROUNDING_MS = 1e-6
 GENERATION_UNIT_MS = 256.0
-LATE_MS = 10_000.0  # the longest delay of a late datagram
+MAX_LATE_DELAY_MS = 10_000.0
 START_MS = 1e6
 
 
 @dataclass
 class Network:
-    """The network between nodes; rates are shares of datagrams."""
+    """Faults of the network between nodes; rates are shares of datagrams, `is_cut` is per direction."""
 
     min_delay_ms: float = 4.0
     max_delay_ms: float = 40.0
@@ -45,25 +46,30 @@
     duplicate_rate: float = 0.0
     late_rate: float = 0.0
     corrupt_rate: float = 0.0
-    is_cut: Callable[[int, int], bool] = lambda source, target: False  # in one direction
+    is_cut: Callable[[int, int], bool] = lambda source, target: False
 
 
 @dataclass
 class Host:
-    """A machine and its process, if one runs."""
+    """A node's machine; `core` is None while no process runs.
+
+    Events scheduled for a process are ignored once `process_number` has changed. `inbox` holds the sources
+    and datagrams received during a stall. `clock_offset` is the monotonic clock minus virtual time. The peer
+    list contains the first `listed_count` nodes of the tier.
+    """
 
     core: Membership | None = None
-    process_number: int = 0  # of its processes so far: what was scheduled for an earlier one is ignored
+    process_number: int = 0
     stalled_until: float = 0.0
-    inbox: list[tuple[int, bytes]] = field(default_factory=list)  # sources and datagrams, while it stalls
+    inbox: list[tuple[int, bytes]] = field(default_factory=list)
     next_tick: float = math.inf
-    clock_offset: float = 0.0  # of its monotonic clock against virtual time
-    listed: int = 0  # nodes in its peer list, the first ones of the tier
+    clock_offset: float = 0.0
+    listed_count: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """A change in one node's view, at a virtual time."""
+    """A change of a member's state in one node's view, with its virtual time."""
 
     at: float
     node: int
@@ -71,26 +77,27 @@
 
 
 class MembershipSimulation(EventScheduler):
-    """A tier of `count` nodes and its network; all times are virtual, in ms."""
+    """Simulation of a tier of `count` nodes and its network; all times are virtual, in ms."""
 
     def __init__(
         self, count: int, seed: int, config: Config | None = None, network: Network | None = None
     ) -> None:
-        """Create hosts of which none runs a process."""
+        """Create the hosts, on which no process runs yet."""
         super().__init__(START_MS)
         self.count = count
         self.config = config or Config()
         self.network = network or Network()
         self.random = random.Random(f"net {seed}")
         self.seeds = random.Random(f"nodes {seed}")
-        self.hosts = [Host(listed=count) for _ in range(count)]
+        self.hosts = [Host(listed_count=count) for _ in range(count)]
         self.observations: list[Observation] = []
-        self.sent_by_node: Counter[int] = Counter()  # datagrams; a broadcast counts once
+        # Datagrams sent by each node and in each second; a broadcast counts once.
+        self.sent_by_node: Counter[int] = Counter()
         self.sent_by_second: Counter[int] = Counter()
         self.delivered = 0
 
     def start(self, node: int, generation: int | None = None) -> None:
-        """Start a process, whose generation follows from the time unless it is given."""
+        """Start a node's process; without a given generation, the current time determines it."""
         host = self.hosts[node]
         host.process_number += 1
         host.stalled_until = 0.0
@@ -99,42 +106,42 @@
         if generation is None:
             generation = int(self.now / GENERATION_UNIT_MS)
         seed = self.seeds.getrandbits(64)
-        host.listed = self.count
+        host.listed_count = self.count
         host.core = Membership(self.config, node, self.count, generation, seed, self.now + host.clock_offset)
         self._handle(node, Tick())
 
     def kill(self, node: int) -> None:
-        """End a process without a datagram."""
+        """Kill a node's process, which sends no datagram before it ends."""
         self.hosts[node].core = None
 
     def leave(self, node: int, shutdown: float = 800.0) -> None:
-        """Shut a process down gracefully; it ends `shutdown` ms later."""
+        """Shut a node's process down gracefully; it ends `shutdown` ms later."""
         self._handle(node, Leave())
         self.at(self.now + shutdown, partial(self.kill, node))
 
-    def change_peers(self, node: int, listed: int, replaced: frozenset[int] = frozenset()) -> None:
-        """Give a node another peer list: the first `listed` nodes, of which some count as new ones."""
-        self.hosts[node].listed = listed
-        self._handle(node, PeersChanged(listed, replaced - {node}))
+    def change_peers(self, node: int, listed_count: int, replaced: frozenset[int] = frozenset()) -> None:
+        """Change a node's peer list to the first `listed_count` nodes; `replaced` ones count as new peers."""
+        self.hosts[node].listed_count = listed_count
+        self._handle(node, PeersChanged(listed_count, replaced - {node}))
 
     def stall(self, node: int, duration: float) -> None:
-        """Stall a process; what arrives meanwhile waits in its socket, and its timers do not run."""
+        """Stall a node's process: datagrams wait in its socket, and its timers do not run."""
         host = self.hosts[node]
         host.stalled_until = max(host.stalled_until, self.now + duration)
         self.at(self.now + duration, partial(self._resume, node, host.process_number))
 
     def running_nodes(self) -> list[int]:
-        """Return the nodes whose processes run."""
+        """Return the nodes on which a process runs."""
         return [node for node, host in enumerate(self.hosts) if host.core is not None]
 
     def has_converged(self) -> bool:
-        """Return whether all running nodes have the same view: just the running ones are present."""
+        """Return whether all running nodes share a view in which exactly the running nodes are present."""
         cores = [host.core for host in self.hosts if host.core is not None]
         views = {(core.view.state_hash, core.view.present_count) for core in cores}
         return len(views) == 1 and cores[0].present_members() == self.running_nodes()
 
     def run_until_converged(self, timeout: float, step: float = 50.0) -> float:
-        """Return the ms that convergence took; infinity if it took longer than `timeout`."""
+        """Run until the views converge; return the time this took in ms, infinity after `timeout`."""
         begin = self.now
         while self.now < begin + timeout:
             self.run(self.now + step)
@@ -143,7 +150,7 @@
         return math.inf
 
     def deaths_declared(self, since: float = 0.0) -> list[Observation]:
-        """Return each change by which a node came to believe another dead."""
+        """Return the observations, from `since` on, in which a node declared another one dead."""
         return [
             observation
             for observation in self.observations
@@ -156,8 +163,10 @@
             return
         inbox = host.inbox
         host.inbox = []
-        host.next_tick = math.inf  # a tick that was due during the stall has passed without effect
-        for source, data in inbox:  # an event loop reads sockets before it runs timers
+        # A tick that was due during the stall was ignored, so that no tick is scheduled now.
+        host.next_tick = math.inf
+        # Datagrams come before the tick, as an event loop reads sockets before it runs timers.
+        for source, data in inbox:
             self._handle(node, DatagramReceived(source, data))
         self._handle(node, Tick())
 
@@ -186,7 +195,7 @@
                 self._transmit(node, action.node, action.data)
 
     def _schedule_tick(self, node: int, due: float) -> None:
-        """Schedule a tick at a time of the node's own clock, unless one is due sooner."""
+        """Schedule a tick at a time on the node's monotonic clock, unless an earlier one is scheduled."""
         host = self.hosts[node]
         due -= host.clock_offset - CLOCK_ROUNDING_MS
         if due < host.next_tick:
@@ -194,7 +203,7 @@
             self.at(max(due, self.now), partial(self._tick, node, host.process_number))
 
     def _transmit(self, node: int, target: int | None, data: bytes) -> None:
-        """Send a datagram to one node, or to all others where `target` is None."""
+        """Send a datagram to one node, or to all other nodes if `target` is None."""
         self.sent_by_node[node] += 1
         self.sent_by_second[int(self.now / 1000)] += 1
         for receiver in range(self.count) if target is None else (target,):
@@ -211,22 +220,22 @@
         for _ in range(copies):
             delay = self.random.uniform(network.min_delay_ms, network.max_delay_ms)
             if self._draw(network.late_rate):
-                delay = self.random.uniform(0, LATE_MS)
+                delay = self.random.uniform(0, MAX_LATE_DELAY_MS)
             self.at(self.now + delay, partial(self._arrive, source, target, data))
 
     def _draw(self, rate: float) -> bool:
-        """Return True with a probability; a rate of 0 draws no random number."""
+        """Return True with the probability `rate`; a rate of 0 draws no random number."""
         return rate > 0 and self.random.random() < rate
 
     def _corrupted(self, data: bytes) -> bytes:
-        """Return a datagram with one bit flipped."""
+        """Return a copy of a datagram with one random bit flipped."""
         index = self.random.randrange(len(data))
         bit = 1 << self.random.randrange(8)
         return data[:index] + bytes([data[index] ^ bit]) + data[index + 1 :]
 
     def _arrive(self, source: int, target: int, data: bytes) -> None:
         host = self.hosts[target]
-        if host.core is None or source >= host.listed:
+        if host.core is None or source >= host.listed_count:
             return
         self.delivered += 1
         if host.stalled_until > self.now:
--- a/balancer/sim/request_path.py
+++ b/balancer/sim/request_path.py
@@ -1,8 +1,8 @@
-"""The path of a request in virtual time: clients, nodes and backends without sockets.
+"""Simulation of the request path in virtual time: clients, nodes and backends without sockets.
 
-The nodes are `Balancer` objects as in production, backends and clients are those of `balancer.models`. The
-network is simple: a constant delay between parties, a round trip and the work of a handshake for a new
-connection to a backend, front-end proxies that know at once which nodes serve, persistent client connections.
+Nodes run the production `Balancer`; backends and clients are those of `balancer.models`. The network model
+is simple: delays between parties are constant, a new connection to a backend costs a round trip and the work
+of a handshake, front-end proxies know immediately which nodes serve, and client connections are persistent.
 """
 
 from __future__ import annotations
@@ -21,8 +21,9 @@
 from balancer.policy import Balancer
 from balancer.sim.scheduler import EventScheduler
 
-ANSWER_MARGIN_MS = 10.0  # before its client's deadline, at which a node answers at the latest
-STATUS = {
+# A node answers a request at the latest this long before the client's deadline.
+RESPONSE_MARGIN_MS = 10.0
+STATUS_BY_VERDICT = {
     Verdict.SERVED: api.AttemptStatus.OK,
     Verdict.REPEATED: api.AttemptStatus.OK,
     Verdict.ERROR: api.AttemptStatus.ERROR,
@@ -34,31 +35,36 @@
 
 @dataclass
 class Figures:
-    """The results of a simulation; value and work are in the units of the experiment."""
-
-    value_served: defaultdict[int, float] = field(
-        default_factory=lambda: defaultdict(float)
-    )  # by tenth of a second
-    value_asked: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))
-    capacity_by_tenth: dict[int, float] = field(default_factory=dict)  # ms of work
-    work: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))  # that is wanted
+    """Results of a simulation; the keys of values, capacity and work are tenths of a second.
+
+    Value is in the experiment's unit. Capacity and requested work are in ms of work, `node_back_ms` holds the
+    times at which nodes serve again.
+    """
+
+    value_served: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))
+    value_requested: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))
+    capacity_by_tenth: dict[int, float] = field(default_factory=dict)
+    work_requested: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))
     collapsed: int = 0
-    ends: Counter[str] = field(default_factory=Counter)
-    back: list[float] = field(default_factory=list)  # ms at which each node serves again
+    outcomes: Counter[str] = field(default_factory=Counter)
+    node_back_ms: list[float] = field(default_factory=list)
 
     def goodput(self, begin: float, end: float) -> float:
-        """Return the value served over what available capacity could serve, from second `begin` to `end`."""
+        """Return the served share of the value that the capacity allowed, from second `begin` to `end`."""
         tenths = range(int(begin * 10), int(end * 10))
-        bears = {t: min(1.0, self.capacity_by_tenth.get(t, 0.0) / max(self.work[t], 1e-9)) for t in tenths}
-        could = sum(self.value_asked[t] * bears[t] for t in tenths)
-        return sum(self.value_served[t] for t in tenths) / could if could else 1.0
+        capacity_share = {
+            t: min(1.0, self.capacity_by_tenth.get(t, 0.0) / max(self.work_requested[t], 1e-9))
+            for t in tenths
+        }
+        possible_value = sum(self.value_requested[t] * capacity_share[t] for t in tenths)
+        return sum(self.value_served[t] for t in tenths) / possible_value if possible_value else 1.0
 
     def until(self, share: float, begin: float) -> float:
-        """Return the seconds after `begin` until half a second's value is a `share` of the demand."""
-        t, last = int(begin * 10), max(self.value_asked, default=0)
+        """Return the seconds from `begin` until a half second's served value is `share` of the demand."""
+        t, last = int(begin * 10), max(self.value_requested, default=0)
         while t + 5 <= last:
             half = range(t, t + 5)
-            if sum(self.value_served[i] for i in half) >= share * sum(self.value_asked[i] for i in half):
+            if sum(self.value_served[i] for i in half) >= share * sum(self.value_requested[i] for i in half):
                 return t / 10 - begin
             t += 1
         return float("inf")
@@ -66,7 +72,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt in flight."""
+    """An attempt that a node has sent to a backend."""
 
     request: str
     number: int
@@ -77,7 +83,11 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that a node has in progress."""
+    """A request in progress at a node.
+
+    `send_retry` sends the client's next attempt. The client connection is kept for `remaining_uses` further
+    requests.
+    """
 
     operation: Operation
     row: int
@@ -85,16 +95,16 @@
     deadline: float
     work: float
     key: str
-    send_retry: Callable[[], None]  # sends the client's next attempt
+    send_retry: Callable[[], None]
     zone: str
-    uses: int  # requests for which its connection is kept after this one
+    remaining_uses: int
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
 
 
 @dataclass(eq=False)
 class BackendHost:
-    """A backend with its state in the simulation."""
+    """A backend with its attempts in progress and its scheduled event."""
 
     core: Backend
     name: str
@@ -105,22 +115,25 @@
 
 @dataclass(eq=False)
 class NodeProcess:
-    """One process of a node."""
+    """A process of a node, with the number of its idle connections to each backend.
+
+    `demand` is the published number of requests in the last second, `arrived` that of the current second.
+    """
 
     number: int
     balancer: Balancer
     incarnation: int
     open: dict[str, OpenRequest] = field(default_factory=dict)
-    demand: float = 0.0  # requests in the last second, as all nodes know it
+    demand: float = 0.0
     arrived: int = 0
-    idle: Counter[str] = field(default_factory=Counter)  # connections to each backend
+    idle: Counter[str] = field(default_factory=Counter)
 
 
 class RequestSimulation(EventScheduler):
-    """The nodes, backends and clients of an experiment; times are ms since its begin."""
+    """Simulation of an experiment's nodes, backends and clients; times are ms since the start."""
 
     def __init__(self, spec: Experiment, seed: int) -> None:
-        """Draw the backends; no node is started."""
+        """Draw the backends' speeds; no node is started yet."""
         super().__init__(0.0)
         self.spec, self.seed = spec, seed
         self.random = random.Random(f"service {seed}")
@@ -143,7 +156,7 @@
     # --- clients
 
     def send_attempt(self, operation: Operation, row: int, zone: str, work: float, first: str) -> None:
-        """Send an operation's next attempt from a zone."""
+        """Send an operation's next attempt from a client in a zone."""
         step = operation.begin_attempt(self.now)
         self.request_count += 1
         key = f"k{first}" if operation.cls.effect == "dedup" else ""
@@ -153,16 +166,17 @@
         if node is None:
             self._finish_attempt(request, Outcome.UNREACHABLE, 0.0)
             return
-        ident = f"{self.request_count:016x}"
-        node.open[ident] = request
+        request_id = f"{self.request_count:016x}"
+        node.open[request_id] = request
         node.arrived += 1
         self.handle_event(
-            node, api.RequestArrived(ident, operation.cls.name, step.deadline, step.number > 0, key or None)
+            node,
+            api.RequestArrived(request_id, operation.cls.name, step.deadline, step.number > 0, key or None),
         )
-        self.at(step.deadline - ANSWER_MARGIN_MS, partial(self._deadline, node, ident))
+        self.at(step.deadline - RESPONSE_MARGIN_MS, partial(self._deadline, node, request_id))
 
     def _connection(self, zone: str) -> tuple[NodeProcess | None, int]:
-        """Return the node of an idle connection of the zone, or of a new one, and its remaining uses."""
+        """Return the node and remaining uses of a client connection of the zone: an idle or a new one."""
         idle_connections = self.idle_connections[zone]
         while idle_connections:
             index = self.random.randrange(len(idle_connections))
@@ -180,7 +194,7 @@
 
     def _finish_attempt(self, request: OpenRequest, end: Outcome, retry_after_ms: float) -> None:
         operation = request.operation
-        self.figures.ends[end.value] += 1
+        self.figures.outcomes[end.value] += 1
         if end is Outcome.SERVED:
             took, cls = self.now - operation.intended_at, operation.cls
             part = 1.0 if took <= cls.objective_ms else cls.late_value
@@ -190,36 +204,36 @@
         if when is not None:
             self.at(when, request.send_retry)
 
-    def answer(self, node: NodeProcess, ident: str, end: Outcome, retry_after_ms: float) -> None:
-        """Answer a request once, and keep its connection."""
-        request = node.open.get(ident)
+    def answer(self, node: NodeProcess, request_id: str, end: Outcome, retry_after_ms: float) -> None:
+        """Answer a request unless it has been answered, and keep its connection if it can be reused."""
+        request = node.open.get(request_id)
         if request is None or request.answered:
             return
         request.answered = True
-        if end is not Outcome.DISCONNECTED and request.uses > 0:
-            self.idle_connections[request.zone].append((node, request.uses))
-        self._forget(node, ident)
+        if end is not Outcome.DISCONNECTED and request.remaining_uses > 0:
+            self.idle_connections[request.zone].append((node, request.remaining_uses))
+        self._forget(node, request_id)
         self._finish_attempt(request, end, retry_after_ms)
 
-    def _forget(self, node: NodeProcess, ident: str) -> None:
-        if all(item.ended for item in node.open[ident].attempts):
-            del node.open[ident]
+    def _forget(self, node: NodeProcess, request_id: str) -> None:
+        if all(attempt.ended for attempt in node.open[request_id].attempts):
+            del node.open[request_id]
 
-    def _deadline(self, node: NodeProcess, ident: str) -> None:
-        """Time out attempts in flight and fail an unanswered request, as the production node does."""
-        request = node.open.get(ident)
+    def _deadline(self, node: NodeProcess, request_id: str) -> None:
+        """Time out the attempts in flight and fail an unanswered request, as a production node does."""
+        request = node.open.get(request_id)
         if request is None or request.answered or self.nodes[node.number] is not node:
             return
-        for item in request.attempts:
-            self._outcome(node, item, api.AttemptStatus.TIMEOUT)
+        for attempt in request.attempts:
+            self._outcome(node, attempt, api.AttemptStatus.TIMEOUT)
         if not request.answered:
-            self.answer(node, ident, Outcome.FAILED, 0.0)
-            self.handle_event(node, api.ClientDisconnected(ident))
+            self.answer(node, request_id, Outcome.FAILED, 0.0)
+            self.handle_event(node, api.ClientDisconnected(request_id))
 
-    # --- a node's module
+    # --- nodes
 
     def handle_event(self, node: NodeProcess, event: api.Event) -> None:
-        """Give a node's module an event and carry out its actions."""
+        """Pass an event to a node's balancer, and carry out the actions that it returns."""
         if self.nodes[node.number] is not node:
             return
         for action in node.balancer.handle(self.now, event):
@@ -251,8 +265,8 @@
 
     def _send(self, node: NodeProcess, action: api.StartAttempt) -> None:
         host, request = self.hosts[action.backend], node.open[action.request]
-        item = Attempt(action.request, len(request.attempts), host, self.now)
-        request.attempts.append(item)
+        attempt = Attempt(action.request, len(request.attempts), host, self.now)
+        request.attempts.append(attempt)
         wait, work = self._delay_ms(node, host), request.work
         if node.idle[host.name]:
             node.idle[host.name] -= 1
@@ -260,7 +274,7 @@
             wait, work = 3 * wait, work + self.spec.backends.handshake_ms
         if action.timeout_ms:
             self.at(
-                self.now + action.timeout_ms, partial(self._outcome, node, item, api.AttemptStatus.TIMEOUT)
+                self.now + action.timeout_ms, partial(self._outcome, node, attempt, api.AttemptStatus.TIMEOUT)
             )
         cls = request.operation.cls
         job = Job(
@@ -272,31 +286,32 @@
             request.key,
             cls.memory_span_ms,
         )
-        self.at(self.now + wait, partial(self._arrive, node, item, job))
+        self.at(self.now + wait, partial(self._arrive, node, attempt, job))
 
-    def _arrive(self, node: NodeProcess, item: Attempt, job: Job) -> None:
-        host, back = item.host, self._delay_ms(node, item.host)
-        if item.ended:  # its connection was closed before it came up
+    def _arrive(self, node: NodeProcess, attempt: Attempt, job: Job) -> None:
+        host, back = attempt.host, self._delay_ms(node, attempt.host)
+        # An attempt that ended while its connection was being opened never reaches the backend.
+        if attempt.ended:
             return
         if not host.alive:
-            self.at(self.now + back, partial(self._outcome, node, item, api.AttemptStatus.CONNECT_FAILED))
+            self.at(self.now + back, partial(self._outcome, node, attempt, api.AttemptStatus.CONNECT_FAILED))
             return
-        was = host.core.collapse
+        collapse_before = host.core.collapse
         verdict = host.core.offer(self.now, job)
-        if host.core.collapse is not None and was is None:
+        if host.core.collapse is not None and collapse_before is None:
             self.figures.collapsed += 1
             self._collapse(host)
         if verdict is not None:
-            self.at(self.now + back, partial(self._outcome, node, item, STATUS[verdict]))
+            self.at(self.now + back, partial(self._outcome, node, attempt, STATUS_BY_VERDICT[verdict]))
         else:
-            host.owners[job] = (node, item)
+            host.owners[job] = (node, attempt)
             self._arm(host)
 
     def _collapse(self, host: BackendHost) -> None:
-        """Take a collapsed backend down for good."""
+        """Stop a collapsed backend permanently, and reset its attempts in progress."""
         host.alive = False
-        for node, item in list(host.owners.values()):
-            self.at(self.now, partial(self._outcome, node, item, api.AttemptStatus.RESET))
+        for node, attempt in list(host.owners.values()):
+            self.at(self.now, partial(self._outcome, node, attempt, api.AttemptStatus.RESET))
         host.owners.clear()
 
     def _arm(self, host: BackendHost) -> None:
@@ -311,24 +326,29 @@
             return
         for job in host.core.advance(self.now):
             if (owner := host.owners.pop(job, None)) is not None:
-                node, item = owner
+                node, attempt = owner
                 node.idle[host.name] += 1
-                done = partial(self._outcome, node, item, STATUS[job.verdict])
+                done = partial(self._outcome, node, attempt, STATUS_BY_VERDICT[job.verdict])
                 self.at(self.now + self._delay_ms(node, host), done)
         self._arm(host)
 
-    def _outcome(self, node: NodeProcess, item: Attempt, status: api.AttemptStatus) -> None:
-        if item.ended or self.nodes[node.number] is not node:
+    def _outcome(self, node: NodeProcess, attempt: Attempt, status: api.AttemptStatus) -> None:
+        if attempt.ended or self.nodes[node.number] is not node:
             return
-        item.ended = True
-        request = node.open[item.request]
+        attempt.ended = True
+        request = node.open[attempt.request]
         if status is api.AttemptStatus.OK:
-            self.answer(node, item.request, Outcome.SERVED, 0.0)
-        if request.answered and item.request in node.open:
-            self._forget(node, item.request)
+            self.answer(node, attempt.request, Outcome.SERVED, 0.0)
+        if request.answered and attempt.request in node.open:
+            self._forget(node, attempt.request)
         self.handle_event(
             node,
             api.AttemptEnded(
-                item.request, item.number, item.host.name, status, self.now - item.sent, request.answered
+                attempt.request,
+                attempt.number,
+                attempt.host.name,
+                status,
+                self.now - attempt.sent,
+                request.answered,
             ),
         )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -151,7 +151,10 @@
 
 def test_a_tier_that_recovers_into_a_surge_serves_more() -> None:
     """Forty nodes with a floor of two sends each would swamp four cold backends."""
-    figures = [PowerLossSimulation(STRESS, 3, PowerCut(2.0, over=1.0), room).play() for room in (False, True)]
+    figures = [
+        PowerLossSimulation(STRESS, 3, PowerCut(2.0, start_spread_s=1.0), room).play()
+        for room in (False, True)
+    ]
     without, with_room = (f.goodput(4.5, 8.5) for f in figures)
     assert figures[1].collapsed == 0
     assert with_room > 1.1 * without
@@ -165,7 +168,7 @@
     served: dict[bool, list[float]] = {False: [], True: []}
     for seed in range(1, 9):
         for room in served:
-            figures = PowerLossSimulation(spec, seed, PowerCut(2.0, over=1.0), room).play()
+            figures = PowerLossSimulation(spec, seed, PowerCut(2.0, start_spread_s=1.0), room).play()
             served[room].append(figures.goodput(4.5, 8.5))
             assert not room or figures.collapsed == 0
     assert min(served[True]) >= 0.85
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -301,7 +301,7 @@
         disk.before_call = no_fault
         for image in disk.crash_images(random.Random(successes), 60):
             records = all_records(read_image(image))
-            assert records == history.written[: len(records)] and len(records) >= history.acknowledged
+            assert records == history.written[: len(records)] and len(records) >= history.acknowledged_count
 
 
 def test_a_file_whose_sync_failed_is_not_written_to_again() -> None:
