--- a/balancer/sim/recovery_actions.py
+++ b/balancer/sim/recovery_actions.py
@@ -1,4 +1,4 @@
-"""Carries out what the cores of a simulated tier ask for: datagrams, writes, bans, polls of discovery."""
+"""Performs the actions of a simulated tier's recovery cores: datagrams, writes, bans, list requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from balancer.recovery import actions, events
 from balancer.recovery.phases import Phase
-from balancer.sim.recovery_disks import Record, shifted
+from balancer.sim.recovery_disks import Record, shift_times
 from balancer.sim.recovery_process import EnteredPhase, OperatorRequest, Process
 
 if TYPE_CHECKING:
@@ -16,24 +16,27 @@
 
 
 class ActionRunner:
-    """Carries out actions of the cores of a tier."""
+    """Performs the actions that the nodes' recovery cores return.
+
+    `handled_token` is the token of the event that a core is handling, 0 if the event has none.
+    """
 
     def __init__(self, tier: Tier, write_ms: tuple[float, float]) -> None:
-        """Create the runner; a write takes between two times."""
+        """Create the runner; `write_ms` is the range of the duration of a write."""
         self.sync_failure_rate = 0.0
-        self.sent: Counter[int] = Counter()  # recovery datagrams by second
-        self.handled_token = 0  # of the event that a core is handling
+        self.sent_by_second: Counter[int] = Counter()
+        self.handled_token = 0
         self._tier = tier
         self._write_ms = write_ms
         self._written_until = [0.0] * tier.count
 
     def run(self, node: int, process: Process, action: actions.Action) -> None:
-        """Carry out an action of a node's core."""
+        """Perform an action that a node's recovery core has returned."""
         tier = self._tier
         number = tier.hosts[node].process_number
         match action:
             case actions.SendDatagram():
-                self.sent[int(tier.now / 1000)] += 1
+                self.sent_by_second[int(tier.now / 1000)] += 1
                 tier.send_datagram(node, action.node, action.data)
             case actions.PersistEntries():
                 process.writing[action.token] += 1
@@ -53,7 +56,7 @@
                 process.capacity = action
 
     def list_answered(self, node: int, number: int) -> None:
-        """Give a node the list, if its process `number` still runs."""
+        """Deliver discovery's list to a node if its process `number` still runs."""
         tier = self._tier
         process = tier.processes[node]
         if process is None or tier.hosts[node].process_number != number:
@@ -63,13 +66,14 @@
         disk.saved_ids = tuple(tier.backends)
         process.listed_starts = {name: backend.start for name, backend in tier.backends.items()}
         process.restricted_ids = frozenset()
-        offset = tier.hosts[node].clock_offset + tier.wall_offsets[node]  # starts are sent by the wall clock
+        # Discovery sends start times by the wall clock, which is off on each node.
+        offset = tier.hosts[node].clock_offset + tier.wall_offsets[node]
         starts = tuple(start + offset for start in process.listed_starts.values())
         event = events.ListReceived(tier.discovery.revision, starts, tuple(tier.backends))
         tier.handle_event(node, event)
 
     def list_failed(self, node: int, number: int) -> None:
-        """Tell a node that its request has failed, if its process `number` still runs."""
+        """Report a failed request to discovery to a node if its process `number` still runs."""
         if self._tier.hosts[node].process_number == number:
             self._tier.handle_event(node, events.ListRequestFailed())
 
@@ -100,7 +104,7 @@
             self._tier.observer.answered(request)
 
     def _write(self, node: int, number: int, action: actions.PersistEntries) -> None:
-        """Write records in the order of their calls, by a thread that may be slow."""
+        """Schedule a write of entries after the node's earlier writes, as a single thread makes them."""
         tier = self._tier
         begins = max(self._written_until[node], tier.now)
         self._written_until[node] = begins + tier.tier_random.uniform(*self._write_ms)
@@ -119,11 +123,14 @@
             process.pending.pop(token, None)
             return
         if entries:
-            disk.unsynced.append(shifted(entries, tier.wall_offsets[node] - tier.hosts[node].clock_offset))
+            disk.unsynced.append(
+                shift_times(entries, tier.wall_offsets[node] - tier.hosts[node].clock_offset)
+            )
         disk.written_at = tier.now + tier.wall_offsets[node]
         if token is None:
             return
         disk.sync()
         tier.handle_event(node, events.WriteCompleted(token, True))
-        if token in process.pending and not process.writing[token]:  # nothing changed by it
+        # A request that changed no entry is answered here, as no ban is applied for it.
+        if token in process.pending and not process.writing[token]:
             self._answer(process, process.pending[token])
--- a/balancer/sim/recovery_budget.py
+++ b/balancer/sim/recovery_budget.py
@@ -1,4 +1,4 @@
-"""Traffic of a simulated tier to cold backends: an upper bound of what its nodes send."""
+"""Upper bound of the work that the nodes of a simulated tier send to cold backends."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from balancer.sim.recovery_process import Process
 from balancer.sim.recovery_world import OBSERVATION_MS, Tier
 
-STORM_DEMAND = 2.0  # after an outage, in capacities: what nodes send that think a backend warm
+# Demand after an outage, as a multiple of a backend's capacity, from nodes that assume a warm backend.
+DEMAND_AFTER_OUTAGE = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class OverloadedBackend:
-    """A backend that was sent more than its budget."""
+    """A cold backend that received more work than its budget."""
 
     name: str
     age_ms: float
 
 
 def overloaded_backends(tier: Tier) -> Iterator[OverloadedBackend]:
-    """Send what nodes may for `OBSERVATION_MS`; yield the backends that topple."""
+    """Add each node's maximum work during `OBSERVATION_MS`; yield the backends that this overloads."""
     cold = {name: backend for name, backend in tier.backends.items() if backend.is_cold(tier.now)}
     serving = [(node, p) for node, p in enumerate(tier.processes) if p is not None and p.serves]
     for node, process in serving if cold else ():
@@ -35,19 +36,19 @@
 
 
 def _work(tier: Tier, node: int, process: Process, name: str, serving_count: int) -> float | None:
-    """Return what a node may send to a cold backend; None if nothing, or if it does not know of its start."""
+    """Return a node's maximum work for a cold backend; None if it is banned or its start is unknown."""
     believed_age = _believed_age(tier, node, process, name)
     if believed_age is None or name in process.banned:
         return None
     capacity = None if process.phase is Phase.FULL else process.capacity
     share = capacity.share if capacity is not None else 1.0 / serving_count
     is_cold = believed_age < RAMP_MS
-    part = WARMING_BUDGET_FRACTION * FALL_MULTIPLE * warmth(believed_age) if is_cold else STORM_DEMAND
+    part = WARMING_BUDGET_FRACTION * FALL_MULTIPLE * warmth(believed_age) if is_cold else DEMAND_AFTER_OUTAGE
     return share * part * OBSERVATION_MS
 
 
 def _believed_age(tier: Tier, node: int, process: Process, name: str) -> float | None:
-    """Return how old a backend is for a node that knows of its start; None for one that does not."""
+    """Return a backend's age as a node knows it; None if the node does not know of its last start."""
     start = tier.backends[name].start
     if process.listed_starts:
         return tier.now - start if process.listed_starts.get(name) == start else None
--- a/balancer/sim/recovery_disks.py
+++ b/balancer/sim/recovery_disks.py
@@ -1,7 +1,7 @@
-"""Model of a node's disk in the simulation of a tier's recovery, and what a start finds on it.
+"""Model of a node's disk in the simulation of a tier's recovery, and of what a starting process reads.
 
-A model one step above `sim/disk.py`: records are kept complete and in order, as the store's own exploration
-has proved; here it counts which of them a start finds.
+The model is coarser than `sim/disk.py`: records stay complete and in order, as crash testing of the
+write-ahead log verifies. Only which of the records a starting process finds matters here.
 """
 
 from __future__ import annotations
@@ -14,48 +14,53 @@
 from balancer.recovery.events import DiskRead
 
 MONTH_MS = 30 * 24 * 3600 * 1000.0
-MAX_LOST_RECORDS = 3  # of a disk without its last ones
+MAX_LOST_RECORDS = 3
 
 Record = tuple[BanEntry, ...]
 
 
-def shifted(entries: Record, by: float) -> Record:
-    """Return entries with their times on another clock."""
+def shift_times(entries: Record, by: float) -> Record:
+    """Return copies of entries with `by` ms added to their times, to convert them to another clock."""
     return tuple(entry._replace(changed_at=entry.changed_at + by) for entry in entries)
 
 
 class DiskCondition(Enum):
-    """Condition of a disk at a node's start."""
+    """Condition of a node's disk when a process starts.
 
-    SOUND = "sound"  # all that was synced, and some of what was not
-    LOST = "lost"  # another, empty disk
-    DAMAGED = "damaged"  # nothing of it can be read
-    OLDER = "older"  # the last records are missing, and nothing tells that they were there
-    MONTH = "month"  # an image of long ago
-    SWAPPED = "swapped"  # another node's directory: rejected
+    SOUND: all synced records are present, and some of the others. LOST: an empty disk has replaced the former
+    one. DAMAGED: nothing can be read. OLDER: the last records are missing without a trace. MONTH: an image
+    from a month ago. SWAPPED: the directory of another node, which is rejected.
+    """
+
+    SOUND = "sound"
+    LOST = "lost"
+    DAMAGED = "damaged"
+    OLDER = "older"
+    MONTH = "month"
+    SWAPPED = "swapped"
 
 
 @dataclass(slots=True, frozen=True)
 class DiskContents:
-    """What a start reads."""
+    """State that a starting process reads from disk; its age is by a wall clock that may have stepped."""
 
     sound: bool
     fresh: bool
     incarnation: int = 0
-    age_ms: float = 0.0  # by a wall clock that may have been stepped
+    age_ms: float = 0.0
     entries: Record = ()
     revision: int = 0
     saved_ids: tuple[str, ...] = ()
     warm_rate: float = 0.0
 
     def event(self, shift: float) -> DiskRead:
-        """Return the event of it, `shift` ms from the node's wall clock to its monotonic one."""
+        """Return the event for the core; `shift` ms convert the node's wall clock to its monotonic clock."""
         return DiskRead(
             sound=self.sound,
             fresh_disk=self.fresh,
             incarnation=self.incarnation,
             age_ms=self.age_ms,
-            entries=shifted(self.entries, shift),
+            entries=shift_times(self.entries, shift),
             revision=self.revision,
             warm_rate=self.warm_rate,
         )
@@ -63,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Image:
-    """A copy of a disk from long ago."""
+    """Contents of a disk a month ago."""
 
     record_count: int = 0
     revision: int = 0
@@ -72,37 +77,42 @@
 
 @dataclass
 class Disk:
-    """One node's records."""
+    """A node's disk: its synced and unsynced records, and the rest of the durable state.
+
+    `written_at` is by the node's wall clock. `is_used` is set once a process has used the disk, and `epoch`
+    grows each time synced records are lost.
+    """
 
     records: list[Record] = field(default_factory=list)
     unsynced: list[Record] = field(default_factory=list)
     incarnation: int = 0
-    written_at: float = 0.0  # by the node's wall clock
+    written_at: float = 0.0
     revision: int = 0
     saved_ids: tuple[str, ...] = ()
     warm_rate: float = 0.0
-    is_used: bool = False  # by any process so far
-    epoch: int = 0  # raised each time that something that was synced is gone
+    is_used: bool = False
+    epoch: int = 0
     image: Image = field(default_factory=Image)
 
     def sync(self) -> None:
-        """Make all writes durable."""
+        """Make all unsynced records durable."""
         self.records += self.unsynced
         self.unsynced = []
 
     def take_image(self) -> None:
-        """Keep an image that may come back as a disk of a month ago."""
+        """Keep an image of the disk, which a later start may find as the disk of a month ago."""
         self.image = Image(len(self.records), self.revision, self.saved_ids)
 
     def cut_power(self, generator: random.Random) -> None:
-        """Lose all but a first part of what was not synced."""
+        """Lose the unsynced records, except for a random prefix of them."""
         self.records += self.unsynced[: generator.randint(0, len(self.unsynced))]
         self.unsynced = []
 
     def read(self, condition: DiskCondition, wall_time: float, generator: random.Random) -> DiskContents:
-        """Return what the next start finds; the disk is in that condition from now on."""
+        """Return what the next process reads; the disk remains in that condition."""
         age_ms = wall_time - self.written_at
-        self.sync()  # after a mere crash the page cache has all of it
+        # The page cache survives a crash of the process, so that unsynced records are not lost.
+        self.sync()
         match condition:
             case DiskCondition.LOST | DiskCondition.DAMAGED | DiskCondition.SWAPPED:
                 self._clear()
@@ -142,7 +152,8 @@
     def _newest_entries(self) -> Record:
         newest: dict[EntryKey, BanEntry] = {}
         for record in self.records:
-            for entry in record:  # an earlier one may be written later
+            # Versions are compared, as an older entry may have been written after a newer one.
+            for entry in record:
                 known = newest.get(entry.key)
                 if known is None or entry.version > known.version:
                     newest[entry.key] = entry
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -1,7 +1,7 @@
-"""Faults planted in the core of a tier's recovery: each must be found by the observer's invariants.
+"""Faults injected into the recovery core, each of which the observer's invariants must detect.
 
-A fault is a subclass of the core, or of one of its parts, that gets one thing wrong; `FAULTS` names them,
-with the invariants by which each may be found.
+A fault is a subclass of the core, or of one of its components, with a single error. `FAULTS` lists them by
+name, with the invariants that may detect each.
 """
 
 from __future__ import annotations
@@ -25,15 +25,17 @@
 from balancer.sim.recovery_process import MakeCore
 from balancer.sim.recovery_schedule import Schedule, draw, draw_crossings
 
-RETRY_MS = 50.0  # to the next wakeup of a core that is past its deadline
-CLOCK_TOLERANCE_MS = 1.0  # below which two times of an entry count as equal
+# Delay of the next wakeup of a core whose deadline has passed.
+RETRY_MS = 50.0
+# Two times of an entry that differ by no more than this count as equal.
+CLOCK_TOLERANCE_MS = 1.0
 
 
 class MergesByTime(BanRegister):
-    """The later entry wins, by the clock of whoever wrote it."""
+    """Faulty register in which the entry with the later wall-clock time wins a merge."""
 
     def merge(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
-        """Merge by time."""
+        """Merge entries by their wall-clock times instead of their versions."""
         changed = []
         for entry in entries:
             known = self.get(entry.backend, entry.node)
@@ -44,19 +46,19 @@
 
 
 class LiftWins(BanRegister):
-    """A lift also ends bans that it has not seen."""
+    """Faulty register in which a lift also ends concurrent bans."""
 
     def is_banned(self, backend: str) -> bool:
-        """Return whether all entries are bans."""
+        """Return whether all of a backend's entries are active, so that one lift ends all its bans."""
         entries = self.entries_of(backend)
         return bool(entries) and all(entry.active for entry in entries)
 
 
 class CommitsLiftsBlindly(BanRegister):
-    """A lift that waited for the disk is put over an entry that became newer meanwhile."""
+    """Faulty register in which a lift overwrites an entry that became newer while the lift was written."""
 
     def commit(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
-        """Put lifts without comparing them."""
+        """Store lifts without comparing their versions with the current entries."""
         committed = list(entries)
         for entry in committed:
             if not entry.active:
@@ -65,10 +67,10 @@
 
 
 class ActiveWins(BanRegister):
-    """At the same counter the ban wins over the lift that has seen it: an old disk undoes a lift."""
+    """Faulty register in which a ban wins over its own lift, so that an old disk undoes the lift."""
 
     def merge(self, entries: Iterable[BanEntry]) -> list[BanEntry]:
-        """Merge so that a ban wins."""
+        """Merge entries so that a ban wins over a lift with the same counter."""
         changed = []
         for entry in entries:
             known = self.get(entry.backend, entry.node)
@@ -80,60 +82,60 @@
 
 
 class NeverReissues(BanRegister):
-    """After a lost disk a node's bans are not issued anew above those of its former incarnations."""
+    """Faulty register that does not reissue bans above those of former incarnations after a lost disk."""
 
     def reissue_above(self, entry: BanEntry) -> list[BanEntry]:
-        """Issue nothing."""
+        """Return no reissued entries."""
         return []
 
 
 class DropsLifted(Recovery):
-    """Lifted entries are not taken from the disk: nothing is left that stops older disks."""
+    """Faulty core that ignores lifted entries on disk, so that older disks can restore their bans."""
 
     def restore_saved_state(self, event: DiskRead) -> None:
-        """Take bans alone."""
+        """Restore only the active entries of the saved state."""
         super().restore_saved_state(replace(event, entries=tuple(e for e in event.entries if e.active)))
 
 
 class ServesAtOnce(PhaseMachine):
-    """It serves before it has asked anybody."""
+    """Faulty phase machine that serves before it has surveyed its peers."""
 
     def survey_end_reason(self, path: RecoveryPath) -> str | None:
-        """End the survey."""
+        """End the survey immediately."""
         return "no wait"
 
 
 class AwaitsAll(PhaseMachine):
-    """It does not serve before everybody has answered."""
+    """Faulty phase machine that does not serve before every peer has answered."""
 
     def survey_end_reason(self, path: RecoveryPath) -> str | None:
-        """End the survey once all were heard."""
+        """End the survey only after reports from all peers."""
         return "all are there" if len(self.survey.reports) == self.context.node_count - 1 else None
 
 
 class AwaitingRecovery(Recovery):
-    """Wakes up later than now, as the time to serve at the latest has passed."""
+    """Core for `AwaitsAll`, which would otherwise request a wakeup in the past after its deadline."""
 
     @property
     def next_wakeup(self) -> float:
-        """When a `Tick` is wanted."""
+        """Time of the next `Tick`, at least `RETRY_MS` from now."""
         return max(super().next_wakeup, self.context.now + RETRY_MS)
 
 
 class ShareOfPresent(CapacityQuota):
-    """A minority shares the whole budget among those that it sees."""
+    """Faulty quota in which a minority of nodes divides the whole budget among the present ones."""
 
     @property
     def share(self) -> float:
-        """Part of the budget, without the majority's condition."""
+        """Share of the budget, granted without a majority."""
         return 1.0 / len(self.survey.present())
 
 
 class TrustsSavedStarts(PhaseMachine):
-    """Starts of the saved list count after a power loss too: the recovery is handled as a crash."""
+    """Faulty phase machine that trusts the saved list's start times even after a power loss."""
 
     def run_survey(self) -> None:
-        """Enter FULL at the end of the survey."""
+        """Treat the recovery as a crash, and enter FULL at the end of the survey."""
         super().run_survey()
         if self.context.phase is Phase.LISTED:
             self.context.path = RecoveryPath.CRASH
@@ -142,10 +144,10 @@
 
 
 class WarmsAgain(Recovery):
-    """A restarted backend puts a node that is FULL back to WARMING."""
+    """Faulty core that returns from FULL to WARMING when a backend restarts."""
 
     def receive_list(self, event: ListReceived) -> None:
-        """Enter WARMING for a cold backend."""
+        """Enter WARMING if the list contains a cold backend."""
         super().receive_list(event)
         context = self.context
         age = context.now - max(event.start_times, default=0.0)
@@ -154,66 +156,66 @@
 
 
 class PollsAtOnce(PollSchedule):
-    """Discovery is polled without slots."""
+    """Faulty schedule that polls discovery without slots."""
 
     def schedule_first(self, now: float, nodes: Iterable[int]) -> None:
-        """Poll at once."""
+        """Poll immediately instead of in the node's slot."""
         self.poll_now(now)
 
 
 class RestrictsAll(SavedList):
-    """A peer's filter of a newer list takes away whatever it does not name, however much that is."""
+    """Faulty saved list that a peer's filter may restrict without a limit."""
 
     def restrict(self) -> None:
-        """Avoid the whole saved list."""
+        """Restrict the whole saved list if a peer has a newer filter."""
         newest = self.newest_filter
         if self.fresh is None and newest is not None and newest.revision > self.revision:
             self.context.actions.append(RestrictSavedList(frozenset(self.saved_ids)))
 
 
 class AnswersFirst(BanController):
-    """An operator's request is answered before its entries are synced."""
+    """Faulty controller that answers an operator's request before its entries are synced."""
 
     def request(self, event: BanRequested, now: float) -> None:
-        """Answer at once."""
+        """Commit and apply the request's entries immediately."""
         super().request(event, now)
         self.register.commit(self.pending[event.token].entries)
         self.apply_current_state(event.backend)
 
 
 class NeverRepairs(Exchange):
-    """Digests are not answered: what differs by pairs stays so."""
+    """Faulty exchange that ignores digests, so that differences between two registers remain."""
 
     def digest_received(self, node: int, register_hash: int, digest: Digest, now: float) -> None:
-        """Send nothing."""
+        """Ignore a peer's digest."""
 
 
 class IgnoresLateBans(BanController):
-    """A ban heard from a peer while this node serves is written down, and no more."""
+    """Faulty controller that does not apply bans received from peers while the node serves."""
 
     is_serving = False
 
     def apply_changes(self, changed: Iterable[BanEntry], now: float) -> None:
-        """Apply what came before the node served."""
+        """Apply changes only while the node does not serve yet."""
         if not self.is_serving:
             super().apply_changes(changed, now)
 
 
 class MarksServing(PhaseMachine):
-    """Tells `IgnoresLateBans` that the node serves."""
+    """Phase machine that reports the start of serving to `IgnoresLateBans`."""
 
     def start_serving(self, reason: str) -> None:
-        """End the survey."""
+        """End the survey, and mark the node as serving."""
         super().start_serving(reason)
         assert isinstance(self.bans, IgnoresLateBans)
         self.bans.is_serving = True
 
 
 class FullByMembers(Recovery):
-    """A node is FULL only while the membership sees a majority; one that loses it begins anew."""
+    """Faulty core that returns from FULL to LISTED when the majority is lost."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Return to LISTED when the majority is lost."""
+        """Enter LISTED again if the membership reports no quorum."""
         if isinstance(event, MembershipChanged) and not event.quorum and self.phase is Phase.FULL:
             self.phases.enter(Phase.LISTED, "the majority is away")
         return super().handle(now, event)
@@ -221,62 +223,63 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """A core with something wrong, and what finds it."""
+    """A faulty core, the invariants that may detect it, and the tier sizes in which it is sought."""
 
     make_core: MakeCore
     found_by: frozenset[str]
-    counts: tuple[int, ...] = (3, 4, 5, 6)  # sizes of the tiers in which it is looked for
+    counts: tuple[int, ...] = (3, 4, 5, 6)
     draw_schedule: Callable[[int, Iterable[int]], Schedule] = draw
 
 
-def _planted(components: RecoveryComponents, core: type[Recovery] = Recovery) -> MakeCore:
+def _faulty(components: RecoveryComponents, core: type[Recovery] = Recovery) -> MakeCore:
     return partial(core, components=components)
 
 
 FAULTS = {
     "entries are merged by wall time": Fault(
-        _planted(RecoveryComponents(register=MergesByTime)), frozenset({"known", "ban", "applied", "agree"})
+        _faulty(RecoveryComponents(register=MergesByTime)), frozenset({"known", "ban", "applied", "agree"})
     ),
     "a lift wins over a concurrent ban": Fault(
-        _planted(RecoveryComponents(register=LiftWins)), frozenset({"applied", "ban"})
+        _faulty(RecoveryComponents(register=LiftWins)), frozenset({"applied", "ban"})
     ),
     "a lift covers a ban that came while it was written": Fault(
-        _planted(RecoveryComponents(register=CommitsLiftsBlindly)),
+        _faulty(RecoveryComponents(register=CommitsLiftsBlindly)),
         frozenset({"known", "ban", "agree"}),
         draw_schedule=draw_crossings,
     ),
     "a ban wins over the lift that saw it": Fault(
-        _planted(RecoveryComponents(register=ActiveWins)), frozenset({"known", "agree"})
+        _faulty(RecoveryComponents(register=ActiveWins)), frozenset({"known", "agree"})
     ),
     "own bans are not issued anew after a lost disk": Fault(
-        _planted(RecoveryComponents(register=NeverReissues)), frozenset({"ban", "known"})
+        _faulty(RecoveryComponents(register=NeverReissues)), frozenset({"ban", "known"})
     ),
     "lifted bans are dropped at a restart": Fault(DropsLifted, frozenset({"known"})),
-    "serves before asking": Fault(_planted(RecoveryComponents(phases=ServesAtOnce)), frozenset({"ban"})),
+    "serves before asking": Fault(_faulty(RecoveryComponents(phases=ServesAtOnce)), frozenset({"ban"})),
     "waits for all peers": Fault(
-        _planted(RecoveryComponents(phases=AwaitsAll), AwaitingRecovery), frozenset({"full"})
+        _faulty(RecoveryComponents(phases=AwaitsAll), AwaitingRecovery), frozenset({"full"})
     ),
     "a minority shares the whole budget": Fault(
-        _planted(RecoveryComponents(quota=ShareOfPresent)), frozenset({"budget"}), (5, 6, 8)
+        _faulty(RecoveryComponents(quota=ShareOfPresent)), frozenset({"budget"}), (5, 6, 8)
     ),
     "saved starts are trusted after a power loss": Fault(
-        _planted(RecoveryComponents(phases=TrustsSavedStarts)), frozenset({"budget"})
+        _faulty(RecoveryComponents(phases=TrustsSavedStarts)), frozenset({"budget"})
     ),
     "a phase is entered again": Fault(WarmsAgain, frozenset({"phase"})),
     "a lost majority begins anew": Fault(FullByMembers, frozenset({"phase"})),
-    "discovery is polled without slots": Fault(  # or by `measure_mass_restart`
-        _planted(RecoveryComponents(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
+    # `measure_mass_restart` also detects this fault.
+    "discovery is polled without slots": Fault(
+        _faulty(RecoveryComponents(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
     ),
     "a peer's filter restricts everything": Fault(
-        _planted(RecoveryComponents(saved_list=RestrictsAll)), frozenset({"list"})
+        _faulty(RecoveryComponents(saved_list=RestrictsAll)), frozenset({"list"})
     ),
     "a request is answered before the sync": Fault(
-        _planted(RecoveryComponents(bans=AnswersFirst)), frozenset({"ban"})
+        _faulty(RecoveryComponents(bans=AnswersFirst)), frozenset({"ban"})
     ),
     "digests are not answered": Fault(
-        _planted(RecoveryComponents(exchange=NeverRepairs)), frozenset({"ban", "agree"})
+        _faulty(RecoveryComponents(exchange=NeverRepairs)), frozenset({"ban", "agree"})
     ),
     "bans received while serving are not applied": Fault(
-        _planted(RecoveryComponents(bans=IgnoresLateBans, phases=MarksServing)), frozenset({"applied", "ban"})
+        _faulty(RecoveryComponents(bans=IgnoresLateBans, phases=MarksServing)), frozenset({"applied", "ban"})
     ),
 }
--- a/balancer/sim/recovery_figures.py
+++ b/balancer/sim/recovery_figures.py
@@ -1,7 +1,9 @@
-"""Figures of a whole tier's recovery: requests to discovery, datagrams, and the time until all are full.
+"""Figures of a whole tier's recovery: requests to discovery, datagrams, and the time until all are FULL.
 
-python -c "from balancer.sim import recovery_figures
-print(recovery_figures.measure_mass_restart(200, 1))"
+For example:
+
+    python -c "from balancer.sim import recovery_figures
+    print(recovery_figures.measure_mass_restart(200, 1))"
 """
 
 from __future__ import annotations
@@ -19,89 +21,104 @@
 from balancer.sim.recovery_process import MakeCore
 from balancer.sim.recovery_schedule import BACKENDS, Schedule, Step, StepKind
 
-CUT_MS = 12_000.0  # the tier has come up and is quiet by then
+# Power is cut when all nodes have started and recovery traffic has ended.
+CUT_MS = 12_000.0
 BOOT_SPREAD_MS = 1_500.0
-BAN_LEAD_MS = 2_000.0  # before the cut
-DARK_MS = 500.0  # until the first node is back
-BASELINE_S = 5  # seconds before the cut that stand for the usual
+BAN_BEFORE_CUT_MS = 2_000.0
+OUTAGE_MS = 500.0
+BASELINE_S = 5
 SETTLE_MS = 30_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class MassRestartFigures:
-    """What a recovery cost; `violations` has what must not be."""
+    """Cost of a whole tier's restart after a power cut.
+
+    Datagrams are per node and second, before the cut and in the busiest second after it. `peak_calls_per_s`
+    counts requests to discovery; `full_ms` is the time from the cut until the last node is FULL.
+    """
 
     count: int
     seed: int
-    usual: float  # datagrams a node a second before the cut
-    worst: float  # and in the worst second after it
-    calls: int  # of discovery in the worst second
-    full_ms: float  # from power to the last FULL
+    baseline_datagrams_per_s: float
+    peak_datagrams_per_s: float
+    peak_calls_per_s: int
+    full_ms: float
     violations: tuple[str, ...]
 
 
 def measure_mass_restart(
     count: int,
     seed: int,
-    spread: float = 2_000.0,
-    down: float = 0.0,
-    loss: float = 0.0,
+    spread_ms: float = 2_000.0,
+    discovery_down_ms: float = 0.0,
+    loss_rate: float = 0.0,
     serve_ms: float = 4.0,
-    slot: float = 25.0,
+    poll_slot_ms: float = 25.0,
     make_core: MakeCore = Recovery,
 ) -> MassRestartFigures:
-    """Cut the power of all nodes, which return over `spread` ms, discovery `down` ms after the cut."""
-    schedule = replace(_schedule(count, seed, spread, down), loss=loss, serve_ms=serve_ms, slot=slot)
+    """Cut the power of all nodes and measure the tier's recovery.
+
+    The nodes restart within `spread_ms`; discovery is down for `discovery_down_ms` from the cut on.
+    """
+    schedule = replace(
+        _schedule(count, seed, spread_ms, discovery_down_ms),
+        loss_rate=loss_rate,
+        serve_ms=serve_ms,
+        poll_slot_ms=poll_slot_ms,
+    )
     played = play(schedule, make_core)
-    second = int((played.begun + CUT_MS) / 1000)
-    usual = [played.datagrams[s] / count for s in range(second - BASELINE_S, second)]
-    fulls = [at for at, text in played.log if "phase full" in text]
+    second = int((played.began_at + CUT_MS) / 1000)
+    baseline = [played.datagrams[s] / count for s in range(second - BASELINE_S, second)]
+    full_times = [at for at, text in played.log if "phase full" in text]
     return MassRestartFigures(
         count,
         seed,
-        usual=sum(usual) / len(usual),
-        worst=max(n / count for s, n in played.datagrams.items() if s >= second),
-        calls=max((n for s, n in played.calls.items() if s >= second), default=0),
-        full_ms=fulls[-1] - played.begun - CUT_MS if fulls else float("inf"),
+        baseline_datagrams_per_s=sum(baseline) / len(baseline),
+        peak_datagrams_per_s=max(n / count for s, n in played.datagrams.items() if s >= second),
+        peak_calls_per_s=max((n for s, n in played.calls.items() if s >= second), default=0),
+        full_ms=full_times[-1] - played.began_at - CUT_MS if full_times else float("inf"),
         violations=tuple(f"{b.invariant}: {b.text}" for b in played.violations),
     )
 
 
-def _schedule(count: int, seed: int, spread: float, down: float) -> Schedule:
+def _schedule(count: int, seed: int, spread_ms: float, discovery_down_ms: float) -> Schedule:
     generator = random.Random(f"return {seed}")
     sound = DiskCondition.SOUND.value
-    power_at = CUT_MS + DARK_MS
+    power_at = CUT_MS + OUTAGE_MS
     steps = [Step(generator.uniform(0, BOOT_SPREAD_MS), StepKind.BOOT, node, sound) for node in range(count)]
     steps += [
-        Step(CUT_MS - BAN_LEAD_MS, StepKind.BAN, generator.randrange(count), name) for name in BACKENDS[:2]
+        Step(CUT_MS - BAN_BEFORE_CUT_MS, StepKind.BAN, generator.randrange(count), name)
+        for name in BACKENDS[:2]
     ]
     steps.append(Step(CUT_MS, StepKind.CUT))
     steps += [
-        Step(CUT_MS + generator.uniform(10, DARK_MS), StepKind.RESTART_BACKEND, arg=name) for name in BACKENDS
+        Step(CUT_MS + generator.uniform(10, OUTAGE_MS), StepKind.RESTART_BACKEND, arg=name)
+        for name in BACKENDS
     ]
     steps += [
-        Step(power_at + generator.uniform(0, spread), StepKind.BOOT, node, sound) for node in range(count)
+        Step(power_at + generator.uniform(0, spread_ms), StepKind.BOOT, node, sound) for node in range(count)
     ]
-    outages = (Outage(CUT_MS, CUT_MS + down),) if down else ()
+    outages = (Outage(CUT_MS, CUT_MS + discovery_down_ms),) if discovery_down_ms else ()
     return Schedule(seed, count, tuple(sorted(steps, key=lambda step: step.at)), outages=outages)
 
 
 def peak_calls_without_slots(
-    count: int, seed: int, spread: float = 2_000.0, down: float = 0.0, serve_ms: float = 4.0
+    count: int, seed: int, spread_ms: float = 2_000.0, discovery_down_ms: float = 0.0, serve_ms: float = 4.0
 ) -> int:
-    """Return the requests to discovery in the worst second where nodes poll without slots.
+    """Return the requests to discovery in the busiest second if nodes poll without slots.
 
-    Each polls as it starts, and again on failure, as `net/discovery.py` does: after 0.1 s, doubled up to 2 s,
-    half to one and a half of it.
+    Each node polls when it starts, and again after each failure, as `net/discovery.py` does: after 0.1 s,
+    doubled up to 2 s, times a random factor from 0.5 to 1.5.
     """
-    schedule = _schedule(count, seed, spread, down)
+    schedule = _schedule(count, seed, spread_ms, discovery_down_ms)
     generator = random.Random(f"calls {seed}")
     world = MembershipSimulation(0, seed)
     discovery = Discovery(world.at, lambda: world.now, serve_ms)
-    begun = world.now
-    discovery.outages = tuple(Outage(begun + o.begin, begun + o.until) for o in schedule.outages)
+    began_at = world.now
+    discovery.outages = tuple(Outage(began_at + o.begin, began_at + o.until) for o in schedule.outages)
 
-    def caller() -> Callable[[], None]:
+    def polling_node() -> Callable[[], None]:
         delays = retry_delays()
 
         def call() -> None:
@@ -112,6 +129,6 @@
 
     for step in schedule.steps:
         if step.kind is StepKind.BOOT and step.at > CUT_MS:
-            world.at(begun + step.at, partial(caller()))
-    world.run(begun + CUT_MS + spread + down + SETTLE_MS)
+            world.at(began_at + step.at, partial(polling_node()))
+    world.run(began_at + CUT_MS + spread_ms + discovery_down_ms + SETTLE_MS)
     return max(discovery.requests_per_second.values())
--- a/balancer/sim/recovery_play.py
+++ b/balancer/sim/recovery_play.py
@@ -1,6 +1,6 @@
-"""Plays schedules against a tier, and makes a failed one small.
+"""Runs fault schedules against a simulated tier, and shrinks those that violate an invariant.
 
-One by hand, with the log of what happened:
+To run a single schedule and print its log:
 
     python -c "from balancer.sim.recovery_play import play; from balancer.sim.recovery_schedule import draw
     print(play(draw(17)))"
@@ -24,40 +24,48 @@
 from balancer.sim.recovery_schedule import BACKENDS, NODE_COUNTS, Schedule, Step, StepKind, draw
 from balancer.sim.recovery_world import Tier
 
-BEGIN_MS = 1e6  # of the world's clock
-SETTLE_MS = 500.0  # from one look at the end to the next
-QUIET_MS = 1_000.0  # after the last fault, before the end
-MAX_FAILURES = 5  # of an exploration
+# Virtual time at which a schedule begins.
+BEGIN_MS = 1e6
+# Interval of the checks whether the tier has settled after the last fault.
+SETTLED_CHECK_INTERVAL_MS = 500.0
+MIN_RUN_AFTER_FAULTS_MS = 1_000.0
+MAX_FAILURES = 5
 SHRUNK_FIELDS = (
     "partitions",
     "outages",
-    "loss",
-    "late",
-    "duplicate",
+    "loss_rate",
+    "late_rate",
+    "duplicate_rate",
     "sync_failure_rate",
     "serve_ms",
-    "max_wall_offset",
+    "max_wall_offset_ms",
 )
 
 
 @dataclass
 class PlayResult:
-    """What came of a schedule."""
+    """Results of a schedule's run.
+
+    `full_ms` is the time from the last fault until all nodes were FULL with equal registers, or infinity.
+    `datagrams` counts those of both protocols, and `calls` requests to discovery, in each second.
+    `acknowledged_count` is the number of successful operators' requests, and `max_budget_use` the largest
+    share of its budget that a cold backend received.
+    """
 
     schedule: Schedule
     violations: list[InvariantViolation]
     log: list[tuple[float, str]]
-    begun: float
-    full_ms: float  # from the last fault until all were full and agreed; infinity if they were not
-    datagrams: Counter[int]  # of all nodes and protocols, by second
-    calls: Counter[int]  # of discovery, by second
-    acknowledged_count: int  # requests of operators that succeeded
-    max_budget_use: float  # part of its budget that a cold backend was sent at the most
+    began_at: float
+    full_ms: float
+    datagrams: Counter[int]
+    calls: Counter[int]
+    acknowledged_count: int
+    max_budget_use: float
 
     def __str__(self) -> str:
-        """Return the log."""
-        lines = [f"seed {self.schedule.seed}: {self.schedule.count} nodes, loss {self.schedule.loss}"]
-        lines += [f"{at - self.begun:9.0f}  {text}" for at, text in self.log]
+        """Return the schedule's seed and the log of its run."""
+        lines = [f"seed {self.schedule.seed}: {self.schedule.count} nodes, loss {self.schedule.loss_rate}"]
+        lines += [f"{at - self.began_at:9.0f}  {text}" for at, text in self.log]
         return "\n".join(lines)
 
 
@@ -66,7 +74,7 @@
     StepKind.CUT: lambda tier, step: tier.cut(list(range(tier.count))),
     StepKind.KILL: lambda tier, step: tier.kill(step.node),
     StepKind.SHUT_DOWN: lambda tier, step: tier.shut_down(step.node),
-    StepKind.SUCCEED: lambda tier, step: tier.succeed(step.node),
+    StepKind.SUCCEED: lambda tier, step: tier.start_successor(step.node),
     StepKind.BAN: lambda tier, step: tier.request(step.node, step.arg, True),
     StepKind.LIFT: lambda tier, step: tier.request(step.node, step.arg, False),
     StepKind.RESTART_BACKEND: lambda tier, step: tier.restart_backend(step.arg),
@@ -76,37 +84,46 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """Stated times, ms."""
+    """Upper bounds on times of a schedule.
+
+    `ban_propagation_ms` limits the time until all connected nodes know a ban, `full_ms` the time from the
+    last fault until all nodes are FULL.
+    """
 
-    learn: float  # until a ban is known to all in touch
-    full: float  # from the last fault until all are full
+    ban_propagation_ms: float
+    full_ms: float
 
 
 def bounds(schedule: Schedule, config: RecoveryConfig) -> Bounds:
-    """Return the bounds that hold for a schedule."""
-    slow = 1.0 / (1.0 - schedule.loss) ** 2
-    learn = 15_000.0 * slow if schedule.loss or schedule.late else 12_000.0
+    """Return the bounds for a schedule, which depend on its loss, late datagrams and tier size."""
+    loss_factor = 1.0 / (1.0 - schedule.loss_rate) ** 2
+    ban_propagation_ms = 15_000.0 * loss_factor if schedule.loss_rate or schedule.late_rate else 12_000.0
     rounds = max(1_000.0, schedule.count * config.poll_slot_ms) * 4 + 3 * schedule.count * schedule.serve_ms
-    return Bounds(learn, config.max_survey_ms + rounds + config.max_warming_ms + 2 * learn + 3_000.0)
+    return Bounds(
+        ban_propagation_ms,
+        config.max_survey_ms + rounds + config.max_warming_ms + 2 * ban_propagation_ms + 3_000.0,
+    )
 
 
 def play(schedule: Schedule, make_core: MakeCore = Recovery) -> PlayResult:
-    """Let a schedule happen; stop soon after the last fault where all is well."""
-    config = RecoveryConfig(established_after_ms=schedule.window, poll_slot_ms=schedule.slot)
+    """Run a schedule; stop at a violation, or once the tier has settled after the last fault."""
+    config = RecoveryConfig(
+        established_after_ms=schedule.established_after_ms, poll_slot_ms=schedule.poll_slot_ms
+    )
     limits = bounds(schedule, config)
     tier = _tier(schedule, config, make_core)
-    observer = Observer(tier, limits.learn)
+    observer = Observer(tier, limits.ban_propagation_ms)
     for step in schedule.steps:
         tier.at(BEGIN_MS + step.at, partial(ACTIONS[step.kind], tier, step))
     last = BEGIN_MS + schedule.last_fault
     tier.run(last)
-    while tier.now < last + limits.full and not observer.violations:
-        if tier.now > last + QUIET_MS and observer.is_settled():
-            break  # nothing is left that could change
-        tier.run(tier.now + SETTLE_MS)
+    while tier.now < last + limits.full_ms and not observer.violations:
+        if tier.now > last + MIN_RUN_AFTER_FAULTS_MS and observer.is_settled():
+            break
+        tier.run(tier.now + SETTLED_CHECK_INTERVAL_MS)
     full_ms = tier.now - last if observer.is_settled() else float("inf")
     if not observer.violations:
-        observer.judge_end()
+        observer.check_end()
     return PlayResult(
         schedule,
         observer.violations,
@@ -116,12 +133,14 @@
         datagrams=tier.sent_by_second,
         calls=tier.discovery.requests_per_second,
         acknowledged_count=observer.answered_count,
-        max_budget_use=max(backend.max_used for backend in tier.backends.values()),
+        max_budget_use=max(backend.max_budget_use for backend in tier.backends.values()),
     )
 
 
 def _tier(schedule: Schedule, config: RecoveryConfig, make_core: MakeCore) -> Tier:
-    network = Network(loss_rate=schedule.loss, duplicate_rate=schedule.duplicate, late_rate=schedule.late)
+    network = Network(
+        loss_rate=schedule.loss_rate, duplicate_rate=schedule.duplicate_rate, late_rate=schedule.late_rate
+    )
     partitions = tuple(Partition(BEGIN_MS + p.begin, BEGIN_MS + p.until, p.side) for p in schedule.partitions)
     tier = Tier(
         schedule.count, schedule.seed, network, config, make_core, BACKENDS, partitions, schedule.write_ms
@@ -129,16 +148,16 @@
     tier.discovery.serve_ms = schedule.serve_ms
     tier.discovery.outages = tuple(Outage(BEGIN_MS + o.begin, BEGIN_MS + o.until) for o in schedule.outages)
     tier.runner.sync_failure_rate = schedule.sync_failure_rate
-    tier.max_wall_offset = schedule.max_wall_offset
+    tier.max_wall_offset_ms = schedule.max_wall_offset_ms
     return tier
 
 
 @dataclass
 class ExplorationResult:
-    """What many schedules came to."""
+    """Results of many schedules; `acknowledged_count` is the number of successful operators' requests."""
 
     schedules: int = 0
-    acknowledged_count: int = 0  # requests of operators that succeeded
+    acknowledged_count: int = 0
     failures: list[PlayResult] = field(default_factory=list)
     max_budget_use: float = 0.0
     full_ms: list[float] = field(default_factory=list)
@@ -155,7 +174,7 @@
     stop: int = MAX_FAILURES,
     draw_schedule: Callable[[int, Iterable[int]], Schedule] = draw,
 ) -> ExplorationResult:
-    """Play a schedule of each seed until `stop` have failed."""
+    """Run the schedule of each seed until `stop` of them have failed."""
     explored = ExplorationResult()
     sizes = tuple(counts)
     for seed in seeds:
@@ -172,20 +191,20 @@
 
 
 def shrink(failed: PlayResult, make_core: MakeCore = Recovery) -> PlayResult:
-    """Return the same violation with fewer faults: they are taken away, many at once and then few."""
+    """Return a run with the same violation and fewer faults, removed in ever smaller groups."""
     best = failed
     invariant = failed.violations[0].invariant
-    plain = Schedule(best.schedule.seed, best.schedule.count, ())
+    fault_free = Schedule(best.schedule.seed, best.schedule.count, ())
     for name in SHRUNK_FIELDS:
-        if getattr(best.schedule, name) != getattr(plain, name):
-            smaller = dataclasses.replace(best.schedule, **{name: getattr(plain, name)})
-            best = _played_if_broken(smaller, make_core, invariant) or best
+        if getattr(best.schedule, name) != getattr(fault_free, name):
+            smaller = dataclasses.replace(best.schedule, **{name: getattr(fault_free, name)})
+            best = _run_if_violated(smaller, make_core, invariant) or best
     size = len(best.schedule.steps) // 2
     while size:
         begin = 0
         while begin < len(steps := best.schedule.steps):
             smaller = dataclasses.replace(best.schedule, steps=steps[:begin] + steps[begin + size :])
-            if (played := _played_if_broken(smaller, make_core, invariant)) is None:
+            if (played := _run_if_violated(smaller, make_core, invariant)) is None:
                 begin += size
             else:
                 best = played
@@ -193,6 +212,6 @@
     return best
 
 
-def _played_if_broken(schedule: Schedule, make_core: MakeCore, invariant: str) -> PlayResult | None:
+def _run_if_violated(schedule: Schedule, make_core: MakeCore, invariant: str) -> PlayResult | None:
     played = play(schedule, make_core)
     return played if any(violation.invariant == invariant for violation in played.violations) else None
--- a/balancer/sim/recovery_process.py
+++ b/balancer/sim/recovery_process.py
@@ -1,4 +1,4 @@
-"""Parts of a simulated tier: a node's process, an operator's request, a partition, an observer's view."""
+"""Parts of a simulated tier: processes, operators' requests, partitions and the observer's interface."""
 
 from __future__ import annotations
 
@@ -18,23 +18,26 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorRequest:
-    """An operator's request at a node: ban a backend, or lift its ban."""
+    """An operator's request to a node to ban a backend or lift its ban.
+
+    `seen` has the node and counter of each of the backend's bans that the node knew at the time.
+    """
 
     token: int
     node: int
     backend: str
     banned: bool
-    seen: frozenset[tuple[int, int, int]] = frozenset()  # node and counter of each ban it knew of then
+    seen: frozenset[tuple[int, int, int]] = frozenset()
 
     @property
     def description(self) -> str:
-        """The backend and what is to become of it, for the log."""
+        """The backend and its requested state, `out` or `in`, for the log."""
         return f"{self.backend} {'out' if self.banned else 'in'}"
 
 
 @dataclass(slots=True, frozen=True)
 class EnteredPhase:
-    """A phase that a process has entered."""
+    """A phase that a process has entered, with its time and recovery path."""
 
     at: float
     phase: Phase
@@ -43,59 +46,65 @@
 
 @dataclass
 class Process:
-    """One node's process: what its core has asked for so far."""
+    """A node's process, with the state that its recovery core has requested so far.
+
+    A successor's `began` is that of its predecessor, and `inherits` is set until it enters its first phase,
+    which repeats its predecessor's. `power_cut` tells whether the whole tier lost power before this start.
+    `listed_starts` has the start times that discovery itself has sent, by backend. `pending` holds unanswered
+    requests, and `writing` the number of unfinished writes, by token.
+    """
 
     core: Recovery
-    began: float  # its predecessor's, where it is a successor
+    began: float
     phase: Phase = Phase.VERIFY
     phases: list[EnteredPhase] = field(default_factory=list)
-    banned: set[str] = field(default_factory=set)  # what its balancer was told
+    banned: set[str] = field(default_factory=set)
     saved_ids: frozenset[str] = frozenset()
     restricted_ids: frozenset[str] = frozenset()
     capacity: CapacityGranted | None = None
-    listed_starts: dict[str, float] = field(default_factory=dict)  # from discovery itself, by backend
-    pending: dict[int, OperatorRequest] = field(default_factory=dict)  # unanswered requests, by token
-    writing: Counter[int | None] = field(default_factory=Counter)  # writes under way, by token
-    inherits: bool = False  # a successor's first phase is its predecessor's
-    power_cut: bool = False  # whether all of the tier were cut before this start
+    listed_starts: dict[str, float] = field(default_factory=dict)
+    pending: dict[int, OperatorRequest] = field(default_factory=dict)
+    writing: Counter[int | None] = field(default_factory=Counter)
+    inherits: bool = False
+    power_cut: bool = False
     survey_began: float = 0.0
 
     @property
     def serves(self) -> bool:
-        """Whether it sends requests to backends."""
+        """Whether the process sends requests to backends."""
         return self.phase >= Phase.LISTED
 
 
 @dataclass(slots=True, frozen=True)
 class Partition:
-    """Two sides that do not hear each other for a while."""
+    """A network partition that separates the nodes in `side` from all others for an interval."""
 
     begin: float
     until: float
     side: frozenset[int]
 
     def separates(self, one: int, other: int) -> bool:
-        """Return whether two nodes are on different sides."""
+        """Return whether two nodes are on different sides of the partition."""
         return (one in self.side) != (other in self.side)
 
 
 class TierObserver(Protocol):
-    """Sees all, decides nothing."""
+    """Interface of an observer, which is notified of a tier's events and does not influence them."""
 
     def disk_read(self, node: int, entries: tuple[BanEntry, ...]) -> None:
-        """Observe that a process has read its disk."""
+        """Handle the entries that a process has read from its disk."""
 
     def phase_entered(self, node: int, entered: PhaseEntered) -> None:
-        """Observe that a phase has begun."""
+        """Handle a phase that a node is about to enter."""
 
     def requested(self, request: OperatorRequest) -> None:
-        """Observe that an operator's request has reached a node."""
+        """Handle an operator's request that has reached a node."""
 
     def answered(self, request: OperatorRequest) -> None:
-        """Observe that a request has succeeded."""
+        """Handle the acknowledgement of an operator's request."""
 
     def list_restricted(self, node: int, ids: frozenset[str]) -> None:
-        """Observe that a node avoids some of its saved list on a peer's word."""
+        """Handle the restriction of a node's saved list by a peer's filter."""
 
     def time_passed(self) -> None:
-        """Observe the tier."""
+        """Check the state of the tier, at regular times."""
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -1,8 +1,8 @@
-"""Simulation of a whole tier that loses power, in one process under virtual time.
+"""Simulation of a whole tier that loses power, in one process and in virtual time.
 
-It has the cores of membership and recovery, disks, discovery and operators. Nothing here decides anything: it
-moves datagrams, reads disks, carries out what the cores ask for, and tells an observer what it sees. Each
-process has a monotonic clock with a start of its own and each node a wall clock that may be minutes off.
+The tier consists of production membership and recovery cores, simulated disks, discovery and operators. The
+simulation delivers datagrams, reads disks, performs the actions of the cores, and notifies an observer. Each
+process's monotonic clock has its own origin, and each node's wall clock may be minutes off.
 """
 
 from __future__ import annotations
@@ -22,20 +22,24 @@
 from balancer.sim.recovery_environment import Backend, Discovery
 from balancer.sim.recovery_process import MakeCore, OperatorRequest, Partition, Process, TierObserver
 
-KIND_OFFSET = 5  # of the byte of a datagram that names its kind
+# Position of the byte with the message kind in a datagram.
+KIND_OFFSET = 5
 DAY_MS = 24 * 3600 * 1000.0
-OBSERVATION_MS = 100.0  # between two looks of the observer
-OBSERVATIONS_PER_DEMAND = 10  # one a second
+OBSERVATION_MS = 100.0
+# Nodes measure their demand once a second.
+OBSERVATIONS_PER_DEMAND = 10
 DISK_READ_MS = (1, 200)
-MAX_CLOCK_SHIFT_MS = 9e5  # of a monotonic clock
-MAX_DEMAND = 1000.0  # requests a second
-DEMAND_SKEW = 4  # power by which few nodes have most of the demand
+MAX_MONOTONIC_OFFSET_MS = 9e5
+MAX_DEMAND_PER_S = 1000.0
+# Uniform draws are raised to this power, so that a few nodes have most of the demand.
+DEMAND_SKEW_EXPONENT = 4
 DEMAND_VARIATION = (0.7, 1.4)
-WATCH_DELAY_MS = (5, 200)  # until a change of the list comes
+# Delay until a watch receives a change of the list.
+WATCH_DELAY_MS = (5, 200)
 
 
 class Tier(MembershipSimulation):
-    """Nodes with disks; `boot`, `kill`, `cut`, `request` and the like are called by a schedule."""
+    """Simulated nodes with disks, controlled by a schedule through `boot`, `kill`, `cut`, `request` etc."""
 
     def __init__(
         self,
@@ -48,7 +52,7 @@
         partitions: tuple[Partition, ...] = (),
         write_ms: tuple[float, float] = (1.0, 30.0),
     ) -> None:
-        """Create a tier of `count` nodes that are off; a write takes between two times."""
+        """Create a tier of `count` nodes without processes; `write_ms` is the range of a write's duration."""
         super().__init__(count, seed, network=network)
         self.recovery_config = config
         self.make_core = make_core
@@ -59,39 +63,44 @@
         self.processes: list[Process | None] = [None] * count
         self.backends = {name: Backend(self.now - DAY_MS) for name in backends}
         self.discovery = Discovery(self.at, lambda: self.now)
-        self.max_wall_offset = 0.0  # ms by which a node's wall clock is off at most after a start
+        self.max_wall_offset_ms = 0.0
         self.wall_offsets = [0.0] * count
         self.observer: TierObserver | None = None
         self.log: list[tuple[float, str]] = []
         self.runner = ActionRunner(self, write_ms)
-        self._demands = [MAX_DEMAND * self.tier_random.random() ** DEMAND_SKEW for _ in range(count)]
+        self._demands = [
+            MAX_DEMAND_PER_S * self.tier_random.random() ** DEMAND_SKEW_EXPONENT for _ in range(count)
+        ]
         self._last_token = 0
-        self._blacked_out: set[int] = set()  # nodes whose last process ended as all lost power
+        # Nodes whose last process ended in a power cut of the whole tier.
+        self._lost_power_with_tier: set[int] = set()
         self.at(self.now, self._observe)
 
     # --- for the schedule
 
     def boot(self, node: int, condition: DiskCondition) -> None:
-        """Start a node's process; its disk is read a little later."""
+        """Start a process on a node, unless one runs; it reads its disk a little later."""
         if self.processes[node] is not None:
             return
         found = self._turn_on(node, condition)
         incarnation = self.disks[node].incarnation
         core = self._new_core(node, incarnation)
         self.processes[node] = Process(
-            core, self.now, power_cut=node in self._blacked_out, saved_ids=frozenset(found.saved_ids)
+            core, self.now, power_cut=node in self._lost_power_with_tier, saved_ids=frozenset(found.saved_ids)
         )
         self.start(node, incarnation)
         read_at = self.now + self.tier_random.uniform(*DISK_READ_MS)
         self.at(read_at, partial(self._disk_read, node, self.hosts[node].process_number, found))
 
-    def succeed(self, node: int) -> None:
-        """Start a successor that takes over from the node's process, in the middle of whatever it does."""
+    def start_successor(self, node: int) -> None:
+        """Start a successor that takes over from a node's serving process, whatever state that is in."""
         old = self.processes[node]
         if old is None or old.phase < Phase.LISTED or self.hosts[node].core is None:
             return
         core = old.core
-        left = events.StateInherited(core.phase, core.path, core.cold_since, tuple(core.register.entries()))
+        inherited = events.StateInherited(
+            core.phase, core.path, core.cold_since, tuple(core.register.entries())
+        )
         self.note(f"n{node} has a successor")
         self.kill(node)
         found = self._turn_on(node, DiskCondition.SOUND)
@@ -110,46 +119,47 @@
         )
         self.start(node, incarnation)
         self.handle_event(node, events.SavedListLoaded(self.disks[node].saved_ids))
-        self.handle_event(node, left)
+        self.handle_event(node, inherited)
         self.handle_event(node, found.event(self.hosts[node].clock_offset - self.wall_offsets[node]))
         if self.observer is not None:
-            self.observer.disk_read(node, left.entries)
+            self.observer.disk_read(node, inherited.entries)
 
     def kill(self, node: int) -> None:
-        """End a node's process without a word; the page cache stays."""
+        """Kill a node's process without notice; the page cache of its disk survives."""
         super().kill(node)
         self.processes[node] = None
-        self._blacked_out.discard(node)
+        self._lost_power_with_tier.discard(node)
 
     def cut(self, nodes: list[int]) -> None:
-        """Cut the power of nodes at one moment; of what was not synced a part is gone."""
+        """Cut the power of nodes simultaneously; a part of their unsynced records is lost."""
         for node in nodes:
             if self.hosts[node].core is not None:
                 self.kill(node)
             self.disks[node].cut_power(self.tier_random)
-        self._blacked_out = set(range(self.count)) if len(nodes) == self.count else set()
+        self._lost_power_with_tier = set(range(self.count)) if len(nodes) == self.count else set()
         self.note(f"power is cut: {len(nodes)} of {self.count} nodes")
 
     def shut_down(self, node: int) -> None:
-        """Send SIGTERM: the node says that it leaves, and ends 800 ms later."""
+        """Send SIGTERM to a node's process, which announces its departure and ends 800 ms later."""
         if self.hosts[node].core is None:
             return
-        self.note(f"n{node} gets SIGTERM")
+        self.note(f"n{node} receives SIGTERM")
         self.handle_event(node, events.ShutdownStarted())
         super().leave(node)
 
     def restart_backend(self, name: str) -> None:
-        """Restart a backend, cold; discovery lists it so."""
+        """Restart a backend cold, and publish a new revision of discovery's list to all watches."""
         self.backends[name].restart(self.now)
         self.discovery.revision += 1
         self.note(f"{name} restarts")
         for node, process in enumerate(self.processes):
-            if process is not None and process.listed_starts:  # a node that has a list has a watch
-                when = self.discovery.up_again() + self.tier_random.uniform(*WATCH_DELAY_MS)
+            # Each node that has received discovery's list watches it for changes.
+            if process is not None and process.listed_starts:
+                when = self.discovery.available_at() + self.tier_random.uniform(*WATCH_DELAY_MS)
                 self.at(when, partial(self.runner.list_answered, node, self.hosts[node].process_number))
 
     def request(self, node: int, backend: str, banned: bool) -> None:
-        """Send an operator's request to a node."""
+        """Send an operator's request to a node; one that has not read its disk ignores it."""
         process = self.processes[node]
         if process is None or process.phase < Phase.ASK:
             return
@@ -158,20 +168,20 @@
         seen = frozenset((e.node, e.incarnation, e.sequence) for e in entries if e.active)
         request = OperatorRequest(self._last_token, node, backend, banned, seen)
         process.pending[request.token] = request
-        self.note(f"n{node} is asked: {request.description}")
+        self.note(f"n{node} receives a request: {request.description}")
         if self.observer is not None:
             self.observer.requested(request)
         now = self.now + self.hosts[node].clock_offset
         self.handle_event(node, events.BanRequested(backend, banned, now, request.token))
 
-    # --- for the observer and the runner
+    # --- for the observer and the action runner
 
     def note(self, text: str) -> None:
-        """Log a line for whoever reads a failed schedule."""
+        """Add a line with the current time to the log of the run."""
         self.log.append((self.now, text))
 
-    def in_touch_since(self, one: int, other: int) -> float | None:
-        """Return since when two processes have been able to hear each other; None if they are not."""
+    def connected_since(self, one: int, other: int) -> float | None:
+        """Return since when two nodes' processes have been connected; None if they are not."""
         first = self.processes[one]
         second = self.processes[other]
         if first is None or second is None:
@@ -185,7 +195,7 @@
         return since
 
     def handle_event(self, node: int, event: events.Event) -> None:
-        """Hand an event to a node's recovery; what it asks for is done."""
+        """Pass an event to a node's recovery core, and perform the actions that it returns."""
         process = self.processes[node]
         if process is None or self.hosts[node].core is None:
             return
@@ -199,10 +209,10 @@
         self._schedule_tick(node, process.core.next_wakeup)
 
     def send_datagram(self, node: int, target: int | None, data: bytes) -> None:
-        """Send a datagram to a node, or to all."""
+        """Send a datagram to one node, or to all other nodes if `target` is None."""
         self._transmit(node, target, data)
 
-    # --- what moves
+    # --- processes, datagrams and demand
 
     def _new_core(self, node: int, incarnation: int) -> Recovery:
         now = self.now + self.hosts[node].clock_offset
@@ -213,10 +223,12 @@
         return any(p.begin <= self.now < p.until and p.separates(source, target) for p in self.partitions)
 
     def _turn_on(self, node: int, condition: DiskCondition) -> DiskContents:
-        """Return what a new process finds on its disk; its incarnation is written, its clocks are new."""
+        """Draw new clocks for a node, read its disk, and write the new process's incarnation to it."""
         disk = self.disks[node]
-        self.wall_offsets[node] = self.tier_random.uniform(-self.max_wall_offset, self.max_wall_offset)
-        self.hosts[node].clock_offset = self.tier_random.uniform(-MAX_CLOCK_SHIFT_MS, MAX_CLOCK_SHIFT_MS)
+        self.wall_offsets[node] = self.tier_random.uniform(-self.max_wall_offset_ms, self.max_wall_offset_ms)
+        self.hosts[node].clock_offset = self.tier_random.uniform(
+            -MAX_MONOTONIC_OFFSET_MS, MAX_MONOTONIC_OFFSET_MS
+        )
         wall_time = self.now + self.wall_offsets[node]
         found = disk.read(condition, wall_time, self.tier_random)
         incarnation = max(int(wall_time / GENERATION_UNIT_MS), found.incarnation + 1)
@@ -258,7 +270,7 @@
         self.at(self.now + OBSERVATION_MS, self._observe)
 
     def _report_demand(self) -> None:
-        """Tell nodes how much comes to them: to a few of them nearly all of it."""
+        """Report each recovering node's demand to it; a few nodes have most of the demand."""
         for node, process in enumerate(self.processes):
             if process is not None and Phase.LISTED <= process.phase < Phase.FULL:
                 demand = self._demands[node] * self.tier_random.uniform(*DEMAND_VARIATION)
--- a/tests/test_recovery_sim.py
+++ b/tests/test_recovery_sim.py
@@ -71,12 +71,15 @@
 
 
 def test_poll_slots_limit_the_requests_to_discovery() -> None:
-    polled_in_slots = measure_mass_restart(16, 1, spread=300.0, slot=250.0)
-    assert not polled_in_slots.violations and polled_in_slots.calls < 16 < peak_calls_without_slots(
-        16, 1, spread=300.0, down=8_000.0
+    polled_in_slots = measure_mass_restart(16, 1, spread_ms=300.0, poll_slot_ms=250.0)
+    assert (
+        not polled_in_slots.violations
+        and polled_in_slots.peak_calls_per_s
+        < 16
+        < peak_calls_without_slots(16, 1, spread_ms=300.0, discovery_down_ms=8_000.0)
     )
     polled_without_slots = measure_mass_restart(
-        16, 1, 300.0, slot=250.0, make_core=FAULTS["discovery is polled without slots"].make_core
+        16, 1, 300.0, poll_slot_ms=250.0, make_core=FAULTS["discovery is polled without slots"].make_core
     )
     assert polled_without_slots.violations[0].startswith("turns")
 
