--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -107,7 +107,7 @@
         # `running` is a heap, ordered by the end time of each request.
         self.running: list[tuple[float, int, Job]] = []
         self.waiting: deque[Job] = deque()
-        # Work received while the backend is cold: arrival time, sending node, and work of each attempt.
+        # `recent_work` holds arrival time, sending node and work of each attempt received while cold.
         self.recent_work: deque[tuple[float, int, float]] = deque()
         self.done_work = self.cold_work = 0.0
         self.count = 0
--- a/balancer/sim/members.py
+++ b/balancer/sim/members.py
@@ -29,7 +29,7 @@
 from balancer.membership.messages import MemberState
 from balancer.sim.scheduler import EventScheduler
 
-# Added to the time of a tick, as rounding between two clocks could otherwise make the tick early.
+# Ticks are delayed by this margin, as rounding between two clocks could make them early.
 CLOCK_ROUNDING_MS = 1e-6
 GENERATION_UNIT_MS = 256.0
 MAX_LATE_DELAY_MS = 10_000.0
@@ -91,7 +91,7 @@
         self.seeds = random.Random(f"nodes {seed}")
         self.hosts = [Host(listed_count=count) for _ in range(count)]
         self.observations: list[Observation] = []
-        # Datagrams sent by each node and in each second; a broadcast counts once.
+        # The counters of sent datagrams, by node and by second, count a broadcast once.
         self.sent_by_node: Counter[int] = Counter()
         self.sent_by_second: Counter[int] = Counter()
         self.delivered = 0
--- a/balancer/sim/recovery_actions.py
+++ b/balancer/sim/recovery_actions.py
@@ -39,7 +39,7 @@
                 self.sent_by_second[int(tier.now / 1000)] += 1
                 tier.send_datagram(node, action.node, action.data)
             case actions.PersistEntries():
-                process.writing[action.token] += 1
+                process.unfinished_writes[action.token] += 1
                 self._write(node, number, action)
             case actions.ApplyBan():
                 self._apply(process, action)
@@ -80,9 +80,9 @@
     def _enter(self, node: int, process: Process, action: actions.PhaseEntered) -> None:
         tier = self._tier
         phase = action.phase.name.lower()
-        tier.note(f"n{node} phase {phase}, path {action.path.value}: {action.reason}")
+        tier.log_event(f"n{node} phase {phase}, path {action.path.value}: {action.reason}")
         if action.phase is Phase.ASK:
-            process.survey_began = tier.now
+            process.survey_began_at = tier.now
         if tier.observer is not None:
             tier.observer.phase_entered(node, action)
         process.phases.append(EnteredPhase(tier.now, action.phase, action.path))
@@ -99,7 +99,7 @@
 
     def _answer(self, process: Process, request: OperatorRequest) -> None:
         del process.pending[request.token]
-        self._tier.note(f"n{request.node} acknowledges: {request.description}")
+        self._tier.log_event(f"n{request.node} acknowledges: {request.description}")
         if self._tier.observer is not None:
             self._tier.observer.answered(request)
 
@@ -117,7 +117,7 @@
         disk = tier.disks[node]
         if process is None or tier.hosts[node].process_number != number:
             return
-        process.writing[token] -= 1
+        process.unfinished_writes[token] -= 1
         if token is not None and tier.tier_random.random() < self.sync_failure_rate:
             tier.handle_event(node, events.WriteCompleted(token, False))
             process.pending.pop(token, None)
@@ -132,5 +132,5 @@
         disk.sync()
         tier.handle_event(node, events.WriteCompleted(token, True))
         # A request that changed no entry is answered here, as no ban is applied for it.
-        if token in process.pending and not process.writing[token]:
+        if token in process.pending and not process.unfinished_writes[token]:
             self._answer(process, process.pending[token])
--- a/balancer/sim/recovery_budget.py
+++ b/balancer/sim/recovery_budget.py
@@ -12,8 +12,8 @@
 from balancer.sim.recovery_process import Process
 from balancer.sim.recovery_world import OBSERVATION_MS, Tier
 
-# Demand after an outage, as a multiple of a backend's capacity, from nodes that assume a warm backend.
-DEMAND_AFTER_OUTAGE = 2.0
+# After an outage, nodes that assume a warm backend are taken to send it twice its capacity in all.
+DEMAND_AFTER_OUTAGE_IN_CAPACITIES = 2.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,12 +30,12 @@
     serving = [(node, p) for node, p in enumerate(tier.processes) if p is not None and p.serves]
     for node, process in serving if cold else ():
         for name, backend in cold.items():
-            work = _work(tier, node, process, name, len(serving))
+            work = _max_work(tier, node, process, name, len(serving))
             if work is not None and backend.offer(tier.now, work):
                 yield OverloadedBackend(name, tier.now - backend.start)
 
 
-def _work(tier: Tier, node: int, process: Process, name: str, serving_count: int) -> float | None:
+def _max_work(tier: Tier, node: int, process: Process, name: str, serving_count: int) -> float | None:
     """Return a node's maximum work for a cold backend; None if it is banned or its start is unknown."""
     believed_age = _believed_age(tier, node, process, name)
     if believed_age is None or name in process.banned:
@@ -43,7 +43,11 @@
     capacity = None if process.phase is Phase.FULL else process.capacity
     share = capacity.share if capacity is not None else 1.0 / serving_count
     is_cold = believed_age < RAMP_MS
-    part = WARMING_BUDGET_FRACTION * FALL_MULTIPLE * warmth(believed_age) if is_cold else DEMAND_AFTER_OUTAGE
+    part = (
+        WARMING_BUDGET_FRACTION * FALL_MULTIPLE * warmth(believed_age)
+        if is_cold
+        else DEMAND_AFTER_OUTAGE_IN_CAPACITIES
+    )
     return share * part * OBSERVATION_MS
 
 
@@ -52,7 +56,7 @@
     start = tier.backends[name].start
     if process.listed_starts:
         return tier.now - start if process.listed_starts.get(name) == start else None
-    if not process.power_cut or start > process.began:
+    if not process.lost_power_with_tier or start > process.began_at:
         return None
     if process.phase is Phase.FULL or process.capacity is None:
         return math.inf
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -25,9 +25,8 @@
 from balancer.sim.recovery_process import MakeCore
 from balancer.sim.recovery_schedule import Schedule, draw, draw_crossings
 
-# Delay of the next wakeup of a core whose deadline has passed.
-RETRY_MS = 50.0
-# Two times of an entry that differ by no more than this count as equal.
+OVERDUE_WAKEUP_DELAY_MS = 50.0
+# Two times of an entry count as equal if they differ by at most this tolerance.
 CLOCK_TOLERANCE_MS = 1.0
 
 
@@ -118,8 +117,8 @@
 
     @property
     def next_wakeup(self) -> float:
-        """Time of the next `Tick`, at least `RETRY_MS` from now."""
-        return max(super().next_wakeup, self.context.now + RETRY_MS)
+        """Time of the next `Tick`, at least `OVERDUE_WAKEUP_DELAY_MS` from now."""
+        return max(super().next_wakeup, self.context.now + OVERDUE_WAKEUP_DELAY_MS)
 
 
 class ShareOfPresent(CapacityQuota):
@@ -266,7 +265,7 @@
     ),
     "a phase is entered again": Fault(WarmsAgain, frozenset({"phase"})),
     "a lost majority begins anew": Fault(FullByMembers, frozenset({"phase"})),
-    # `measure_mass_restart` also detects this fault.
+    # Polls without slots are also detected by `measure_mass_restart`.
     "discovery is polled without slots": Fault(
         _faulty(RecoveryComponents(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
     ),
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -130,10 +130,10 @@
         """Check that the phase has advanced, and that a node which begins to serve has surveyed its peers."""
         process = self._process(node)
         path = process.phases[-1].path if process.phases else entered.path
-        is_refined = entered.phase is process.phase and (entered.path is not path or process.inherits)
+        is_refined = entered.phase is process.phase and (entered.path is not path or process.inherits_phase)
         if entered.phase <= process.phase and not is_refined:
             self._report_violation("phase", f"n{node} enters {entered.phase.name} from {process.phase.name}")
-        process.inherits = False
+        process.inherits_phase = False
         if entered.phase is Phase.LISTED and process.phase < Phase.LISTED:
             self._check_start(node, process, entered.path)
 
@@ -297,7 +297,7 @@
         is_healing = any(p.begin <= tier.now < p.until + self.propagation_ms for p in tier.partitions)
         if path is RecoveryPath.CRASH and is_healing:
             return
-        survey_ms = tier.now - process.survey_began
+        survey_ms = tier.now - process.survey_began_at
         if self.is_lossy or survey_ms >= tier.recovery_config.max_survey_ms - SURVEY_MARGIN_MS:
             return
         for ban in self._bans_in_force():
@@ -317,11 +317,14 @@
             is_running = tier.hosts[knower.node].process_number == knower.number
             if connected_at is None or not is_running or knower.node == node:
                 continue
-            if connected_at <= process.survey_began and since <= process.survey_began - LOSSLESS_SPREAD_MS:
+            if (
+                connected_at <= process.survey_began_at
+                and since <= process.survey_began_at - LOSSLESS_SPREAD_MS
+            ):
                 return knower.node
         return None
 
     def _report_violation(self, invariant: str, text: str) -> None:
-        self.tier.note(f"VIOLATION {invariant}: {text}")
+        self.tier.log_event(f"VIOLATION {invariant}: {text}")
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(InvariantViolation(self.tier.now, invariant, text))
--- a/balancer/sim/recovery_play.py
+++ b/balancer/sim/recovery_play.py
@@ -24,9 +24,7 @@
 from balancer.sim.recovery_schedule import BACKENDS, NODE_COUNTS, Schedule, Step, StepKind, draw
 from balancer.sim.recovery_world import Tier
 
-# Virtual time at which a schedule begins.
-BEGIN_MS = 1e6
-# Interval of the checks whether the tier has settled after the last fault.
+SCHEDULE_START_MS = 1e6
 SETTLED_CHECK_INTERVAL_MS = 500.0
 MIN_RUN_AFTER_FAULTS_MS = 1_000.0
 MAX_FAILURES = 5
@@ -114,8 +112,8 @@
     tier = _tier(schedule, config, make_core)
     observer = Observer(tier, limits.ban_propagation_ms)
     for step in schedule.steps:
-        tier.at(BEGIN_MS + step.at, partial(ACTIONS[step.kind], tier, step))
-    last = BEGIN_MS + schedule.last_fault
+        tier.at(SCHEDULE_START_MS + step.at, partial(ACTIONS[step.kind], tier, step))
+    last = SCHEDULE_START_MS + schedule.last_fault
     tier.run(last)
     while tier.now < last + limits.full_ms and not observer.violations:
         if tier.now > last + MIN_RUN_AFTER_FAULTS_MS and observer.is_settled():
@@ -128,7 +126,7 @@
         schedule,
         observer.violations,
         tier.log,
-        BEGIN_MS,
+        SCHEDULE_START_MS,
         full_ms,
         datagrams=tier.sent_by_second,
         calls=tier.discovery.requests_per_second,
@@ -141,12 +139,17 @@
     network = Network(
         loss_rate=schedule.loss_rate, duplicate_rate=schedule.duplicate_rate, late_rate=schedule.late_rate
     )
-    partitions = tuple(Partition(BEGIN_MS + p.begin, BEGIN_MS + p.until, p.side) for p in schedule.partitions)
+    partitions = tuple(
+        Partition(SCHEDULE_START_MS + p.begin, SCHEDULE_START_MS + p.until, p.side)
+        for p in schedule.partitions
+    )
     tier = Tier(
         schedule.count, schedule.seed, network, config, make_core, BACKENDS, partitions, schedule.write_ms
     )
     tier.discovery.serve_ms = schedule.serve_ms
-    tier.discovery.outages = tuple(Outage(BEGIN_MS + o.begin, BEGIN_MS + o.until) for o in schedule.outages)
+    tier.discovery.outages = tuple(
+        Outage(SCHEDULE_START_MS + o.begin, SCHEDULE_START_MS + o.until) for o in schedule.outages
+    )
     tier.runner.sync_failure_rate = schedule.sync_failure_rate
     tier.max_wall_offset_ms = schedule.max_wall_offset_ms
     return tier
--- a/balancer/sim/recovery_process.py
+++ b/balancer/sim/recovery_process.py
@@ -48,14 +48,14 @@
 class Process:
     """A node's process, with the state that its recovery core has requested so far.
 
-    A successor's `began` is that of its predecessor, and `inherits` is set until it enters its first phase,
-    which repeats its predecessor's. `power_cut` tells whether the whole tier lost power before this start.
-    `listed_starts` has the start times that discovery itself has sent, by backend. `pending` holds unanswered
-    requests, and `writing` the number of unfinished writes, by token.
+    A successor's `began_at` is that of its predecessor, and `inherits_phase` is set until it enters its first
+    phase, which repeats its predecessor's. `lost_power_with_tier` tells whether the whole tier lost power
+    before this start. `listed_starts` has the start times that discovery itself has sent, by backend.
+    `pending` holds unanswered requests, and `unfinished_writes` the number of writes in progress, by token.
     """
 
     core: Recovery
-    began: float
+    began_at: float
     phase: Phase = Phase.VERIFY
     phases: list[EnteredPhase] = field(default_factory=list)
     banned: set[str] = field(default_factory=set)
@@ -64,10 +64,10 @@
     capacity: CapacityGranted | None = None
     listed_starts: dict[str, float] = field(default_factory=dict)
     pending: dict[int, OperatorRequest] = field(default_factory=dict)
-    writing: Counter[int | None] = field(default_factory=Counter)
-    inherits: bool = False
-    power_cut: bool = False
-    survey_began: float = 0.0
+    unfinished_writes: Counter[int | None] = field(default_factory=Counter)
+    inherits_phase: bool = False
+    lost_power_with_tier: bool = False
+    survey_began_at: float = 0.0
 
     @property
     def serves(self) -> bool:
--- a/balancer/sim/recovery_world.py
+++ b/balancer/sim/recovery_world.py
@@ -22,20 +22,19 @@
 from balancer.sim.recovery_environment import Backend, Discovery
 from balancer.sim.recovery_process import MakeCore, OperatorRequest, Partition, Process, TierObserver
 
-# Position of the byte with the message kind in a datagram.
+# Byte 5 of each datagram is the kind of its message.
 KIND_OFFSET = 5
 DAY_MS = 24 * 3600 * 1000.0
 OBSERVATION_MS = 100.0
-# Nodes measure their demand once a second.
+# Each node receives its demand at every tenth observation, which is once a second.
 OBSERVATIONS_PER_DEMAND = 10
 DISK_READ_MS = (1, 200)
 MAX_MONOTONIC_OFFSET_MS = 9e5
 MAX_DEMAND_PER_S = 1000.0
-# Uniform draws are raised to this power, so that a few nodes have most of the demand.
+# A node's demand is a uniform draw raised to this power, so that a few nodes have most of the demand.
 DEMAND_SKEW_EXPONENT = 4
 DEMAND_VARIATION = (0.7, 1.4)
-# Delay until a watch receives a change of the list.
-WATCH_DELAY_MS = (5, 200)
+LIST_CHANGE_DELAY_MS = (5, 200)
 
 
 class Tier(MembershipSimulation):
@@ -72,7 +71,7 @@
             MAX_DEMAND_PER_S * self.tier_random.random() ** DEMAND_SKEW_EXPONENT for _ in range(count)
         ]
         self._last_token = 0
-        # Nodes whose last process ended in a power cut of the whole tier.
+        # The last process of each of these nodes ended in a power cut of the whole tier.
         self._lost_power_with_tier: set[int] = set()
         self.at(self.now, self._observe)
 
@@ -86,7 +85,10 @@
         incarnation = self.disks[node].incarnation
         core = self._new_core(node, incarnation)
         self.processes[node] = Process(
-            core, self.now, power_cut=node in self._lost_power_with_tier, saved_ids=frozenset(found.saved_ids)
+            core,
+            self.now,
+            lost_power_with_tier=node in self._lost_power_with_tier,
+            saved_ids=frozenset(found.saved_ids),
         )
         self.start(node, incarnation)
         read_at = self.now + self.tier_random.uniform(*DISK_READ_MS)
@@ -101,21 +103,21 @@
         inherited = events.StateInherited(
             core.phase, core.path, core.cold_since, tuple(core.register.entries())
         )
-        self.note(f"n{node} has a successor")
+        self.log_event(f"n{node} has a successor")
         self.kill(node)
         found = self._turn_on(node, DiskCondition.SOUND)
         incarnation = self.disks[node].incarnation
         self.processes[node] = Process(
             self._new_core(node, incarnation),
-            old.began,
+            old.began_at,
             phase=old.phase,
             banned=set(old.banned),
             saved_ids=frozenset(self.disks[node].saved_ids),
             capacity=old.capacity,
             listed_starts=old.listed_starts,
-            inherits=True,
-            power_cut=old.power_cut,
-            survey_began=old.survey_began,
+            inherits_phase=True,
+            lost_power_with_tier=old.lost_power_with_tier,
+            survey_began_at=old.survey_began_at,
         )
         self.start(node, incarnation)
         self.handle_event(node, events.SavedListLoaded(self.disks[node].saved_ids))
@@ -137,13 +139,13 @@
                 self.kill(node)
             self.disks[node].cut_power(self.tier_random)
         self._lost_power_with_tier = set(range(self.count)) if len(nodes) == self.count else set()
-        self.note(f"power is cut: {len(nodes)} of {self.count} nodes")
+        self.log_event(f"power is cut: {len(nodes)} of {self.count} nodes")
 
     def shut_down(self, node: int) -> None:
         """Send SIGTERM to a node's process, which announces its departure and ends 800 ms later."""
         if self.hosts[node].core is None:
             return
-        self.note(f"n{node} receives SIGTERM")
+        self.log_event(f"n{node} receives SIGTERM")
         self.handle_event(node, events.ShutdownStarted())
         super().leave(node)
 
@@ -151,11 +153,11 @@
         """Restart a backend cold, and publish a new revision of discovery's list to all watches."""
         self.backends[name].restart(self.now)
         self.discovery.revision += 1
-        self.note(f"{name} restarts")
+        self.log_event(f"{name} restarts")
         for node, process in enumerate(self.processes):
             # Each node that has received discovery's list watches it for changes.
             if process is not None and process.listed_starts:
-                when = self.discovery.available_at() + self.tier_random.uniform(*WATCH_DELAY_MS)
+                when = self.discovery.available_at() + self.tier_random.uniform(*LIST_CHANGE_DELAY_MS)
                 self.at(when, partial(self.runner.list_answered, node, self.hosts[node].process_number))
 
     def request(self, node: int, backend: str, banned: bool) -> None:
@@ -168,7 +170,7 @@
         seen = frozenset((e.node, e.incarnation, e.sequence) for e in entries if e.active)
         request = OperatorRequest(self._last_token, node, backend, banned, seen)
         process.pending[request.token] = request
-        self.note(f"n{node} receives a request: {request.description}")
+        self.log_event(f"n{node} receives a request: {request.description}")
         if self.observer is not None:
             self.observer.requested(request)
         now = self.now + self.hosts[node].clock_offset
@@ -176,7 +178,7 @@
 
     # --- for the observer and the action runner
 
-    def note(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         """Add a line with the current time to the log of the run."""
         self.log.append((self.now, text))
 
@@ -186,7 +188,7 @@
         second = self.processes[other]
         if first is None or second is None:
             return None
-        since = max(first.began, second.began)
+        since = max(first.began_at, second.began_at)
         for partition in self.partitions:
             if partition.separates(one, other) and partition.begin <= self.now:
                 if self.now < partition.until:
@@ -235,7 +237,9 @@
         disk.incarnation = incarnation
         disk.written_at = wall_time
         entry_count = len(found.entries)
-        self.note(f"n{node} starts, disk {condition.value}, {entry_count} entries, incarnation {incarnation}")
+        self.log_event(
+            f"n{node} starts, disk {condition.value}, {entry_count} entries, incarnation {incarnation}"
+        )
         return found
 
     def _disk_read(self, node: int, number: int, found: DiskContents) -> None:
--- a/balancer/sim/request_path.py
+++ b/balancer/sim/request_path.py
@@ -21,7 +21,7 @@
 from balancer.policy import Balancer
 from balancer.sim.scheduler import EventScheduler
 
-# A node answers a request at the latest this long before the client's deadline.
+# Nodes answer a request at least 10 ms before the client's deadline.
 RESPONSE_MARGIN_MS = 10.0
 STATUS_BY_VERDICT = {
     Verdict.SERVED: api.AttemptStatus.OK,
--- a/balancer/sim/service.py
+++ b/balancer/sim/service.py
@@ -18,7 +18,7 @@
 from balancer.settings import parse_settings
 from balancer.sim.request_path import BackendHost, Figures, NodeProcess, RequestSimulation
 
-# Part of the work that is divided among nodes by their demand; the rest is divided equally.
+# This part of the work is divided among nodes by their demand, the rest equally.
 DEMAND_WEIGHT = 0.8
 
 
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -1,4 +1,4 @@
-"""The models round the nodes and the checks of an experiment, under a clock of the test's own."""
+"""Models of backends, clients, discovery and the network, and the validation of experiments."""
 
 from __future__ import annotations
 
@@ -32,85 +32,86 @@
 BACKENDS = Backends(cores=1, queue_per_core=2, thrash=0.0, cold_capacity_share=0.5, warm_up_s=10.0)
 
 
-def replace_spec(**over: object) -> Backends:
-    return msgspec.structs.replace(BACKENDS, **over)
+def replace_spec(**overrides: object) -> Backends:
+    return msgspec.structs.replace(BACKENDS, **overrides)
 
 
-def backend(started: float = -1e12, spec: Backends = BACKENDS, **over: object) -> Backend:
-    return Backend(spec, Rules(fall_ms=1000.0, **over), 1.0, {}, stream(1, "b"), started)  # type: ignore[arg-type]
+def make_backend(started_at: float = -1e12, spec: Backends = BACKENDS, **overrides: object) -> Backend:
+    return Backend(spec, Rules(fall_ms=1000.0, **overrides), 1.0, {}, stream(1, "b"), started_at)  # type: ignore[arg-type]
 
 
-def job(name: str, work: float = 10.0, **over: object) -> Job:
-    return Job(name, 0, work, 0.0, **({"gives_up_at": 1e9} | over))  # type: ignore[arg-type]
+def make_job(name: str, work: float = 10.0, **overrides: object) -> Job:
+    return Job(name, 0, work, 0.0, **({"gives_up_at": 1e9} | overrides))  # type: ignore[arg-type]
 
 
-def ends(core: Backend, now: float) -> list[tuple[str, str]]:
+def advance(core: Backend, now: float) -> list[tuple[str, str]]:
     return [(j.ident, j.verdict.value) for j in core.advance(now)]
 
 
-def test_a_backend_serves_in_turn_and_a_late_look_does_not_slow_it() -> None:
-    core = backend()
-    assert [core.offer(0.0, job(n)) for n in "abc"] == [None] * 3
-    assert core.offer(0.0, job("d")) is Verdict.REJECTED
+def test_backend_serves_in_order_and_a_late_call_does_not_delay_it() -> None:
+    core = make_backend()
+    assert [core.offer(0.0, make_job(n)) for n in "abc"] == [None] * 3
+    assert core.offer(0.0, make_job("d")) is Verdict.REJECTED
     assert core.request_counts == (1, 2) and core.next_end == 10.0
-    assert ends(core, 29.0) == [("a", "served"), ("b", "served")]
+    assert advance(core, 29.0) == [("a", "served"), ("b", "served")]
     assert core.next_end == 30.0
 
 
-def test_a_queued_request_past_its_deadline_never_starts() -> None:
-    core = backend()
-    core.offer(0.0, job("a"))
-    core.offer(0.0, job("b", gives_up_at=5.0, key="k", key_memory_ms=100.0))
-    assert ends(core, 50.0) == [("a", "served"), ("b", "expired")]
-    assert core.offer(60.0, job("c", key="k", key_memory_ms=100.0)) is None  # it did not run: no repeat
+def test_queued_request_expires_at_its_deadline_without_execution() -> None:
+    core = make_backend()
+    core.offer(0.0, make_job("a"))
+    core.offer(0.0, make_job("b", gives_up_at=5.0, key="k", key_memory_ms=100.0))
+    assert advance(core, 50.0) == [("a", "served"), ("b", "expired")]
+    # The expired request was not executed, so that its retry is not a duplicate.
+    assert core.offer(60.0, make_job("c", key="k", key_memory_ms=100.0)) is None
 
 
-def test_a_duplicate_of_a_keyed_request_is_answered_and_not_run_within_its_span() -> None:
-    core = backend()
-    core.offer(0.0, job("a", key="k", key_memory_ms=50.0))
+def test_duplicate_idempotency_key_is_answered_without_execution_while_remembered() -> None:
+    core = make_backend()
+    core.offer(0.0, make_job("a", key="k", key_memory_ms=50.0))
     core.advance(10.0)
-    assert core.offer(50.0, job("b", key="k", key_memory_ms=50.0)) is Verdict.REPEATED
-    assert core.offer(51.0, job("c", key="k", key_memory_ms=50.0)) is None
+    assert core.offer(50.0, make_job("b", key="k", key_memory_ms=50.0)) is Verdict.REPEATED
+    assert core.offer(51.0, make_job("c", key="k", key_memory_ms=50.0)) is None
 
 
-def test_a_cold_backend_is_slower_and_warms_by_time_or_by_work() -> None:
-    core = backend(started=0.0)
-    core.offer(0.0, job("a"))
+def test_cold_backend_is_slower_and_warms_up_by_time_or_by_work() -> None:
+    core = make_backend(started_at=0.0)
+    core.offer(0.0, make_job("a"))
     assert core.next_end == 20.0
     assert core.warmth(5000.0) == 0.75 and core.warmth(10_000.0) == 1.0
     core.done_work = 8000.0
     assert core.warmth(100.0) == pytest.approx(0.9)
 
 
-def test_a_cold_backend_collapses_over_its_budget_and_names_the_nodes_whose_work_it_was() -> None:
-    core = backend(started=0.0, spec=replace_spec(queue_per_core=1000), fall_multiple=2.0)
+def test_cold_backend_collapses_over_its_budget_and_reports_the_work_by_node() -> None:
+    core = make_backend(started_at=0.0, spec=replace_spec(queue_per_core=1000), fall_multiple=2.0)
     sent = 0
     while core.collapse is None:
-        core.offer(1.0, job(f"j{sent}"))
+        core.offer(1.0, make_job(f"j{sent}"))
         sent += 1
-    # Two times half a core for a second, and ten requests for chance.
+    # The budget is twice the work of half a core in a second, plus ten requests.
     assert sent == 111 and core.collapse.work_by_node == {0: 1110.0}
-    assert core.offer(2.0, job("late")) is Verdict.REJECTED
+    assert core.offer(2.0, make_job("late")) is Verdict.REJECTED
     core.restart(5.0)
-    assert core.collapse is None and core.offer(6.0, job("again")) is None
+    assert core.collapse is None and core.offer(6.0, make_job("again")) is None
 
 
-def test_a_stalled_backend_goes_on_where_it_stood() -> None:
-    core = backend()
-    core.offer(0.0, job("a"))
+def test_stalled_backend_resumes_with_the_progress_it_had() -> None:
+    core = make_backend()
+    core.offer(0.0, make_job("a"))
     core.stall(4.0)
-    assert core.offer(5.0, job("b")) is None and core.next_end is None and core.advance(100.0) == []
+    assert core.offer(5.0, make_job("b")) is None and core.next_end is None and core.advance(100.0) == []
     assert core.resume(104.0) == [] and core.next_end == 110.0
-    assert ends(core, 130.0) == [("a", "served"), ("b", "served")]
+    assert advance(core, 130.0) == [("a", "served"), ("b", "served")]
 
 
-def test_gray_and_resets_strike_the_stated_share() -> None:
-    core = backend(spec=replace_spec(queue_per_core=10_000))
+def test_gray_failures_and_resets_affect_the_configured_share() -> None:
+    core = make_backend(spec=replace_spec(queue_per_core=10_000))
     core.active_faults.gray = 0.6
-    struck = sum(core.offer(0.0, job(str(i))) is Verdict.ERROR for i in range(2000))
-    assert 1100 < struck < 1300
+    error_count = sum(core.offer(0.0, make_job(str(i))) is Verdict.ERROR for i in range(2000))
+    assert 1100 < error_count < 1300
     core.active_faults.gray, core.active_faults.resets = 0.0, 0.2
-    done = [verdict for _, verdict in ends(core, 1e9)]
+    done = [verdict for _, verdict in advance(core, 1e9)]
     assert 0.15 < done.count("reset") / len(done) < 0.25
 
 
@@ -120,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cls", "end", "again"),
+    ("cls", "end", "is_retried"),
     [
         (BROWSE, Outcome.TIMED_OUT, True), (BROWSE, Outcome.FAILED, True), (BROWSE, Outcome.SERVED, False),
         (BROWSE, Outcome.ABANDONED, False), (ORDER, Outcome.REJECTED, True),
@@ -130,13 +131,13 @@
         (KEYED, Outcome.REJECTED, True),
     ],
 )  # fmt: skip
-def test_a_client_retries_only_as_the_class_allows(cls: object, end: Outcome, again: bool) -> None:
+def test_client_retries_only_as_the_request_class_allows(cls: object, end: Outcome, is_retried: bool) -> None:
     operation = Operation(cls, Clients(), 0.0, (1.0,) * 4)  # type: ignore[arg-type]
     operation.begin_attempt(0.0)
-    assert (operation.next_attempt_at(100.0, 0.0, end, 0.0) is not None) == again
+    assert (operation.next_attempt_at(100.0, 0.0, end, 0.0) is not None) == is_retried
 
 
-def test_retries_end_and_a_client_that_follows_retry_after_waits_for_it() -> None:
+def test_client_limits_retries_and_waits_for_retry_after() -> None:
     operation = Operation(
         BROWSE, Clients(retries=1, backoff_ms=10.0, retry_after_share=1.0), 0.0, (1.0, 0.0, 0.0, 0.5)
     )
@@ -150,40 +151,40 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(list(Phase)), st.integers(0, 3)), max_size=30))
-def test_a_watch_that_applies_changes_holds_the_list(
+def test_watch_that_applies_all_changes_has_the_current_list(
     steps: list[tuple[int, Phase, int]],
 ) -> None:
     names = [f"s{i}" for i in range(4)]
     core = Directory({n: ListedEndpoint(n, "a", 0) for n in names})
     views: list[dict[str, ListedEndpoint]] = [dict(core.entries) for _ in range(4)]
-    sent_revision = [Watch(core.revision, is_first_event=False) for _ in range(4)]
+    watches = [Watch(core.revision, is_first_event=False) for _ in range(4)]
     for now, (which, phase, watcher) in enumerate(steps):
         core.schedule_change(float(now), names[which], phase, float(now))
         core.advance(float(now))
-        for entry in (sent_revision[watcher].pending(core) or ((), False))[0]:
+        for entry in (watches[watcher].pending(core) or ((), False))[0]:
             views[watcher].pop(entry.name, None)
             if entry.phase is not Phase.REMOVED:
                 views[watcher][entry.name] = entry
-        assert views[watcher] == core.entries and sent_revision[watcher].pending(core) is None
+        assert views[watcher] == core.entries and watches[watcher].pending(core) is None
 
 
-def test_an_unknown_revision_gets_a_snapshot() -> None:
+def test_watch_from_an_unknown_revision_receives_a_snapshot() -> None:
     core = Directory({"s0": ListedEndpoint("s0", "a", 0)}, revision=7)
     assert core.since(8) is None and core.since(3) is None and core.since(7) == []
-    whole = ([ListedEndpoint("s0", "a", 0)], True)
-    assert Watch(3).pending(core) == whole and Watch(7).pending(core) == ([], False)
+    snapshot = ([ListedEndpoint("s0", "a", 0)], True)
+    assert Watch(3).pending(core) == snapshot and Watch(7).pending(core) == ([], False)
 
 
-def test_a_silent_watch_gets_no_event_and_the_next_one_gets_what_was_missed() -> None:
+def test_silent_watch_sends_nothing_and_the_next_watch_sends_the_missed_changes() -> None:
     core = Directory({"s0": ListedEndpoint("s0", "a", 0)}, revision=7)
     watch = Watch(7, is_first_event=False, is_silent=True)
     core.schedule_change(1.0, "s0", Phase.DRAINING)
-    drained = core.advance(1.0)
+    changes = core.advance(1.0)
     assert watch.pending(core) is None and watch.sent_revision == 7
-    assert Watch(watch.sent_revision).pending(core) == (drained, False)
+    assert Watch(watch.sent_revision).pending(core) == (changes, False)
 
 
-def test_a_brief_watch_ends_at_the_first_change_after_its_first_event() -> None:
+def test_watch_that_ends_on_change_ends_at_the_first_change_after_its_first_event() -> None:
     core = Directory({"s0": ListedEndpoint("s0", "a", 0)}, revision=7)
     watch = Watch(5, ends_on_change=True)
     assert not watch.should_end(core)
@@ -196,8 +197,8 @@
 
 
 @pytest.mark.parametrize("share", [0.05, 0.2, 0.45])
-def test_connections_are_delayed_in_the_stated_share_and_never_twice(share: float) -> None:
-    """A second try, a second after the first, finds the way open."""
+def test_connect_delays_cover_the_configured_share_and_spare_the_retransmitted_syn(share: float) -> None:
+    """Guards against connections that never succeed: a SYN sent again after a second must get through."""
     drawn = [connect_delays(stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
     assert drawn[0] == connect_delays(stream(0, "late"), share, 10.0, 110.0) != drawn[1]
     for row in drawn:
@@ -210,13 +211,11 @@
 # --- load, network, experiments
 
 
-def test_streams_are_independent_and_a_surge_moves_nothing_else() -> None:
-    is_unimpaired = Experiment(name="x", load=Load(rate=600.0))
-    a, b = draw_arrivals(is_unimpaired, 1, "a"), draw_arrivals(is_unimpaired, 1, "b")
-    assert np.array_equal(a.at, draw_arrivals(is_unimpaired, 1, "a").at) and not np.array_equal(
-        a.at[:50], b.at[:50]
-    )
-    assert not np.array_equal(a.at, draw_arrivals(is_unimpaired, 2, "a").at)
+def test_random_streams_are_independent_and_a_surge_changes_only_its_own_zone() -> None:
+    base = Experiment(name="x", load=Load(rate=600.0))
+    a, b = draw_arrivals(base, 1, "a"), draw_arrivals(base, 1, "b")
+    assert np.array_equal(a.at, draw_arrivals(base, 1, "a").at) and not np.array_equal(a.at[:50], b.at[:50])
+    assert not np.array_equal(a.at, draw_arrivals(base, 2, "a").at)
     surge = Experiment(
         name="x", load=Load(rate=600.0), faults=(Surge(at=5.0, duration_s=2.0, factor=3.0, zone="a"),)
     )
@@ -226,7 +225,7 @@
     assert a.work.mean() == pytest.approx(20.0, rel=0.05)
 
 
-def test_network_conditions_are_by_direction_and_end_with_their_fault() -> None:
+def test_link_fault_affects_one_direction_and_ends() -> None:
     fault = LinkFault(
         at=1.0,
         duration_s=1.0,
@@ -247,21 +246,21 @@
     assert not network.conditions("n0", "s1").cut
 
 
-def test_datagrams_are_lost_doubled_and_reordered_in_the_stated_shares() -> None:
+def test_datagrams_are_lost_duplicated_and_reordered_in_the_configured_shares() -> None:
     fault = LinkFault(
         at=0.0, duration_s=1.0, source="nodes", destination="nodes", loss=0.3, duplicate=0.2, reorder=0.1
     )
     network = NetworkConditions(Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), stream(1, "w"))
     network.change(fault, True)
-    held_ = network.conditions("n0", "n1")
-    copies = [network.datagram_delays_ms(held_, 100) for _ in range(4000)]
+    link = network.conditions("n0", "n1")
+    copies = [network.datagram_delays_ms(link, 100) for _ in range(4000)]
     assert 0.27 < sum(not c for c in copies) / 4000 < 0.33
     assert 0.17 < sum(len(c) == 2 for c in copies) / 2800 < 0.23
     late = [x for c in copies for x in c]
     assert 0.08 < sum(x > 9 for x in late) / len(late) < 0.12
 
 
-def test_selectors_and_batches() -> None:
+def test_selectors_match_parties_and_batches_keep_their_order() -> None:
     spec = Experiment(name="x", fleet=Fleet(nodes=10))
     assert select_parties(spec, "nodes:70%") == ["n0", "n1", "n2", "n4", "n5", "n7", "n8"]
     assert select_parties(spec, "backends:2-4") == ["s2", "s3", "s4"]
@@ -282,7 +281,7 @@
         ('faults=[{kind="late-connect", at=1.0, for=1.0, what="backends", share=0.5}]', "faults[0].share"),
     ],
 )  # fmt: skip
-def test_an_invalid_experiment_is_rejected_by_the_name_of_its_field(
+def test_invalid_experiment_is_rejected_with_the_name_of_its_field(
     tmp_path: Path, assignment: str, field: str
 ) -> None:
     path = tmp_path / "x.toml"
@@ -298,34 +297,35 @@
     assert str(caught.value).startswith(field) and "\n" not in str(caught.value)
 
 
-def test_every_experiment_of_the_repository_is_valid() -> None:
+def test_every_experiment_in_the_repository_is_valid() -> None:
     paths = list((Path(__file__).parents[1] / "lab" / "experiments").glob("*.toml"))
     assert len(paths) >= 8 and all(load_experiment(path).name == path.stem for path in paths)
 
 
-def test_an_expectation_on_a_figure_that_is_not_there_falls_short() -> None:
+def test_expectation_on_a_missing_figure_does_not_hold() -> None:
     assert not expectation_holds(Expect(figure="recovery_s", max=3.0), {})
     assert expectation_holds(Expect(figure="x", min=1.0, max=2.0), {"x": 1.5})
     assert not expectation_holds(Expect(figure="x", min=1.0), {"x": 0.5})
 
 
-def test_a_wait_for_a_core_that_never_ends_is_seen_and_one_that_ends_counts_once() -> None:
-    """The system counts a wait when it is over: a process that gets no core at all has waited for nothing."""
+def test_unfinished_wait_for_a_core_is_measured_and_a_finished_one_counts_once() -> None:
+    """Guards against unnoticed starvation: the kernel counts a wait for a core only once it has ended."""
 
-    def looks(*found: Usage) -> records.RunRecords:
+    def run_records(*usages: Usage) -> records.RunRecords:
         waiting, out = CpuWait(), records.RunRecords(processes=[records.ProcessRecord(0, 0, -5000.0)])
-        for at, each in enumerate(found):
+        for at, each in enumerate(usages):
             so_far = each.waited_s + waiting.so_far(float(at), each)
             out.samples.append(records.ProcessSample(1000.0 * at, 0, each.cpu_s, 20.0, 9, waited_s=so_far))
         return out
 
-    runs, starved = Usage(0.3, 20.0, 9, 0.2, True, (300, 7)), Usage(0.3, 20.0, 9, 0.2, True, (310, 8))
-    after, rests = Usage(0.3, 20.0, 9, 3.1, True, (320, 9)), Usage(0.3, 20.0, 9, 0.2, False, (310, 8))
-    assert [s.waited_s for s in looks(runs, starved, starved, starved, after).samples] == pytest.approx(
-        [0.2, 0.2, 1.2, 2.2, 3.1]
-    )
+    running, starved = Usage(0.3, 20.0, 9, 0.2, True, (300, 7)), Usage(0.3, 20.0, 9, 0.2, True, (310, 8))
+    after, idle = Usage(0.3, 20.0, 9, 3.1, True, (320, 9)), Usage(0.3, 20.0, 9, 0.2, False, (310, 8))
+    assert [
+        s.waited_s for s in run_records(running, starved, starved, starved, after).samples
+    ] == pytest.approx([0.2, 0.2, 1.2, 2.2, 3.1])
     assert (
-        max_cpu_wait_s(looks(runs, starved, starved, starved)) == pytest.approx(2.0) and MAX_CPU_WAIT_S < 2.0
+        max_cpu_wait_s(run_records(running, starved, starved, starved)) == pytest.approx(2.0)
+        and MAX_CPU_WAIT_S < 2.0
     )
-    for found in ((runs, rests, rests, rests), (runs, rests, starved, rests, starved)):
-        assert max_cpu_wait_s(looks(*found)) == 0.0
+    for usages in ((running, idle, idle, idle), (running, idle, starved, idle, starved)):
+        assert max_cpu_wait_s(run_records(*usages)) == 0.0
