--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -92,7 +92,7 @@
     covered_since: dict[int, float] = field(default_factory=dict)
 
 
-def is_at_least(current: BanEntry, earlier: BanEntry) -> bool:
+def is_at_least_as_new(current: BanEntry, earlier: BanEntry) -> bool:
     """Return whether an entry is at least as new as an earlier state of it."""
     return current.counter > earlier.counter or (
         current.counter == earlier.counter and current.active <= earlier.active
@@ -245,7 +245,7 @@
         self._compared_states[node] = state
         known = {entry.key: entry for entry in register.entries()}
         for key, before in self._known_entries[node].items():
-            if key not in known or not is_at_least(known[key], before):
+            if key not in known or not is_at_least_as_new(known[key], before):
                 self._report_violation("known", f"n{node} knew {before}, now {known.get(key)}")
         self._known_entries[node] = known
         active = {entry.backend for entry in known.values() if entry.active}
--- a/balancer/sim/recovery_play.py
+++ b/balancer/sim/recovery_play.py
@@ -72,7 +72,7 @@
     StepKind.CUT: lambda tier, step: tier.cut(list(range(tier.count))),
     StepKind.KILL: lambda tier, step: tier.kill(step.node),
     StepKind.SHUT_DOWN: lambda tier, step: tier.shut_down(step.node),
-    StepKind.SUCCEED: lambda tier, step: tier.start_successor(step.node),
+    StepKind.START_SUCCESSOR: lambda tier, step: tier.start_successor(step.node),
     StepKind.BAN: lambda tier, step: tier.request(step.node, step.arg, True),
     StepKind.LIFT: lambda tier, step: tier.request(step.node, step.arg, False),
     StepKind.RESTART_BACKEND: lambda tier, step: tier.restart_backend(step.arg),
--- a/balancer/sim/recovery_schedule.py
+++ b/balancer/sim/recovery_schedule.py
@@ -45,7 +45,7 @@
     CUT = "cut"
     KILL = "kill"
     SHUT_DOWN = "shut down"
-    SUCCEED = "succeed"
+    START_SUCCESSOR = "succeed"
     BAN = "ban"
     LIFT = "lift"
     RESTART_BACKEND = "restart backend"
@@ -238,7 +238,7 @@
             self.steps.append(Step(back, StepKind.BOOT, node, DiskCondition.SOUND.value))
         if generator.random() < SUCCESSOR_DURING_RESTART_PROBABILITY:
             at = generator.uniform(last + 1_000, end + 4_000)
-            self.steps.append(Step(at, StepKind.SUCCEED, generator.randrange(self.count)))
+            self.steps.append(Step(at, StepKind.START_SUCCESSOR, generator.randrange(self.count)))
 
     def _draw_partitions(self) -> tuple[Partition, ...]:
         generator = self.generator
@@ -294,7 +294,7 @@
     StepKind.KILL,
     StepKind.KILL,
     StepKind.SHUT_DOWN,
-    StepKind.SUCCEED,
+    StepKind.START_SUCCESSOR,
     StepKind.RESTART_BACKEND,
 )
 
@@ -313,7 +313,7 @@
             steps.append(Step(at, kind, arg=generator.choice(BACKENDS)))
             continue
         steps.append(Step(at, kind, node))
-        if kind is not StepKind.SUCCEED:
+        if kind is not StepKind.START_SUCCESSOR:
             condition = generator.choice((DiskCondition.SOUND, DiskCondition.SOUND, *DiskCondition))
             back = at + generator.uniform(900, 4_000)
             steps.append(Step(back, StepKind.BOOT, node, condition.value))
