--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership protocol of one node: any datagrams at all, then each reaction of its own."""
+"""Tests of the membership protocol of one node: arbitrary datagrams, then each reaction by itself."""
 
 from __future__ import annotations
 
@@ -67,9 +67,8 @@
     st.binary(max_size=140),
     st.lists(updates, max_size=8).map(tuple),
 )
-steps = st.tuples(
-    st.floats(0, 3000), st.integers(0, NODE_COUNT), messages | st.binary(max_size=300)
-)  # the ms to wait, the source, what it sends
+# A step is a time to wait in ms, a source node, and the message or the raw bytes that the node sends.
+steps = st.tuples(st.floats(0, 3000), st.integers(0, NODE_COUNT), messages | st.binary(max_size=300))
 
 
 @given(messages)
@@ -139,7 +138,7 @@
 
 @pytest.fixture
 def suspected() -> Membership:
-    """A node that has been suspected once."""
+    """Return a node that has refuted one suspicion of itself."""
     core = membership()
     core.handle(1.0, received(1, suspect(0, generation=OWN_GENERATION)))
     return core
@@ -159,7 +158,7 @@
     assert (suspected.node.generation, suspected.node.incarnation) == (201, 0)
 
 
-def test_a_claim_that_cannot_be_outbid_is_counted(suspected: Membership) -> None:
+def test_a_claim_that_cannot_be_refuted_is_counted(suspected: Membership) -> None:
     suspected.handle(3.0, received(1, Update(0, 200, 5, MemberState.LEFT)))
     suspected.handle(4.0, received(1, dead(0, 5, generation=MAX_GENERATION)))
     node = suspected.node
@@ -212,7 +211,7 @@
     assert sent(actions, MessageKind.BULK_UPDATE)
 
 
-def test_a_queried_node_answers_the_sender_alone_and_believes_no_death_of_others() -> None:
+def test_a_queried_node_answers_only_the_sender_and_ignores_deaths_of_others() -> None:
     core = membership(1, 2)
     query = received(1, dead(0, generation=OWN_GENERATION), dead(2), kind=MessageKind.LIVENESS_QUERY)
     actions = core.handle(2.0, query)
@@ -232,7 +231,7 @@
 
 @pytest.fixture
 def flapping() -> tuple[Membership, list[float]]:
-    """A node for which member 3 died falsely thrice, and the minimum timeouts of its suspicions."""
+    """Return a node that has seen three false deaths of member 3, and the minimum suspicion timeouts."""
     core = membership(1, 2, 3)
     timeouts_ms = []
     for turn in range(3):
@@ -256,7 +255,7 @@
     assert core.suspicions.active[3].min_timeout_ms == Config().min_suspicion_ms
 
 
-def test_a_change_of_the_view_is_one_action_with_its_reason() -> None:
+def test_a_view_change_is_reported_as_one_action_with_a_reason() -> None:
     core = membership()
     core.handle(0.5, Tick())
     actions = core.handle(1.0, received(1, alive(2, generation=9)))
@@ -266,7 +265,7 @@
     ]
 
 
-def test_a_suspect_stays_in_the_view() -> None:
+def test_a_suspicion_is_not_reported_as_a_view_change() -> None:
     core = membership()
     core.handle(0.5, Tick())
     core.handle(1.0, received(1, alive(2, generation=9)))
@@ -286,7 +285,7 @@
     assert [(report.is_active, report.agreement_ratio) for report in reports] == [(True, 0.0), (False, 1.0)]
 
 
-def test_members_missing_from_a_new_peer_list_leave() -> None:
+def test_members_missing_from_a_new_peer_list_are_marked_as_left() -> None:
     core = membership(1, 2, 4, 5)
     actions = core.handle(2.0, PeersChanged(5, frozenset({2})))
     changes = [action for action in actions if isinstance(action, MemberChanged)]
@@ -301,13 +300,14 @@
 def test_members_new_in_a_peer_list_are_unknown_until_heard() -> None:
     core = membership(1, 2, 4, 5)
     core.handle(2.0, PeersChanged(5, frozenset({2})))
-    core.handle(3.0, received(2, generation=60))  # the new node of that number
+    # The datagram comes from the node that has replaced node 2.
+    core.handle(3.0, received(2, generation=60))
     core.handle(3.0, PeersChanged(8))
     assert core.present_members() == [0, 1, 2, 4]
     assert not core.has_quorum()
 
 
-def test_hashes_after_a_new_peer_list_are_those_of_a_fresh_node() -> None:
+def test_hashes_after_a_new_peer_list_equal_those_of_a_fresh_node() -> None:
     core = membership(1, 2, 4, 5)
     core.handle(2.0, PeersChanged(5, frozenset({2})))
     core.handle(3.0, received(2, generation=60))
@@ -321,14 +321,14 @@
 
 @pytest.fixture
 def leaving() -> tuple[Membership, list[Action]]:
-    """A node that leaves, and what it did about it within its ping timeout."""
+    """Return a node that is leaving, and its actions up to 300 ms."""
     core = membership(1)
     actions = core.handle(2.0, Leave())
     actions += core.handle(300.0, Tick())
     return core, actions
 
 
-def test_leaving_is_broadcast_twice(leaving: tuple[Membership, list[Action]]) -> None:
+def test_a_leaving_node_broadcasts_that_twice(leaving: tuple[Membership, list[Action]]) -> None:
     _, actions = leaving
     broadcasts = [action for action in actions if isinstance(action, SendDatagram) and action.node is None]
     assert len(broadcasts) == 2
@@ -341,8 +341,11 @@
     assert decode(answers[0].data).kind == MessageKind.ACK
 
 
-def test_plain_swim_broadcasts_its_leaving_too() -> None:
-    """Guards against a reserve that a rate of 0 takes away: peers found a node that left by probes only."""
+def test_plain_swim_also_broadcasts_twice_that_a_node_leaves() -> None:
+    """Guards against a broadcast rate of 0 that discards reserved tokens.
+
+    Peers then learned only from failed probes that a node had left.
+    """
     core = Membership(Config.plain_swim(), 0, NODE_COUNT, OWN_GENERATION, 1, 0.0)
     actions = core.handle(2.0, Leave())
     actions += core.handle(300.0, Tick())
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the membership protocol, each on its own."""
+"""Unit tests of the components of the membership protocol."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return TimerQueue(0.0, Counter())
 
 
-def test_timers_run_in_the_order_of_their_due_times_then_of_scheduling(timers: TimerQueue) -> None:
+def test_timers_run_in_order_of_due_time_and_then_of_scheduling(timers: TimerQueue) -> None:
     ran: list[str] = []
     timers.call_later(20.0, lambda: ran.append("late"))
     timers.call_later(10.0, lambda: ran.append("first"))
@@ -60,7 +60,7 @@
 
 @pytest.fixture
 def queue() -> TransmitLimitedQueue:
-    """A queue for two transmits, with three of four members."""
+    """Return a queue with a limit of two transmissions that holds members 2, 0 and 1."""
     queue = TransmitLimitedQueue(2)
     for member in (2, 0, 1):
         queue.put(member)
@@ -72,7 +72,7 @@
     return View([Update(member, 1, 0, MemberState.ALIVE) for member in range(4)])
 
 
-def test_the_queue_prefers_what_was_sent_least_and_drops_what_was_sent_enough(
+def test_the_queue_returns_least_sent_members_first_and_drops_them_at_the_limit(
     queue: TransmitLimitedQueue, four_alive: View
 ) -> None:
     order = [queue.take(four_alive, 9, None)[0].member for _ in range(5)]
@@ -80,14 +80,14 @@
     assert len(queue) == 1
 
 
-def test_the_queue_passes_over_an_excluded_member(queue: TransmitLimitedQueue, four_alive: View) -> None:
+def test_the_queue_skips_an_excluded_member(queue: TransmitLimitedQueue, four_alive: View) -> None:
     for _ in range(5):
         queue.take(four_alive, 9, None)
     queue.put(3)
     assert [update.member for update in queue.take(four_alive, 30, 3)] == [1]
 
 
-def test_a_resized_queue_keeps_transmits_and_leaves_out_removed_members(
+def test_a_resized_queue_keeps_transmission_counts_and_omits_removed_members(
     queue: TransmitLimitedQueue, four_alive: View
 ) -> None:
     queue.take(four_alive, 9, None)
@@ -108,7 +108,7 @@
     assert budget.spend(500.0, (suspect(1),))
 
 
-def test_refutations_have_a_broadcast_budget_of_their_own() -> None:
+def test_refutations_have_a_separate_broadcast_budget() -> None:
     budget = BroadcastBudget(1.0, 0.0)
     assert budget.spend(0.0, (dead(1),))
     assert not budget.spend(0.0, (dead(2),))
@@ -151,7 +151,7 @@
     assert flaps.min_timeout_ms(1, config.flap_damping_ms + 1) == config.min_suspicion_ms
 
 
-def test_hashes_of_a_view_depend_on_its_records_alone() -> None:
+def test_view_hashes_depend_only_on_the_records() -> None:
     one = View.with_unknown_members(4)
     other = View.with_unknown_members(4)
     one.put(alive(1))
@@ -163,7 +163,7 @@
     assert one == other
 
 
-def test_a_digest_differs_in_the_bucket_of_the_member_that_differs() -> None:
+def test_digests_differ_only_in_the_bucket_of_the_differing_member() -> None:
     one = View.with_unknown_members(DIGEST_BUCKETS)
     other = one.copy()
     other.put(alive(7))
@@ -178,7 +178,8 @@
     views = PeerViews(node)
     views.record(1, node.view.state_hash)
     views.record(2, 7)
-    views.record(3, 7)  # not present
+    # Member 3 is not present, so its report must not count.
+    views.record(3, 7)
     assert views.agreement_ratio() == 0.5
     node.timers.advance(100_000.0)
     assert views.agreement_ratio() == 1.0
--- a/tests/test_membership_peer_lists.py
+++ b/tests/test_membership_peer_lists.py
@@ -1,4 +1,4 @@
-"""Peer lists that change while datagrams, transfers and probes of former members are under way."""
+"""Peer list changes during datagrams, transfers and probes that involve removed members."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
 from balancer.membership.timers import MAX_TIMERS
 from tests.membership_helpers import OWN_GENERATION, PEER_GENERATION, received
 
-NODE_COUNT = 90  # whose records take several datagrams
+# The records of 90 nodes take several datagrams.
+NODE_COUNT = 90
 PERIOD_MS = Config().probe_interval_ms
 
 
 @pytest.fixture
 def core() -> Membership:
-    """Node 0, which has heard of all of a tier."""
+    """Return node 0 of a tier, which has heard from all of its peers."""
     core = Membership(Config(), 0, NODE_COUNT, OWN_GENERATION, 1, 0.0)
     for peer in range(1, NODE_COUNT):
         core.handle(1.0, received(peer))
@@ -36,20 +37,20 @@
 
 
 def digest(sender: int) -> DatagramReceived:
-    """Return a peer's digest, which differs in all buckets."""
+    """Return a datagram with a peer's digest that differs from node 0's in all buckets."""
     extra = DIGEST_STRUCT.pack(False, *([1] * DIGEST_BUCKETS))
     message = Message(MessageKind.DIGEST, sender, PEER_GENERATION, 0, 0, 7, 0, extra)
     return DatagramReceived(sender, encode(message))
 
 
 def ping_request(sender: int, subject: int) -> DatagramReceived:
-    """Return a peer's request to ping a member."""
+    """Return a datagram with a peer's request to ping a member."""
     message = Message(MessageKind.PING_REQ, sender, PEER_GENERATION, 0, 9, 7, subject)
     return DatagramReceived(sender, encode(message))
 
 
 def run(core: Membership, begin_ms: float, duration_ms: float) -> list[tuple[float, Action]]:
-    """Let time pass; return what the node did and when."""
+    """Advance the time by `duration_ms` and return the node's actions with their times."""
     done: list[tuple[float, Action]] = []
     now_ms = begin_ms
     while (now_ms := max(now_ms, core.next_wakeup_ms)) <= begin_ms + duration_ms:
@@ -58,7 +59,7 @@
 
 
 def transferred(done: list[tuple[float, Action]], receiver: int) -> list[tuple[float, set[int]]]:
-    """Return the chunks of a transfer: when they were sent, and of which members."""
+    """Return the datagrams of a transfer as pairs of send time and set of members."""
     chunks = []
     for at_ms, action in done:
         if isinstance(action, SendDatagram) and action.node == receiver:
@@ -68,8 +69,8 @@
     return chunks
 
 
-def test_a_transfer_goes_on_when_members_of_it_are_removed(core: Membership) -> None:
-    """Guards against a shorter list that ends anti-entropy for good."""
+def test_a_transfer_continues_when_some_of_its_members_are_removed(core: Membership) -> None:
+    """Guards against a transfer that stops for good because the peer list has become shorter."""
     first = [(2.0, action) for action in core.handle(2.0, digest(1))]
     core.handle(3.0, PeersChanged(40))
     done = first + run(core, 3.0, 40 * PERIOD_MS)
@@ -78,8 +79,11 @@
 
 
 @pytest.mark.parametrize("count", [NODE_COUNT, 40])
-def test_another_transfer_begins_after_the_receiver_of_one_is_gone(core: Membership, count: int) -> None:
-    """Guards against a receiver that is replaced, or removed, between two datagrams of its transfer."""
+def test_another_transfer_starts_after_the_receiver_of_one_was_removed(core: Membership, count: int) -> None:
+    """Guards against later transfers that never start.
+
+    The receiver of the first transfer is replaced or removed between two of its datagrams.
+    """
     receiver = 1 if count == NODE_COUNT else 50
     core.handle(2.0, digest(receiver))
     core.handle(3.0, PeersChanged(count, frozenset({receiver} if receiver < count else ())))
@@ -91,8 +95,8 @@
     assert sent >= {member for member in core.present_members() if member != 2}
 
 
-def test_a_forgotten_transfer_does_not_double_the_pace_of_the_next(core: Membership) -> None:
-    """Guards against two chains of timers."""
+def test_a_cancelled_transfer_does_not_double_the_rate_of_the_next(core: Membership) -> None:
+    """Guards against a second chain of timers, started while that of a cancelled transfer still runs."""
     core.handle(2.0, digest(1))
     core.handle(3.0, PeersChanged(NODE_COUNT, frozenset({1})))
     first = [(4.0, action) for action in core.handle(4.0, digest(2))]
@@ -103,8 +107,8 @@
 
 
 @pytest.mark.parametrize("change", [PeersChanged(3), PeersChanged(NODE_COUNT, frozenset({50}))])
-def test_a_requester_that_is_gone_is_sent_no_nack_and_no_ack(core: Membership, change: PeersChanged) -> None:
-    """Guards against an indirect probe whose requester is removed, or replaced, before the answer."""
+def test_a_removed_requester_is_sent_neither_ack_nor_nack(core: Membership, change: PeersChanged) -> None:
+    """Guards against answers to a node that was removed or replaced after it requested a ping."""
     (ping,) = [
         decode(action.data)
         for action in core.handle(2.0, ping_request(50, subject=2))
@@ -119,8 +123,8 @@
     assert not [action for action in to_requester if decode(action.data).kind in answers]
 
 
-def test_a_flood_of_requests_ends_no_transfers(core: Membership) -> None:
-    """Guards timers that set their successors: with all of them taken that of a transfer was dropped."""
+def test_a_flood_of_ping_requests_stops_no_transfer(core: Membership) -> None:
+    """Guards against a full timer queue that drops the self-rescheduling timer of the transfers."""
     message = Message(MessageKind.PING_REQ, 50, PEER_GENERATION, 0, 9, 7, 2)
     for _ in range(MAX_TIMERS):
         core.handle(2.0, DatagramReceived(50, encode(message)))
@@ -132,17 +136,20 @@
     assert len(transferred(run(core, begin_ms, 3 * PERIOD_MS), 2)) >= 2
 
 
-def test_no_change_of_the_list_brings_an_exception_or_ends_probes() -> None:
-    """Guards each index by a member's number, and each chain of timers, in tiers whose lists change often."""
+def test_peer_list_changes_raise_no_exception_and_stop_no_probes() -> None:
+    """Guards against stale member numbers used as indices, and timers that are not rescheduled.
+
+    Simulated tiers with lossy datagrams change their peer lists often.
+    """
     for seed in range(20):
-        _play_changing_lists(random.Random(seed))
+        _simulate_list_changes(random.Random(seed))
 
 
-def _play_changing_lists(draws: random.Random) -> None:
+def _simulate_list_changes(draws: random.Random) -> None:
     count = draws.choice([3, 6, 12, 40])
     cores = [Membership(Config(), node, count, 100 + node, node, 0.0) for node in range(count)]
     counts = [count] * count
-    mail: list[tuple[float, int, int, bytes]] = []
+    datagrams_in_flight: list[tuple[float, int, int, bytes]] = []
     now_ms = 0.0
 
     def handle(node: int, event: Tick | PeersChanged | DatagramReceived) -> None:
@@ -151,15 +158,15 @@
                 continue
             for target in range(count) if action.node is None else (action.node,):
                 if target != node and target < count and draws.random() > 0.3:
-                    mail.append((now_ms + 50 * draws.random(), target, node, action.data))
+                    datagrams_in_flight.append((now_ms + 50 * draws.random(), target, node, action.data))
 
     while now_ms < 12_000:
         now_ms += draws.choice([1, 5, 20])
         for node in range(count):
             if cores[node].next_wakeup_ms <= now_ms:
                 handle(node, Tick())
-        due = [datagram for datagram in mail if datagram[0] <= now_ms]
-        mail[:] = [datagram for datagram in mail if datagram[0] > now_ms]
+        due = [datagram for datagram in datagrams_in_flight if datagram[0] <= now_ms]
+        datagrams_in_flight[:] = [datagram for datagram in datagrams_in_flight if datagram[0] > now_ms]
         for _, target, source, data in due:
             if source < counts[target]:
                 handle(target, DatagramReceived(source, data))
