--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""The durable store of a process: acknowledgements, takeover, failing disks; and `balancer state`."""
+"""Tests of the durable store (acknowledgements, takeover, failing disks) and of `balancer state`."""
 
 from __future__ import annotations
 
@@ -27,35 +27,36 @@
 from balancer.durable.writer import LogWriter
 from balancer.sim.crash import DIRECTORY_ID, NODE, make_snapshot
 
-A_WHILE_S = 3600.0
+# Longer than the delay after which a failed directory is reopened.
+REOPEN_WAIT_S = 3600.0
 
 
 @dataclass
 class SteppedClock:
-    """The system's monotonic clock, and what a test adds to it."""
+    """The monotonic clock of the system plus an offset that a test sets."""
 
     offset_s: float = 0.0
 
     def __call__(self) -> float:
-        """Return the time in s."""
+        """Return the shifted monotonic time in s."""
         return time.monotonic() + self.offset_s
 
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """The state directory."""
+    """Return the path of the state directory, which does not exist yet."""
     return tmp_path / "state"
 
 
 @pytest.fixture
 def clock() -> SteppedClock:
-    """The clock of `open_store`."""
+    """Return a clock for `open_store` that a test can advance."""
     return SteppedClock()
 
 
 @asynccontextmanager
 async def open_store(folder: Path, clock: SteppedClock | None = None) -> AsyncIterator[DurableStore]:
-    """A process that has recovered the state and taken the directory over."""
+    """Open a store that has recovered the state and taken the directory over."""
     store = DurableStore.open(folder, NODE, clock or SteppedClock())
     store.recover()
     store.take_over()
@@ -77,10 +78,10 @@
     patch.setattr(os, "fdatasync", fail)
 
 
-# --- the store
+# --- Tests of the durable store.
 
 
-async def test_concurrent_appends_share_syncs_and_are_on_disk(folder: Path) -> None:
+async def test_concurrent_appends_share_syncs_and_are_persisted(folder: Path) -> None:
     async with open_store(folder) as store:
         await asyncio.gather(*(store.append(BanSet(f"b{number}", 1.0)) for number in range(50)))
         statistics = store.committer.statistics
@@ -110,20 +111,22 @@
         assert set(state_on_disk(folder).banned) == {"a", "b", "d"}
 
 
-async def test_a_failed_disk_takes_nothing_back_from_a_successor(folder: Path, clock: SteppedClock) -> None:
+async def test_a_writer_with_a_failed_disk_does_not_take_over_from_its_successor(
+    folder: Path, clock: SteppedClock
+) -> None:
     async with open_store(folder, clock) as old:
         await old.append(BanSet("a", 1.0))
         async with open_store(folder) as new:
             await new.append(BanSet("b", 2.0))
             assert old.committer.writer is not None
             old.committer.writer.has_failed = True
-            clock.offset_s += A_WHILE_S
+            clock.offset_s += REOPEN_WAIT_S
             with pytest.raises(NotPersistedError, match="another process"):
                 await old.append(BanSet("c", 3.0))
             await new.append(BanSet("d", 4.0))
 
 
-async def test_appends_succeed_again_a_while_after_a_disk_has_failed(
+async def test_appends_succeed_again_after_the_reopen_delay_of_a_failed_disk(
     folder: Path, clock: SteppedClock, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with open_store(folder, clock) as store:
@@ -133,13 +136,13 @@
             for _ in range(3):
                 with pytest.raises(NotPersistedError):
                     await store.append(BanSet("b", 2.0))
-        clock.offset_s += A_WHILE_S
+        clock.offset_s += REOPEN_WAIT_S
         await store.append(BanSet("c", 3.0))
         assert store.health.failures >= 1 and store.disabled_by is None
     assert sum("the node continues serving" in record.message for record in caplog.records) == 1
 
 
-async def test_a_record_that_is_too_long_disables_the_store_and_blocks_nobody(folder: Path) -> None:
+async def test_a_record_that_is_too_long_disables_the_store_without_blocking_callers(folder: Path) -> None:
     async with open_store(folder) as store:
         for _ in range(2):
             with pytest.raises(frames.RecordTooLongError):
@@ -147,7 +150,7 @@
         assert store.stats()["off"]
 
 
-async def test_a_directory_of_another_node_is_left_unchanged_with_one_line(
+async def test_a_directory_of_another_node_is_left_unchanged_and_logged_once(
     folder: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     directory = SystemDirectory(folder)
@@ -162,7 +165,7 @@
     assert sum("continues without durable state" in record.message for record in caplog.records) == 1
 
 
-# --- the command
+# --- Tests of the command `balancer state`.
 
 
 def run_state(command: str, folder: Path, *options: str) -> Result:
@@ -171,7 +174,7 @@
 
 @pytest.fixture
 async def written(folder: Path) -> Path:
-    """The state directory of a process that has ended."""
+    """Return the state directory of a process that has written two records and ended."""
     async with open_store(folder) as store:
         store.append_unsynced(IncarnationStarted(7, 1.0))
         await store.append(BanSet("a", 1000.0))
@@ -197,7 +200,7 @@
     assert json.loads(run_state("show", written, "--json").stdout)["out"] == {"a": 1000.0}
 
 
-async def test_verify_reports_an_invalid_snapshot_that_loses_nothing(written: Path) -> None:
+async def test_verify_reports_an_invalid_snapshot_as_no_loss_of_records(written: Path) -> None:
     assert run_state("compact", written).exit_code == 0
     newest = max(written.glob("snap-*"))
     newest.write_bytes(newest.read_bytes()[:-1])
--- a/tests/test_durable_log.py
+++ b/tests/test_durable_log.py
@@ -1,4 +1,4 @@
-"""The write-ahead log: frames, power cuts, damage, concurrent writers and failing disks."""
+"""Tests of the write-ahead log: frames, power cuts, damage, concurrent writers, failing disks."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def filled(seed: int = 3, steps: int = 6) -> tuple[DiskImage, History]:
-    """A directory after a workload, and what was written."""
+    """Return the disk image after a workload, and the history of written records."""
     disk, history = SimulatedDisk(), History()
     run_workload(SimulatedDirectory(disk), seed, steps, history)
     return disk.image(), history
 
 
-# --- frames
+# --- Tests of frames.
 
 
 @given(st.lists(st.binary(max_size=60), max_size=8), st.integers(0, 2**32 - 1))
@@ -59,7 +59,7 @@
 
 
 def synced_frames(count: int) -> list[bytes]:
-    """Frames each of a batch of its own."""
+    """Return encoded frames that were each synced as a separate batch."""
     encoded, chain = [], 0
     for number in range(1, count + 1):
         frame = frames.make_frame(number, number, chain, b"payload")
@@ -85,7 +85,7 @@
     assert len(parsed.frames) == 1 and parsed.is_damaged
 
 
-# --- power cuts
+# --- Tests of power cuts.
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
@@ -94,36 +94,39 @@
     assert report.states > report.cuts > 20 and report.violations == []
 
 
-class NamesNotSynced(SimulatedDirectory):
-    """A mutant that forgets to sync its directory."""
+class DirectoryWithoutNameSync(SimulatedDirectory):
+    """Mutant of the directory that does not sync file names."""
 
     def sync_names(self) -> None:
         self.disk.record_call(DiskCall.SYNC_NAMES, "")
 
 
-def files_not_synced(prefix: str) -> type[SimulatedDirectory]:
-    """A mutant that forgets to sync files whose name has a prefix."""
+def directory_without_file_sync(prefix: str) -> type[SimulatedDirectory]:
+    """Return a mutant of the directory that does not sync files whose name starts with `prefix`."""
 
-    class FilesNotSynced(SimulatedDirectory):
+    class DirectoryWithoutFileSync(SimulatedDirectory):
         def create(self, name: str) -> AppendFile:
             file = super().create(name)
             if name.startswith(prefix):
                 file.sync = lambda: self.disk.record_call(DiskCall.SYNC, name)  # type: ignore[method-assign]
             return file
 
-    return FilesNotSynced
+    return DirectoryWithoutFileSync
 
 
-@pytest.mark.parametrize("mutant", [NamesNotSynced, files_not_synced("draft-"), files_not_synced("log-")])
-def test_the_exploration_finds_a_forgotten_sync(mutant: type[SimulatedDirectory]) -> None:
+@pytest.mark.parametrize(
+    "mutant",
+    [DirectoryWithoutNameSync, directory_without_file_sync("draft-"), directory_without_file_sync("log-")],
+)
+def test_the_exploration_of_power_cuts_finds_a_missing_sync(mutant: type[SimulatedDirectory]) -> None:
     assert explore_power_cuts(1, 6, 400, mutant).violations
 
 
-# --- damage
+# --- Tests of damaged files.
 
 
 def spliced(victim: DiskImage, donor: DiskImage) -> DiskImage:
-    """A log whose first record was replaced by that of another node's log of the same shape."""
+    """Return an image whose newest log has its first record replaced by that of another log."""
     name = max(n for n in victim if n.startswith("log-"))
     mine, other = victim[name], donor[name]
     begin = mine.index(b"0:")
@@ -134,7 +137,7 @@
     return victim | {name: data}
 
 
-def test_the_chain_is_what_rejects_a_record_of_another_log(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checksum_chain_rejects_a_record_of_another_log(monkeypatch: pytest.MonkeyPatch) -> None:
     def written_by(fill: bytes, directory_id: str) -> DiskImage:
         disk = SimulatedDisk()
         log = LogWriter(SimulatedDirectory(disk), NODE, directory_id, make_snapshot)
@@ -146,7 +149,8 @@
         return read_image(spliced(written_by(b"a", "1" * 16), written_by(b"b", "2" * 16))).records
 
     assert read() == []
-    monkeypatch.setattr(frames, "chain_crc", lambda chain, crc: crc)  # the mutant: no chain
+    # Without the chain the spliced record would be accepted.
+    monkeypatch.setattr(frames, "chain_crc", lambda chain, crc: crc)
     assert [record[:3] for record in read()] == [b"0:b", b"1:a", b"2:a"]
 
 
@@ -160,7 +164,8 @@
             bad[bit // 8] ^= 1 << bit % 8
             try:
                 contents = read_image(image | {name: bytes(bad)})
-            except IncompatibleDirectoryError:  # the version is that of a newer program: refused
+            # The flipped bit has turned the version into that of a newer program, which is refused.
+            except IncompatibleDirectoryError:
                 continue
             assert contents.problems, f"{name} bit {bit}"
             records = all_records(contents)
@@ -175,7 +180,7 @@
     assert contents.problems and not contents.has_lost_records
 
 
-def test_zeroed_and_swapped_files_are_reported_and_taken_over() -> None:
+def test_zeroed_and_swapped_files_are_reported_and_do_not_prevent_a_takeover() -> None:
     image, history = filled()
     snapshots = sorted(n for n in image if n.startswith("snap-"))
     swapped = {snapshots[0]: image[snapshots[1]], snapshots[1]: image[snapshots[0]]}
@@ -198,7 +203,7 @@
     assert records == history.written[: len(records)]
 
 
-def test_another_node_s_directory_is_refused_unchanged() -> None:
+def test_a_directory_of_another_node_is_refused_and_left_unchanged() -> None:
     image, _ = filled()
     disk = SimulatedDisk(image)
     with pytest.raises(IncompatibleDirectoryError, match="belongs to node 'n0', this node is 'n1'"):
@@ -206,7 +211,9 @@
     assert disk.image() == image
 
 
-def test_a_newer_program_s_directory_is_refused_unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_directory_of_a_newer_version_is_refused_and_left_unchanged(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     disk = SimulatedDisk()
     with monkeypatch.context() as newer:
         newer.setattr(layout, "VERSION", 2)
@@ -217,10 +224,10 @@
     assert disk.image() == before
 
 
-# --- two writers
+# --- Tests of two concurrent writers.
 
 
-def test_a_superseded_writer_cannot_write_over_its_successor() -> None:
+def test_a_superseded_writer_cannot_overwrite_records_of_its_successor() -> None:
     directory = SimulatedDirectory(SimulatedDisk())
     old = open_writer(directory)
     old.append([b"one"], True)
@@ -233,7 +240,8 @@
     new.append([b"three"], True)
     assert all_records(read_directory(directory, NODE)) == [b"one", b"two", b"three"]
     newest = max(n for n in directory.disk.files if n.startswith("snap-"))
-    del directory.disk.files[newest]  # and not by way of the previous generation
+    # Reading from the previous generation must not bring the stray records back either.
+    del directory.disk.files[newest]
     assert all_records(read_directory(directory, NODE)) == [b"one", b"two", b"three"]
 
 
@@ -242,12 +250,12 @@
     assert report.is_exhaustive and report.schedules > 500 and report.violations == []
 
 
-def mutate_writer_without_fence_check(monkeypatch: pytest.MonkeyPatch) -> None:
+def disable_fence_check(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LogWriter, "check_fence", lambda self: None)
 
 
-def mutate_writer_that_reads_before_it_fences(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The list holds the directories: their identities must not come again.
+def read_before_fencing(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The list keeps the directories alive, so that no later directory has the identity of an earlier one.
     first: list[tuple[SimulatedDirectory, DirectoryContents]] = []
 
     def read_once(
@@ -260,10 +268,8 @@
     monkeypatch.setattr(writer, "read_directory", read_once)
 
 
-@pytest.mark.parametrize(
-    "mutate", [mutate_writer_without_fence_check, mutate_writer_that_reads_before_it_fences]
-)
-def test_the_exploration_finds_writers_that_ignore_the_fence(
+@pytest.mark.parametrize("mutate", [disable_fence_check, read_before_fencing])
+def test_the_exploration_of_interleavings_finds_writers_that_ignore_the_fence(
     mutate: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutate(monkeypatch)
@@ -271,13 +277,13 @@
     assert any("acknowledged [" in violation for violation in report.violations)
 
 
-def test_two_processes_cannot_open_a_directory_at_once() -> None:
+def test_two_processes_cannot_take_a_directory_over_at_once() -> None:
     directory = SimulatedDirectory(SimulatedDisk())
     with directory.writer_lock(), pytest.raises(BlockingIOError):
         open_writer(directory)
 
 
-# --- failing disks
+# --- Tests of failing disks.
 
 FAILING_CALLS = [DiskCall.WRITE, DiskCall.SYNC, DiskCall.RENAME, DiskCall.CREATE, DiskCall.SYNC_NAMES]
 
@@ -304,7 +310,7 @@
             assert records == history.written[: len(records)] and len(records) >= history.acknowledged
 
 
-def test_a_file_whose_sync_failed_is_not_written_to_again() -> None:
+def test_a_log_whose_sync_failed_is_not_appended_to_again() -> None:
     def fail_sync(count: int, call: DiskCall, name: str) -> None:
         if call is DiskCall.SYNC:
             raise OSError(errno.EIO, os.strerror(errno.EIO))
--- a/tests/test_durable_state.py
+++ b/tests/test_durable_state.py
@@ -1,4 +1,4 @@
-"""Durable state: replay of records, snapshots, and ages by two clocks."""
+"""Tests of durable state: replay of records, snapshots, and ages measured by two clocks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 from balancer.interface import LearnedState
 
 LEARNED = LearnedState(12.5, 0.9, 0.0, {"read": (30.0, 4.0, -0.2)}, {"b0": (0.0, 1.2, 3.5, 1, 250.0)})
-FIELDS_BEFORE_REGISTER = 8  # of a snapshot
+# Number of fields in a snapshot of a version without the ban register.
+FIELDS_BEFORE_REGISTER = 8
 
 times = st.floats(0, 2e12)
 names = st.sampled_from(["a", "b", "c"])
@@ -52,7 +53,7 @@
     assert replay(snapshot, encoded[cut:]) == replay(None, encoded)
 
 
-def test_records_of_a_newer_program_are_preserved() -> None:
+def test_records_of_a_newer_version_are_preserved_in_snapshots() -> None:
     unknown = encode_record(BanSet("a", 1.0)).replace(b"out", b"new")
     state = replay(replay(None, [unknown]).encode_snapshot(), [])
     assert state.unknown_records == [unknown] and state.banned == {}
@@ -61,12 +62,13 @@
 BANNED_BY_ONE_NODE = RegisterRowsChanged(
     [RegisterRow("a", 0, 7, 1, True, 5.0), RegisterRow("a", 1, 7, 1, False, 6.0)]
 )
-OUTDATED = RegisterRowsChanged([RegisterRow("a", 1, 6, 9, True, 4.0)])  # before node 1's last change
+# Node 1 wrote this row in an earlier incarnation than its row in `BANNED_BY_ONE_NODE`.
+OUTDATED = RegisterRowsChanged([RegisterRow("a", 1, 6, 9, True, 4.0)])
 LIFTED = RegisterRowsChanged([RegisterRow("a", 0, 7, 1, False, 8.0)])
 REGISTER_LOG = [encode_record(record) for record in (BanLifted("a", 1.0), BANNED_BY_ONE_NODE, OUTDATED)]
 
 
-def test_an_active_register_row_is_a_ban() -> None:
+def test_an_active_register_row_bans_its_backend() -> None:
     state = replay(None, REGISTER_LOG)
     assert state.banned == {"a": 5.0} and state.lifted == {}
 
@@ -81,7 +83,7 @@
     assert state.banned == {} and state.lifted == {"a": 8.0}
 
 
-def test_the_register_survives_a_program_that_does_not_know_it() -> None:
+def test_the_register_survives_a_version_that_does_not_know_it() -> None:
     state = replay(None, REGISTER_LOG)
     older = msgspec.msgpack.decode(state.encode_snapshot())[:FIELDS_BEFORE_REGISTER]
     again = replay(msgspec.msgpack.encode(older), [])
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""What operators are told: codes that stay, a remedy for each, and a page that has all of them."""
+"""Tests of operator errors: unique codes, one-line remedies, and a documentation page that lists all."""
 
 from __future__ import annotations
 
@@ -24,41 +24,42 @@
 ROW = re.compile(rf"^\| `({CODE.pattern})` \| (.+) \| (.+) \|$", re.M)
 
 
-def every() -> dict[str, type[BalancerError]]:
-    """All error types of the program, by code."""
+def errors_by_code() -> dict[str, type[BalancerError]]:
+    """Return all operator error classes of the program by their code."""
     for module in pkgutil.walk_packages(balancer.__path__, "balancer."):
-        if module.name not in ("balancer.cli.__main__",):  # runs as it is imported
+        # Importing this module would run the command.
+        if module.name not in ("balancer.cli.__main__",):
             importlib.import_module(module.name)
     found: list[type[BalancerError]] = [BalancerError]
     for kind in found:
         found.extend(kind.__subclasses__())
     kinds = [kind for kind in found[1:] if kind.__module__.startswith("balancer.")]
     codes = {kind.__dict__.get("code", ""): kind for kind in kinds}
-    assert len(codes) == len(set(kinds)), "a code is there twice, or missing"
+    assert len(codes) == len(set(kinds)), "an error code is used twice or missing"
     return codes
 
 
-def test_each_error_has_a_code_of_its_own_and_one_line_of_what_to_do() -> None:
-    for code, kind in every().items():
+def test_each_error_has_a_unique_code_and_a_one_line_remedy() -> None:
+    for code, kind in errors_by_code().items():
         assert CODE.fullmatch(code), (code, kind)
         remedy = kind.__dict__.get("remedy", "")
         assert remedy and remedy == " ".join(remedy.split()) and not remedy.endswith("."), (code, remedy)
 
 
-def test_the_page_has_each_code_and_what_to_do_and_no_others() -> None:
+def test_the_on_call_page_lists_exactly_the_codes_and_remedies() -> None:
     rows = ROW.findall((ROOT / "docs" / "on-call.md").read_text("utf-8"))
-    told = {code: remedy.replace("`", "") for code, _, remedy in rows}
-    assert len(told) == len(rows) and list(told) == sorted(told)
-    assert told == {code: kind.remedy for code, kind in every().items()}
+    documented = {code: remedy.replace("`", "") for code, _, remedy in rows}
+    assert len(documented) == len(rows) and list(documented) == sorted(documented)
+    assert documented == {code: kind.remedy for code, kind in errors_by_code().items()}
 
 
-def test_what_is_said_is_one_line_each() -> None:
-    class Odd(BalancerError):
+def test_messages_and_remedies_are_one_line_each() -> None:
+    class ExampleError(BalancerError):
         code = "ODD01"
         remedy = "nothing"
 
-    assert Odd("two\n  lines").report_lines == ("ODD01: two lines", "what to do: nothing")
-    assert Odd("x").one_line_report == "ODD01: x; what to do: nothing"
+    assert ExampleError("two\n  lines").report_lines == ("ODD01: two lines", "what to do: nothing")
+    assert ExampleError("x").one_line_report == "ODD01: x; what to do: nothing"
 
 
 @pytest.mark.parametrize(
@@ -69,28 +70,30 @@
         ({"PROXY_CONFIG": "{}"}, "balancer: CFG01: settings is missing; what to do: "),
     ],
 )
-def test_a_node_that_does_not_run_says_why_in_one_line(
+def test_a_node_that_cannot_start_prints_the_reason_in_one_line(
     tmp_path: Path, env: dict[str, str], start: str
 ) -> None:
     if "{" in env.get("PROXY_CONFIG", ""):
         (tmp_path / "config.json").write_text(env["PROXY_CONFIG"])
         env = {"PROXY_CONFIG": str(tmp_path / "config.json")}
-    kept = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
-    got = subprocess.run([sys.executable, "-m", "balancer"], cwd=ROOT, env=kept | env, capture_output=True)
-    text = got.stderr.decode()
-    assert got.returncode == 2 and text.startswith(start) and text.count("\n") == 1
+    base_env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
+    result = subprocess.run(
+        [sys.executable, "-m", "balancer"], cwd=ROOT, env=base_env | env, capture_output=True
+    )
+    text = result.stderr.decode()
+    assert result.returncode == 2 and text.startswith(start) and text.count("\n") == 1
 
 
-def test_libraries_that_are_not_there_are_said(tmp_path: Path) -> None:
+def test_a_missing_library_is_reported_with_its_requirements_file(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(configuration([], 1)))
     (tmp_path / "fleet.toml").write_text(f'[durable]\ndirectory = "{tmp_path}/state"\n')
     (tmp_path / "google_crc32c.py").write_text("raise ModuleNotFoundError('No module named google_crc32c')")
-    more = {"PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_FLEET": str(tmp_path / "fleet.toml"),
+    extra_env = {"PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_FLEET": str(tmp_path / "fleet.toml"),
             "PYTHONPATH": str(tmp_path), "TMPDIR": str(tmp_path)}  # fmt: skip
-    got = subprocess.run([sys.executable, "-m", "balancer"], cwd=ROOT, env=os.environ | more,
+    result = subprocess.run([sys.executable, "-m", "balancer"], cwd=ROOT, env=os.environ | extra_env,
                          capture_output=True, text=True)  # fmt: skip
-    assert got.returncode == 2 and got.stderr.count("\n") == 1
-    assert got.stderr.startswith("balancer: NOD03: ") and "requirements-fleet.txt" in got.stderr
+    assert result.returncode == 2 and result.stderr.count("\n") == 1
+    assert result.stderr.startswith("balancer: NOD03: ") and "requirements-fleet.txt" in result.stderr
 
 
 @pytest.mark.parametrize(
@@ -106,11 +109,9 @@
         ("state compact FILLED", "CLI05"),
     ],
 )
-def test_the_command_says_code_and_what_happened_then_what_to_do(
-    tmp_path: Path, args: str, code: str
-) -> None:
-    where = args.replace("OUT", str(tmp_path / "none")).replace("FILLED", str(tmp_path))
-    done = CliRunner().invoke(app, where.split())
-    happened, remedy = done.stderr.splitlines()
-    assert done.exit_code == 2 and happened.startswith(f"balancer: {code}: ")
-    assert remedy == f"what to do: {every()[code].remedy}"
+def test_the_command_prints_code_and_message_then_the_remedy(tmp_path: Path, args: str, code: str) -> None:
+    command = args.replace("OUT", str(tmp_path / "none")).replace("FILLED", str(tmp_path))
+    result = CliRunner().invoke(app, command.split())
+    happened, remedy = result.stderr.splitlines()
+    assert result.exit_code == 2 and happened.startswith(f"balancer: {code}: ")
+    assert remedy == f"what to do: {errors_by_code()[code].remedy}"
