--- a/balancer/durable/frames.py
+++ b/balancer/durable/frames.py
@@ -33,7 +33,7 @@
     """A record exceeds the size limit, for example an endpoint list with very many backends."""
 
     code = "STA03"
-    remedy = "the node continues without [durable]; restart it once discovery's list of endpoints is shorter"
+    remedy = "the node continues without [durable]; restart it once discovery's endpoint list is shorter"
 
 
 @dataclass(slots=True, frozen=True)
--- a/balancer/durable/health.py
+++ b/balancer/durable/health.py
@@ -47,7 +47,7 @@
         log.warning("state: %s: %s; the node continues without durable state", self.location, reason.summary)
 
     def report_failure(self, err: OSError) -> NotPersistedError:
-        """Count a failed disk operation and return the error to raise in its callers."""
+        """Count a failed disk operation and return the error that rejects its records."""
         reason = NotPersistedError(err.strerror or str(err))
         self.failures += 1
         if not self._is_outage_logged:
--- a/balancer/durable/store.py
+++ b/balancer/durable/store.py
@@ -77,7 +77,7 @@
         return self.committer.is_idle
 
     def recover(self) -> DurableState:
-        """Return the state of an earlier process, or an empty state and a log line if it is unreadable."""
+        """Return the state that an earlier process left; log an unreadable one and return empty state."""
         if self.disabled_by is not None:
             return self.state
         try:
@@ -138,7 +138,7 @@
         await self.submit(record)
 
     def submit(self, record: Record) -> asyncio.Future[None]:
-        """Queue a record and return a future that completes once it survives a power cut; order is kept."""
+        """Queue a record; the returned future completes once it survives a power cut. Order is kept."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self.disabled_by is not None:
             done.set_exception(self.disabled_by)
