--- a/balancer/recovery/actions.py
+++ b/balancer/recovery/actions.py
@@ -30,7 +30,7 @@
 
     backend: str
     banned: bool
-    since_ms: float  # -inf means that the time of the ban or lift is unknown
+    since_ms: float  # -inf stands for an unknown time of the ban or lift
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,11 +56,17 @@
 
 @dataclass(slots=True, frozen=True)
 class CapacityGranted:
-    """Limit this node to a share of the cold backends' capacity; sent when the limit changes noticeably."""
+    """Limit this node to a share of the cold backends' capacity; sent when the limit changes noticeably.
 
-    share: float  # fraction of the capacity that all nodes of the tier may use together
-    cold_since: float  # backends with an unknown start time count as started at this time
-    tier_rate: float  # requests/s that the whole tier carried when warm; 0 if unknown
+    Attributes:
+        share: Fraction of the capacity that all nodes of the tier may use together.
+        cold_since: Backends with an unknown start time count as started at this time.
+        tier_rate: Requests per second that the whole tier carried when warm; 0 if unknown.
+    """
+
+    share: float
+    cold_since: float
+    tier_rate: float
 
 
 Action = (
--- a/balancer/recovery/agreement.py
+++ b/balancer/recovery/agreement.py
@@ -23,10 +23,10 @@
 
     def __init__(self, register: BanRegister) -> None:
         """Create a record without peers; `register` is this node's own register."""
-        self.peer_hashes: dict[int, int] = {}  # last register hash of each peer, by node number
+        self.peer_hashes: dict[int, int] = {}  # maps node numbers to the peers' last register hashes
         self._register = register
         self._covered: dict[int, None] = {}  # insertion-ordered set, so that the oldest hash is dropped first
-        # Lower halves of all hashes that this node's register has had.
+        # Contains the lower half of each hash that this node's register has had.
         self._own_lower_halves: dict[int, None] = {}
         self._received_parts: dict[tuple[int, int, int, int], set[int]] = {}
         self._cover(0)
--- a/balancer/recovery/ban_controller.py
+++ b/balancer/recovery/ban_controller.py
@@ -86,7 +86,7 @@
         reissued = self.register.commit(pending.entries)
         committed = [e for e in pending.entries if self.register.get(e.backend, e.node) == e]
         self.exchange.register_changed(committed)
-        if reissued:  # a peer has a greater counter of an earlier incarnation, unknown to this node's disk
+        if reissued:  # a peer knows a greater counter from an earlier incarnation of this node
             self._write(PendingRequest(pending.request, reissued))
             return
         self.exchange.send_urgently(committed, now)
--- a/balancer/recovery/ban_register.py
+++ b/balancer/recovery/ban_register.py
@@ -36,14 +36,23 @@
 
 
 class BanEntry(NamedTuple):
-    """Last ban of a backend that was requested at one node, and whether it has been lifted."""
+    """Last ban of a backend that was requested at one node, and whether it has been lifted.
+
+    Attributes:
+        backend: Backend that is or was banned.
+        node: Node at which the ban was requested.
+        incarnation: Incarnation of that node; first part of the ban's counter.
+        sequence: Sequence number of the ban; second part of its counter.
+        active: True until a lift that has seen this ban clears it.
+        changed_at: When the ban or its lift was requested (node clock, ms); -inf if unknown.
+    """
 
     backend: str
     node: int
     incarnation: int
     sequence: int
-    active: bool  # true until a lift that has seen this ban clears it
-    changed_at: float  # when the ban or its lift was requested (node clock, ms); -inf if unknown
+    active: bool
+    changed_at: float
 
     @property
     def key(self) -> EntryKey:
@@ -122,14 +131,14 @@
         """Create an empty register; `process_tag` must differ between processes of the same incarnation."""
         self.node = node
         self.counter = BanCounter(incarnation, process_tag)
-        self.hash = 0  # XOR of the hashes of all shareable entries, equal for equal registers
+        self.hash = 0  # combines all shareable entries, so equal registers have equal hashes
         self.buckets = [0] * DIGEST_BUCKET_COUNT
         self.counts: Counter[str] = Counter()
         self._entries: dict[str, dict[int, BanEntry]] = {}
         self._size = 0
-        # Backends for which this process has issued this node's entry.
+        # This process has issued this node's entries of these backends.
         self._issued_backends: set[str] = set()
-        # Incarnations of this node's active entries on its disk.
+        # Maps backends to the incarnations of this node's active entries on its disk.
         self._restored_incarnations: dict[str, int] = {}
 
     def __len__(self) -> int:
@@ -271,7 +280,7 @@
     def _reissue_for(self, entry: BanEntry) -> list[BanEntry]:
         """Reissue own bans where a peer's entry of this node requires it; return the reissued bans."""
         is_ahead = self.counter.is_behind(entry)
-        if is_ahead:  # the incarnation is unknown to this node's disk, whose bans may be newer than the entry
+        if is_ahead:  # this node's disk does not know the incarnation, so its bans may be newer
             self._issued_backends |= self._restored_incarnations.keys()
         elif entry.incarnation > self._restored_incarnations.get(entry.backend, entry.incarnation):
             # The restored ban may be newer than the entry even if this process has a greater incarnation.
--- a/balancer/recovery/config.py
+++ b/balancer/recovery/config.py
@@ -7,17 +7,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveryConfig:
-    """Times and rate limits of recovery; the defaults keep the bounds in `docs/fleet-recovery.md`."""
+    """Times and rate limits of recovery; the defaults keep the bounds in `docs/fleet-recovery.md`.
 
-    ramp_time_ms: float = 8000.0  # a backend's time from start to warm, as set for the platform
-    # Delay between the first two surveys; each further delay is twice as long.
+    Attributes:
+        ramp_time_ms: Time from a backend's start until it is warm, as set for the platform.
+        survey_interval_ms: Delay between the first two surveys; each further delay is twice as long.
+        max_survey_ms: Longest time for which a node surveys its peers.
+        isolation_timeout_ms: Time after which a node without a majority of the tier ends its survey.
+        established_after_ms: Uptime above which a peer did not restart together with this node.
+        poll_slot_ms: Distance between the polls of discovery by successive nodes.
+        datagrams_per_s: Rate limit for the recovery datagrams that one node sends.
+        burst_datagrams: Number of datagrams that a node may send at once.
+    """
+
+    ramp_time_ms: float = 8000.0
     survey_interval_ms: float = 250.0
-    max_survey_ms: float = 2000.0  # longest time for which a node surveys its peers
-    isolation_timeout_ms: float = 1000.0  # a node without a majority ends its survey then
-    # A peer with a longer uptime did not restart together with this node.
+    max_survey_ms: float = 2000.0
+    isolation_timeout_ms: float = 1000.0
     established_after_ms: float = 60_000.0
-    poll_slot_ms: float = 25.0  # distance between the polls of discovery by successive nodes
-    datagrams_per_s: float = 3.0  # rate limit for the recovery datagrams of one node
+    poll_slot_ms: float = 25.0
+    datagrams_per_s: float = 3.0
     burst_datagrams: float = 3.0
 
     @property
--- a/balancer/recovery/events.py
+++ b/balancer/recovery/events.py
@@ -16,15 +16,25 @@
 
 @dataclass(slots=True, frozen=True)
 class DiskRead:
-    """The disk has been read, which ends the phase `VERIFY`."""
-
-    sound: bool  # false if the disk is damaged, missing or another node's, so that nothing on it is used
-    fresh_disk: bool  # true if nothing was ever written to the disk
+    """The disk has been read, which ends the phase `VERIFY`.
+
+    Attributes:
+        sound: False if the disk is damaged, missing or another node's, so that nothing on it is used.
+        fresh_disk: True if nothing was ever written to the disk.
+        incarnation: Saved incarnation of this node.
+        age_ms: Age of the saved state, as given by `durable.timestamp.Timestamp.age_ms`.
+        entries: Saved entries of the ban register.
+        revision: Revision of the saved endpoint list.
+        warm_rate: Requests per second that this node carried when warm; 0 if unknown.
+    """
+
+    sound: bool
+    fresh_disk: bool
     incarnation: int = 0
-    age_ms: float = 0.0  # age of the saved state by `durable.timestamp.Timestamp.age_ms`
+    age_ms: float = 0.0
     entries: tuple[BanEntry, ...] = ()
-    revision: int = 0  # revision of the saved endpoint list
-    warm_rate: float = 0.0  # requests/s that this node carried when warm; 0 if unknown
+    revision: int = 0
+    warm_rate: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,17 +59,23 @@
 class MembershipChanged:
     """Membership's view of the present nodes, including this one, has changed; it serves only as a hint."""
 
-    incarnations: Mapping[int, int]  # incarnation of each present node
+    incarnations: Mapping[int, int]  # maps each present node to its incarnation
     quorum: bool
 
 
 @dataclass(slots=True, frozen=True)
 class ListReceived:
-    """Discovery has sent the endpoint list to this process."""
+    """Discovery has sent the endpoint list to this process.
+
+    Attributes:
+        revision: Revision of the list.
+        start_times: Start time of each listed backend by the node's clock.
+        ids: Backends in service; peers without a list from discovery may avoid all others.
+    """
 
     revision: int
-    start_times: tuple[float, ...]  # start time of each listed backend by the node's clock
-    ids: tuple[str, ...] = ()  # backends in service; peers without a list from discovery may avoid all others
+    start_times: tuple[float, ...]
+    ids: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
--- a/balancer/recovery/exchange.py
+++ b/balancer/recovery/exchange.py
@@ -36,7 +36,7 @@
 # While digests bring no new entries, their interval doubles up to this limit.
 MAX_DIGEST_INTERVAL_MS = 4000.0
 MEAN_COMPARE_INTERVAL_MS = 5000.0  # each status sent to a random peer lets it compare registers
-# Keys of `/stats` that count the datagrams sent of each kind.
+# `/stats` counts the datagrams sent of each kind under these keys.
 COUNTER_NAMES = {
     MessageKind.SURVEY: "sent_roll",
     MessageKind.STATUS: "sent_answer",
@@ -156,7 +156,7 @@
         return changed
 
     def digest_received(self, node: int, register_hash: int, digest: Digest, now: float) -> None:
-        """Schedule the entries that a peer lacks for it, or a status if it lacks none."""
+        """Schedule the reply to a peer's digest: the entries that it lacks, or a status if it lacks none."""
         buckets = zip(self.register.buckets, digest.buckets, strict=True)
         mask = sum(1 << index for index, (own, other) in enumerate(buckets) if own != other)
         if not mask:
@@ -181,9 +181,9 @@
                 self._times.status,
                 self._times.digest,
                 self._times.compare,
-                self._broadcast.next_at,
-                self.filters.next_at,
-                self._urgent.next_at,
+                self._broadcast.next_at_ms,
+                self.filters.next_at_ms,
+                self._urgent.next_at_ms,
             )
         return max(wanted_at, self._budget.available_at)
 
--- a/balancer/recovery/filter_broadcast.py
+++ b/balancer/recovery/filter_broadcast.py
@@ -7,7 +7,7 @@
 
 from balancer.recovery.messages import ListFilter
 
-TIER_FILTERS_PER_S = 2.0  # mean rate at which all nodes of a tier together send filters
+TIER_FILTERS_PER_S = 2.0  # all nodes of a tier together send filters at this mean rate
 MIN_TIER_FILTER_INTERVAL_MS = 5000.0
 
 
@@ -16,31 +16,35 @@
 
     def __init__(self, generator: random.Random) -> None:
         """Create a broadcast without a filter."""
-        self.own: ListFilter | None = None  # filter of the list that discovery has sent to this node
-        self.next_at = math.inf  # time of the next broadcast, ms
+        self.own: ListFilter | None = None  # built from the list that discovery has sent to this node
+        self.next_at_ms = math.inf
         self._random = generator
-        self._sent_at = -math.inf  # time at which any node of the tier last sent a filter, ms
+        self._last_filter_of_tier_at_ms = -math.inf
 
     def plan(self, now: float, listed_count: int) -> None:
         """Schedule a filter for a peer without a list from discovery; `listed_count` nodes could send one."""
-        if self.own is None or self.next_at < math.inf or now < self._sent_at + MIN_TIER_FILTER_INTERVAL_MS:
+        if (
+            self.own is None
+            or self.next_at_ms < math.inf
+            or now < self._last_filter_of_tier_at_ms + MIN_TIER_FILTER_INTERVAL_MS
+        ):
             return
-        self.next_at = now + self._random.expovariate(TIER_FILTERS_PER_S / max(1, listed_count)) * 1000
+        self.next_at_ms = now + self._random.expovariate(TIER_FILTERS_PER_S / max(1, listed_count)) * 1000
 
     def received(self, list_filter: ListFilter, now: float) -> None:
         """Cancel this node's broadcast if a peer's filter is at least as new."""
         if self.own is not None and list_filter.revision >= self.own.revision:
-            self.next_at = math.inf
-            self._sent_at = now
+            self.next_at_ms = math.inf
+            self._last_filter_of_tier_at_ms = now
 
     def cancel(self) -> None:
         """Cancel the scheduled broadcast."""
-        self.next_at = math.inf
+        self.next_at_ms = math.inf
 
     def take(self, now: float) -> ListFilter | None:
         """Return the filter to send now, or None if no broadcast is due."""
-        if now < self.next_at:
+        if now < self.next_at_ms:
             return None
-        self.next_at = math.inf
-        self._sent_at = now
+        self.next_at_ms = math.inf
+        self._last_filter_of_tier_at_ms = now
         return self.own
--- a/balancer/recovery/messages.py
+++ b/balancer/recovery/messages.py
@@ -28,7 +28,7 @@
 MAX_DATAGRAM_BYTES = 256
 FIRST_MESSAGE_KIND = 16  # membership uses the lower kinds on the same port
 MAX_U32 = 0xFFFFFFFF
-UNKNOWN = MAX_U32  # encodes an age (ms) or a demand that is unknown or too large
+UNKNOWN = MAX_U32  # the largest number encodes an age (ms) or demand that is unknown or too large
 HEADER = struct.Struct(">IBBHQ")
 STATUS_LAYOUT = struct.Struct(">IIBBBIIIHB")
 DIGEST_LAYOUT = struct.Struct(f">{DIGEST_BUCKET_COUNT}I")
@@ -38,10 +38,10 @@
 CRC_BYTES = 4
 RATE_SCALE = 10  # rates are sent in tenths of a request per second
 MAX_ENTRIES_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - PAGE_LAYOUT.size
-# A status has one presence bit for each of the nodes that fit into its datagram.
+# The presence bits of a status fill the rest of its datagram.
 MAX_STATUS_NODES = 8 * (MAX_DATAGRAM_BYTES - HEADER.size - STATUS_LAYOUT.size)
 MAX_FILTER_BYTES = 200
-MAX_FILTER_HASHES = 16  # limits the bits that a received filter may set for each id
+MAX_FILTER_HASHES = 16  # a received filter that sets more bits for each id is rejected
 
 
 class MessageError(ValueError):
@@ -55,11 +55,11 @@
 class MessageKind(IntEnum):
     """Kinds of recovery datagrams."""
 
-    SURVEY = 16  # asks all peers for their status
+    SURVEY = 16  # a survey asks all peers for their status
     STATUS = 17
-    DIGEST = 18  # asks for the entries that the sender lacks
+    DIGEST = 18  # a digest asks for the entries that the sender lacks
     ENTRIES = 19
-    LIST_FILTER = 20  # tells which backends of a list from discovery are in service
+    LIST_FILTER = 20  # a filter tells which backends of a list from discovery are in service
 
 
 class StatusFlag(IntFlag):
@@ -74,18 +74,31 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeStatus:
-    """Status that a node reports about itself."""
+    """Status that a node reports about itself.
+
+    Attributes:
+        incarnation: Incarnation of the node, which orders its bans.
+        uptime_ms: Uptime of the node's process by the node's own clock.
+        phase: Value of a `Phase`, or of a phase that only a later version knows.
+        path: Index in `PATHS`, or of a path that only a later version knows.
+        flags: Further properties of the node's state.
+        revision: Revision of the endpoint list that the node has; 0 if unknown.
+        warm_rate: Requests per second that the node carried when warm; 0 if unknown.
+        demand: Requests that arrived at the node in the last second; infinite if unknown.
+        recovering: Number of recovering nodes among those that the node sees.
+        present_nodes: Bits of the node and of the peers it has heard; once it serves, of all present nodes.
+    """
 
     incarnation: int
-    uptime_ms: float  # measured by the reporting node's clock
-    phase: int  # value of a `Phase`, or of a phase that only a later version knows
-    path: int  # index in `PATHS`, or of a path that only a later version knows
+    uptime_ms: float
+    phase: int
+    path: int
     flags: StatusFlag
-    revision: int  # revision of the endpoint list that the node has; 0 if unknown
-    warm_rate: float  # requests/s that the node carried when warm; 0 if unknown
-    demand: float  # requests that arrived at the node in the last second; infinite if unknown
-    recovering: int  # number of recovering nodes among those that the node sees
-    present_nodes: int  # bits of the node and of the peers it has heard; once it serves, of all present nodes
+    revision: int
+    warm_rate: float
+    demand: float
+    recovering: int
+    present_nodes: int
 
     @property
     def present_count(self) -> int:
@@ -100,11 +113,19 @@
     The parts 0 to `parts` - 1 with the same hash and mask together hold all entries of the buckets in the
     mask. `base` is the lower half of the register hash that came with the receiver's digest; at that hash the
     buckets outside the mask were equal.
+
+    Attributes:
+        entries: Entries of the page; `decode` converts their `changed_at` to the receiver's clock.
+        base: Lower half of the receiver's register hash; 0 if the page does not answer a digest.
+        mask: Buckets that all parts together cover completely; 0 for single entries.
+        part: Number of this page.
+        parts: Number of pages that belong together.
+        to_all: Whether the page is broadcast.
     """
 
-    entries: tuple[BanEntry, ...]  # `decode` converts their `changed_at` to the receiver's clock
+    entries: tuple[BanEntry, ...]
     base: int = 0
-    mask: int = 0  # buckets that all parts cover completely; 0 for single entries
+    mask: int = 0
     part: int = 0
     parts: int = 1
     to_all: bool = False
@@ -119,10 +140,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ListFilter:
-    """Bloom filter of the backends in service; it may match a few others."""
+    """Bloom filter of the backends in service; it may match a few others.
+
+    Attributes:
+        revision: Revision of the endpoint list that the filter was built from.
+        hashes: Number of bits that each id sets.
+        bits: Bit array of the filter.
+    """
 
     revision: int
-    hashes: int  # number of bits that each id sets
+    hashes: int
     bits: bytes
 
 
--- a/balancer/recovery/page_broadcast.py
+++ b/balancer/recovery/page_broadcast.py
@@ -10,8 +10,8 @@
 from balancer.recovery.messages import RegisterPage
 from balancer.recovery.pages import Paginator
 
-TIER_PAGES_PER_S = 8.0  # mean rate at which all nodes with the same register together send pages
-MIN_PAGE_DELAY_MS = 60.0  # before it sends a page, a node learns which peers have the same register
+TIER_PAGES_PER_S = 8.0  # all nodes with the same register together send pages at this mean rate
+MIN_PAGE_DELAY_MS = 60.0  # a node waits to learn which peers have the same register
 MIN_PEERS_FOR_BROADCAST = 3  # with fewer peers that lack entries, each is repaired separately
 PEERS_PER_DIFFERING_PEER = 3  # in a small tier one differing peer in three suffices for a broadcast
 MAX_SMALL_REGISTER_PAGES = 4  # a small register is broadcast completely, not only its differing buckets
@@ -28,7 +28,7 @@
         generator: random.Random,
     ) -> None:
         """Create a broadcast without entries."""
-        self.next_at = math.inf  # time of the next page, ms
+        self.next_at_ms = math.inf
         self._register = register
         self._agreement = agreement
         self._paginator = paginator
@@ -46,21 +46,21 @@
 
     def plan(self, now: float) -> None:
         """Schedule a page if the registers of enough peers differ from this node's."""
-        if self.next_at == math.inf and self._is_worthwhile():
-            self.next_at = now + MIN_PAGE_DELAY_MS + self._random_delay()
+        if self.next_at_ms == math.inf and self._is_worthwhile():
+            self.next_at_ms = now + MIN_PAGE_DELAY_MS + self._random_delay()
 
     def start(self, mask: int, now: float) -> None:
         """Broadcast the entries of the buckets in a mask, or all entries of a small register, immediately."""
         is_small = len(self._paginator.pages(ALL_BUCKETS)) <= MAX_SMALL_REGISTER_PAGES
         for entry in self._register.entries_in(ALL_BUCKETS if is_small else mask):
             self._unsent[entry.key] = None
-        self.next_at = now
+        self.next_at_ms = now
 
     def take(self, now: float) -> RegisterPage | None:
         """Return the first page with entries that no node has broadcast, or None if no page is due."""
-        if now < self.next_at:
+        if now < self.next_at_ms:
             return None
-        self.next_at = math.inf
+        self.next_at_ms = math.inf
         pages = self._paginator.pages(ALL_BUCKETS)
         for part, entries in enumerate(pages):
             if not any(entry.key in self._unsent for entry in entries):
@@ -68,7 +68,7 @@
             for entry in entries:
                 self.mark_sent(entry)
             if self._unsent:
-                self.next_at = now + self._random_delay()
+                self.next_at_ms = now + self._random_delay()
             return RegisterPage(entries, 0, ALL_BUCKETS, part, len(pages), to_all=True)
         return None
 
@@ -78,6 +78,6 @@
         return bool(self._unsent) and differing >= min(MIN_PEERS_FOR_BROADCAST, enough)
 
     def _random_delay(self) -> float:
-        """Return a random delay (ms) at which all nodes with the same register send `TIER_PAGES_PER_S`."""
+        """Return a random delay (ms) so that all nodes with the same register send `TIER_PAGES_PER_S`."""
         same = 1 + self._agreement.matching_peer_count()
         return self._random.expovariate(TIER_PAGES_PER_S / same) * 1000
--- a/balancer/recovery/pages.py
+++ b/balancer/recovery/pages.py
@@ -17,7 +17,8 @@
     def __init__(self, register: BanRegister) -> None:
         """Create a paginator of the given register."""
         self._register = register
-        self._cache_key: tuple[int, int] | None = None  # register hash and bucket mask of the cached pages
+        # The cache holds the pages of one register hash and bucket mask.
+        self._cache_key: tuple[int, int] | None = None
         self._cached_pages: list[Page] = []
 
     def pages(self, mask: int) -> list[Page]:
@@ -44,12 +45,20 @@
 
 @dataclass(slots=True)
 class Repair:
-    """Entries still to be sent to a peer that has requested them."""
-
-    base: int  # lower half of the peer's register hash
-    mask: int  # buckets in which the registers of both nodes differ
-    register_hash: int  # hash of this node's register at the time of the request
-    remaining: list[tuple[EntryKey, ...]]  # keys of the entries on each unsent page
+    """Entries still to be sent to a peer that has requested them.
+
+    Attributes:
+        base: Lower half of the peer's register hash.
+        mask: Buckets in which the registers of both nodes differ.
+        register_hash: Hash of this node's register at the time of the request.
+        remaining: Keys of the entries on each unsent page.
+        parts: Number of pages, including those already sent.
+    """
+
+    base: int
+    mask: int
+    register_hash: int
+    remaining: list[tuple[EntryKey, ...]]
     parts: int
 
 
--- a/balancer/recovery/phase_machine.py
+++ b/balancer/recovery/phase_machine.py
@@ -23,8 +23,8 @@
 REFINED_PATHS = frozenset({RecoveryPath.SPLIT, RecoveryPath.POWER})
 # Once enough peers with a completed survey agree, the node waits for no other peers.
 MIN_SURVEYED_PEERS = 4
-STATUS_SPREAD_MS = 150.0  # spreads the status broadcasts of all nodes over time
-WARM_CHECK_INTERVAL_MS = 250.0  # repeats the check whether most peers consider the backends warm
+STATUS_SPREAD_MS = 150.0  # random delays spread the broadcasts of all nodes over this time
+WARM_CHECK_INTERVAL_MS = 250.0  # a node checks repeatedly whether its peers consider the backends warm
 
 
 class PhaseMachine:
@@ -52,7 +52,7 @@
         self.survey_started_at = context.now
         self.serving_since = context.now
         self.is_warm = False  # true once every listed backend is warm by this node's clock
-        # Saved entries that are not trusted before the survey ends.
+        # Saved entries that are not trusted before the survey ends are restored afterwards.
         self.deferred_entries: list[BanEntry] = []
         self._survey_interval_ms = context.config.survey_interval_ms
         self._warm_check_at = context.now
--- a/balancer/recovery/quota.py
+++ b/balancer/recovery/quota.py
@@ -20,8 +20,8 @@
 
     def __init__(self, context: RecoveryContext, survey: PeerSurvey) -> None:
         """Create the quota of a node whose demand is unknown."""
-        self.demand = math.inf  # requests at this node in the last second; infinite if unknown
-        self.saved_rate = 0.0  # requests/s that this node carried when warm, as read from disk
+        self.demand = math.inf  # an infinite number of requests/s stands for an unknown demand
+        self.saved_rate = 0.0  # stays 0 unless the disk has the requests/s that this node carried when warm
         self.next_review_at = context.now
         self.context = context
         self.survey = survey
--- a/balancer/recovery/receiver.py
+++ b/balancer/recovery/receiver.py
@@ -23,10 +23,10 @@
 from balancer.recovery.saved_list import SavedList
 from balancer.recovery.survey import PeerSurvey
 
-EXPECTED_SURVEY_REPLIES = 8  # mean number of replies to a survey of a large tier
-MAX_DIGEST_DELAY_MS = 1000.0  # entries that are broadcast within this delay need no digest
-MAX_SURVEY_DIGEST_DELAY_MS = 160.0  # longest delay of a digest during a survey
-# Longest delay of a digest after established peers have answered a survey.
+EXPECTED_SURVEY_REPLIES = 8  # a survey of a large tier gets this number of replies on average
+MAX_DIGEST_DELAY_MS = 1000.0  # a digest waits for entries that may be broadcast in the meantime
+MAX_SURVEY_DIGEST_DELAY_MS = 160.0  # a digest waits for a shorter time during a survey
+# After established peers have answered a survey, a digest waits for a very short time.
 MAX_ESTABLISHED_DIGEST_DELAY_MS = 10.0
 
 
--- a/balancer/recovery/saved_list.py
+++ b/balancer/recovery/saved_list.py
@@ -19,7 +19,7 @@
 class FreshList:
     """Endpoint list that discovery has sent to this process."""
 
-    start_times: tuple[float, ...]  # start times of the backends by the node's clock, never in the future
+    start_times: tuple[float, ...]  # a start time after the node's present time has been corrected
 
 
 class SavedList:
@@ -27,13 +27,13 @@
 
     def __init__(self, context: RecoveryContext) -> None:
         """Create the state of a node without a list."""
-        self.revision = 0  # revision of the list that the node serves from
+        self.revision = 0  # the node serves from the list with this revision
         self.saved_ids: tuple[str, ...] = ()
         self.restricted_ids: frozenset[str] = frozenset()
         self.fresh: FreshList | None = None
-        self.newest_filter: ListFilter | None = None  # newest list filter received from a peer
+        self.newest_filter: ListFilter | None = None  # the newest of all filters that peers have sent
         self.context = context
-        self._ahead_since = math.inf  # when discovery first sent a start time in the future
+        self._ahead_since = math.inf  # infinite until discovery has sent a start time in the future
 
     def set_saved(self, ids: tuple[str, ...]) -> None:
         """Set the backends of the saved list."""
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -1,7 +1,7 @@
 """I/O of a node's recovery: connects the core, which makes all decisions, to peer socket, disk and timer.
 
-If the core raises an exception, or the socket cannot be bound, the node continues without its peers; nothing
-here may prevent it from serving.
+If the core raises an exception, the node continues without recovery; if the socket cannot be bound, the node
+recovers without its peers. Nothing here may prevent the node from serving.
 """
 
 from __future__ import annotations
@@ -167,7 +167,7 @@
         for action in wanted:
             with self._defects.contain(type(action).__name__):
                 self._perform(action, request)
-        with self._defects.contain("setting the admission"):
+        with self._defects.contain("setting the phase and capacity limit"):
             self._update_admission()
         self._timer.arm(self.core.next_wakeup)
 
@@ -248,7 +248,7 @@
         self.serving.set()
         with self._defects.contain("lifting the restriction of the saved list"):
             self.host.restrict_saved_list(frozenset())
-        with self._defects.contain("setting the admission"):
+        with self._defects.contain("setting the phase and capacity limit"):
             self.host.set_admission(Phase.FULL, None)
         with self._defects.contain("allowing polls of discovery"):
             self.host.allow_polling()
--- a/balancer/recovery/survey.py
+++ b/balancer/recovery/survey.py
@@ -26,13 +26,13 @@
 
     def __init__(self, context: RecoveryContext) -> None:
         """Create a survey that knows only this node."""
-        self.reports: dict[int, PeerReport] = {}  # last report of each peer, by node number
+        self.reports: dict[int, PeerReport] = {}  # maps node numbers to the last reports of the peers
         # True once a peer that did not restart with this node has reported.
         self.has_established_peers = False
         self._context = context
         self._members: frozenset[int] = frozenset({context.node})
         self._quorum_seen = False  # true if membership sees a quorum
-        self._reported_nodes = 0  # bit mask of all nodes that peers have reported as present
+        self._reported_nodes = 0  # each bit stands for a node that a peer has reported as present
 
     def record(self, node: int, status: NodeStatus) -> None:
         """Record a status report of a peer."""
--- a/balancer/recovery/token_bucket.py
+++ b/balancer/recovery/token_bucket.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-ROUNDING_MARGIN_MS = 1e-6  # ensures that rounding leaves a whole token at `available_at`
+ROUNDING_MARGIN_MS = 1e-6  # the margin ensures a whole token at `available_at` despite rounding
 
 
 class TokenBucket:
--- a/balancer/recovery/trust.py
+++ b/balancer/recovery/trust.py
@@ -16,14 +16,14 @@
 class StateKind(Enum):
     """Kinds of saved state; the values are keys of `/stats`."""
 
-    BANS = "bans"  # active entries of the ban register
-    # Lifted entries of the register, which keep older disks from restoring their bans.
+    BANS = "bans"  # active register entries ban their backends
+    # Lifted register entries keep older disks from restoring their bans.
     LIFTED_BANS = "returns"
-    LIST = "list"  # endpoint list to serve from before discovery has sent one
-    REVISION = "revision"  # revision of the saved list; a peer with a greater one may restrict the list
-    INCARNATION = "life"  # incarnation of this node, which orders the bans requested at it
-    LEARNED = "learned"  # state of the backends that the balancer has learned
-    WARM_RATE = "rate"  # requests/s that this node carried when all backends were warm
+    LIST = "list"  # a node serves from the saved list until discovery has sent one
+    REVISION = "revision"  # a peer with a greater revision may restrict the saved list
+    INCARNATION = "life"  # the incarnation of a node orders the bans requested at it
+    LEARNED = "learned"  # the balancer has learned the state of its backends
+    WARM_RATE = "rate"  # the node carried this rate (requests/s) when all backends were warm
 
 
 class TrustLevel(Enum):
@@ -70,8 +70,8 @@
     """Condition of the disk at the node's start."""
 
     sound: bool = False
-    fresh: bool = True  # true if nothing was ever written to the disk
-    age_ms: float = math.inf  # age of the saved state at the node's start
+    fresh: bool = True  # a disk is fresh if nothing was ever written to it
+    age_ms: float = math.inf  # the saved state had this age when the node started
 
 
 def is_trusted(
--- a/balancer/recovery/urgent_entries.py
+++ b/balancer/recovery/urgent_entries.py
@@ -35,7 +35,7 @@
         return len(self._queue) >= MAX_URGENT_ENTRIES
 
     @property
-    def next_at(self) -> float:
+    def next_at_ms(self) -> float:
         """Time (ms) of the next transmission; infinite if the queue is empty."""
         return min((transmission.at for transmission in self._queue.values()), default=math.inf)
 
