--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -48,11 +48,11 @@
         self.config = config
         self.node = Node(config)
         self.fleet = fleet_of(config)
-        self.known = config.known  # the endpoint list to begin with
+        self.known = config.initial_list  # the endpoint list to begin with
         self.recovered: LearnedStateRestored | None = None  # learned state that an earlier process has saved
         self.node.fleet = self.fleet
         if self.fleet is not None:
-            self.known = self.fleet.newest_list(config.known)
+            self.known = self.fleet.newest_list(config.initial_list)
             self.recovered = self.fleet.recovered_learned()
         self.discovery = DiscoveryClient(self.node, config.discovery, self.known.revision)
         self.node.discovery = self.discovery
@@ -113,7 +113,7 @@
         fleet = self.fleet
         returns_to_fleet = fleet is not None and fleet.recovery is not None
         if self.recovered is not None and not returns_to_fleet:
-            self.node.event(self.recovered)
+            self.node.handle_event(self.recovered)
         is_ready = True
         if fleet is not None and returns_to_fleet:
             is_ready = await self._unless_stopped(fleet.wait_until_serving(has_peer))
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -95,7 +95,7 @@
         if not is_successor:
             await self._reconcile_bans()
         if recovered is not None and self.shell.is_trusted(StateKind.LEARNED):
-            self.node.event(recovered)
+            self.node.handle_event(recovered)
 
     def resume(self) -> None:
         """Go on after a successor has ended; what operators called there is on the disk."""
@@ -112,7 +112,7 @@
         is_authoritative = (
             disk is not None and disk.disabled_by is None and not (disk.has_lost_records or disk.is_new)
         )
-        for backend in sorted(self.node.maintenance.record.out):
+        for backend in sorted(self.node.maintenance.record.banned):
             if self.shell.is_banned(backend):
                 continue
             if is_authoritative or self.shell.has_entries(backend):
@@ -129,17 +129,19 @@
 
     async def apply_ban(self, backend: str, banned: bool, since: float) -> None:
         """Follow the register, in both processes of an upgrade."""
-        await self.node.maintenance.follow(backend, banned, since, self.node.settings.slow_start_ms)
+        await self.node.maintenance.apply_fleet_change(
+            backend, banned, since, self.node.settings.slow_start_ms
+        )
 
     def set_admission(self, phase: Phase, capacity: CapacityGranted | None) -> None:
         """Tell the balancer. The list's start times of backends count once discovery has sent one."""
         self._phase = phase
         self._capacity = capacity
         if capacity is None:
-            self.node.event(api.RecoveryProgressed(PHASES[phase], 1.0))
+            self.node.handle_event(api.RecoveryProgressed(PHASES[phase], 1.0))
         else:
             cold_since = 0.0 if self._has_fresh_list else capacity.cold_since
-            self.node.event(
+            self.node.handle_event(
                 api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.tier_rate)
             )
 
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -121,7 +121,9 @@
         self._counts["refused"] += 1
         request = self._log_unserved(action.request, "refused", action.reason)
         if request is not None:
-            self._answer(request, RequestOutcome.REJECTED, lambda client: client.reject(action.retry_after))
+            self._answer(
+                request, RequestOutcome.REJECTED, lambda client: client.reject(action.retry_after_ms)
+            )
 
     def fail(self, action: api.FailRequest) -> None:
         """Fail a request."""
@@ -142,13 +144,13 @@
         if request.attempts and (status := request.attempts[-1].status) is not None:
             self._log.retried(action.request, number, action.backend, status)
         request.attempts.append(attempt)
-        attempt.timeout_ms = action.timeout
+        attempt.timeout_ms = action.timeout_ms
         timeout_ms = self._start_timeout(attempt, request)
         if (
-            request.is_upload_spent
+            request.is_upload_prefix_dropped
             or action.backend not in self._pool.members
             or timeout_ms <= 0
-            or 0 < action.before <= now
+            or 0 < action.latest_start <= now
             or not self._is_wanted(request)
         ):
             if not attempt.is_over:  # else it was cancelled with its request
@@ -164,8 +166,8 @@
         )
         if attempt.is_over:
             attempt.attempt = None
-        elif action.before:
-            self._loop.call_later((action.before - now) / 1000, self._cancel_unsent, attempt)
+        elif action.latest_start:
+            self._loop.call_later((action.latest_start - now) / 1000, self._cancel_unsent, attempt)
 
     def cancel_attempt(self, action: api.CancelAttempt) -> None:
         """Cancel an attempt, if it is under way."""
@@ -235,7 +237,7 @@
 
     def _is_wanted(self, request: OpenRequest) -> bool:
         """Return whether the response is still to be sent; detects a client that has left unseen."""
-        if not request.is_answered and request.client.has_left:
+        if not request.is_answered and request.client.has_disconnected:
             self.client_disconnected(request.request_id)
         return not request.is_answered
 
@@ -273,7 +275,7 @@
         if request is not None:
             self._answer_with_result(request, result)
         is_closed = request is None or request.is_answered
-        is_spent = request is not None and request.is_upload_spent
+        is_spent = request is not None and request.is_upload_prefix_dropped
         if request is not None and is_closed:
             self._forget(request)
         elapsed_ms = self._now() - attempt.started_at
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -17,12 +17,12 @@
 from balancer.net.config_errors import ConfigSizeError
 from balancer.net.config_size import ENTRY_BYTES
 from balancer.policy import Balancer
-from tests.sockets import configuration
+from tests.sockets import node_config
 
 
 def write_config(path: Path, memory_mb: float = 64, **counts: int) -> dict[str, str]:
     """Write a file with so many tenants, classes and known members; returns the environment that names it."""
-    raw = configuration([], 1, rules={"drain-grace": 2000})
+    raw = node_config([], 1, rules={"drain-grace": 2000})
     table = raw["settings"]
     first = table["request-classes"][0]
     table["projects"] = [
@@ -60,7 +60,7 @@
 
 def test_tables_that_fit_are_loaded(tmp_path: Path) -> None:
     config = load(write_config(tmp_path, tenants=20_000, classes=100, members=5000))
-    assert len(config.settings.tenants) == 20_000 and len(config.known.members) == 5000
+    assert len(config.settings.tenants) == 20_000 and len(config.initial_list.members) == 5000
 
 
 def test_the_planned_size_fits_the_default_memory(tmp_path: Path) -> None:
--- a/tests/test_defects.py
+++ b/tests/test_defects.py
@@ -200,7 +200,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards the line and what hangs on its pulse: demand and learned state."""
-    monkeypatch.setattr(counts_log, "PULSE_INTERVAL_S", 0.01)
+    monkeypatch.setattr(counts_log, "LAG_SAMPLE_INTERVAL_S", 0.01)
     pulses: list[float] = []
 
     def save_learned(export: object, now: float) -> None:
@@ -255,9 +255,9 @@
     reader = MaintenanceFile(tmp_path / "node", change)
     writer = MaintenanceFile(tmp_path / "node", lambda *args: None)
     reader.start(has_peer=False)
-    await writer.change("a", True, 1.0, 1000.0)
+    await writer.set_ban("a", True, 1.0, 1000.0)
     await until(lambda: "a" in changes)
-    await writer.change("b", True, 1.0, 1000.0)
+    await writer.set_ban("b", True, 1.0, 1000.0)
     await until(lambda: "b" in changes)
     assert len(defect_lines(caplog)) == 1
     reader.stop()
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -17,7 +17,16 @@
 
 from balancer.cli.app import app
 from balancer.lab.addresses import AddressBlock, format_address
-from tests.sockets import WAIT, Backend, FakeDiscovery, Rig, configuration, happens, spawn, started
+from tests.sockets import (
+    WAIT_TIMEOUT_S,
+    Backend,
+    FakeDiscovery,
+    Rig,
+    node_config,
+    spawn_node,
+    started_node,
+    wait_until_async,
+)
 from tests.test_console import CONSOLE
 
 BACKENDS = ["b0", "b1", "b2", "b3"]
@@ -58,7 +67,7 @@
         places = self.block.places
         directory = self.directory(node)
         directory.mkdir(exist_ok=True)
-        table = configuration([b.member() for b in self.backends], self.discovery[node].port,
+        table = node_config([b.list_entry() for b in self.backends], self.discovery[node].port,
                               console=CONSOLE, me=node)  # fmt: skip
         # These tests need no limits for cold backends.
         table["settings"]["rules"]["cold-share"] = 1.0
@@ -98,7 +107,7 @@
     def run_process(self, node: int, fresh_tmp: bool = True) -> contextlib.AbstractAsyncContextManager[Rig]:
         """Run a process of a node and wait until it serves."""
         path = self.directory(node) / "config.json"
-        return started(path, self.discovery[node], **self.env(node, fresh_tmp))
+        return started_node(path, self.discovery[node], **self.env(node, fresh_tmp))
 
     @contextlib.asynccontextmanager
     async def run_nodes(self, *nodes: int) -> AsyncIterator[list[Rig]]:
@@ -113,8 +122,8 @@
 
     async def send_list(self, node: int) -> None:
         """Answer a node's request to discovery with the complete list."""
-        await asyncio.wait_for(self.discovery[node].asked.get(), WAIT)
-        self.discovery[node].news(50, *[b.member() for b in self.backends], complete=True)
+        await asyncio.wait_for(self.discovery[node].watch_targets.get(), WAIT_TIMEOUT_S)
+        self.discovery[node].send_update(50, *[b.list_entry() for b in self.backends], complete=True)
 
     def close(self) -> None:
         """Close relays, discovery and backends."""
@@ -156,13 +165,13 @@
 
 async def serving_backends(rig: Rig, requests: int = 24) -> set[str]:
     """Return the backends that serve a client's requests through a node."""
-    client = await rig.client()
-    return {(await client.ask("/read")).body.split()[0].decode() for _ in range(requests)}
+    client = await rig.connect()
+    return {(await client.request("/read")).body.split()[0].decode() for _ in range(requests)}
 
 
 async def ban(rig: Rig, backend: str = "b1") -> None:
     """Ban a backend and check that the request is acknowledged."""
-    assert (await rig.call(f"/backends/{backend}/maint", "POST")).code == 200
+    assert (await rig.call_console(f"/backends/{backend}/maint", "POST")).status == 200
 
 
 async def test_ban_survives_a_power_loss_with_a_lost_disk_and_swapped_disks(tmp_path: Path) -> None:
@@ -170,14 +179,14 @@
         async with tier.run_nodes() as rigs:
             await ban(rigs[0])
             for rig in rigs[1:]:
-                await rig.logged("maintenance: b1 is out")
+                await rig.wait_for_log("maintenance: b1 is out")
             assert [(await recovery(rig))["bans"] for rig in rigs] == [1, 1, 1]
         shutil.rmtree(tier.directory(1) / "state")
         async with tier.run_nodes() as rigs:
             for rig in rigs:
                 assert "b1" not in await serving_backends(rig)
             assert "no saved state" in "".join(rigs[1].log)
-            await rigs[1].logged("path power")
+            await rigs[1].wait_for_log("path power")
         (tier.directory(0) / "state").rename(tmp_path / "moved")
         (tier.directory(1) / "state").rename(tier.directory(0) / "state")
         (tmp_path / "moved").rename(tier.directory(1) / "state")
@@ -185,8 +194,8 @@
             for rig in rigs:
                 assert "b1" not in await serving_backends(rig)
             assert "the disk is not sound" in "".join(rigs[0].log + rigs[1].log)
-            assert (await rigs[2].call("/backends/b1/ready", "POST")).code == 200
-            await rigs[0].logged("maintenance: b1 is back")
+            assert (await rigs[2].call_console("/backends/b1/ready", "POST")).status == 200
+            await rigs[0].wait_for_log("maintenance: b1 is back")
 
 
 async def test_ban_of_a_partitioned_node_spreads_when_the_node_or_the_network_returns(tmp_path: Path) -> None:
@@ -201,14 +210,14 @@
             async with tier.run_process(0) as rejoined:
                 assert "b1" not in await serving_backends(rejoined)
                 for rig in rigs:
-                    await rig.logged("maintenance: b1 is out")
+                    await rig.wait_for_log("maintenance: b1 is out")
                 tier.partition(2)
-                assert (await rejoined.call("/backends/b1/ready", "POST")).code == 200
-                await rigs[0].logged("maintenance: b1 is back")
+                assert (await rejoined.call_console("/backends/b1/ready", "POST")).status == 200
+                await rigs[0].wait_for_log("maintenance: b1 is back")
                 await ban(rigs[1])  # a concurrent ban in the other partition wins
                 tier.dropped_pairs = set()
-                await rigs[0].logged("maintenance: b1 is out")
-                await rejoined.logged("maintenance: b1 is out")
+                await rigs[0].wait_for_log("maintenance: b1 is out")
+                await rejoined.wait_for_log("maintenance: b1 is out")
 
 
 async def test_crash_among_running_peers_is_recognized_and_needs_no_wait(tmp_path: Path) -> None:
@@ -216,10 +225,10 @@
         assert (await fleet_recovery(rigs[0]))[0] == 1
         await tier.send_list(1)
         await tier.send_list(2)
-        await asyncio.wait_for(tier.discovery[0].asked.get(), WAIT)
-        tier.discovery[0].send(b"\n")  # an empty update confirms the saved list
+        await asyncio.wait_for(tier.discovery[0].watch_targets.get(), WAIT_TIMEOUT_S)
+        tier.discovery[0].send_chunk(b"\n")  # an empty update confirms the saved list
         for rig in rigs:
-            await rig.logged("phase full")
+            await rig.wait_for_log("phase full")
         code, progress = await fleet_recovery(rigs[0])
         assert code == 0 and progress["list"]["fresh"] and progress["heard"] == progress["asked"] == 2
         await ban(rigs[0], "b2")
@@ -240,15 +249,15 @@
 
 async def test_shutdown_and_upgrade_work_during_a_recovery(tmp_path: Path) -> None:
     async with prepared_tier(tmp_path, 2) as tier:
-        process = await spawn(tier.directory(0) / "config.json", **tier.env(0))
+        process = await spawn_node(tier.directory(0) / "config.json", **tier.env(0))
         rig = Rig(process, 0, tier.discovery[0], [], tier.directory(0))
-        await rig.logged("phase ask")
+        await rig.wait_for_log("phase ask")
         rig.terminate()
-        assert await rig.end() == 0 and not any("serves on" in line for line in rig.log)
+        assert await rig.wait_for_exit() == 0 and not any("serves on" in line for line in rig.log)
         async with tier.run_process(0) as predecessor:
             await ban(predecessor)
             assert (await recovery(predecessor))["phase"] == "listed"
-            await tier.discovery[0].asked.get()
+            await tier.discovery[0].watch_targets.get()
             async with started_successor(tier) as successor:
                 await ban(successor, "b2")
                 successor.process.kill()
@@ -257,16 +266,16 @@
                 return bool((await recovery(predecessor))["bans"] == 2)
 
             async def can_lift_ban() -> bool:
-                return (await predecessor.call("/backends/b2/ready", "POST")).code == 200
+                return (await predecessor.call_console("/backends/b2/ready", "POST")).status == 200
 
-            await happens(has_learned_ban)  # only the killed successor had received this ban
-            await happens(can_lift_ban)
+            await wait_until_async(has_learned_ban)  # only the killed successor had received this ban
+            await wait_until_async(can_lift_ban)
             async with started_successor(tier) as successor:
                 assert "phase listed, path upgrade" in "".join(successor.log)
                 assert (await recovery(successor))["bans"] == 1
                 predecessor.terminate()
-                assert await predecessor.end() == 0
-                await successor.logged("membership: node 0")
+                assert await predecessor.wait_for_exit() == 0
+                await successor.wait_for_log("membership: node 0")
 
 
 @pytest.mark.parametrize("name", ["peers", "disk"])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -22,7 +22,7 @@
 from balancer.durable.state import DurableState, replay
 from balancer.lab.programs import ROOT
 from tests.helpers import BASE, SAFE, entry, node
-from tests.sockets import Backend, FakeDiscovery, Rig, configuration, happens, started
+from tests.sockets import Backend, FakeDiscovery, Rig, node_config, started_node, wait_until_async
 from tests.test_console import CONSOLE
 
 BACKENDS = ["b0", "b1", "b2", "b3"]
@@ -63,7 +63,7 @@
         tmp = self.folder / f"tmp-{self.starts}"
         tmp.mkdir(exist_ok=True)
         env = {"TMPDIR": str(tmp), "PROXY_FLEET": str(self.folder / "fleet.toml")}
-        async with started(self.folder / "config.json", self.discovery, **env) as rig:
+        async with started_node(self.folder / "config.json", self.discovery, **env) as rig:
             yield rig
 
 
@@ -75,8 +75,8 @@
     await discovery.start()
     for backend in backends:
         await backend.start()
-    members = [b.member() for b in backends]
-    (folder / "config.json").write_text(json.dumps(configuration(members, discovery.port, console=CONSOLE)))
+    members = [b.list_entry() for b in backends]
+    (folder / "config.json").write_text(json.dumps(node_config(members, discovery.port, console=CONSOLE)))
     (folder / "fleet.toml").write_text(f"[durable]\ndirectory = {json.dumps(str(folder / 'state'))}\n")
     try:
         yield NodeFiles(folder, discovery)
@@ -90,16 +90,16 @@
 async def test_ban_survives_sigkill_and_a_lost_tmpdir(tmp_path: Path) -> None:
     async with node_files(tmp_path) as files:
         async with files.run_process() as rig:
-            assert (await rig.call("/backends/b1/maint", "POST")).code == 200
-            assert (await rig.call("/backends/b2/maint", "POST")).code == 200
-            assert (await rig.call("/backends/b2/ready", "POST")).code == 200
+            assert (await rig.call_console("/backends/b1/maint", "POST")).status == 200
+            assert (await rig.call_console("/backends/b2/maint", "POST")).status == 200
+            assert (await rig.call_console("/backends/b2/ready", "POST")).status == 200
             rig.process.kill()
         async with files.run_process() as rig:
             assert (await rig.stats())["members_unavailable"] == 1
-            client = await rig.client()
-            serving_backends = {(await client.ask("/read")).body.split()[0] for _ in range(40)}
+            client = await rig.connect()
+            serving_backends = {(await client.request("/read")).body.split()[0] for _ in range(40)}
             assert b"b1" not in serving_backends and len(serving_backends) >= 2
-            assert (await rig.call("/backends/b1/ready", "POST")).code == 200
+            assert (await rig.call_console("/backends/b1/ready", "POST")).status == 200
             rig.process.kill()
         async with files.run_process() as rig:
             assert (await rig.stats())["members_unavailable"] == 0
@@ -112,7 +112,9 @@
             backend = generator.choice(BACKENDS)
             banned = generator.random() < 0.5
             previous = acknowledged.pop(backend, None)  # a request's effect is unknown until it is answered
-            if (await rig.call(f"/backends/{backend}/{'maint' if banned else 'ready'}", "POST")).code == 200:
+            if (
+                await rig.call_console(f"/backends/{backend}/{'maint' if banned else 'ready'}", "POST")
+            ).status == 200:
                 acknowledged[backend] = banned
             elif previous is not None:
                 acknowledged[backend] = previous
@@ -126,7 +128,7 @@
             async with files.run_process() as rig:
                 requests = asyncio.create_task(send_random_requests(rig, generator, acknowledged))
                 target = generator.randint(1, 60)  # the process is killed after this number of new records
-                await happens(partial(files.has_records, files.last_record_number() + target), 0.001)
+                await wait_until_async(partial(files.has_records, files.last_record_number() + target), 0.001)
                 rig.process.kill()
                 await requests
             state = files.read_state()
@@ -136,28 +138,28 @@
 
 async def test_process_paused_during_a_handover_cannot_overwrite_its_successor(tmp_path: Path) -> None:
     async def send_list(discovery: FakeDiscovery) -> None:
-        await discovery.asked.get()
-        discovery.news(42)
+        await discovery.watch_targets.get()
+        discovery.send_update(42)
 
     async with node_files(tmp_path) as files, files.run_process() as predecessor:
-        await files.discovery.asked.get()
-        assert (await predecessor.call("/backends/b0/maint", "POST")).code == 200
+        await files.discovery.watch_targets.get()
+        assert (await predecessor.call_console("/backends/b0/maint", "POST")).status == 200
         predecessor.process.send_signal(signal.SIGSTOP)
         list_sent = asyncio.create_task(send_list(files.discovery))
         async with files.run_process(fresh_tmp=False) as successor:
             await list_sent
             assert (await successor.stats())["members_unavailable"] == 1
-            assert (await successor.call("/backends/b1/maint", "POST")).code == 200
+            assert (await successor.call_console("/backends/b1/maint", "POST")).status == 200
             predecessor.process.send_signal(signal.SIGCONT)
-            assert (await predecessor.call("/backends/b2/maint", "POST")).code == 503
+            assert (await predecessor.call_console("/backends/b2/maint", "POST")).status == 503
             assert set(files.read_state().banned) == {"b0", "b1"}
             successor.process.kill()
-        await predecessor.logged("is out")
+        await predecessor.wait_for_log("is out")
 
         async def can_ban() -> bool:
-            return (await predecessor.call("/backends/b3/maint", "POST")).code == 200
+            return (await predecessor.call_console("/backends/b3/maint", "POST")).status == 200
 
-        await happens(can_ban)  # after the successor's end the predecessor writes the state again
+        await wait_until_async(can_ban)  # after the successor's end the predecessor writes the state again
         assert {"b0", "b1", "b3"} <= set(files.read_state().banned)
 
 
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -73,7 +73,7 @@
         config=SimpleNamespace(seed=1),
         now=lambda: 1000.0,
         update_endpoints=record_update,
-        event=lambda event: None,
+        handle_event=lambda event: None,
     )
     watcher = RecordingWatcher()
     port = PeerSocket(PEER_ADDRESS, [PEER_ADDRESS], PEER_ADDRESS)
