--- a/balancer/net/change_summary.py
+++ b/balancer/net/change_summary.py
@@ -1,4 +1,4 @@
-"""Summary of what updates of the endpoint list change, as one log line."""
+"""Summarize the changes of endpoint list updates in one log line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from balancer import interface as api
 from balancer.net.endpoints import Member
 
-MAX_NAMES = 8  # backends named for each kind of change; the others are counted
+MAX_NAMES_PER_CHANGE = 8  # further backends are only counted
 
 
 class Change(Enum):
@@ -26,7 +26,7 @@
     api.EndpointPhase.REMOVED: Change.REMOVED,
     api.EndpointPhase.IN_SERVICE: Change.IN_SERVICE,
 }
-"""The change of a backend whose phase is a new one."""
+"""The change that is reported for a backend by its new phase."""
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
     def add(self, name: str) -> None:
         self.count += 1
-        if self.count <= MAX_NAMES:
+        if self.count <= MAX_NAMES_PER_CHANGE:
             self.names.append(name)
 
     def text(self) -> str:
@@ -47,15 +47,15 @@
 
 
 class ChangeSummary:
-    """Changes of the list, collected until they are logged."""
+    """Collects changes of the endpoint list until they are logged."""
 
     def __init__(self) -> None:
-        """Begin without changes."""
+        """Create a summary without changes."""
         self._tallies = {change: _Tally() for change in Change}
         self._by_phase = {phase: self._tallies[change] for phase, change in CHANGE_BY_PHASE.items()}
 
     def add_update(self, member: Member, current: Member | None) -> None:
-        """Compare a member of an update with the one in force, and add what changes."""
+        """Compare a member of an update with the current one, and add the difference."""
         phase = api.EndpointPhase.REMOVED if current is None else current.phase
         if member.phase is not phase:
             self._by_phase[member.phase].add(member.backend)
@@ -63,13 +63,13 @@
             self._tallies[Change.RESTARTED].add(member.backend)
 
     def add_changed(self, members: Iterable[Member]) -> None:
-        """Add members that have all changed; those in force are not looked up, as there may be many."""
+        """Add members that are known to have changed, without looking up the current ones."""
         tallies = self._by_phase
         for member in members:
             tallies[member.phase].add(member.backend)
 
     def text(self) -> str:
-        """Return all changes; empty where there are none."""
+        """Return the text of all changes, empty if there are none."""
         return ", ".join(
             f"{change.value} {tally.text()}" for change, tally in self._tallies.items() if tally.count
         )
--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -1,4 +1,4 @@
-"""The operators' console: a listener of its own, with one call a connection."""
+"""The operator console: a separate HTTP listener that serves one call on each connection."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 log = logging.getLogger(__name__)
 
 MAX_HEADER_BYTES = 8 * 1024
-MAX_BODY_BYTES = 64 * 1024  # no call needs a body: it is read and dropped
-CALL_TIMEOUT_S = 2.5  # for a call to be received
-LINGER_TIMEOUT_S = 1.0  # for a caller to read its response while it still sends
-MAX_CONNECTIONS = 8  # above that the longest open one is closed
-BACKLOG = 32  # connections that wait to be accepted
+MAX_BODY_BYTES = 64 * 1024  # no call needs a body, so bodies are read and discarded
+CALL_TIMEOUT_S = 2.5  # a caller has this long to send its complete request
+# The time in which a caller that is still sending can read its response.
+LINGER_TIMEOUT_S = 1.0
+MAX_CONNECTIONS = 8  # beyond this number the oldest connection is closed
+BACKLOG = 32
 TEXT = "text/plain"
 JSON = "application/json"
 REASON_PHRASES = {
@@ -39,30 +40,30 @@
 
 
 class CallError(BalancerError):
-    """A call of the console makes no sense; the text says why."""
+    """A console call is invalid; the message gives the reason."""
 
     code = "CON01"
-    remedy = "GET /healthcheck, GET /stats, POST /backends/ID/maint, POST /backends/ID/ready are the calls"
+    remedy = "use GET /healthcheck, GET /stats, POST /backends/ID/maint or POST /backends/ID/ready"
 
     def __init__(self, status: int, reason: str, allowed_method: str = "") -> None:
-        """Make the error with the status of its response, and its Allow header if there is one."""
+        """Create the error with the status of its response, and with the value of its Allow header if any."""
         super().__init__(reason)
         self.status = status
         self.allowed_method = allowed_method
 
 
 class UnknownBackendError(CallError):
-    """The backend that is to be taken out or put back was never listed here."""
+    """The backend whose maintenance ban should change was never in this node's endpoint list."""
 
     code = "CON02"
     remedy = "compare the id with discovery's list (/ is %2F in the path); call again once it is listed"
 
 
 class InternalCallError(CallError):
-    """A call failed by a defect of the node, which goes on; the log has its trace."""
+    """A call failed because of a defect in the node, which keeps running; the log has the traceback."""
 
     code = "CON03"
-    remedy = "call again; if it fails again, take the trace from the log and report it"
+    remedy = "repeat the call; if it fails again, report the traceback in the log"
 
 
 @dataclass(slots=True, frozen=True)
@@ -76,23 +77,23 @@
 
 
 class ConsoleTarget(Protocol):
-    """What the console shows and controls."""
+    """The node as the console shows and controls it."""
 
     def unready_reason(self) -> str:
-        """Return why the process is not ready to serve, empty if it is."""
+        """Return why the process is not ready to serve, or an empty string if it is ready."""
 
     def stats(self) -> dict[str, object]:
         """Return the statistics."""
 
     async def set_maintenance(self, backend: str, is_out: bool) -> bool:
-        """Take a backend out or put it back; False if it was never listed. Raises BalancerError."""
+        """Set or lift a maintenance ban; return False for a backend never listed. Raises BalancerError."""
 
 
 class ConsoleConnection(asyncio.Protocol):
-    """One connection, which carries one call."""
+    """A connection to the console, which serves one call."""
 
     def __init__(self, console: Console) -> None:
-        """Make the protocol of a connection to `console`."""
+        """Create the protocol of a connection to `console`."""
         self._console = console
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -101,26 +102,27 @@
         self._header_bytes = 0
         self._body_bytes = 0
         self._in_body = False
-        self._is_called = False
+        self._is_executing = False
         self._is_answered = False
 
     # --- asyncio protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the timeout of the call."""
-        self._transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        # The transports of uvloop are not subclasses of asyncio.Transport, hence the cast.
+        self._transport = cast(asyncio.Transport, transport)
         self._timer = self._console.loop.call_later(CALL_TIMEOUT_S, self._expire)
         self._console.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the caller."""
+        """Cancel the timeout and unregister the connection."""
         self._is_answered = True
         if self._timer is not None:
             self._timer.cancel()
         self._console.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the call; what follows it is dropped."""
+        """Parse the call; data after it is discarded."""
         if self._is_answered:
             return
         if not self._in_body:
@@ -128,19 +130,19 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._reject(CallError(400, "no upgrade is to be had here"))
+            self._reject(CallError(400, "protocol upgrades are not supported"))
         except httptools.HttpParserCallbackError:
             self._fail()
         except httptools.HttpParserError:
-            self._reject(CallError(400, "malformed call"))
+            self._reject(CallError(400, "malformed HTTP request"))
         if not self._in_body and self._header_bytes > MAX_HEADER_BYTES:
             self._reject(CallError(431, "headers too long"))
 
     def _expire(self) -> None:
-        self._reject(CallError(408, "call took too long"))
+        self._reject(CallError(408, "call was not received within 2.5 s"))
 
     def drop(self) -> None:
-        """Close without a response."""
+        """Abort the connection without a response."""
         self._is_answered = True
         if self._transport is not None:
             self._transport.abort()
@@ -148,31 +150,31 @@
     # --- httptools callbacks
 
     def on_url(self, url: bytes) -> None:
-        """Add a piece of the target."""
+        """Append a piece of the request target."""
         self._target += url
 
     def on_headers_complete(self) -> None:
-        """End the head."""
+        """Record that the body starts here."""
         self._in_body = True
 
     def on_body(self, body: bytes) -> None:
-        """Drop a piece of the body."""
+        """Discard a piece of the body, and reject a body that is too long."""
         self._body_bytes += len(body)
         if self._body_bytes > MAX_BODY_BYTES:
-            self._reject(CallError(413, "body too large"))
+            self._reject(CallError(413, "body exceeds 64 KiB"))
 
     def on_message_complete(self) -> None:
-        """Carry out the call."""
-        if not self._is_answered and not self._is_called:
-            self._is_called = True
-            self._console.start(self._carry_out(self._parser.get_method(), self._target))
+        """Execute the call, unless it is already rejected."""
+        if not self._is_answered and not self._is_executing:
+            self._is_executing = True
+            self._console.start(self._execute(self._parser.get_method(), self._target))
 
-    async def _carry_out(self, method: bytes, target: bytes) -> None:
+    async def _execute(self, method: bytes, target: bytes) -> None:
         try:
             response = await self._console.call(method, target)
         except CallError as err:
             self._reject(err)
-        except Exception:  # one bad call must not end the node
+        except Exception:  # a defect in one call must not end the node
             self._fail()
         else:
             self._respond(response)
@@ -189,7 +191,7 @@
         self._reject(error)
 
     def _respond(self, response: CallResponse) -> None:
-        """Respond once and end the connection."""
+        """Send the response, unless one was sent before, and end the connection."""
         if self._is_answered or self._transport is None:
             return
         self._is_answered = True
@@ -202,7 +204,7 @@
             "Connection: close\r\n\r\n"
         )
         self._transport.write(head.encode() + body)
-        # A close while bytes are received would be a reset, which discards the response.
+        # Closing the socket while the caller still sends would reset the connection and discard the response.
         self._transport.write_eof()
         if self._timer is not None:
             self._timer.cancel()
@@ -210,48 +212,49 @@
 
 
 class Console:
-    """The listener and its connections."""
+    """The listener of the console and its connections."""
 
     def __init__(self, target: ConsoleTarget) -> None:
-        """Make a console of `target` that does not listen yet."""
+        """Create a console for `target` that is not listening yet."""
         self.loop = asyncio.get_running_loop()
-        self.connections: dict[ConsoleConnection, None] = {}  # longest open first
+        # The connections in the order in which they were opened.
+        self.connections: dict[ConsoleConnection, None] = {}
         self._target = target
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address on which the console listens."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     async def listen(self, address: Address) -> None:
-        """Accept connections on this address only."""
+        """Accept connections on this address."""
         self._server = await self.loop.create_server(
             lambda: ConsoleConnection(self), *address, backlog=BACKLOG
         )
 
     def add(self, connection: ConsoleConnection) -> None:
-        """Register a connection; above the limit the longest open one is closed: it has finished no call."""
+        """Register a connection; beyond the limit, close the oldest, which has not completed its call."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             next(iter(self.connections)).drop()
 
     def start(self, call: Coroutine[None, None, None]) -> None:
-        """Carry out a call in the background."""
+        """Execute a call in the background."""
         task = self.loop.create_task(call)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def call(self, method: bytes, target: bytes) -> CallResponse:
-        """Carry out one call. Raises CallError."""
+        """Execute one call and return its response. Raises CallError."""
         try:
             path = httptools.parse_url(target).path or b"/"
         except httptools.HttpParserInvalidURLError:
             raise CallError(400, "bad target") from None
-        # Split into segments before decoding: an id may hold a slash.
+        # The path is split before its segments are decoded, because a backend id may contain a slash.
         match [unquote_to_bytes(part).decode("utf-8", "replace") for part in path.split(b"/")[1:]]:
             case ["healthcheck"]:
                 _check_method(method, b"GET")
@@ -264,20 +267,20 @@
             case ["backends", backend, ("maint" | "ready") as state]:
                 _check_method(method, b"POST")
                 return await self._set_maintenance(backend, state == "maint")
-        raise CallError(404, "no such call")
+        raise CallError(404, "the console has no such call")
 
     async def _set_maintenance(self, backend: str, is_out: bool) -> CallResponse:
         try:
             is_known = await self._target.set_maintenance(backend, is_out)
         except BalancerError as err:
             happened, remedy = err.report
-            return CallResponse(503, _lines(f"{happened}; nothing is changed", remedy))
+            return CallResponse(503, _lines(f"{happened}; the maintenance ban is unchanged", remedy))
         if not is_known:
-            raise UnknownBackendError(404, "no such backend was ever listed")
+            raise UnknownBackendError(404, "backend was never in the endpoint list of this node")
         return CallResponse(200, f"{backend} is {'out' if is_out else 'back'}\n")
 
     def close(self) -> None:
-        """Accept no more and close all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -290,4 +293,4 @@
 
 def _check_method(method: bytes, allowed: bytes) -> None:
     if method != allowed:
-        raise CallError(405, f"this call is made with {allowed.decode()}", allowed.decode())
+        raise CallError(405, f"this call requires the method {allowed.decode()}", allowed.decode())
--- a/balancer/net/durable_adapter.py
+++ b/balancer/net/durable_adapter.py
@@ -1,6 +1,6 @@
 """Adapter between the node's types and the records of the durable store.
 
-Imported only if the fleet file has `[durable]` with a directory.
+This module is imported only if the fleet file has `[durable]` with a directory.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 class DurableAdapter:
-    """The durable state of one process of a node; `recovered` is what an earlier process left."""
+    """The durable state of one process of a node; `recovered` is the state that an earlier process saved."""
 
     def __init__(self, directory: Path, node: str) -> None:
-        """Open the directory and recover the state in it."""
+        """Open the directory and recover the state that it holds."""
         self.store = DurableStore.open(directory, node)
         self.recovered = self.store.recover()
 
     def take_over(self, incarnation: int) -> None:
-        """Become the writer; `incarnation` is this process's number in the membership."""
+        """Become the writer of the directory; `incarnation` is that of this process in the membership."""
         self.store.take_over()
         self.store.append_unsynced(IncarnationStarted(incarnation, Timestamp.now().unix_ms))
 
@@ -45,7 +45,7 @@
         return EndpointUpdate(recovered.list_revision, True, members)
 
     def recovered_learned(self) -> api.LearnedStateRestored | None:
-        """Return what an earlier process had learned, with its minimum age."""
+        """Return the learned state of an earlier process with its minimum age, or None if there is none."""
         sample = self.recovered.learned_sample
         if sample is None:
             return None
@@ -55,7 +55,7 @@
         return api.LearnedStateRestored(sample.learned, age_ms)
 
     def save_list(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
-        """Save the endpoint list that discovery has sent, or a change of it."""
+        """Save a complete endpoint list or a change of it, as received from discovery."""
         rows = list(map(_row_of, update.members))
         is_complete = kind is api.ListUpdateKind.SNAPSHOT
         received_at_ms = Timestamp.now().unix_ms
@@ -64,11 +64,11 @@
     def save_learned(
         self, sample: Callable[[float], api.LearnedState], now_ms: float, request_rate: float
     ) -> None:
-        """Save a sample of what has been learned, unless the disk is behind: the next sample will do.
+        """Save a sample of the learned state, or skip it if the disk is still busy with earlier records.
 
         Args:
-            sample: Returns what the decision module has learned at a time of the node's clock.
-            now_ms: That time.
+            sample: Returns the learned state of the decision module for a time of the node's clock.
+            now_ms: Current time of the node's clock.
             request_rate: Requests per second of the node.
         """
         if self.store.is_idle:
@@ -76,10 +76,10 @@
             self.store.append_unsynced(LearnedSample(taken_at, sample(now_ms), request_rate))
 
     async def save_ban(self, backend: str, is_banned: bool, at_ms: float) -> None:
-        """Save a ban or its end; return once it is on disk, at once if the store is disabled.
+        """Save a maintenance ban or its lift, and wait until it is on disk unless the store is disabled.
 
         Raises:
-            BalancerError: It may not be on disk.
+            BalancerError: The record may not be on disk.
         """
         if self.store.disabled_by is None:
             await self.store.append(BanSet(backend, at_ms) if is_banned else BanLifted(backend, at_ms))
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -1,7 +1,8 @@
-"""Applies updates of the endpoint list to connection pool and decision module, in order and in batches.
+"""Apply updates of the endpoint list to the connection pool and the decision module, in order and in batches.
 
-A short update is applied at once. A long one is applied in slices of the event loop: entries that are
-unchanged cost the module nothing; removed and draining backends go first, all others follow in batches.
+A short update is applied at once. A long one is applied in slices of the event loop: unchanged entries are
+not sent to the decision module, removed and draining backends are sent first, and all others follow in
+batches.
 """
 
 from __future__ import annotations
@@ -23,65 +24,68 @@
 
 log = logging.getLogger(__name__)
 
-MAX_SHORT_UPDATE = 256  # entries of an update, and for a complete list members in force, to apply it at once
-BATCH_SIZE = 64  # entries that the module gets in one slice
-COMPARED_PER_SLICE = 512  # entries
+# An update of at most this many entries is applied at once; for a complete list the current list counts as
+# well.
+MAX_SHORT_UPDATE_ENTRIES = 256
+BATCH_ENTRIES = 64  # one slice sends the decision module at most this many entries
+ENTRIES_COMPARED_PER_SLICE = 512
 
 Item = TypeVar("Item")
 Batch = tuple[Member, ...]
-Applied = Callable[[EndpointUpdate | None, api.ListUpdateKind], None]
-"""Called with an update that is in force; None: discovery has said that nothing has changed."""
+OnApplied = Callable[[EndpointUpdate | None, api.ListUpdateKind], None]
+"""Called with each update once it is in force, and with None when discovery confirms the current list."""
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class PendingUpdate:
-    """An update that waits, or is being applied; None: discovery has said that nothing has changed."""
+    """An update that is queued or being applied, or None for a confirmation of the current list."""
 
     update: EndpointUpdate | None
     kind: api.ListUpdateKind
 
 
 class EndpointUpdater:
-    """Applies updates of the endpoint list in their order."""
+    """Applies updates of the endpoint list in order."""
 
     def __init__(
         self,
         pool: ConnectionPool,
         send: Callable[[api.ListUpdate], None],
-        applied: Applied,
+        on_applied: OnApplied,
         scheduler: CooperativeScheduler,
     ) -> None:
-        """Begin with nothing pending.
+        """Create an updater without pending updates.
 
         Args:
-            pool: has the members in force.
-            send: passes a batch to the decision module.
-            applied: is called with each update that is in force.
-            scheduler: runs the application of long updates.
+            pool: Holds the current members.
+            send: Passes a batch to the decision module.
+            on_applied: Called with each update once it is in force.
+            scheduler: Applies long updates in slices.
         """
         self.pool = pool
         self.send = send
-        self.applied = applied
+        self.on_applied = on_applied
         self.scheduler = scheduler
-        self.pending: deque[PendingUpdate] = deque()  # the first one is being applied
-        # Backends that a pending update stops, with the last update that does so.
+        # The first pending update is the one being applied.
+        self.pending: deque[PendingUpdate] = deque()
+        # Maps each backend that a pending update drains or removes to the last such update.
         self._stopped_by: dict[str, EndpointUpdate] = {}
-        self._is_working = False
+        self._is_applying = False
         self._idle = asyncio.Event()
         self._idle.set()
         self._has_sent_list = False
-        self._changes = ChangeSummary()  # since the last log line
+        self._changes_to_log = ChangeSummary()
 
     def put(self, update: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
-        """Apply an update, after those that are pending; None: nothing has changed.
+        """Apply an update after the pending ones; None confirms the current list.
 
-        A repeated or cached update goes before what discovery has sent since, and is dropped where a complete
-        list of discovery is pending.
+        A repeated or cached update is applied before later updates from discovery, and dropped if a complete
+        list from discovery is pending.
         """
         if self.pending and update is not None and _is_older(update, kind):
             self._put_first(update, kind)
             return
-        if kind is api.ListUpdateKind.SNAPSHOT:  # supersedes what is pending
+        if kind is api.ListUpdateKind.SNAPSHOT:  # a complete list supersedes all pending updates
             self._stopped_by.clear()
             if self.pending:
                 self.pending.clear()
@@ -90,19 +94,20 @@
         if self.pending:
             self.pending.append(PendingUpdate(update, kind))
             if update is not None:
-                self._stop_early(update)
+                self._stop_backends_early(update)
         elif update is None:
-            self.applied(None, kind)
+            self.on_applied(None, kind)
         elif self._is_short(update, kind):
             self._apply_at_once(update, kind)
         else:
             self.pending.append(PendingUpdate(update, kind))
             self._idle.clear()
-            if not self._is_working:  # else `put` was called while an update is reported as applied
+            # If applying is in progress, `put` was called by `on_applied`, and the running task goes on.
+            if not self._is_applying:
                 self.scheduler.add(self._apply_pending())
 
     async def wait_idle(self) -> None:
-        """Return once nothing is pending."""
+        """Wait until no update is pending."""
         await self._idle.wait()
 
     def _put_first(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
@@ -113,43 +118,43 @@
         self.pending.appendleft(PendingUpdate(update, kind))
 
     def _is_short(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> bool:
-        return len(update.members) <= MAX_SHORT_UPDATE and (
-            kind is api.ListUpdateKind.DELTA or len(self.pool.members) <= MAX_SHORT_UPDATE
+        return len(update.members) <= MAX_SHORT_UPDATE_ENTRIES and (
+            kind is api.ListUpdateKind.DELTA or len(self.pool.members) <= MAX_SHORT_UPDATE_ENTRIES
         )
 
     def _apply_at_once(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
         members = update.members
         if kind is not api.ListUpdateKind.DELTA:
-            members += self._left_out_at_once(members)
+            members += self._all_omitted_members(members)
         self._has_sent_list = True
         for member in members:
-            self._changes.add_update(member, self.pool.members.get(member.backend))
+            self._changes_to_log.add_update(member, self.pool.members.get(member.backend))
         self.pool.update(members, False)
         self.send(api.ListUpdate(kind, list(update.members), update.revision))
         self._log_changes(update.revision)
-        self.applied(update, kind)
+        self.on_applied(update, kind)
 
-    def _left_out_at_once(self, members: Batch) -> Batch:
-        """Return members in force that a short complete list leaves out, as removed."""
+    def _all_omitted_members(self, members: Batch) -> Batch:
+        """Return the current members that a short complete list omits, marked as removed."""
         current = self.pool.members
         names = current.keys() - {member.backend for member in members}
         return tuple(replace(current[name], phase=api.EndpointPhase.REMOVED) for name in sorted(names))
 
-    def _stop_early(self, update: EndpointUpdate) -> None:
-        """Send what a pending update stops at once; no earlier update may put it into service again."""
+    def _stop_backends_early(self, update: EndpointUpdate) -> None:
+        """Send backends that a pending update drains or removes; earlier updates must not restart them."""
         last = {member.backend: member for member in update.members}
         stopped = [m for m in last.values() if m.phase is not api.EndpointPhase.IN_SERVICE]
         self._stopped_by |= dict.fromkeys([member.backend for member in stopped], update)
-        if len(stopped) <= MAX_SHORT_UPDATE:
+        if len(stopped) <= MAX_SHORT_UPDATE_ENTRIES:
             in_force = tuple(member for member in stopped if member.backend in self.pool.members)
             if in_force:
                 self._send_batch(in_force, update.revision)
 
-    # --- the application in slices
+    # --- applying in slices
 
     def _apply_pending(self) -> Iterator[None]:
-        """Apply all that is pending, a batch a slice; `put` may meanwhile change what is first."""
-        self._is_working = True
+        """Apply all pending updates, one batch in each slice; `put` may replace the first one meanwhile."""
+        self._is_applying = True
         try:
             while self.pending:
                 item = self.pending[0]
@@ -161,36 +166,37 @@
                     self.pending.popleft()
                     rest = self._finish(item)
                     del item
-                    while rest:  # to release all at once would be a long slice
-                        del rest[-COMPARED_PER_SLICE:]
+                    while rest:  # releasing all members at once would take a long slice
+                        del rest[-ENTRIES_COMPARED_PER_SLICE:]
                         yield
-        except Exception:  # a defect: later updates must not wait for ever
+        except Exception:  # after a defect, later updates must not stay blocked
             self.pending.clear()
             raise
         finally:
-            self._is_working = False
+            self._is_applying = False
             self._idle.set()
 
     def _finish(self, item: PendingUpdate) -> list[Member]:
-        """Report an update that is in force; returns its members, to be released in slices."""
+        """Report that an update is in force, and return its members, to be released in slices."""
         update = item.update
         self._stopped_by = {name: by for name, by in self._stopped_by.items() if by is not update}
         if update is not None:
             self._log_changes(update.revision)
-        self.applied(update, item.kind)
+        self.on_applied(update, item.kind)
         return list(update.members) if update is not None else []
 
     def _apply(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> Iterator[None]:
-        """Send one update to the module, a step a slice."""
+        """Send one update to the decision module, one step in each slice."""
         if (by_id := update.by_id) is None:
-            by_id = ShardedDict[Member]()  # the last entry of each backend
-            for some in _batches(update.members, COMPARED_PER_SLICE):
-                for member in some:
+            by_id = ShardedDict[Member]()  # if a backend is listed twice, its last entry counts
+            for chunk in _batches(update.members, ENTRIES_COMPARED_PER_SLICE):
+                for member in chunk:
                     by_id[member.backend] = member
                 yield
-        removed = self._left_out(by_id) if kind is not api.ListUpdateKind.DELTA else ()
-        held_back: Batch = ()  # the last batch is marked as such, also where nothing has changed
-        for batch in chain(removed, self._changed(update.members, by_id)):
+        removed = self._omitted_members(by_id) if kind is not api.ListUpdateKind.DELTA else ()
+        # One batch is held back because the last one is marked as such, even if it is empty.
+        held_back: Batch = ()
+        for batch in chain(removed, self._changed_members(update.members, by_id)):
             if batch:
                 if held_back:
                     self._send_batch(held_back, update.revision)
@@ -199,35 +205,37 @@
         self._send_batch(held_back, update.revision, more=False)
 
     def _send_batch(self, batch: Batch, revision: int, more: bool = True) -> None:
-        # The module calls discovery when it gets the first batch of a cached list. As another cached list,
-        # the next batch would replace it.
+        # The first batch of a cached list makes the decision module call discovery. Later batches are deltas,
+        # as another cached list would replace the first batch.
         kind = api.ListUpdateKind.DELTA if self._has_sent_list else api.ListUpdateKind.CACHED
         self._has_sent_list = True
         if self._stopped_by:
             in_service = api.EndpointPhase.IN_SERVICE
             batch = tuple(m for m in batch if m.phase is not in_service or m.backend not in self._stopped_by)
-        self._changes.add_changed(batch)
+        self._changes_to_log.add_changed(batch)
         self.pool.update(batch, False)
         self.send(api.ListUpdate(kind, list(batch), revision, more))
 
-    def _left_out(self, by_id: ShardedDict[Member]) -> Iterator[Batch]:
-        """Yield members that a complete list leaves out, as removed; empty where a slice found none."""
+    def _omitted_members(self, by_id: ShardedDict[Member]) -> Iterator[Batch]:
+        """Yield members that a complete list omits, as removed; one empty batch if a shard has none."""
         for current, listed in zip(self.pool.members.shards, by_id.shards, strict=True):
             left = [member for name, member in current.items() if name not in listed]
-            for some in _batches(left, BATCH_SIZE):
-                yield tuple(replace(m, phase=api.EndpointPhase.REMOVED) for m in some if m.backend in current)
+            for chunk in _batches(left, BATCH_ENTRIES):
+                yield tuple(
+                    replace(m, phase=api.EndpointPhase.REMOVED) for m in chunk if m.backend in current
+                )
             if not left:
                 yield ()
 
-    def _changed(self, members: Batch, by_id: ShardedDict[Member]) -> Iterator[Batch]:
-        """Yield what differs from what is in force: stopped backends, then those in service, then others."""
+    def _changed_members(self, members: Batch, by_id: ShardedDict[Member]) -> Iterator[Batch]:
+        """Yield changed members: first those to drain or remove, then those in service, then all others."""
         current_parts = self.pool.members.shards
         listed_parts = by_id.shards
         in_service = list[Member]()
         others = list[Member]()
-        for some in _batches(members, COMPARED_PER_SLICE):
+        for chunk in _batches(members, ENTRIES_COMPARED_PER_SLICE):
             stopped = []
-            for member in some:
+            for member in chunk:
                 name = member.backend
                 phase = member.phase
                 part = shard_index(name)
@@ -243,20 +251,20 @@
                     stopped.append(member)
                 else:
                     others.append(member)
-            yield from _batches(stopped, BATCH_SIZE) if stopped else ((),)
-        yield from _batches(in_service, BATCH_SIZE)
-        yield from _batches(others, BATCH_SIZE)
+            yield from _batches(stopped, BATCH_ENTRIES) if stopped else ((),)
+        yield from _batches(in_service, BATCH_ENTRIES)
+        yield from _batches(others, BATCH_ENTRIES)
 
-    # --- the log
+    # --- logging
 
     def _log_changes(self, revision: int) -> None:
-        if text := self._changes.text():
+        if text := self._changes_to_log.text():
             log.info("list: revision %d: %s", revision, text)
-            self._changes = ChangeSummary()
+            self._changes_to_log = ChangeSummary()
 
 
 def _is_older(update: EndpointUpdate, kind: api.ListUpdateKind) -> bool:
-    """Return whether an update says what was known before discovery sent anything."""
+    """Return whether an update holds information from before the first message of discovery."""
     return update.is_repeated or kind is api.ListUpdateKind.CACHED
 
 
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -1,6 +1,6 @@
-"""The subsystems that the fleet file switches on, as the node meets them.
+"""The node's interface to the subsystems that the fleet file enables.
 
-This module is imported only where `PROXY_FLEET` names a file.
+This module is imported only if `PROXY_FLEET` names a file.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from balancer.net.config_file import read_config_file
 from balancer.net.endpoints import EndpointUpdate
 from balancer.net.fleet_file import (
-    VARIABLE,
+    FLEET_FILE_VARIABLE,
     FixedSettingError,
     PeerAddresses,
     check_node_index,
@@ -38,19 +38,19 @@
 
 
 class Fleet:
-    """Membership, durable state and recovery of one process of a node, as far as they are switched on.
+    """Membership, durable state and recovery of one process of a node, each if it is enabled.
 
-    The fleet file itself is read once. At SIGHUP the platform's file may bring other peers; this node's
-    number and `peer_listen` stay for the life of its process. There are more than 20 methods, as each call
-    of the node is passed on to those subsystems that are on.
+    The fleet file is read once. On SIGHUP the configuration file may name other peers, but this node's index
+    and `peer_listen` are fixed while the process runs. The class has more than 20 methods because it forwards
+    each call of the node to the enabled subsystems.
     """
 
     def __init__(self, env: Mapping[str, str], node_config: config.Config) -> None:
-        """Create what the file that `env` names asks for; raises ConfigError."""
-        table = read_fleet_file(Path(env[VARIABLE]))
+        """Create the subsystems that the fleet file enables. Raises ConfigError if the file is invalid."""
+        table = read_fleet_file(Path(env[FLEET_FILE_VARIABLE]))
         self.durable: DurableAdapter | None = None
         if table.durable is not None and not table.durable.directory:
-            log.warning("state: durable.directory is not given: nothing outlasts a crash")
+            log.warning("state: durable.directory is not set: no state survives a crash")
         elif table.durable is not None:
             from balancer.net.durable_adapter import DurableAdapter
 
@@ -76,9 +76,9 @@
             )
 
     def wrap_watcher(self, node: Node, watcher: EndpointWatcher, known: EndpointUpdate) -> EndpointWatcher:
-        """Return the source of the endpoint list: `watcher`, or recovery, which polls it in turns.
+        """Return the source of the endpoint list: `watcher`, or recovery, which schedules its calls.
 
-        `known` is the list to begin with.
+        `known` is the list to start with.
         """
         if not self._has_recovery or self.peer_socket is None or self.membership is None:
             return watcher
@@ -92,99 +92,102 @@
         return self.recovery
 
     async def wait_until_serving(self, has_predecessor: bool) -> None:
-        """Return when the node may listen, a bounded time after the start."""
+        """Wait until the node may listen, which is after a bounded time."""
         if self.recovery is not None:
             if not has_predecessor:
                 self.start()
-            if self._opening is not None:  # else the first survey would be lost
+            if self._opening is not None:  # with an unbound socket the first survey would be lost
                 await asyncio.shield(self._opening)
             await self.recovery.wait_until_serving(has_predecessor, self.recovered_learned())
 
     def hand_over(self) -> None:
-        """Leave the state of a recovery under way to a successor, which has started."""
+        """Hand the state of a recovery in progress over to a successor that has started."""
         if self.recovery is not None:
             self.recovery.hand_over()
 
     def startup_status(self) -> str:
-        """Return why the node does not listen yet; empty if that is for no subsystem."""
+        """Return why the node does not listen yet, or an empty string if no subsystem delays it."""
         return self.recovery.startup_status() if self.recovery is not None else ""
 
     def list_request_failed(self) -> None:
-        """Take note that a call of discovery has failed."""
+        """Notify recovery that a discovery call has failed."""
         if self.recovery is not None:
             self.recovery.list_request_failed()
 
     def take_over(self) -> None:
-        """Keep the node's state from here on: before a successor is ready, or when it has ended by itself."""
+        """Become the writer of the node's state, at startup or after a successor has ended by itself."""
         if self.durable is not None:
             self.durable.take_over(self.membership.generation if self.membership is not None else 0)
         if self.recovery is not None and self.recovery.shell.serving.is_set():
             self.recovery.resume()
 
     def newest_list(self, configured: EndpointUpdate) -> EndpointUpdate:
-        """Return the list to begin with: the platform's, or a newer one that was saved."""
+        """Return the endpoint list to start with: the configured one, or the saved one if it is newer."""
         return configured if self.durable is None else self.durable.newest_list(configured)
 
     def recovered_learned(self) -> api.LearnedStateRestored | None:
-        """Return what an earlier process had learned, if it was saved."""
+        """Return the learned state that an earlier process saved, if any."""
         return None if self.durable is None else self.durable.recovered_learned()
 
     def recovered_bans(self) -> tuple[dict[str, float], dict[str, float]]:
-        """Return the maintenance bans set and those lifted, as saved: id to time (ms, Unix time)."""
+        """Return the saved maintenance bans and lifts, as maps from backend id to Unix time in ms."""
         if self.durable is None:
             return {}, {}
         return self.durable.recovered.banned, self.durable.recovered.lifted
 
     def list_received(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
-        """Take an update of the endpoint list from discovery."""
+        """Pass an update of the endpoint list from discovery on to the subsystems."""
         if self.durable is not None:
             self.durable.save_list(update, kind)
         if self.recovery is not None:
             self.recovery.list_received(update, kind)
 
     def list_confirmed(self) -> None:
-        """Take note that the list in force is discovery's, before any update of it."""
+        """Notify recovery that discovery has confirmed the current list."""
         if self.recovery is not None:
             self.recovery.list_confirmed()
 
     def save_learned(self, export: Callable[[float], api.LearnedState], now: float) -> None:
-        """Save the learned state, which `export` returns for the node clock `now` (ms), if that is due."""
+        """Save the learned state if that is due; `export` returns it for the node clock `now` (ms)."""
         rate = self.recovery.measure_rate() if self.recovery is not None else 0.0
         if self.durable is not None:
             self.durable.save_learned(export, now, rate)
 
     async def record_maintenance(self, backend: str, is_out: bool, at: float, is_change: bool) -> None:
-        """Return once a ban, or its lifting, will outlast a crash where that is configured.
+        """Record a maintenance ban or its lift, so that it survives a crash if that is configured.
 
         Raises:
-            BalancerError: If it cannot be recorded.
+            BalancerError: The change cannot be recorded.
         """
-        if self.recovery is not None:  # also without a change: the register then has this node's own entry
+        # Recovery records a call without a change as well, so that the register has an entry of this node.
+        if self.recovery is not None:
             await self.recovery.request_ban(backend, is_out)
         elif self.durable is not None and is_change:
             await self.durable.save_ban(backend, is_out, at)
 
     def confirms(self, backend: str, is_out: bool) -> bool:
-        """Return whether a recorded maintenance change is still the newest that the tier knows of."""
+        """Return whether a recorded maintenance change is still the newest one known in the tier."""
         return self.recovery is None or self.recovery.shell.is_banned(backend) is is_out
 
     def start(self) -> None:
-        """Join the tier, unless done. A successor calls this when its predecessor has ended."""
+        """Join the tier, unless already done. A successor calls this when its predecessor has ended."""
         if self.peer_socket is not None and self._opening is None:
             self._opening = asyncio.get_running_loop().create_task(self._open(self.peer_socket))
 
     def prepare_reload(self, env: Mapping[str, str], new: config.Config) -> Callable[[], None]:
-        """Return a call that applies what a replaced file brings; raises ConfigError."""
+        """Check a replaced configuration file and return a callable that applies it. Raises ConfigError."""
         peer_socket, membership = self.peer_socket, self.membership
         if peer_socket is None or membership is None:
             return lambda: None
         addresses = peer_addresses(read_config_file(env))
         node_id, node_index = membership.node_id, new.settings.node_index
         if node_index != node_id:
-            raise FixedSettingError(f"settings: me cannot change from {node_id} to {node_index} in one life")
+            raise FixedSettingError(
+                f"settings: me cannot change from {node_id} to {node_index} while the process runs"
+            )
         check_node_index(node_id, addresses.peers)
         if addresses.listen != peer_socket.listen:
-            raise FixedSettingError("peer_listen cannot change in one life")
+            raise FixedSettingError("peer_listen cannot change while the process runs")
         return partial(self._change_peers, peer_socket, addresses)
 
     def _change_peers(self, peer_socket: PeerSocket, addresses: PeerAddresses) -> None:
@@ -198,21 +201,21 @@
     async def _open(self, peer_socket: PeerSocket) -> None:
         try:
             await peer_socket.bind()
-        except BalancerError as err:  # the node serves alone, as without the file
-            log.warning("membership: %s; the node goes on alone", err.line)
+        except BalancerError as err:  # the node keeps serving as if membership were disabled
+            log.warning("membership: %s; the node continues without peers", err.line)
             return
         if self.membership is not None:
             self.membership.start()
 
     def leave(self) -> None:
-        """Tell the tier that the node ends, without a successor."""
+        """Announce to the tier that the node stops without a successor."""
         if self.recovery is not None:
             self.recovery.shell.leave()
         if self.membership is not None:
             self.membership.leave()
 
     def close(self) -> None:
-        """Release sockets and files: the process ends."""
+        """Close sockets and files at the end of the process."""
         if self._opening is not None:
             self._opening.cancel()
         if self.recovery is not None:
@@ -225,7 +228,7 @@
             self.durable.store.close()
 
     def stats(self) -> dict[str, object]:
-        """Return the `fleet` object of `/stats`."""
+        """Return the `fleet` object for `/stats`."""
         out: dict[str, object] = {}
         if self.membership is not None:
             out["membership"] = self.membership.stats()
--- a/balancer/net/fleet_file.py
+++ b/balancer/net/fleet_file.py
@@ -1,7 +1,4 @@
-"""The fleet file, which `PROXY_FLEET` names: TOML, decoded by msgspec to frozen structs.
-
-What the platform says of peers stays in the platform's file; it is read here as well.
-"""
+"""Read the TOML fleet file that `PROXY_FLEET` names, and the peer addresses of the configuration file."""
 
 from __future__ import annotations
 
@@ -17,43 +14,44 @@
 from balancer.net.config_file import address_at
 from balancer.net.endpoints import Address, parse_address
 
-VARIABLE = "PROXY_FLEET"
+FLEET_FILE_VARIABLE = "PROXY_FLEET"
 MIN_PERIOD_MS = 50
 MAX_PERIOD_MS = 60_000
 
 
 class FleetFileError(ConfigError):
-    """The fleet file cannot be read, or a field of it makes no sense; the text names it."""
+    """The fleet file cannot be read, or one of its fields is invalid; the message names it."""
 
     code = "CFG03"
-    remedy = "correct the field that is named in PROXY_FLEET's file, or unset PROXY_FLEET to run without it"
+    remedy = "correct the named field in the fleet file, or unset PROXY_FLEET to run without one"
 
 
 class FixedSettingError(ConfigError):
-    """A replaced file changes what stays for the life of a process; the text names the field."""
+    """A replaced file changes a setting that is fixed while the process runs; the message names it."""
 
     code = "CFG04"
-    remedy = "put the old value back and send SIGHUP again, or start the node anew with the new one"
+    remedy = "restore the old value and send SIGHUP again, or restart the node to apply the new value"
 
 
 class MembershipTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """`[membership]`: its presence switches the subsystem on."""
+    """The table `[membership]` of the fleet file; its presence enables membership."""
 
-    period_ms: float = 700.0  # between two health checks; the other times follow from it
+    # The period of health checks, from which all other times of membership are derived.
+    period_ms: float = 700.0
 
 
 class DurableTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """`[durable]`: state that outlasts a crash, in a directory that lasts and that no other node has."""
+    """The table `[durable]` of the fleet file: a persistent directory, used by no other node, for durable state."""
 
     directory: str = ""
 
 
 class RecoveryTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """`[recovery]`: its presence switches the subsystem on."""
+    """The table `[recovery]` of the fleet file; its presence enables recovery."""
 
 
 class FleetFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """The whole file."""
+    """The tables of the fleet file."""
 
     membership: MembershipTable | None = None
     durable: DurableTable | None = None
@@ -62,50 +60,56 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Addresses between nodes, as the platform's file has them."""
+    """Addresses for the traffic between nodes, from the configuration file."""
 
     listen: Address
-    peers: list[Address]  # by the nodes' numbers, this one included
+    # The address of each node of the tier at its index, including this node.
+    peers: list[Address]
     broadcast: Address
 
 
 def read_fleet_file(path: Path) -> FleetFile:
-    """Return the fleet file; raises FleetFileError, which names the dotted field."""
+    """Read the fleet file. Raises FleetFileError, whose message names the dotted field."""
     try:
         table = msgspec.convert(tomllib.loads(path.read_text("utf-8")), FleetFile)
     except (OSError, UnicodeDecodeError) as err:
-        raise FleetFileError(f"{VARIABLE} cannot be read: {err}") from None
+        raise FleetFileError(f"{FLEET_FILE_VARIABLE} cannot be read: {err}") from None
     except tomllib.TOMLDecodeError as err:
-        raise FleetFileError(f"{VARIABLE} is not TOML: {err}") from None
+        raise FleetFileError(f"{FLEET_FILE_VARIABLE} is not valid TOML: {err}") from None
     except msgspec.ValidationError as err:
         text, _, where = str(err).partition(" - at `$.")
-        raise FleetFileError(f"{VARIABLE}: {where.rstrip('`') or 'the file'}: {text}") from None
+        raise FleetFileError(f"{FLEET_FILE_VARIABLE}: {where.rstrip('`') or 'the file'}: {text}") from None
     membership = table.membership
     if membership is not None and not MIN_PERIOD_MS <= membership.period_ms <= MAX_PERIOD_MS:
-        raise FleetFileError(f"{VARIABLE}: membership.period-ms makes no sense: {membership.period_ms!r}")
+        raise FleetFileError(
+            f"{FLEET_FILE_VARIABLE}: membership.period-ms must be between 50 and 60000, "
+            f"got {membership.period_ms!r}"
+        )
     if table.recovery is not None and membership is None:
-        raise FleetFileError(f"{VARIABLE}: recovery: it needs [membership]")
+        raise FleetFileError(f"{FLEET_FILE_VARIABLE}: [recovery] requires [membership]")
     return table
 
 
 def peer_addresses(table: Mapping[str, Any]) -> PeerAddresses:
-    """Return the addresses between nodes out of the platform's file; raises ConfigError."""
+    """Read the addresses of peers from the configuration file. Raises ConfigError."""
     rows = table.get("peers")
     if not isinstance(rows, list) or not rows:
-        raise ConfigError("peers is missing, and [membership] needs it")
+        raise ConfigError("peers is missing or empty, but [membership] requires it")
     found: list[Address] = []
     for index, row in enumerate(rows):
         try:
             peer = parse_address(row)
         except ValueError:
-            raise ConfigError(f"peers[{index}] makes no sense: {row!r:.120}") from None
+            raise ConfigError(f"peers[{index}] must be IP:PORT, got {row!r:.120}") from None
         if peer in found:
-            raise ConfigError(f"peers[{index}] is there twice: {row}")
+            raise ConfigError(f"peers[{index}] duplicates an earlier peer: {row}")
         found.append(peer)
     return PeerAddresses(address_at(table, {}, "peer_listen"), found, address_at(table, {}, "peers_all"))
 
 
 def check_node_index(node_index: int, peers: list[Address]) -> None:
-    """Check that this node is one of the tier; raises ConfigError."""
+    """Check that the index of this node is in the list of peers. Raises ConfigError."""
     if node_index >= len(peers):
-        raise ConfigError(f"settings: me makes no sense: {node_index} of {len(peers)} peers")
+        raise ConfigError(
+            f"settings: me must be an index in the list of peers, got {node_index} for {len(peers)} peers"
+        )
--- a/balancer/net/list_layout.py
+++ b/balancer/net/list_layout.py
@@ -1,4 +1,4 @@
-"""Finds where the runs of rows of a long list end, so that it can be decoded in slices. Decodes nothing."""
+"""Find row boundaries in the JSON of a long list, so that the list can be decoded in slices."""
 
 from __future__ import annotations
 
@@ -46,28 +46,30 @@
 
 
 class UnusualLayoutError(Exception):
-    """The bytes are not laid out as lists usually are; they may still be a list."""
+    """The JSON does not have the usual layout of a list, although it may still be a valid one."""
 
 
 @dataclass(slots=True, frozen=True)
 class ListLayout:
-    """Offsets of the parts of a list in its bytes."""
+    """Offsets of the parts of a list in its JSON."""
 
     first_row: int
-    run_ends: tuple[int, ...]  # of each run of rows; a comma, or the end of the array, follows
-    rows_end: int  # of the array's closing bracket
+    # Each run of rows ends here, before a comma or the closing bracket of the array.
+    run_ends: tuple[int, ...]
+    # The offset of the array's closing bracket.
+    rows_end: int
 
 
 def scan_layout(data: bytes | mmap, skip_rows: bool = False) -> Generator[None, None, ListLayout]:
-    """Scan a complete object whose brackets match, in slices. Raises UnusualLayoutError.
+    """Scan a complete object with matching brackets, in slices. Raises UnusualLayoutError.
 
-    All fields but `members` must be short enough for one slice; a longer one only makes that slice longer.
-    With `skip_rows` most of the rows are not scanned, which takes no time: the boundaries of runs are then a
-    guess, and it was right where each run decodes by itself as an array of rows.
+    All fields except `members` are expected to fit one slice; a longer field makes its slice longer. With
+    `skip_rows` most rows are skipped instead of scanned, which takes almost no time. The boundaries of the
+    runs are then guesses, which are right if each run decodes as an array of rows.
     """
     try:
         return (yield from _scan(data, skip_rows))
-    except IndexError:  # the data ends early: a bracket closes one of another kind
+    except IndexError:  # mismatched kinds of brackets make the scan run past the end of the data
         raise UnusualLayoutError from None
 
 
@@ -78,7 +80,7 @@
         at = match_end(WHITESPACE_RUN, data, at)
         key_begin = at
         at = _string_end(data, at)
-        if BACKSLASH in data[key_begin:at]:  # it may be "members" with escapes
+        if BACKSLASH in data[key_begin:at]:  # a key with escapes may be "members"
             raise UnusualLayoutError
         key = data[key_begin:at]
         if (value := match_end(COLON, data, at)) == at:
@@ -112,7 +114,7 @@
         at = run_begin = row_end + len(ROW_BOUNDARY)
     while True:
         stop = match_end(FLAT_ROWS, data, at)
-        if stop == at:  # a nested row, or something that is no row
+        if stop == at:  # a row with nested values, or a value that is not a row
             stop = match_end(WHITESPACE_RUN, data, _value_end(data, match_end(WHITESPACE_RUN, data, at)))
         if data[stop] == ARRAY_END:
             return ListLayout(first_row, (*run_ends, stop), stop)
@@ -136,7 +138,7 @@
 
 
 def _value_end(data: bytes | mmap, at: int) -> int:
-    """Return the offset behind the value that begins there. Raises UnusualLayoutError where none does."""
+    """Return the offset just past the value at `at`. Raises UnusualLayoutError if no value starts there."""
     if data[at] == QUOTE:
         return _string_end(data, at)
     if data[at] not in (BRACE, BRACKET):
@@ -146,7 +148,7 @@
     if (stop := match_end(FLAT_VALUE, data, at)) > at:
         return stop
     depth = 0
-    while True:  # ends, as the brackets match
+    while True:  # matching brackets guarantee that the loop reaches the end of the value
         char = data[at]
         if char in OPENING_OF:
             depth -= 1
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -1,4 +1,4 @@
-"""The backends in maintenance: one small file that all processes of a node share."""
+"""The maintenance bans of a node, in a small file that all its processes share."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 log = logging.getLogger(__name__)
 
 REFRESH_INTERVAL_S = 0.1
-LOCK_TIMEOUT_S = 0.6  # of the 1 s that a caller waits
-LOCK_RETRY_S = 0.005
+LOCK_TIMEOUT_S = 0.6  # callers of the console wait for 1 s
+LOCK_RETRY_INTERVAL_S = 0.005
 
 
 class MaintenanceError(BalancerError):
-    """The file of bans could not be changed, so nothing is."""
+    """The file of maintenance bans could not be changed, so the ban is unchanged."""
 
     code = "BAN01"
-    remedy = "see that $TMPDIR can be written and has room, then call again"
+    remedy = "make sure that $TMPDIR is writable and has free space, then repeat the call"
 
 
 class MaintenanceFileError(BalancerError):
-    """The file of bans is not what it should be; what was known of it stays in force."""
+    """The file of maintenance bans cannot be read or written; the known bans stay in force."""
 
     code = "BAN02"
-    remedy = "see that $TMPDIR can be written; the next maint or ready writes the file anew"
+    remedy = "make sure that $TMPDIR is writable; the next maint or ready call rewrites the file"
 
 
 @dataclass(slots=True, frozen=True)
 class MaintenanceRecord:
-    """The backends that are out, and when others were put back (ms, Unix time)."""
+    """The banned backends, and when the bans of others were lifted (Unix time in ms)."""
 
     banned: frozenset[str] = frozenset()
     lifted_at_ms: Mapping[str, float] = field(default_factory=dict)
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FileStamp:
-    """What changes whenever the file is replaced."""
+    """File attributes of which at least one changes when the file is replaced."""
 
     inode: int
     modified_ns: int
@@ -62,30 +62,30 @@
 
 
 OnChange = Callable[[str, bool, float], None]
-"""Told of each change: backend, whether it is out, since when (ms; 0 for a backend that is out)."""
+"""Called with each change: backend, whether it is banned, and when the ban was lifted (ms), 0 for a ban."""
 
 
 def parse_record(text: str) -> MaintenanceRecord:
-    """Return the record in the text of the file. Raises ValueError."""
+    """Parse the text of the file. Raises ValueError if it is malformed."""
     table: Any = json.loads(text)
     if not isinstance(table, dict) or not isinstance(table.get("out"), list):
-        raise ValueError("not a table of bans")
+        raise ValueError("expected an object with an array `out`")
     lifted_at_ms = table.get("back")
     if not isinstance(lifted_at_ms, dict) or not all(isinstance(name, str) for name in table["out"]):
-        raise ValueError("not a table of bans")
+        raise ValueError("expected strings in the array `out` and an object `back`")
     for time in lifted_at_ms.values():
         is_number = isinstance(time, (int, float)) and not isinstance(time, bool)
         if not is_number or not 0 <= time <= sys.float_info.max:
-            raise ValueError("not a time")
+            raise ValueError("expected numbers that are not negative in the object `back`")
     times = {name: float(time) for name, time in lifted_at_ms.items()}
     return MaintenanceRecord(frozenset(table["out"]), times)
 
 
 class MaintenanceFile:
-    """The file, and what this process last read in it."""
+    """The shared file of maintenance bans, and the record that this process last read from it."""
 
     def __init__(self, shared_path: Path, on_change: OnChange) -> None:
-        """Make the file's reader, which reads nothing before `start`."""
+        """Create the access to the file, which is not read before `start`."""
         self.path = shared_path.with_suffix(".bans")
         self.record = MaintenanceRecord()
         self.lock_path = shared_path.with_suffix(".lock")
@@ -102,10 +102,11 @@
         saved_bans: Mapping[str, float] | None = None,
         saved_lifts: Mapping[str, float] | None = None,
     ) -> None:
-        """Read the file from now on, which another running process of the node (`has_peer`) keeps up to date.
+        """Start to read the file periodically.
 
-        `saved_bans` and `saved_lifts` were saved elsewhere, with their times (ms, Unix time): a backend that
-        was saved as out is, unless the file has a later return.
+        If no other process of the node is running (`has_peer`), first merge into the file the bans and lifts
+        that were saved elsewhere, with their times (Unix time in ms). A saved ban counts unless the file has
+        a later lift.
         """
         saved_bans = saved_bans or {}
         saved_lifts = saved_lifts or {}
@@ -125,17 +126,19 @@
         added = {
             name for name, time in saved_bans.items() if current.lifted_at_ms.get(name, -math.inf) <= time
         }
-        out = current.banned | added
+        banned = current.banned | added
         lifted_at_ms = {**saved_lifts, **current.lifted_at_ms}
-        return MaintenanceRecord(out, {name: time for name, time in lifted_at_ms.items() if name not in out})
+        return MaintenanceRecord(
+            banned, {name: time for name, time in lifted_at_ms.items() if name not in banned}
+        )
 
     def stop(self) -> None:
-        """Read the file no more."""
+        """Stop reading the file."""
         if self._timer is not None:
             self._timer.cancel()
 
     def is_known(self, backend: str) -> bool:
-        """Return whether a backend is out, or was."""
+        """Return whether the file has a ban of the backend, or a lift."""
         return backend in self.record.banned or backend in self.record.lifted_at_ms
 
     async def set_ban(
@@ -146,21 +149,22 @@
         retention_ms: float,
         is_current: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Take a backend out or put it back, in the file first.
+        """Set or lift the ban of a backend, in the file first.
 
         Args:
-            backend: its id.
-            is_banned: whether it is taken out.
+            backend: Id of the backend.
+            is_banned: Whether the ban is set, else it is lifted.
             now: Unix time in ms.
-            retention_ms: how long times of return are kept.
-            is_current: is asked once the file is locked; where it returns False nothing is changed.
+            retention_ms: How long the times of lifts are kept.
+            is_current: Called once the file is locked; if it returns False, nothing is changed.
 
         Raises:
-            MaintenanceError: the file cannot be written; nothing is changed.
+            MaintenanceError: The file cannot be written, and nothing is changed.
         """
         try:
             async with self._locked():
-                self.refresh()  # the other process may have written meanwhile
+                # Another process may have written the file since it was last read.
+                self.refresh()
                 if is_banned == (backend in self.record.banned) or not is_current():
                     return
                 record = self._changed(backend, is_banned, now, retention_ms)
@@ -172,7 +176,7 @@
     async def apply_fleet_change(
         self, backend: str, is_banned: bool, since: float, retention_ms: float
     ) -> None:
-        """Apply a change that the fleet tells; if the file cannot be written it holds in this process."""
+        """Apply a change made elsewhere in the fleet, in this process alone if the file cannot be written."""
         try:
             await self.set_ban(backend, is_banned, since, retention_ms)
         except MaintenanceError as err:
@@ -192,7 +196,7 @@
 
     @contextlib.asynccontextmanager
     async def _locked(self) -> AsyncIterator[None]:
-        """Hold the lock of the file. Raises OSError, MaintenanceError."""
+        """Hold the lock of the file. Raises OSError, or MaintenanceError after LOCK_TIMEOUT_S."""
         fd = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             deadline = self._loop.time() + LOCK_TIMEOUT_S
@@ -202,8 +206,10 @@
                     break
                 except BlockingIOError:
                     if self._loop.time() > deadline:
-                        raise MaintenanceError("another process holds the lock") from None
-                    await asyncio.sleep(LOCK_RETRY_S)
+                        raise MaintenanceError(
+                            "another process has held the lock file for over 0.6 s"
+                        ) from None
+                    await asyncio.sleep(LOCK_RETRY_INTERVAL_S)
             yield
         finally:
             os.close(fd)
@@ -226,7 +232,7 @@
             self.refresh()
 
     def refresh(self) -> None:
-        """Read the file if it was replaced."""
+        """Read the file if it has been replaced."""
         stamp = self._stamp()
         if stamp is not None and stamp == self._stamp_read:
             return
@@ -241,25 +247,25 @@
         self._apply(record)
 
     def _log_fault(self, text: str) -> None:
-        """Log one warning; what was known stays in force, and the next change writes the file anew."""
+        """Log a warning once, until the file is read or written successfully again."""
         if not self._is_fault_logged:
             log.warning("bans: %s", MaintenanceFileError(f"{self.path.name} {text:.200}").line)
         self._is_fault_logged = True
 
     def _apply(self, record: MaintenanceRecord) -> None:
-        """Put a record in force and tell of its changes."""
-        former = self.record
+        """Put a record in force and report its changes."""
+        previous = self.record
         self.record = record
-        for name in sorted(record.banned - former.banned):
-            self._tell(name, True, 0.0)
+        for name in sorted(record.banned - previous.banned):
+            self._report(name, True, 0.0)
         for name, time in sorted(record.lifted_at_ms.items()):
-            if name not in record.banned and former.lifted_at_ms.get(name) != time:
-                self._tell(name, False, time)
-        # A backend that is out no more without a time of return: the file was made anew by hand.
-        for name in sorted(former.banned - record.banned - record.lifted_at_ms.keys()):
-            self._tell(name, False, 0.0)
-
-    def _tell(self, name: str, is_banned: bool, since: float) -> None:
-        """Tell of a change; where that fails those of other backends are told all the same."""
+            if name not in record.banned and previous.lifted_at_ms.get(name) != time:
+                self._report(name, False, time)
+        # A ban that is gone without the time of a lift means that the file was recreated by hand.
+        for name in sorted(previous.banned - record.banned - record.lifted_at_ms.keys()):
+            self._report(name, False, 0.0)
+
+    def _report(self, name: str, is_banned: bool, since: float) -> None:
+        """Report a change; an exception in the callback does not prevent reports about other backends."""
         with self._defects.contain("a change of a ban"):
             self._on_change(name, is_banned, since)
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -1,6 +1,6 @@
-"""Adapter between a node and its recovery: translates their types, without decisions of its own.
+"""Adapter that translates between the types of the node and those of recovery.
 
-Imported only where the fleet file has `[recovery]`.
+This module is imported only if the fleet file has `[recovery]`.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class RecoveryAdapter:
-    """Recovery of one process of a node; the balancer uses it as the watcher of the list."""
+    """Recovery of one process of a node; the decision module uses it as its endpoint watcher."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         incarnation: int,
         disk: DurableStore | None,
     ) -> None:
-        """Create the adapter; `known` is the saved list."""
+        """Create the adapter; `known` is the saved endpoint list."""
         self.node = node
         self.watcher = watcher
         self.disk = disk
@@ -62,33 +62,35 @@
         saved_rate = sample.request_rate if sample is not None else 0.0
         self._rates = RateMeter(saved_rate)
         self._may_poll = False
-        self._fetch_wanted = False  # the balancer wants the complete list
-        self._has_fresh_list = False  # discovery has sent the list
-        self._phase = Phase.VERIFY  # that the balancer knows
-        self._capacity: CapacityGranted | None = None  # that the balancer knows
-        self._saved = replace(known, members=tuple(map(_copy, known.members)))
-        self._list = {m.backend: m for m in self._saved.members}
-        self._restricted: frozenset[str] = frozenset()
-
-    # --- the start
+        # The decision module has requested the complete list, which waits for this node's slot.
+        self._is_fetch_pending = False
+        # Discovery has sent or confirmed the list since this process started.
+        self._has_fresh_list = False
+        # Phase and capacity as last reported to the decision module.
+        self._reported_phase = Phase.VERIFY
+        self._reported_capacity: CapacityGranted | None = None
+        self._saved_list = replace(known, members=tuple(map(_copy, known.members)))
+        self._current_members = {m.backend: m for m in self._saved_list.members}
+        self._restricted_ids: frozenset[str] = frozenset()
+
+    # --- startup
 
     async def wait_until_serving(
         self, is_successor: bool, recovered: api.LearnedStateRestored | None
     ) -> None:
-        """Return when the node may listen.
+        """Wait until the node may listen.
 
         Args:
-            is_successor: Whether a process of the node is running.
-            recovered: What the balancer had learned before.
+            is_successor: Whether another process of the node is running.
+            recovered: Learned state that an earlier process saved.
         """
-        self.shell.handle(events.SavedListLoaded(tuple(self._list)))
+        self.shell.handle(events.SavedListLoaded(tuple(self._current_members)))
         if is_successor:
-            # A predecessor without a handover file ran without recovery and has served: nothing is cold.
-            left = await self._handover.wait()
-            self.shell.inherit(left or RecoveryHandover(Phase.FULL, RecoveryPath.UPGRADE, -math.inf, ()))
-            if (
-                self.disk is not None and self.disk.disabled_by is None
-            ):  # it has changed since this process began
+            # A predecessor without a handover file ran without recovery and has served, so nothing is cold.
+            inherited = await self._handover.wait()
+            self.shell.inherit(inherited or RecoveryHandover(Phase.FULL, RecoveryPath.UPGRADE, -math.inf, ()))
+            # The predecessor has written to the disk since this process started.
+            if self.disk is not None and self.disk.disabled_by is None:
                 self.saved_state = self.disk.reread()
         self.shell.start(self.saved_state)
         await self.shell.wait_until_serving()
@@ -98,16 +100,16 @@
             self.node.event(recovered)
 
     def resume(self) -> None:
-        """Go on after a successor has ended; what operators called there is on the disk."""
+        """Resume after a successor has ended; its maintenance bans and lifts are read from disk."""
         if self.disk is not None and self.disk.disabled_by is None:
             self.shell.rejoin(self.disk.reread())
 
     def hand_over(self) -> None:
-        """Leave the state to a successor that has started."""
+        """Hand the state over to a successor that has started."""
         self._handover.write(self.shell.handover())
 
     async def _reconcile_bans(self) -> None:
-        """Lift bans that only `$TMPDIR` has, if the disk is sound; record them otherwise."""
+        """Lift bans that are only in `$TMPDIR` if the disk is reliable, and record them otherwise."""
         disk = self.disk
         is_authoritative = (
             disk is not None and disk.disabled_by is None and not (disk.has_lost_records or disk.is_new)
@@ -121,22 +123,25 @@
                 with contextlib.suppress(BalancerError):
                     await self.shell.request_ban(backend, True)
 
-    # --- for recovery: `RecoveryHost`
+    # --- implementation of `RecoveryHost`
 
     def now(self) -> float:
-        """Return the node's clock, ms."""
+        """Return the node's clock in ms."""
         return self.node.now()
 
     async def apply_ban(self, backend: str, banned: bool, since: float) -> None:
-        """Follow the register, in both processes of an upgrade."""
+        """Apply a change of the ban register in all processes of the node."""
         await self.node.maintenance.apply_fleet_change(
             backend, banned, since, self.node.settings.slow_start_ms
         )
 
     def set_admission(self, phase: Phase, capacity: CapacityGranted | None) -> None:
-        """Tell the balancer. The list's start times of backends count once discovery has sent one."""
-        self._phase = phase
-        self._capacity = capacity
+        """Report phase and capacity to the decision module.
+
+        The start times of backends in the list count once discovery has sent or confirmed it.
+        """
+        self._reported_phase = phase
+        self._reported_capacity = capacity
         if capacity is None:
             self.node.event(api.RecoveryProgressed(PHASES[phase], 1.0))
         else:
@@ -144,98 +149,103 @@
             self.node.event(api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.rate))
 
     def allow_polling(self) -> None:
-        """Let polls of discovery through, as the schedule has spread them."""
+        """Allow calls to discovery, because this node's slot in the schedule has come."""
         self._may_poll = True
         self.watcher.watch(True)
-        if self._fetch_wanted:
-            self._fetch_wanted = False
+        if self._is_fetch_pending:
+            self._is_fetch_pending = False
             self.watcher.fetch()
 
     def restrict_saved_list(self, ids: frozenset[str]) -> None:
-        """Send the saved list again with these draining; after discovery's list, what that did not name."""
-        released = self._restricted - ids
-        self._restricted = ids
+        """Report the backends in `ids` as draining, and all others as saved.
+
+        Until discovery sends its list, the whole saved list is sent again. After that, only backends that are
+        no longer restricted and that discovery has not updated are sent again.
+        """
+        released = self._restricted_ids - ids
+        self._restricted_ids = ids
         if not self._has_fresh_list:
             members = tuple(
                 replace(m, phase=api.EndpointPhase.DRAINING) if m.backend in ids else _copy(m)
-                for m in self._saved.members
+                for m in self._saved_list.members
             )
             self.node.update_endpoints(
-                EndpointUpdate(self._saved.revision, True, members), api.ListUpdateKind.CACHED
+                EndpointUpdate(self._saved_list.revision, True, members), api.ListUpdateKind.CACHED
             )
             return
-        members = tuple(_copy(member) for name, member in self._list.items() if name in released)
+        members = tuple(_copy(member) for name, member in self._current_members.items() if name in released)
         if members:
             self.node.update_endpoints(
-                EndpointUpdate(self._saved.revision, False, members, True), api.ListUpdateKind.DELTA
+                EndpointUpdate(self._saved_list.revision, False, members, True), api.ListUpdateKind.DELTA
             )
 
-    # --- for the balancer: `Watcher`
+    # --- implementation of `EndpointWatcher`
 
     def watch(self, on: bool) -> None:
-        """Start the watch in this node's slot, or end it."""
+        """Start the watch if this node's slot has come, or stop it."""
         if self._may_poll or not on:
             self.watcher.watch(on)
 
     def fetch(self) -> None:
-        """Fetch the complete list in this node's slot."""
+        """Fetch the complete list now, or when this node's slot comes."""
         if self._may_poll:
             self.watcher.fetch()
         else:
-            self._fetch_wanted = True
+            self._is_fetch_pending = True
 
-    # --- events of discovery
+    # --- events from discovery
 
     def list_request_failed(self) -> None:
-        """Wait for the next slot after a failed request, until the list has been sent."""
+        """Wait for the next slot after a failed call, unless discovery has already sent the list."""
         if not self._has_fresh_list and self._may_poll and not self.shell.has_failed:
             self._may_poll = False
             self.watcher.watch(False)
             self.shell.handle(events.ListRequestFailed())
 
     def list_received(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
-        """Record the list that discovery has sent, or a change of it."""
+        """Record a complete list from discovery, or a change of it."""
         if kind is api.ListUpdateKind.SNAPSHOT:
-            self._list = {}
-            self._restricted = frozenset()
+            self._current_members = {}
+            self._restricted_ids = frozenset()
         is_first = not self._has_fresh_list
         self._has_fresh_list = True
-        self._saved = replace(self._saved, revision=update.revision)
-        self._list |= {m.backend: _copy(m) for m in update.members}
-        self._restricted -= {m.backend for m in update.members}
-        up = [m for m in self._list.values() if m.phase is api.EndpointPhase.IN_SERVICE]
+        self._saved_list = replace(self._saved_list, revision=update.revision)
+        self._current_members |= {m.backend: _copy(m) for m in update.members}
+        self._restricted_ids -= {m.backend for m in update.members}
+        up = [m for m in self._current_members.values() if m.phase is api.EndpointPhase.IN_SERVICE]
         starts = tuple(member.started_at for member in up)
         ids = tuple(member.backend for member in up)
         self.shell.handle(events.ListReceived(update.revision, starts, ids))
-        if is_first and self._phase is Phase.WARMING:  # it may have been so while discovery was silent
-            self.set_admission(self._phase, self._capacity)
+        # If warming began without discovery's list, the start times in the list count from now on.
+        if is_first and self._reported_phase is Phase.WARMING:
+            self.set_admission(self._reported_phase, self._reported_capacity)
 
     def list_confirmed(self) -> None:
         """Record that discovery has confirmed the saved list."""
-        self.list_received(EndpointUpdate(self._saved.revision, False, ()), api.ListUpdateKind.DELTA)
+        self.list_received(EndpointUpdate(self._saved_list.revision, False, ()), api.ListUpdateKind.DELTA)
 
-    # --- for the operators
+    # --- calls of operators
 
     async def request_ban(self, backend: str, banned: bool) -> None:
-        """Return once a request is recorded and in force.
+        """Set or lift a maintenance ban and wait until the change is recorded and in force.
 
         Raises:
-            BalancerError: If it is not.
+            BalancerError: The change is not recorded or not in force.
         """
         if await self.shell.request_ban(backend, banned) != banned:
-            raise BanCallError("another node banned it at the same time")
+            raise BanCallError("another node changed the ban of this backend at the same time")
 
     def startup_status(self) -> str:
-        """Return why the node does not listen yet."""
+        """Return the reason why the node does not listen yet."""
         return f"recovering: {self.shell.core.phase.name.lower()}"
 
     # --- demand
 
     def measure_rate(self) -> float:
-        """Report the demand to recovery; to be called once a second.
+        """Report the demand to recovery; called once per second.
 
         Returns:
-            The most requests a second that the node has carried when warm; 0: unknown.
+            The highest rate of requests per second that the node has completed while warm, 0 if unknown.
         """
         rates = self._rates.measure(self._count_requests())
         if rates is not None:
@@ -246,13 +256,13 @@
         return self._rates.peak
 
     def _count_requests(self) -> RequestCounts:
-        ends = self.node.statistics.outcomes
+        outcomes = self.node.statistics.outcomes
         counted_at = self.node.loop.time()
         pending = sum(not request.is_answered for request in self.node.requests.open.values())
-        arrived = sum(counts.total() for counts in ends.values()) + pending
-        return RequestCounts(counted_at, arrived, ends[RequestOutcome.COMPLETED].total())
+        arrived = sum(counts.total() for counts in outcomes.values()) + pending
+        return RequestCounts(counted_at, arrived, outcomes[RequestOutcome.COMPLETED].total())
 
 
 def _copy(member: Member) -> Member:
-    """Return a copy, as the balancer changes the entries that it is given."""
+    """Return a copy, because the decision module modifies the entries that it receives."""
     return replace(member)
--- a/balancer/net/sharded_dict.py
+++ b/balancer/net/sharded_dict.py
@@ -1,4 +1,4 @@
-"""A dict of many names in shards, so that no insertion takes long."""
+"""A dict for many names, split into shards so that no single insertion takes long."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from typing import TypeVar
 from zlib import crc32
 
-SHARD_COUNT = 64  # a power of two; at 70,000 names one that grows moves some 1,400 entries
+SHARD_COUNT = 64  # a power of two; with 70,000 names, a shard that grows rehashes some 1,400 entries
 
 Value = TypeVar("Value")
 
 
 def shard_index(name: str) -> int:
-    """Return which shard of every such dict has this name."""
+    """Return the index of the shard for a name, which is the same in every ShardedDict."""
     return crc32(name.encode("utf-8", "surrogatepass")) % SHARD_COUNT
 
 
 class ShardedDict(MutableMapping[str, Value]):
-    """A dict in shards by the hash of the name, with the same order in each process.
+    """A dict sharded by a stable hash of the name, so that its order is the same in each process.
 
-    A plain dict that grows over 43,690 names would hold up the event loop for 4 ms and more. Two sharded
-    dicts have a name in the same one of their `shards`.
+    A plain dict that grows beyond 43,690 names would block the event loop for 4 ms or more. Two sharded dicts
+    store the same name in shards of the same index.
     """
 
     __slots__ = ("shards",)
 
     def __init__(self, items: Iterable[tuple[str, Value]] = ()) -> None:
-        """Make a dict of these items."""
+        """Create a dict of these items."""
         self.shards: tuple[dict[str, Value], ...] = tuple({} for _ in range(SHARD_COUNT))
         for name, value in items:
             self[name] = value
 
     def shard(self, name: str) -> dict[str, Value]:
-        """Return the shard that has this name, or would have it."""
+        """Return the shard in which this name belongs."""
         return self.shards[shard_index(name)]
 
     def get(self, name: str, default: Value | None = None) -> Value | None:  # type: ignore[override]
-        """Return the value of a name."""
+        """Return the value of a name, or `default`."""
         return self.shards[shard_index(name)].get(name, default)
 
     def __getitem__(self, name: str) -> Value:
@@ -53,7 +53,7 @@
         del self.shard(name)[name]
 
     def __contains__(self, name: object) -> bool:
-        """Return whether it has a name."""
+        """Return whether the dict has a name."""
         return isinstance(name, str) and name in self.shard(name)
 
     def __len__(self) -> int:
@@ -61,5 +61,5 @@
         return sum(map(len, self.shards))
 
     def __iter__(self) -> Iterator[str]:
-        """Iterate shard by shard, each as it is when its turn comes: names may come and go meanwhile."""
+        """Iterate over a copy of each shard in turn, so that names may be added or removed meanwhile."""
         return chain.from_iterable(map(tuple, self.shards))
--- a/tests/long_lists.py
+++ b/tests/long_lists.py
@@ -39,9 +39,9 @@
     monkeypatch.setattr(list_layout, "MIN_RUN_BYTES", 100)
     monkeypatch.setattr(list_layout, "ROWS_PER_MATCH", 2)
     monkeypatch.setattr(list_layout, "RUNS_PER_SLICE", 1)
-    monkeypatch.setattr(endpoint_updater, "MAX_SHORT_UPDATE", MAX_SHORT)
-    monkeypatch.setattr(endpoint_updater, "BATCH_SIZE", BATCH)
-    monkeypatch.setattr(endpoint_updater, "COMPARED_PER_SLICE", 5)
+    monkeypatch.setattr(endpoint_updater, "MAX_SHORT_UPDATE_ENTRIES", MAX_SHORT)
+    monkeypatch.setattr(endpoint_updater, "BATCH_ENTRIES", BATCH)
+    monkeypatch.setattr(endpoint_updater, "ENTRIES_COMPARED_PER_SLICE", 5)
     yield
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -158,11 +158,19 @@
 @pytest.mark.parametrize(
     ("fleet", "over", "line"),
     [
-        ("[membership]\n", {"peers": None}, "peers is missing, and [membership] needs it"),
-        ("[membership]\n", {"peers": ["127.0.0.1:1", "127.0.0.1:1"]}, "peers[1] is there twice: 127.0.0.1:1"),
+        ("[membership]\n", {"peers": None}, "peers is missing or empty, but [membership] requires it"),
+        (
+            "[membership]\n",
+            {"peers": ["127.0.0.1:1", "127.0.0.1:1"]},
+            "peers[1] duplicates an earlier peer: 127.0.0.1:1",
+        ),
         ("[membership]\n", {"peer_listen": "x"}, "peer_listen must be IP:PORT, got 'x'"),
-        ("[membership]\nperiod-ms = -1.0\n", {}, "PROXY_FLEET: membership.period-ms makes no sense: -1.0"),
-        ("[recovery]\n", {}, "PROXY_FLEET: recovery: it needs [membership]"),
+        (
+            "[membership]\nperiod-ms = -1.0\n",
+            {},
+            "PROXY_FLEET: membership.period-ms must be between 50 and 60000, got -1.0",
+        ),
+        ("[recovery]\n", {}, "PROXY_FLEET: [recovery] requires [membership]"),
         ("[membership]\nperiod = 1\n", {}, "PROXY_FLEET: membership: Object contains unknown field `period`"),
         ("membership = 1\n", {}, "PROXY_FLEET: membership: Expected `object | null`, got `int`"),
     ],
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from balancer.interface import AttemptStatus, EndpointPhase
-from balancer.net.change_summary import MAX_NAMES, ChangeSummary
+from balancer.net.change_summary import MAX_NAMES_PER_CHANGE, ChangeSummary
 from balancer.net.rate_limited_log import PERIOD_S, RateLimitedLog
 from balancer.net.request_log import RequestLog
 from tests.helpers import entry, member
@@ -23,7 +23,7 @@
     up = member(entry("b0"), HERE)
     changes.add_update(up, up)
     assert changes.text() == ""
-    for number in range(MAX_NAMES + 2):
+    for number in range(MAX_NAMES_PER_CHANGE + 2):
         one = replace(up, backend=f"b{number}")
         changes.add_update(replace(one, phase=EndpointPhase.DRAINING), one)
     changes.add_update(replace(up, backend="new"), None)
@@ -31,17 +31,17 @@
     changes.add_update(replace(up, started_at=up.started_at + 1.0), up)
     left_out = replace(up, backend="left-out")
     changes.add_update(replace(left_out, phase=EndpointPhase.REMOVED), left_out)
-    named = " ".join(f"b{number}" for number in range(MAX_NAMES))
+    named = " ".join(f"b{number}" for number in range(MAX_NAMES_PER_CHANGE))
     assert changes.text() == f"draining {named} and 2 more, removed left-out, in service new, restarted b0"
 
 
 def test_pieces_of_a_long_list_add_up() -> None:
     changes, up = ChangeSummary(), member(entry("b"), HERE)
-    changes.add_changed([replace(up, backend=f"b{number}") for number in range(MAX_NAMES)])
+    changes.add_changed([replace(up, backend=f"b{number}") for number in range(MAX_NAMES_PER_CHANGE)])
     changes.add_changed(
         [replace(up, backend="more"), replace(up, backend="old", phase=EndpointPhase.REMOVED)]
     )
-    named = " ".join(f"b{number}" for number in range(MAX_NAMES))
+    named = " ".join(f"b{number}" for number in range(MAX_NAMES_PER_CHANGE))
     assert changes.text() == f"removed old, in service {named} and 1 more"
 
 
@@ -82,7 +82,7 @@
     world.run(20)
     lines = [line for line in caplog.messages if line.startswith(("discovery: call", "list: revision"))]
     target = "127.0.0.1:1 for /discovery/hosts?watch=1&from="
-    names = " ".join(f"b{i}" for i in range(MAX_NAMES))
+    names = " ".join(f"b{i}" for i in range(MAX_NAMES_PER_CHANGE))
     assert lines[:3] == [
         f"discovery: call 1 to {target}0: list requested",
         "discovery: call 1 answered after 0.00 s",
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -168,9 +168,9 @@
         (json_stream, "LONG_OBJECT_BYTES", 65_536),
         (list_layout, "MIN_RUN_BYTES", 16_384),
         (list_layout, "RUNS_PER_SLICE", 8),
-        (endpoint_updater, "MAX_SHORT_UPDATE", 256),
-        (endpoint_updater, "BATCH_SIZE", 128),
-        (endpoint_updater, "COMPARED_PER_SLICE", 1024),
+        (endpoint_updater, "MAX_SHORT_UPDATE_ENTRIES", 256),
+        (endpoint_updater, "BATCH_ENTRIES", 128),
+        (endpoint_updater, "ENTRIES_COMPARED_PER_SLICE", 1024),
     ):
         monkeypatch.setattr(where, name, value)
     world = LongListWorld(tmp_path)
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -196,7 +196,7 @@
     world.run(world.now + 2_000.0)
 
     # No turn did more than its part, no backend got more than its budget, each request has its one answer.
-    assert max(piece.total() for piece in lost_pieces + world.pieces) == endpoint_updater.BATCH_SIZE
+    assert max(piece.total() for piece in lost_pieces + world.pieces) == endpoint_updater.BATCH_ENTRIES
     assert max(world.calls) <= CALLS
     assert world.budget.worst() <= 1.0
     assert world.by_zone.total() == world.number and not world.refused
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 from balancer.net import process_slots as slots_file
 from balancer.net.config import load
 from balancer.net.connection_steering import steer_connections, stop_steering
-from balancer.net.endpoint_updater import MAX_SHORT_UPDATE
+from balancer.net.endpoint_updater import MAX_SHORT_UPDATE_ENTRIES
 from balancer.net.json_stream import LONG_OBJECT_BYTES
 from balancer.net.process_slots import ProcessSlots, SlotError
 from balancer.net.shutdown import seconds_until_kill
@@ -185,7 +185,7 @@
             discovery = old.discovery
             rows = [keeps.member(), *(comes.member(id=f"c{i}") for i in range(3000))]
             line = json.dumps({"revision": 42, "complete": True, "members": rows}).encode() + b"\n"
-            assert len(line) > 4 * LONG_OBJECT_BYTES and len(rows) > 4 * MAX_SHORT_UPDATE
+            assert len(line) > 4 * LONG_OBJECT_BYTES and len(rows) > 4 * MAX_SHORT_UPDATE_ENTRIES
             await discovery.asked.get()
             kept, to_old = await old.client(), discovery.writer
             assert to_old is not None
