--- a/balancer/net/discovery_receiver.py
+++ b/balancer/net/discovery_receiver.py
@@ -154,7 +154,7 @@
         """End the call and request a complete list next, because no later event repeats the rejected one."""
         if call.is_ended:
             return
-        self._log.warn("discovery: bad list", err.line)
+        self._log.warn("discovery: bad list", err.summary)
         self.revision = 0
         self._listener.events_lost()
         call.end(CallEnd.MALFORMED)
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -202,7 +202,7 @@
         try:
             await peer_socket.bind()
         except BalancerError as err:  # the node keeps serving as if membership were disabled
-            log.warning("membership: %s; the node continues without peers", err.line)
+            log.warning("membership: %s; the node continues without peers", err.summary)
             return
         if self.membership is not None:
             self.membership.start()
--- a/balancer/net/liveness.py
+++ b/balancer/net/liveness.py
@@ -48,7 +48,7 @@
 RETRY_PERIOD_S = polling.MAX_CALL_INTERVAL_MS / 1000
 MIN_RETRY_DELAY_S = polling.WAIT_AFTER_LONG_CALL_MS / 1000
 REJECTED_RETRY_PERIOD_S = polling.MAX_CALL_INTERVAL_WHEN_REJECTED_MS / 1000
-CONTENDED_RETRY_DELAY_S = polling.MAX_WAIT_WHEN_CROWDED_MS / 1000
+CONTENDED_RETRY_DELAY_S = polling.MAX_WAIT_WHEN_OVERLOADED_MS / 1000
 # A call that is answered or rejected this late has waited in discovery's queue.
 QUEUED_AFTER_S = 0.5
 # Each call draws its silence timeout from this range.
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -249,7 +249,7 @@
     def _log_fault(self, text: str) -> None:
         """Log a warning once, until the file is read or written successfully again."""
         if not self._is_fault_logged:
-            log.warning("bans: %s", MaintenanceFileError(f"{self.path.name} {text:.200}").line)
+            log.warning("bans: %s", MaintenanceFileError(f"{self.path.name} {text:.200}").summary)
         self._is_fault_logged = True
 
     def _apply(self, record: MaintenanceRecord) -> None:
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -22,7 +22,7 @@
 from balancer.net.statistics import RequestOutcome
 from balancer.recovery import events
 from balancer.recovery.actions import CapacityGranted
-from balancer.recovery.ban_requests import BanCallError
+from balancer.recovery.ban_requests import BanRequestError
 from balancer.recovery.config import RecoveryConfig
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.shell import RecoveryHandover, RecoveryShell
@@ -97,7 +97,7 @@
         if not is_successor:
             await self._reconcile_bans()
         if recovered is not None and self.shell.is_trusted(StateKind.LEARNED):
-            self.node.event(recovered)
+            self.node.handle_event(recovered)
 
     def resume(self) -> None:
         """Resume after a successor has ended; its maintenance bans and lifts are read from disk."""
@@ -143,10 +143,12 @@
         self._reported_phase = phase
         self._reported_capacity = capacity
         if capacity is None:
-            self.node.event(api.RecoveryProgressed(PHASES[phase], 1.0))
+            self.node.handle_event(api.RecoveryProgressed(PHASES[phase], 1.0))
         else:
             cold_since = 0.0 if self._has_fresh_list else capacity.cold_since
-            self.node.event(api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.rate))
+            self.node.handle_event(
+                api.RecoveryProgressed(PHASES[phase], capacity.share, cold_since, capacity.tier_rate)
+            )
 
     def allow_polling(self) -> None:
         """Allow calls to discovery, because this node's slot in the schedule has come."""
@@ -233,7 +235,7 @@
             BalancerError: The change is not recorded or not in force.
         """
         if await self.shell.request_ban(backend, banned) != banned:
-            raise BanCallError("another node changed the ban of this backend at the same time")
+            raise BanRequestError("another node changed the ban of this backend at the same time")
 
     def startup_status(self) -> str:
         """Return the reason why the node does not listen yet."""
--- a/balancer/net/shutdown.py
+++ b/balancer/net/shutdown.py
@@ -25,7 +25,7 @@
 
 def seconds_until_kill(settings: Settings) -> float:
     """Return the least time from SIGTERM to SIGKILL."""
-    longest_s = max(request_class.deadline for request_class in settings.classes) / 1000
+    longest_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000
     return min(longest_s, MAX_DEADLINE_S) + KILL_DELAY_S
 
 
@@ -43,7 +43,7 @@
         fleet.leave()
     idle_close_at = last_response_at - IDLE_CLOSE_MARGIN_S
     if node.has_successor and listener.socket is not None:
-        shares.is_draining = steer_connections(listener.socket, 0 if slots.peer_was_first else 1)
+        shares.is_draining = steer_connections(listener.socket, 0 if slots.peer_started_first else 1)
         await asyncio.sleep(idle_close_at - loop.time())  # a request may come on any open connection
     else:
         await asyncio.sleep(min(ACCEPT_S, idle_close_at - loop.time()))
