--- a/balancer/net/fleet_file.py
+++ b/balancer/net/fleet_file.py
@@ -41,7 +41,7 @@
 
 
 class DurableTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """The table `[durable]` of the fleet file: a persistent directory, used by no other node, for durable state."""
+    """The table `[durable]` of the fleet file: a persistent directory for the state of this node alone."""
 
     directory: str = ""
 
