--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -20,7 +20,7 @@
 MAX_HEADER_BYTES = 8 * 1024
 MAX_BODY_BYTES = 64 * 1024  # no call needs a body, so bodies are read and discarded
 CALL_TIMEOUT_S = 2.5  # a caller has this long to send its complete request
-# The time in which a caller that is still sending can read its response.
+# A caller that is still sending has this long to read its response before the connection is aborted.
 LINGER_TIMEOUT_S = 1.0
 MAX_CONNECTIONS = 8  # beyond this number the oldest connection is closed
 BACKLOG = 32
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -41,9 +41,9 @@
         """
         self.node = node
         self.address = address
-        # The current watch, set as soon as it is dialled.
+        # The current watch call, from the moment it is dialled.
         self.watch_call: DiscoveryCall | None = None
-        # The timer that opens the next watch.
+        # The timer that opens the next watch call.
         self.retry_timer: asyncio.TimerHandle | None = None
         # An older watch that stays open because it is still receiving an object.
         self.slow_call: DiscoveryCall | None = None
@@ -55,7 +55,7 @@
         self._dialer = CallDialer(node, self, self.receiver, self._log, random_source)
         self._backoff = DiscoveryBackoff(self._loop.time, random_source)
         self._is_watching = False
-        # The retry timer is for the first call at a new address.
+        # True while the retry timer waits to make the first call at a new address of discovery.
         self._awaits_new_address_call = False
         memory_mb = node.config.memory_mb
         self._log.object_limit(max_object_bytes(memory_mb), memory_mb)
@@ -63,7 +63,7 @@
     # --- requests of the node
 
     def watch(self, on: bool) -> None:
-        """Start or stop the watch."""
+        """Start or stop watching the endpoint list."""
         self._is_watching = on
         if not on:
             self._close_all(CallEnd.CANCELLED)
@@ -140,7 +140,7 @@
         """Close calls at earlier addresses, as their later events build on the lost ones."""
         self._close_old_address_calls(CallEnd.MALFORMED)
 
-    # --- the next call
+    # --- scheduling of the next call
 
     def _open_watch(self, reason: CallReason, is_urgent: bool = False) -> None:
         self._cancel_timer()
--- a/balancer/net/discovery_backoff.py
+++ b/balancer/net/discovery_backoff.py
@@ -17,7 +17,7 @@
 
 INITIAL_DELAY_S = 0.15
 MAX_DELAY_S = 3.0
-# The delay_s is capped at this value after the first answered call that follows unanswered ones.
+# The delay is capped at this value after the first answered call that follows unanswered ones.
 MAX_DELAY_AFTER_ANSWER_S = 0.6
 MIN_JITTER_FRACTION = 1 / 3
 # Discovery counts as contended for this long after a call had to wait in its queue.
@@ -28,10 +28,10 @@
 
 
 class DiscoveryBackoff:
-    """Computes the delay_s before the next call."""
+    """Computes the delay before the next call."""
 
     def __init__(self, clock: Callable[[], float], random_source: RandomSource) -> None:
-        """Create a backoff that starts with the initial delay_s.
+        """Create a backoff that starts with the initial delay.
 
         Args:
             clock: Returns the time in seconds.
@@ -56,7 +56,7 @@
         return MAX_ADDRESS_CHANGE_WAIT_CONTENDED_S if self.is_contended else MAX_ADDRESS_CHANGE_WAIT_S
 
     def reset(self) -> None:
-        """Reset the delay_s to its initial value."""
+        """Reset the delay to its initial value."""
         self._delay_s = INITIAL_DELAY_S
 
     def message_received(self, call: DiscoveryCall) -> None:
@@ -70,7 +70,7 @@
             self._queued_at = self._clock()
 
     def call_failed(self, call: DiscoveryCall) -> None:
-        """Reset or shorten the delay_s if the call worked before it failed.
+        """Reset or shorten the delay if the call worked before it failed.
 
         A message alone does not reset it: a stream that is malformed after its first object would then be
         requested ten times a second. The first answered call after unanswered ones does shorten it, because
@@ -84,11 +84,11 @@
             self._delay_s = min(self._delay_s, MAX_DELAY_AFTER_ANSWER_S)
 
     def contended_delay(self) -> float:
-        """Return the delay_s in seconds after a call that waited in discovery's queue."""
+        """Return the delay in seconds after a call that waited in discovery's queue."""
         return CONTENDED_RETRY_DELAY_S * self._jitter()
 
     def next_delay(self, call: DiscoveryCall, is_contended: bool) -> float:
-        """Return the delay_s in seconds before a failed call is retried, and double the next one."""
+        """Return the delay in seconds before a failed call is retried, and double the next one."""
         period_s = REJECTED_RETRY_PERIOD_S if call.was_ended_by_discovery else RETRY_PERIOD_S
         time_left_s = max(MIN_RETRY_DELAY_S, call.dialled_at + period_s - self._clock())
         max_delay_s = CONTENDED_RETRY_DELAY_S if is_contended else min(self._delay_s, time_left_s)
--- a/balancer/net/discovery_call.py
+++ b/balancer/net/discovery_call.py
@@ -24,7 +24,7 @@
 )
 
 MIN_OBJECT_LIMIT_BYTES = 8 * 1024 * 1024
-# The entries in use take three times the size of their JSON, and those of a new list twice its size.
+# In memory, entries in use take three times the size of their JSON, and newly decoded entries twice the size.
 MAX_OBJECT_MEMORY_FRACTION = 1 / 12
 MAX_SLICE_BYTES = 64 * 1024
 ESTABLISHED_AFTER_S = 2.0  # a watch counts as established this long after its first message
@@ -138,7 +138,7 @@
         self.known_revision = request.known_revision
         self.message_count = 0
         self.first_message_at: float | None = None
-        # Only a call for the complete list sets this; nothing can follow its list.
+        # Set once a call for the complete list has delivered it; a watch never sets this flag.
         self.has_delivered_list = False
         self.transport: asyncio.Transport | None = None
         self.splitter = JsonSplitter(object_limit_bytes)
@@ -156,7 +156,7 @@
         self._unparsed = bytearray()
         self._is_parsing_in_slices = False
         self._is_paused = False
-        # The connection ended while received data is still being parsed.
+        # How the connection ended, if it ended while received data was still being parsed.
         self._end_after_parsing: CallEnd | None = None
         self._discards_data = False
 
@@ -213,7 +213,7 @@
             self.close(end)
             self.owner.call_ended(self, end is CallEnd.SILENT)
 
-    # --- the connection
+    # --- asyncio protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request, unless the call was closed while connecting."""
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -24,8 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-# An update of at most this many entries is applied at once; for a complete list the current list counts as
-# well.
+# Updates of up to this many entries are applied at once; a complete list only if the current one is as short.
 MAX_SHORT_UPDATE_ENTRIES = 256
 BATCH_ENTRIES = 64  # one slice sends the decision module at most this many entries
 ENTRIES_COMPARED_PER_SLICE = 512
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -96,7 +96,7 @@
         if self.recovery is not None:
             if not has_predecessor:
                 self.start()
-            if self._opening is not None:  # with an unbound socket the first survey would be lost
+            if self._opening is not None:  # before the socket is bound the first survey would be lost
                 await asyncio.shield(self._opening)
             await self.recovery.wait_until_serving(has_predecessor, self.recovered_learned())
 
--- a/balancer/net/json_stream.py
+++ b/balancer/net/json_stream.py
@@ -13,7 +13,8 @@
 EMPTY_LINE = b""
 QUOTE, BACKSLASH, COMMA, BRACE, BRACKET = b'"\\,{['
 OPENING_OF = {ord("}"): BRACE, ord("]"): BRACKET}
-# Longer objects are buffered in their own memory pages and decoded in slices of the event loop.
+# JSON objects longer than this are buffered in their own memory pages and decoded in slices of the event
+# loop.
 LONG_OBJECT_BYTES = 64 * 1024
 MAX_NESTING_DEPTH = 64  # an endpoint list nests three brackets deep
 # The buffer of a long object grows in steps of this size; pages that are not yet written take no memory.
@@ -23,12 +24,12 @@
 # Possessive quantifiers prevent backtracking over a string that continues in the next chunk.
 _CHARACTERS = rb'[^"\\\x00-\x1f]*+'
 _ESCAPED = rb"\\[^\x00-\x1f]" + _CHARACTERS
-# The first alternative matches strings without a backslash, which are the most common, in one branch.
+# The first alternative of this pattern matches strings without a backslash, which are the most common.
 STRING = rb'"' + _CHARACTERS + rb'(?:"|(?:' + _ESCAPED + rb')+")'
 _PLAIN_BYTES = rb'[^"{}\[\]]*+'
 _FLAT_VALUE = rb"[{\[]" + _PLAIN_BYTES + rb"(?:" + STRING + _PLAIN_BYTES + rb")*[}\]]"
 FLAT_VALUE = re.compile(_FLAT_VALUE)
-# Matches the content of a string up to its closing quote or to an invalid character.
+# This pattern matches the content of a string up to its closing quote or to an invalid character.
 STRING_CONTENT = re.compile(_CHARACTERS + rb"(?:" + _ESCAPED + rb")*")
 BALANCED_TEXT = re.compile(
     _PLAIN_BYTES + rb"(?:(?:" + STRING + rb"|" + _FLAT_VALUE + rb")" + _PLAIN_BYTES + rb")*"
@@ -59,7 +60,7 @@
         self += data
 
     def __iadd__(self, data: bytes | bytearray) -> PageBuffer:
-        """Append bytes."""
+        """Append bytes to the buffer."""
         size = self._size + len(data)
         if size > len(self._map):
             self._map.resize(-(-size // BUFFER_GROWTH_BYTES) * BUFFER_GROWTH_BYTES)
@@ -68,11 +69,11 @@
         return self
 
     def __len__(self) -> int:
-        """Return the number of bytes."""
+        """Return the number of buffered bytes."""
         return self._size
 
     def last_byte(self) -> int:
-        """Return the last byte."""
+        """Return the last byte of the buffer."""
         return self._map[self._size - 1]
 
     def finish(self) -> mmap:
@@ -97,7 +98,7 @@
         self._last_significant_byte = 0
         self._in_string = False
         self._after_backslash = False
-        # The line end after an object is not an empty line of its own.
+        # The first line end after an object closes the object's line and is not reported as an empty line.
         self._awaits_line_end = False
 
     @property
--- a/balancer/net/list_layout.py
+++ b/balancer/net/list_layout.py
@@ -54,9 +54,9 @@
     """Offsets of the parts of a list in its JSON."""
 
     first_row: int
-    # Each run of rows ends here, before a comma or the closing bracket of the array.
+    # The offsets at which runs of rows end, each before a comma or the closing bracket of the array.
     run_ends: tuple[int, ...]
-    # The offset of the array's closing bracket.
+    # The offset of the closing bracket of the array of rows.
     rows_end: int
 
 
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -241,7 +241,7 @@
         """Return the reason why the node does not listen yet."""
         return f"recovering: {self.shell.core.phase.name.lower()}"
 
-    # --- demand
+    # --- demand measurement
 
     def measure_rate(self) -> float:
         """Report the demand to recovery; called once per second.
--- a/balancer/net/recovery_handover.py
+++ b/balancer/net/recovery_handover.py
@@ -17,7 +17,7 @@
 from balancer.recovery.phases import Phase, RecoveryPath
 from balancer.recovery.shell import RecoveryHandover
 
-HANDOVER_SUFFIX = ".return"  # suffix to the common path of the files that a node's processes share
+HANDOVER_SUFFIX = ".return"  # appended to the common path of the files that a node's processes share
 LOG_NAME = "recovery"
 POLL_INTERVAL_S = 0.02
 WAIT_TIMEOUT_S = 0.5
