--- a/tests/contended_discovery.py
+++ b/tests/contended_discovery.py
@@ -1,4 +1,4 @@
-"""Several nodes and a discovery that serves calls in turn, in virtual time."""
+"""Simulate several nodes and a discovery that serves calls in order, in virtual time."""
 
 from __future__ import annotations
 
@@ -18,54 +18,54 @@
 from balancer.net.endpoints import Address, EndpointUpdate
 from balancer.net.node import Node
 from tests.virtual_discovery import (
-    RECEIVED_AFTER_S,
+    RECEIPT_DEADLINE_S,
     DiscoveryConnection,
-    DiscoveryWorld,
+    DiscoverySimulation,
 )
 
-MAX_WAIT_S = 1.0  # of a call in discovery's queue
-GRACE_S = 1.0  # after which nothing may go to a draining backend
-CLOSES_AFTER_S = 1.5  # after which a former address closes its connections
-NODES = 6
-RELOADS_AT_S = (0.0, 0.35, 0.7, 1.6)  # from the first reload of a node
-NEXT_NODE_AFTER_S = 0.4  # between the first reloads of two nodes
-CHANGES_AT_S = (0.0, 0.6, 1.1, 6.2, 6.5, 6.8, 7.6, 12.2)  # of the list; revision 1 and on
+MAX_WAIT_S = 1.0  # a call that waits longer in discovery's queue fails
+DRAIN_GRACE_S = 1.0  # after this time no request may go to a draining backend
+OLD_ADDRESS_CLOSES_AFTER_S = 1.5  # an earlier address closes its connections this long after a reload
+NODE_COUNT = 6
+RELOADS_AT_S = (0.0, 0.35, 0.7, 1.6)  # times of a node's reloads, counted from its first one
+NEXT_NODE_RELOADS_AFTER_S = 0.4  # time between the first reloads of two successive nodes
+CHANGES_AT_S = (0.0, 0.6, 1.1, 6.2, 6.5, 6.8, 7.6, 12.2)  # the times at which the list gets revision 1 and up
 OUTAGE_S = 8.0
-SETTLE_S = 30.0  # before all that, and after it
+SETTLE_S = 30.0  # time without changes before and after the simulated events
 
 
 class QueuedConnection(DiscoveryConnection):
-    """A call that waits in discovery's queue."""
+    """A connection whose call waits in discovery's queue."""
 
-    def __init__(self, world: QueueWorld, protocol: asyncio.Protocol, node: int, address: Address) -> None:
-        super().__init__(world, protocol, "answers_late")
-        self.discovery = world
+    def __init__(self, sim: QueueSimulation, protocol: asyncio.Protocol, node: int, address: Address) -> None:
+        super().__init__(sim, protocol, "answers_late")
+        self.discovery = sim
         self.node = node
         self.address = address
         self.is_queued = False
         self.sent_revision = -1
 
     def write(self, data: object) -> None:
-        self.opened_at = self.world.now
+        self.opened_at = self.sim.now
         self.discovery.enqueue(self)
 
     def send_list(self, first: bool) -> None:
-        """Send the list, unless this connection has it."""
+        """Send the list, unless this connection already has the current revision."""
         if self.is_open and (first or self.sent_revision != self.discovery.revision):
             self.sent_revision = self.discovery.revision
-            self.discovery.sent.append(RevisionAt(self.world.now, self.node, self.sent_revision))
-            self.world.loop.call_later(
-                0.0005, self.send_chunk, self.world.complete_list(revision=self.sent_revision), first
+            self.discovery.sent.append(RevisionAt(self.sim.now, self.node, self.sent_revision))
+            self.sim.loop.call_later(
+                0.0005, self.send_chunk, self.sim.complete_list(revision=self.sent_revision), first
             )
 
     def send_empty_lines_on(self) -> None:
         """Send an empty line every 2 s."""
         if self.is_open:
             self.send_chunk(b"\n", False)
-            self.world.loop.call_later(2.0, self.send_empty_lines_on)
+            self.sim.loop.call_later(2.0, self.send_empty_lines_on)
 
     def close_instead_of_sending(self) -> None:
-        """Close the watch where something has changed."""
+        """Close the watch if the list has changed since it was sent."""
         if self.is_open and self.sent_revision != self.discovery.revision:
             self.send_raw(b"0\r\n\r\n")
             self.abort()
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RevisionAt:
-    """A revision was sent to a node, or applied by it, at this time in seconds."""
+    """A revision that was sent to a node, or applied by it, at this time in seconds."""
 
     at: float
     node: int
@@ -81,15 +81,15 @@
 
 
 class Rejection(Enum):
-    """How a call is rejected that waits too long in the queue, or would have to."""
+    """When a call is rejected that waits too long in the queue, or would have to."""
 
     AT_ONCE = "as it arrives"
-    WHILE_WAITING = "after a second, also while it is served"
+    WHILE_WAITING = "after a second, even while it is being served"
     IN_TURN = "in its turn, which takes as long as an answer"
 
 
 class Outage(Enum):
-    """What becomes of the calls while discovery is down."""
+    """How calls fail while discovery is down."""
 
     REFUSED = "connections are refused"
     REJECTED = "503 at once"
@@ -98,8 +98,8 @@
     SILENT = "no answer"
 
 
-class QueueWorld(DiscoveryWorld):
-    """Several nodes and one discovery that serves calls in turn; one that waits for over a second fails."""
+class QueueSimulation(DiscoverySimulation):
+    """Several nodes and one discovery, which serves calls in order and fails those that wait for over 1 s."""
 
     def __init__(
         self,
@@ -110,15 +110,15 @@
         serves_abandoned: bool,
         rejection: Rejection,
     ) -> None:
-        """Begin with a healthy discovery.
+        """Create a simulation with a healthy discovery.
 
         Args:
-            path: of the configuration file's directory.
-            seed: of the random draws.
-            call_cost_s: that discovery takes for one call.
-            closes_on_change: a watch is closed instead of sending an event.
-            serves_abandoned: a call whose connection is closed is served like any other.
-            rejection: of calls that wait too long.
+            path: Directory of the configuration file.
+            seed: Seed of the random draws.
+            call_cost_s: Time that discovery takes to serve one call.
+            closes_on_change: Whether a watch is closed instead of sending an event.
+            serves_abandoned: Whether calls are served although their connection is closed.
+            rejection: When calls are rejected that wait too long.
         """
         super().__init__(path, True, "no_response", seed=seed)
         self.call_cost_s = call_cost_s
@@ -130,22 +130,24 @@
         self.revision = 0
         self.sent = list[RevisionAt]()
         self.applied = list[RevisionAt]()
-        self.current_address: dict[int, Address] = {}  # where discovery is, by node
-        self.outage: Outage | None = None  # discovery is down
-        self.most_unanswered = 0  # calls of one node that waited at the same time
+        # The current address of discovery by node index.
+        self.current_address: dict[int, Address] = {}
+        self.outage: Outage | None = None
+        # The highest number of calls of one node that were in the queue at the same time.
+        self.max_queued_per_node = 0
         self.random = random.Random(seed)
 
     async def dial(self, protocol: asyncio.Protocol, address: Address) -> None:
         self.dialled_at.append(self.now)
         node = cast(DiscoveryClient, cast(DiscoveryCall, protocol).owner).node.settings.node_index
         if self.current_address.setdefault(node, address) != address:
-            raise ConnectionRefusedError("a former address")
+            raise ConnectionRefusedError("discovery has left this address")
         if self.outage is Outage.REFUSED:
-            raise ConnectionRefusedError("down")
+            raise ConnectionRefusedError("discovery is down")
         protocol.connection_made(QueuedConnection(self, protocol, node, address))
 
     def enqueue(self, connection: QueuedConnection) -> None:
-        """Put a call into the queue, or reject it."""
+        """Add a call to the queue, or reject it."""
         if self.outage is not None:
             self._reject(connection, self.outage)
             return
@@ -155,7 +157,7 @@
         connection.is_queued = True
         self.call_queue.append(connection)
         unanswered = sum(other.node == connection.node and other.is_open for other in self.call_queue)
-        self.most_unanswered = max(self.most_unanswered, unanswered)
+        self.max_queued_per_node = max(self.max_queued_per_node, unanswered)
         if self.rejection is Rejection.WHILE_WAITING:
             self.loop.call_later(MAX_WAIT_S, self._expire, connection)
         if not self.is_busy:
@@ -193,7 +195,7 @@
         self._next()
 
     def change(self, revision: int) -> None:
-        """Change the list: each open watch gets an event, or is closed."""
+        """Change the list, so that each open watch receives an event or is closed."""
         self.revision = revision
         for connection in cast(list[QueuedConnection], self.connections):
             if connection.is_open and connection.sent_revision >= 0:
@@ -204,23 +206,23 @@
                     self.loop.call_later(delay, connection.send_list, False)
 
     def close_other_addresses(self, node: int, address: Address) -> None:
-        """Close what a node has open at all other addresses."""
+        """Close the connections of a node at all other addresses, if this is still its current one."""
         for connection in cast(list[QueuedConnection], self.connections):
-            is_former = connection.node == node and connection.address != address
-            if is_former and self.current_address[node] == address:
+            is_at_other_address = connection.node == node and connection.address != address
+            if is_at_other_address and self.current_address[node] == address:
                 connection.abort()
 
     def reload(self, node: Node, address: Address) -> None:
-        """Reload a node with a new address of discovery, as SIGHUP does."""
+        """Reload a node with a new address of discovery, like SIGHUP."""
         number = node.settings.node_index
         self.current_address[number] = address
-        self.loop.call_later(CLOSES_AFTER_S, self.close_other_addresses, number, address)
+        self.loop.call_later(OLD_ADDRESS_CLOSES_AFTER_S, self.close_other_addresses, number, address)
         node.reconfigure(replace(self.config, settings=replace(self.config.settings, node_index=number)))
         cast(DiscoveryClient, node.discovery).change_address(address)
 
     def start_node(self, number: int, seed: int) -> Node:
-        """Return a node of the tier, which records what it applies."""
-        settings = replace(self.config.settings, node_index=number, node_count=NODES)
+        """Start a node of the tier that records the revisions it applies."""
+        settings = replace(self.config.settings, node_index=number, node_count=NODE_COUNT)
         node = self.node(replace(self.config, seed=seed, settings=settings))
         apply = node.update_endpoints
 
@@ -232,17 +234,17 @@
         return node
 
     async def reload_and_change(self, seed: int) -> dict[int, float]:
-        """Reload all nodes while the list changes; returns when each revision was made."""
-        nodes = [self.start_node(number, seed * NODES + number) for number in range(NODES)]
+        """Reload all nodes while the list changes, and return the time of each revision."""
+        nodes = [self.start_node(number, seed * NODE_COUNT + number) for number in range(NODE_COUNT)]
         await asyncio.sleep(SETTLE_S)
-        zero = self.now
-        changed_at = {revision: zero + at for revision, at in enumerate(CHANGES_AT_S, 1)}
+        changes_start_at = self.now
+        changed_at = {revision: changes_start_at + at for revision, at in enumerate(CHANGES_AT_S, 1)}
         for revision, at in changed_at.items():
             self.loop.call_at(at, self.change, revision)
         addresses = (("127.0.0.2", port) for port in count(1))
         for node in nodes:
             for at in RELOADS_AT_S:
-                first = zero + 0.1 + NEXT_NODE_AFTER_S * node.settings.node_index
+                first = changes_start_at + 0.1 + NEXT_NODE_RELOADS_AFTER_S * node.settings.node_index
                 self.loop.call_at(first + at, self.reload, node, next(addresses))
         await asyncio.sleep(SETTLE_S)
         for node in nodes:
@@ -250,8 +252,8 @@
         return changed_at
 
     async def fail_and_change(self, seed: int, outage: Outage) -> dict[int, float]:
-        """Change the list as discovery is back after an outage, and soon after; returns when."""
-        nodes = [self.start_node(number, seed * NODES + number) for number in range(NODES)]
+        """Change the list when discovery recovers and soon after, and return the time of each revision."""
+        nodes = [self.start_node(number, seed * NODE_COUNT + number) for number in range(NODE_COUNT)]
         await asyncio.sleep(SETTLE_S)
         self.outage = outage
         for connection in self.connections:
@@ -274,18 +276,21 @@
             self.loop.close()
 
     def late_changes(self, changed_at: dict[int, float]) -> dict[tuple[int, int], float]:
-        """Return the seconds until changes were in force that were late, by node and revision.
+        """Return for each late change the seconds until it was in force, by node and revision.
 
-        A change counts as received 6 s after discovery had it, or once it is sent to the node.
+        A change counts as received 6 s after discovery had it, or earlier if it is sent to the node.
         """
         out = dict[tuple[int, int], float]()
-        for node in range(NODES):
+        for node in range(NODE_COUNT):
             for revision, at in changed_at.items():
-                taken = self.first_at(self.applied, node, revision)
-                if taken > min(at + RECEIVED_AFTER_S, self.first_at(self.sent, node, revision)) + GRACE_S:
-                    out[node, revision] = round(taken - at, 2)
+                applied_at = self.first_at(self.applied, node, revision)
+                if (
+                    applied_at
+                    > min(at + RECEIPT_DEADLINE_S, self.first_at(self.sent, node, revision)) + DRAIN_GRACE_S
+                ):
+                    out[node, revision] = round(applied_at - at, 2)
         return out
 
     def first_at(self, revisions: list[RevisionAt], node: int, revision: int) -> float:
-        """Return when a node first had at least a revision."""
+        """Return the time at which a node first had this revision or a newer one."""
         return min([t.at for t in revisions if t.node == node and t.revision >= revision], default=math.inf)
--- a/tests/long_lists.py
+++ b/tests/long_lists.py
@@ -22,7 +22,7 @@
 from balancer.net.node_ports import FleetServices
 from balancer.policy import Balancer
 from tests.helpers import member as listed_at
-from tests.virtual_discovery import DiscoveryWorld
+from tests.virtual_discovery import DiscoverySimulation
 
 IN_SERVICE = EndpointPhase.IN_SERVICE
 DRAINING = EndpointPhase.DRAINING
@@ -99,7 +99,7 @@
     return json.dumps(table).encode() + b"\n"
 
 
-class LongListWorld(DiscoveryWorld):
+class LongListSimulation(DiscoverySimulation):
     """A node with a fake decision module, and a discovery that sends what the test says."""
 
     def __init__(self, path: Path, *behaviours: str) -> None:
@@ -132,9 +132,9 @@
         return lambda node, _: self.connections[call].send_chunk(b"".join(map(encode, updates)), first=False)
 
 
-def batches(world: LongListWorld) -> list[dict[str, EndpointPhase]]:
+def batches(sim: LongListSimulation) -> list[dict[str, EndpointPhase]]:
     """Return the batches that the module has got, as phases by id."""
-    return [phases_by_id for _, phases_by_id in world.module.updates]
+    return [phases_by_id for _, phases_by_id in sim.module.updates]
 
 
 class Clock:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -63,7 +63,7 @@
     """Connections to these that fall idle one after the other."""
     out = []
     for name in names:
-        loop.skipping_selector.now += 0.01
+        loop.clock_selector.now += 0.01
         out.append(BackendConnection(pool, pool.endpoint(name)))
         pool.connection_count += 1
         pool.release(out[-1], True)
@@ -90,12 +90,12 @@
 def test_a_sweep_closes_what_has_been_idle_for_long_and_looks_again_while_any_is() -> None:
     def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
         old = idle(pool, loop, "b2", "b0")
-        loop.skipping_selector.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s
+        loop.clock_selector.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s
         young = idle(pool, loop, "b2")
         pool.sweep()
         assert [one.is_closed for one in (*old, *young)] == [True, True, False]
         assert pool.sweep_timer is not None and pool.endpoints["b2"].idle == young
-        loop.skipping_selector.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s + 0.01
+        loop.clock_selector.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s + 0.01
         pool.sweep()
         assert young[0].is_closed and pool.sweep_timer is None
 
--- a/tests/test_discovery_backoff.py
+++ b/tests/test_discovery_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff between calls of discovery, with a clock and draws of the test."""
+"""Test the backoff between discovery calls with a fake clock and fixed draws."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class LongestDraws:
-    """Draws the upper bound."""
+    """A random source that always draws the upper bound."""
 
     def uniform(self, a: float, b: float) -> float:
         return b
 
 
 class Clock:
-    """A clock that the test sets."""
+    """A fake clock that a test advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -54,7 +54,7 @@
 
 
 def call(clock: Clock, **state: Any) -> DiscoveryCall:
-    """Return the state of a call that was dialled right now."""
+    """Return a stand-in for a call that was dialled now, with some of its state replaced."""
     defaults = {
         "dialled_at": clock.now,
         "first_message_at": None,
@@ -70,13 +70,13 @@
     return [backoff.next_delay(failed, is_contended=False) for _ in range(count)]
 
 
-def test_delays_double_up_to_the_largest(clock: Clock, backoff: DiscoveryBackoff) -> None:
+def test_delays_double_up_to_the_maximum(clock: Clock, backoff: DiscoveryBackoff) -> None:
     expected = [INITIAL_DELAY_S * 2**i for i in range(5)]
     assert delays(backoff, call(clock), 5) == pytest.approx(expected)
     assert delays(backoff, call(clock), 1) == [MAX_DELAY_S]
 
 
-def test_a_reset_begins_with_the_shortest_delay(clock: Clock, backoff: DiscoveryBackoff) -> None:
+def test_a_reset_restores_the_initial_delay(clock: Clock, backoff: DiscoveryBackoff) -> None:
     delays(backoff, call(clock), 3)
     backoff.reset()
     assert delays(backoff, call(clock), 1) == [INITIAL_DELAY_S]
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize(
     ("was_ended_by_discovery", "period"), [(False, RETRY_PERIOD_S), (True, REJECTED_RETRY_PERIOD_S)]
 )
-def test_a_delay_ends_a_period_after_the_failed_call_was_dialled(
+def test_a_delay_ends_one_retry_period_after_the_failed_call_was_dialled(
     clock: Clock, backoff: DiscoveryBackoff, was_ended_by_discovery: bool, period: float
 ) -> None:
     delays(backoff, call(clock), 6)
@@ -96,7 +96,9 @@
     )
 
 
-def test_a_call_that_lasted_longer_leaves_the_smallest_delay(clock: Clock, backoff: DiscoveryBackoff) -> None:
+def test_a_call_that_lasts_a_whole_retry_period_leaves_the_minimum_delay(
+    clock: Clock, backoff: DiscoveryBackoff
+) -> None:
     delays(backoff, call(clock), 6)
     failed = call(clock)
     clock.now += RETRY_PERIOD_S
@@ -125,7 +127,7 @@
     assert delays(backoff, call(clock), 1) == [MAX_DELAY_S]
 
 
-def test_a_contended_retry_has_a_delay_of_its_own(clock: Clock, backoff: DiscoveryBackoff) -> None:
+def test_a_contended_retry_uses_the_contended_delay(clock: Clock, backoff: DiscoveryBackoff) -> None:
     assert backoff.next_delay(call(clock), is_contended=True) == CONTENDED_RETRY_DELAY_S
     assert backoff.contended_delay() == CONTENDED_RETRY_DELAY_S
 
@@ -146,7 +148,7 @@
     [(QUEUED_AFTER_S, 1, True), (QUEUED_AFTER_S - 0.01, 1, False), (QUEUED_AFTER_S, 2, False)],
     ids=["late", "soon", "later message"],
 )
-def test_a_late_first_message_shows_contention(
+def test_only_a_late_first_message_indicates_contention(
     clock: Clock, backoff: DiscoveryBackoff, waited_s: float, message_count: int, is_contended: bool
 ) -> None:
     answered = call(clock, message_count=message_count)
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -1,4 +1,4 @@
-"""Many nodes after an outage of discovery, in virtual time."""
+"""Test in virtual time how many nodes recover from an outage of discovery."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from balancer.net.endpoints import Address
 from tests.virtual_discovery import (
     NEW_REVISION,
-    RECEIVED_AFTER_S,
+    RECEIPT_DEADLINE_S,
     WATCHING_AND_POLLING,
     DiscoveryConnection,
-    DiscoveryWorld,
+    DiscoverySimulation,
 )
 
-NODES = 200
+NODE_COUNT = 200
 DOWN_AT_S = 20.0
 BACK_AT_S = 28.0
-CALL_COST_S = 0.004  # discovery can take 250 calls a second
-MAX_WAIT_S = 1.0  # of a call in discovery's queue; then it fails
+CALL_COST_S = 0.004  # discovery serves 250 calls per second
+MAX_WAIT_S = 1.0  # a call that waits longer in discovery's queue fails
 
 
-class OutageWorld(DiscoveryWorld):
-    """Many nodes and one discovery, which is down for a while and takes calls in turn.
+class OutageSimulation(DiscoverySimulation):
+    """Many nodes and one discovery, which serves calls in order and has an outage.
 
-    While it is down it refuses connections or, `is_cut_off`, lets them hang.
+    During the outage connections are refused or, with `is_cut_off`, hang.
     """
 
     def __init__(self, path: Path, must_subscribe: bool, is_cut_off: bool) -> None:
@@ -62,18 +62,18 @@
             self.loop.call_at(self.free_at + 2.0 * i, connection.send_chunk, b"\n", False)
 
     def run_outage(self) -> None:
-        """Run all nodes through the outage, until each must have the new list."""
+        """Run all nodes through the outage, and check that each receives the new list by the deadline."""
 
         async def run_nodes() -> None:
-            nodes = [self.node(replace(self.config, seed=i)) for i in range(NODES)]
+            nodes = [self.node(replace(self.config, seed=i)) for i in range(NODE_COUNT)]
             await asyncio.sleep(DOWN_AT_S - self.now)
             for connection in self.connections:
                 if self.is_cut_off:
                     connection.is_open = False
                 else:
                     connection.abort()
-            await asyncio.sleep(BACK_AT_S + RECEIVED_AFTER_S - self.now)
-            assert len([update for update in self.updates if update.revision == NEW_REVISION]) == NODES
+            await asyncio.sleep(BACK_AT_S + RECEIPT_DEADLINE_S - self.now)
+            assert len([update for update in self.updates if update.revision == NEW_REVISION]) == NODE_COUNT
             for node in nodes:
                 cast(DiscoveryClient, node.discovery).watch(False)
 
@@ -83,21 +83,22 @@
             self.loop.close()
 
     def max_calls(self, since: float, until: float, interval: float) -> int:
-        """Return the most calls that were dialled within an interval, in seconds."""
+        """Return the highest number of calls dialled within any interval of this length in seconds."""
         times = [t for t in self.dialled_at if since <= t < until]
         return max(sum(t <= other < t + interval for other in times) for t in times)
 
 
 @WATCHING_AND_POLLING
 @pytest.mark.parametrize("is_cut_off", [False, True], ids=["refused", "cut off"])
-def test_all_nodes_receive_the_list_in_time_after_an_outage_without_overload(
+def test_all_nodes_receive_the_list_by_the_deadline_after_an_outage_without_overload(
     tmp_path: Path, must_subscribe: bool, is_cut_off: bool
 ) -> None:
     random.seed(1)
-    world = OutageWorld(tmp_path, must_subscribe, is_cut_off)
-    world.run_outage()
-    assert world.rejected_at == []
-    assert len([at for at in world.answered_at if at > BACK_AT_S]) == NODES  # one call each
-    # The calls are spread in the last seconds of the outage, and right after it.
-    assert world.max_calls(DOWN_AT_S + 4.0, BACK_AT_S, 1.0) <= (200 if is_cut_off else 140)
-    assert world.max_calls(BACK_AT_S, math.inf, 0.25) <= 0.25 / CALL_COST_S + 1
+    sim = OutageSimulation(tmp_path, must_subscribe, is_cut_off)
+    sim.run_outage()
+    assert sim.rejected_at == []
+    # Each node needs exactly one call after the outage.
+    assert len([at for at in sim.answered_at if at > BACK_AT_S]) == NODE_COUNT
+    # Calls must be spread evenly during the last seconds of the outage and right after it.
+    assert sim.max_calls(DOWN_AT_S + 4.0, BACK_AT_S, 1.0) <= (200 if is_cut_off else 140)
+    assert sim.max_calls(BACK_AT_S, math.inf, 0.25) <= 0.25 / CALL_COST_S + 1
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -1,15 +1,12 @@
-"""Reloads in a row while backends drain: the list has to be in force in time all the same.
-
-Seen in production: requests went to draining and removed backends for seconds after the grace period, dozens
-of times, on a handful of nodes. Within two seconds each node was given four new configurations, each with
-another address of discovery; three backends began to drain meanwhile; discovery, which serves calls in turn
-and takes a quarter of a second for one, had more calls than it could serve. The cause: a node cancelled its
-call for each new address, whether or not the response was on its way, and went to the end of the queue again;
-after a rejected call the backoff grew while the time ran out.
-
-The evidence: a replay in which discovery wrote its responses some 0.25 s apart and a node waited 4 s for a
-change (it counts as received after 6 s), and the simulations below, in which nodes of the former program were
-late.
+"""Test that list changes are in force by the deadline while configuration reloads change discovery's address.
+
+Guards against a failure in production: nodes sent requests to draining and removed backends for seconds after
+the grace period. Each node was reloaded four times within two seconds, each time with another address of
+discovery, while three backends began to drain and discovery, which takes 0.25 s for each call and serves them
+in order, was overloaded. A node cancelled its call at each change of address, even if the response was on its
+way, and joined the end of the queue again; after a rejected call its backoff kept growing. In a replay with
+responses 0.25 s apart a node waited 4 s for a change, and in the simulations below nodes exceeded the
+deadline of 6 s.
 """
 
 from __future__ import annotations
@@ -27,147 +24,156 @@
 import pytest
 
 from balancer.net.discovery import MAX_OLD_ADDRESS_CALLS, DiscoveryClient
-from tests.contended_discovery import Outage, QueueWorld, Rejection
+from tests.contended_discovery import Outage, QueueSimulation, Rejection
 from tests.sockets import Backend, Client, FakeDiscovery, Rig, node_config, read_message, started_node
 from tests.virtual_discovery import (
     NEW_ADDRESS,
     NEW_REVISION,
     RESPONSE_HEAD,
     WATCHING_AND_POLLING,
-    DiscoveryWorld,
+    DiscoverySimulation,
 )
 
-CACHED_REVISION = 41  # of the list that a node starts with
+CACHED_REVISION = 41  # the revision of the list with which a node starts
 
 
 @pytest.fixture
 def no_logging() -> Iterator[None]:
-    """Disable logging: calls fail by the hundred here."""
+    """Disable logging, as these simulations make hundreds of failing calls."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
 
 
 @pytest.mark.usefixtures("no_logging")
-def test_all_nodes_receive_changes_in_time_from_a_contended_discovery_across_reloads(tmp_path: Path) -> None:
-    """Over seeded simulations; discovery may serve abandoned calls, or skip them."""
+def test_all_nodes_receive_changes_by_the_deadline_from_a_contended_discovery_across_reloads(
+    tmp_path: Path,
+) -> None:
+    """Runs seeded simulations in which discovery serves abandoned calls or skips them."""
     late = dict[object, dict[tuple[int, int], float]]()
     quick = product((0.17, 0.245), (False, True), (False, True), (Rejection.AT_ONCE, Rejection.WHILE_WAITING))
-    wasteful = product((0.17, 0.23), (False, True), (False, True), (Rejection.IN_TURN,))
-    for kind in chain(quick, wasteful):
+    in_turn = product((0.17, 0.23), (False, True), (False, True), (Rejection.IN_TURN,))
+    for kind in chain(quick, in_turn):
         for seed in range(1, 9):
             random.seed(seed)
-            world = QueueWorld(tmp_path, seed, *kind)
-            if found := world.late_changes(world.run_to_end(world.reload_and_change(seed))):
+            sim = QueueSimulation(tmp_path, seed, *kind)
+            if found := sim.late_changes(sim.run_to_end(sim.reload_and_change(seed))):
                 late[kind, seed] = found
-            assert world.most_unanswered <= 2
+            assert sim.max_queued_per_node <= 2
     assert late == {}
 
 
 @pytest.mark.usefixtures("no_logging")
-def test_all_nodes_receive_changes_in_time_from_a_contended_discovery_after_an_outage(tmp_path: Path) -> None:
-    """Its queue is too short for all calls, and some are rejected once it is back."""
+def test_all_nodes_receive_changes_by_the_deadline_from_a_contended_discovery_after_an_outage(
+    tmp_path: Path,
+) -> None:
+    """The queue of discovery is too short for all calls after the outage, so some of them are rejected."""
     late = dict[object, dict[tuple[int, int], float]]()
-    for call_s, ends, outage in product((0.17, 0.385), (False, True), Outage):
+    for call_s, closes_on_change, outage in product((0.17, 0.385), (False, True), Outage):
         for seed in range(1, 7):
             random.seed(seed)
-            world = QueueWorld(tmp_path, seed, call_s, ends, True, Rejection.AT_ONCE)
-            if found := world.late_changes(world.run_to_end(world.fail_and_change(seed, outage))):
-                late[call_s, ends, outage, seed] = found
-            assert world.most_unanswered <= 2
+            sim = QueueSimulation(tmp_path, seed, call_s, closes_on_change, True, Rejection.AT_ONCE)
+            if found := sim.late_changes(sim.run_to_end(sim.fail_and_change(seed, outage))):
+                late[call_s, closes_on_change, outage, seed] = found
+            assert sim.max_queued_per_node <= 2
     assert late == {}
 
 
 @WATCHING_AND_POLLING
-def test_a_watch_at_a_former_address_is_used_until_the_new_one_answers(
+def test_a_watch_at_an_old_address_is_used_until_the_new_address_answers(
     tmp_path: Path, must_subscribe: bool
 ) -> None:
-    world = DiscoveryWorld(tmp_path, must_subscribe, "healthy", "no_response")
+    sim = DiscoverySimulation(tmp_path, must_subscribe, "healthy", "no_response")
 
-    def move(discovery: DiscoveryClient) -> None:
+    def change_address(discovery: DiscoveryClient) -> None:
         discovery.change_address(NEW_ADDRESS)
-        world.loop.call_later(
+        sim.loop.call_later(
             0.2,
-            lambda: world.connections[0].send_chunk(world.complete_list(revision=NEW_REVISION), first=False),
+            lambda: sim.connections[0].send_chunk(sim.complete_list(revision=NEW_REVISION), first=False),
         )
-        world.loop.call_later(
-            0.4, lambda: world.connections[1].send_chunk(world.complete_list(revision=NEW_REVISION + 1))
+        sim.loop.call_later(
+            0.4, lambda: sim.connections[1].send_chunk(sim.complete_list(revision=NEW_REVISION + 1))
         )
 
-    world.run(9.0, lambda discovery: cast(None, world.loop.call_at(8.0, move, discovery)))
-    received = [(round(at, 6), revision) for at, revision in world.updates if at > 8.0]
+    sim.run(9.0, lambda discovery: cast(None, sim.loop.call_at(8.0, change_address, discovery)))
+    received = [(round(at, 6), revision) for at, revision in sim.updates if at > 8.0]
     assert received == [(8.2, NEW_REVISION), (8.4, NEW_REVISION + 1)]
-    assert [round(connection.closed_at, 6) for connection in world.connections] == [8.4, 9.0]
+    assert [round(connection.closed_at, 6) for connection in sim.connections] == [8.4, 9.0]
 
 
-def test_calls_at_former_addresses_are_few_however_often_the_address_changes(tmp_path: Path) -> None:
-    """Each has a descriptor; the oldest is closed first, and all once the newest address has answered."""
-    world, most = DiscoveryWorld(tmp_path, False, "no_response"), list[int]()
+def test_the_number_of_calls_at_old_addresses_is_bounded(tmp_path: Path) -> None:
+    """Guards against descriptors that leak with each address change.
 
-    def move(discovery: DiscoveryClient, moves: int) -> None:
-        discovery.change_address(("127.0.0.2", moves))
-        most.append(sum(connection.is_open for connection in world.connections))
-        if moves < 40:
-            world.loop.call_later(0.45, move, discovery, moves + 1)
+    The oldest call is closed first, and all of them once the newest address has answered.
+    """
+    sim, open_counts = DiscoverySimulation(tmp_path, False, "no_response"), list[int]()
+
+    def change_address(discovery: DiscoveryClient, change_count: int) -> None:
+        discovery.change_address(("127.0.0.2", change_count))
+        open_counts.append(sum(connection.is_open for connection in sim.connections))
+        if change_count < 40:
+            sim.loop.call_later(0.45, change_address, discovery, change_count + 1)
         else:
-            world.loop.call_later(
-                2.0, lambda: world.connections[-1].send_chunk(world.complete_list(revision=NEW_REVISION))
+            sim.loop.call_later(
+                2.0, lambda: sim.connections[-1].send_chunk(sim.complete_list(revision=NEW_REVISION))
             )
 
-    world.run(22.0, lambda discovery: cast(None, world.loop.call_at(1.0, move, discovery, 1)))
-    assert 2 <= max(most) <= MAX_OLD_ADDRESS_CALLS + 1
+    sim.run(22.0, lambda discovery: cast(None, sim.loop.call_at(1.0, change_address, discovery, 1)))
+    assert 2 <= max(open_counts) <= MAX_OLD_ADDRESS_CALLS + 1
     assert (
-        max(connection.closed_at for connection in world.connections[:-1]) < 20.6
-        and world.connections[-1].closed_at == 22.0
+        max(connection.closed_at for connection in sim.connections[:-1]) < 20.6
+        and sim.connections[-1].closed_at == 22.0
     )
 
 
 @WATCHING_AND_POLLING
-def test_an_urgent_call_in_the_queue_is_answered_in_parallel_with_the_next(
+def test_an_urgent_call_stays_queued_in_parallel_with_the_next_call(
     tmp_path: Path, must_subscribe: bool
 ) -> None:
-    """Cancelled after 1.5 s it would have lost its place, 0.9 s before its turn."""
-    world = DiscoveryWorld(tmp_path, must_subscribe, "list_only", "no_response")
+    """Guards against cancelling the call after 1.5 s, which is 0.9 s before its turn in the queue."""
+    sim = DiscoverySimulation(tmp_path, must_subscribe, "list_only", "no_response")
 
-    are_open = list[list[bool]]()  # before the response and after it
+    # The states of all connections before and after the response.
+    are_open = list[list[bool]]()
 
     def answer() -> None:
-        are_open.append([connection.is_open for connection in world.connections])
-        world.connections[1].send_chunk(world.complete_list(revision=NEW_REVISION))
-        are_open.append([connection.is_open for connection in world.connections])
+        are_open.append([connection.is_open for connection in sim.connections])
+        sim.connections[1].send_chunk(sim.complete_list(revision=NEW_REVISION))
+        are_open.append([connection.is_open for connection in sim.connections])
 
     def wait(discovery: DiscoveryClient) -> None:
-        if len(world.dialled_at) < 2:
-            world.loop.call_later(0.1, wait, discovery)
+        if len(sim.dialled_at) < 2:
+            sim.loop.call_later(0.1, wait, discovery)
         else:
-            world.loop.call_at(world.dialled_at[1] + 2.4, answer)
+            sim.loop.call_at(sim.dialled_at[1] + 2.4, answer)
 
-    world.run(11.0, wait)
+    sim.run(11.0, wait)
     assert are_open == [[False, True, True], [False, True, False]]
-    assert [revision for _, revision in world.updates] == [CACHED_REVISION, 8, NEW_REVISION]
+    assert [revision for _, revision in sim.updates] == [CACHED_REVISION, 8, NEW_REVISION]
 
 
-def test_an_overtaken_complete_list_is_fetched_again(tmp_path: Path) -> None:
-    """It may be older than the list in force; discovery has begun anew if the next call gets it, too."""
-    world = DiscoveryWorld(tmp_path, False, "healthy", "no_response")
+def test_an_overtaken_complete_list_is_requested_again(tmp_path: Path) -> None:
+    """The list may be outdated, unless the next call receives it as well because discovery has restarted."""
+    sim = DiscoverySimulation(tmp_path, False, "healthy", "no_response")
 
-    def move(discovery: DiscoveryClient) -> None:
+    def change_address(discovery: DiscoveryClient) -> None:
         discovery.change_address(NEW_ADDRESS)
-        world.connections[0].send_chunk(world.complete_list(revision=NEW_REVISION), first=False)
-        world.loop.call_later(0.1, lambda: world.connections[1].send_chunk(world.complete_list(revision=3)))
-        world.loop.call_later(0.5, lambda: world.connections[2].send_chunk(world.complete_list(revision=3)))
+        sim.connections[0].send_chunk(sim.complete_list(revision=NEW_REVISION), first=False)
+        sim.loop.call_later(0.1, lambda: sim.connections[1].send_chunk(sim.complete_list(revision=3)))
+        sim.loop.call_later(0.5, lambda: sim.connections[2].send_chunk(sim.complete_list(revision=3)))
 
-    world.run(9.0, lambda discovery: cast(None, world.loop.call_at(8.0, move, discovery)))
-    assert [revision for _, revision in world.updates] == [CACHED_REVISION, 8, NEW_REVISION, 3]
-    assert [target.rpartition("=")[2] for _, target, _ in world.requests] == ["0", "8", str(NEW_REVISION)]
+    sim.run(9.0, lambda discovery: cast(None, sim.loop.call_at(8.0, change_address, discovery)))
+    assert [revision for _, revision in sim.updates] == [CACHED_REVISION, 8, NEW_REVISION, 3]
+    assert [target.rpartition("=")[2] for _, target, _ in sim.requests] == ["0", "8", str(NEW_REVISION)]
 
 
 class QueuingDiscovery(FakeDiscovery):
-    """Discovery at one address, where a call waits until the test answers it."""
+    """A discovery at one address that leaves each call unanswered until the test answers it."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.call_ended = asyncio.Event()  # the node has ended its call
+        # Set when the node has ended its call.
+        self.call_ended = asyncio.Event()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         message = await read_message(reader)
@@ -178,36 +184,37 @@
         self.call_ended.set()
 
     def answer(self, revision: int, *members: dict[str, object]) -> None:
-        """Answer the call, which may have been cancelled."""
+        """Answer the call, which the node may already have cancelled."""
         assert self.writer is not None
         self.writer.write(RESPONSE_HEAD)
         self.send_update(revision, *members)
 
 
-def _file(discovery: QueuingDiscovery, known: list[dict[str, object]]) -> str:
+def _config_text(discovery: QueuingDiscovery, known: list[dict[str, object]]) -> str:
     raw = node_config(known, discovery.port)
     raw["settings"]["discovery"] = "subscribe"
     return json.dumps(raw)
 
 
 async def _reload(rig: Rig, text: str, discovery: QueuingDiscovery) -> None:
-    """A new configuration that names another address, until the node has it."""
+    """Write a configuration with another address of discovery, and wait until the node has applied it."""
     rig.reload(text)
     await rig.wait_for_log(f"discovery at 127.0.0.1:{discovery.port}")
 
 
-async def _drained(client: Client, backends: tuple[Backend, ...]) -> int:
-    """Requests that the first backend still gets, of so many."""
+async def _count_requests_to_first(client: Client, backends: tuple[Backend, ...]) -> int:
+    """Send 20 requests and return how many the first backend receives."""
     before = backends[0].requests.qsize()
     for _ in range(20):
         assert (await client.request("/read", "Request-Timeout: 2000m")).status == 200
     return backends[0].requests.qsize() - before
 
 
-async def test_an_event_of_a_call_under_way_is_applied_after_a_reload(tmp_path: Path) -> None:
-    """Real processes: two configurations in a row; the answer to the call of the first one says who drains.
+async def test_an_event_of_a_call_in_progress_is_applied_after_a_reload(tmp_path: Path) -> None:
+    """Guards against a reload that cancels a call whose response, which drains a backend, is on its way.
 
-    The call at the second address gets no answer yet, as it waits behind those of other nodes.
+    The test runs a real node process with two reloads in a row; the call at the last address stays
+    unanswered.
     """
     backends = (Backend("b0"), Backend("b1"))
     addresses = [QueuingDiscovery() for _ in range(3)]
@@ -217,18 +224,17 @@
         await address.start()
     known = [backend.list_entry() for backend in backends]
     path = tmp_path / "config.json"
-    path.write_text(_file(addresses[0], known))
+    path.write_text(_config_text(addresses[0], known))
     async with started_node(path, addresses[0]) as rig:
         client = await rig.connect()
         await addresses[0].watch_targets.get()
         addresses[0].answer(41)
         await rig.wait_for_log("answered")
-        await _reload(rig, _file(addresses[1], known), addresses[1])
+        await _reload(rig, _config_text(addresses[1], known), addresses[1])
         await addresses[1].watch_targets.get()
-        await _reload(rig, _file(addresses[2], known), addresses[2])
-        assert (
-            await client.request("/read", "Request-Timeout: 2000m")
-        ).status == 200  # the turn of SIGHUP is over
+        await _reload(rig, _config_text(addresses[2], known), addresses[2])
+        # A response shows that the event loop has finished handling SIGHUP.
+        assert (await client.request("/read", "Request-Timeout: 2000m")).status == 200
         addresses[1].answer(42, backends[0].list_entry(phase="terminating"))
         drained = asyncio.create_task(rig.wait_for_log("revision 42: draining b0"))
         ended = asyncio.create_task(addresses[1].call_ended.wait())
@@ -236,5 +242,5 @@
         was_cancelled = not drained.done()
         drained.cancel()
         ended.cancel()
-        assert not was_cancelled, "the call was cancelled with its response on the way"
-        assert await _drained(client, backends) == 0
+        assert not was_cancelled, "the node cancelled a call whose response was on its way"
+        assert await _count_requests_to_first(client, backends) == 0
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -25,7 +25,7 @@
     MAX_SHORT,
     REMOVED,
     Clock,
-    LongListWorld,
+    LongListSimulation,
     batches,
     complete_list,
     delta,
@@ -39,126 +39,124 @@
 
 
 def test_a_long_list_is_in_force_and_reported_after_many_slices(tmp_path: Path) -> None:
-    world, seen = LongListWorld(tmp_path), list[tuple[bool, bool, int]]()
+    sim, seen = LongListSimulation(tmp_path), list[tuple[bool, bool, int]]()
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
-        world.module.on_update = lambda _: seen.append(
-            (node.has_endpoints, node.endpoints_received.is_set(), len(world.applied))
+        sim.module.on_update = lambda _: seen.append(
+            (node.has_endpoints, node.endpoints_received.is_set(), len(sim.applied))
         )
-        world.send(complete_list(8, 30))(node, discovery)
+        sim.send(complete_list(8, 30))(node, discovery)
 
-    node = world.run_steps(send)
+    node = sim.run_steps(send)
     assert {ready for ready, _, _ in seen} == {fresh for _, fresh, _ in seen} == {False}
-    assert node.has_endpoints and node.endpoints_received.is_set() and world.applied == [8]
-    assert len(batches(world)) == 15 and max(map(len, batches(world))) == BATCH
-    assert {kind for kind, _ in world.module.updates} == {ListUpdateKind.DELTA}
-    assert world.module.in_force == dict.fromkeys((f"b{i}" for i in range(30)), IN_SERVICE)
-    assert node.pool.members.keys() == world.module.in_force.keys() and node.pool.in_service_count == 30
+    assert node.has_endpoints and node.endpoints_received.is_set() and sim.applied == [8]
+    assert len(batches(sim)) == 15 and max(map(len, batches(sim))) == BATCH
+    assert {kind for kind, _ in sim.module.updates} == {ListUpdateKind.DELTA}
+    assert sim.module.in_force == dict.fromkeys((f"b{i}" for i in range(30)), IN_SERVICE)
+    assert node.pool.members.keys() == sim.module.in_force.keys() and node.pool.in_service_count == 30
 
 
 def test_stopped_backends_go_first_and_unchanged_ones_are_not_sent(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
-    world.run_steps(
-        world.send(complete_list(8, 30)),
-        lambda *_: world.module.updates.clear(),
-        world.send(complete_list(9, 40, b3=REMOVED, b4=DRAINING, b5=REMOVED, b31=DRAINING)),
+    sim = LongListSimulation(tmp_path)
+    sim.run_steps(
+        sim.send(complete_list(8, 30)),
+        lambda *_: sim.module.updates.clear(),
+        sim.send(complete_list(9, 40, b3=REMOVED, b4=DRAINING, b5=REMOVED, b31=DRAINING)),
     )
-    sent = [item for batch in batches(world) for item in batch.items()]
+    sent = [item for batch in batches(sim) for item in batch.items()]
     assert sent[:3] == [("b3", REMOVED), ("b5", REMOVED), ("b4", DRAINING)]
     assert sent[3:-1] == [(f"b{i}", IN_SERVICE) for i in range(30, 40) if i != 31]
     assert sent[-1] == ("b31", DRAINING)  # it is new and has nothing to stop
 
 
 def test_the_module_gets_a_long_list_without_changes(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
-    world.run_steps(
-        world.send(complete_list(8, 30)),
-        lambda *_: world.module.updates.clear(),
-        world.send(complete_list(9, 30)),
+    sim = LongListSimulation(tmp_path)
+    sim.run_steps(
+        sim.send(complete_list(8, 30)),
+        lambda *_: sim.module.updates.clear(),
+        sim.send(complete_list(9, 30)),
     )
-    assert world.module.updates == [(ListUpdateKind.DELTA, {})] and world.applied == [8, 9]
+    assert sim.module.updates == [(ListUpdateKind.DELTA, {})] and sim.applied == [8, 9]
 
 
 def test_an_id_with_another_address_or_zone_is_sent(tmp_path: Path) -> None:
     moved = EndpointUpdate(
         9, True, (member("b0", port=10), member("b1", zone="b"), *complete_list(9, 30).members[2:])
     )
-    world = LongListWorld(tmp_path)
-    node = world.run_steps(
-        world.send(complete_list(8, 30)), lambda *_: world.module.updates.clear(), world.send(moved)
+    sim = LongListSimulation(tmp_path)
+    node = sim.run_steps(
+        sim.send(complete_list(8, 30)), lambda *_: sim.module.updates.clear(), sim.send(moved)
     )
-    assert batches(world) == [{"b0": IN_SERVICE, "b1": IN_SERVICE}]
-    assert node.pool.members["b0"].address == ("127.0.0.1", 10) and world.module.entries["b1"].zone == "b"
+    assert batches(sim) == [{"b0": IN_SERVICE, "b1": IN_SERVICE}]
+    assert node.pool.members["b0"].address == ("127.0.0.1", 10) and sim.module.entries["b1"].zone == "b"
 
 
 def test_only_the_first_batch_of_a_cached_list_makes_the_module_poll(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
     cached = EndpointUpdate(7, True, (member("b0", DRAINING), *complete_list(7, 30).members[1:]))
     fresh = list[bool]()
 
     async def run_node() -> None:
-        node = Node(world.config)
-        node.balancer = cast(Balancer, world.module)
+        node = Node(sim.config)
+        node.balancer = cast(Balancer, sim.module)
         node.update_endpoints(cached, ListUpdateKind.CACHED)
         await node.endpoint_updater.wait_idle()
         fresh.extend((node.endpoints_received.is_set(), node.has_endpoints))
 
-    world.loop.run_until_complete(run_node())
-    world.loop.close()
-    assert [kind for kind, _ in world.module.updates] == [ListUpdateKind.CACHED] + [ListUpdateKind.DELTA] * 15
-    assert IN_SERVICE in batches(world)[0].values()  # the module polls where a backend is in service
-    assert fresh == [False, True] and len(world.module.in_force) == 30
+    sim.loop.run_until_complete(run_node())
+    sim.loop.close()
+    assert [kind for kind, _ in sim.module.updates] == [ListUpdateKind.CACHED] + [ListUpdateKind.DELTA] * 15
+    assert IN_SERVICE in batches(sim)[0].values()  # the module polls where a backend is in service
+    assert fresh == [False, True] and len(sim.module.in_force) == 30
 
 
 def test_a_delta_waits_for_the_list_but_stops_backends_at_once(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
 
     newer = encode(delta(9, b0=REMOVED, b29=REMOVED, b28=DRAINING, b40=IN_SERVICE))
-    world.module.on_update = lambda batch: (
-        world.connections[0].send_chunk(newer, first=False) if batch == 5 else None
+    sim.module.on_update = lambda batch: (
+        sim.connections[0].send_chunk(newer, first=False) if batch == 5 else None
     )
-    world.run_steps(world.send(complete_list(8, 30)))
-    sent = batches(world)  # the delta, too, is long enough to be decoded in slices
+    sim.run_steps(sim.send(complete_list(8, 30)))
+    sent = batches(sim)  # the delta, too, is long enough to be decoded in slices
     assert 5 <= sent.index({"b0": REMOVED}) <= 8 and any("b27" in batch for batch in sent[9:])
-    assert not any(
-        batch.get("b29") is IN_SERVICE or batch.get("b28") is IN_SERVICE for batch in batches(world)
-    )
-    assert world.applied == [8, 9]
+    assert not any(batch.get("b29") is IN_SERVICE or batch.get("b28") is IN_SERVICE for batch in batches(sim))
+    assert sim.applied == [8, 9]
     in_service = [*(f"b{i}" for i in range(1, 28)), "b40"]
-    assert world.module.in_force == dict.fromkeys(in_service, IN_SERVICE) | {"b28": DRAINING}
+    assert sim.module.in_force == dict.fromkeys(in_service, IN_SERVICE) | {"b28": DRAINING}
 
 
 def test_a_backend_that_is_stopped_and_started_by_pending_deltas_is_in_service(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
     later = [
         delta(9, b0=REMOVED, b29=REMOVED),
         delta(10, b0=IN_SERVICE, b29=IN_SERVICE),
         delta(10, b1=REMOVED),
         delta(9, b2=REMOVED),
     ]
-    world.run_steps(world.send(complete_list(8, 30), *later))
-    assert world.applied == [8, 9, 10] and world.module.in_force == dict.fromkeys(
+    sim.run_steps(sim.send(complete_list(8, 30), *later))
+    assert sim.applied == [8, 9, 10] and sim.module.in_force == dict.fromkeys(
         (f"b{i}" for i in range(30)), IN_SERVICE
     )
 
 
 def test_a_newer_complete_list_supersedes_one_that_is_being_applied(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
     newer = encode(complete_list(9, 12, b1=REMOVED))
-    world.module.on_update = lambda batch: (
-        world.connections[0].send_chunk(newer, first=False) if batch == 4 else None
+    sim.module.on_update = lambda batch: (
+        sim.connections[0].send_chunk(newer, first=False) if batch == 4 else None
     )
-    node = world.run_steps(world.send(complete_list(8, 30)))
-    assert world.applied == [9] and world.module.in_force.keys() == {"b0", *(f"b{i}" for i in range(2, 12))}
-    assert node.pool.members.keys() == world.module.in_force.keys()
-    names = [name for batch in batches(world) for name in batch]
+    node = sim.run_steps(sim.send(complete_list(8, 30)))
+    assert sim.applied == [9] and sim.module.in_force.keys() == {"b0", *(f"b{i}" for i in range(2, 12))}
+    assert node.pool.members.keys() == sim.module.in_force.keys()
+    names = [name for batch in batches(sim) for name in batch]
     assert len(names) < 30 and names.count("b0") == 1  # the rest of the older one was never sent
 
 
 @pytest.mark.parametrize("slices", range(20))
 def test_a_backend_removed_by_both_list_and_delta_is_removed_once(tmp_path: Path, slices: int) -> None:
     """A list that leaves out a backend must not fail because the backend was removed meanwhile."""
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
 
     def send(node: Node, _: DiscoveryClient) -> None:
         node.update_endpoints(complete_list(9, 4), ListUpdateKind.SNAPSHOT)
@@ -170,9 +168,9 @@
 
         wait(slices)
 
-    node = world.run_steps(world.send(complete_list(8, 30)), send)
-    assert world.module.in_force.keys() == node.pool.members.keys() == {"b0", "b1", "b2", "b3"}
-    assert world.applied == [8, 9, 10]
+    node = sim.run_steps(sim.send(complete_list(8, 30)), send)
+    assert sim.module.in_force.keys() == node.pool.members.keys() == {"b0", "b1", "b2", "b3"}
+    assert sim.applied == [8, 9, 10]
 
 
 @pytest.mark.parametrize(("rest_at", "listens_at"), [(2.1, 2.1), (None, 3.1)])
@@ -180,43 +178,43 @@
     tmp_path: Path, rest_at: float | None, listens_at: float
 ) -> None:
     """Where the list stays incomplete, it listens in time with the cached one."""
-    world, data = LongListWorld(tmp_path), encode(complete_list(8, 30))
+    sim, data = LongListSimulation(tmp_path), encode(complete_list(8, 30))
     seen = list[tuple[float, int]]()
 
     async def take_over(node: Node) -> None:
         await prepare_takeover(node, cast(Any, SimpleNamespace(has_enough=True)), False)
-        seen.append((round(world.now, 2), len(world.module.in_force)))
+        seen.append((round(sim.now, 2), len(sim.module.in_force)))
 
     def begin(node: Node, _: DiscoveryClient) -> None:
-        world.task = node.loop.create_task(take_over(node))
-        world.connections[0].send_chunk(data[:700], first=False)
+        sim.task = node.loop.create_task(take_over(node))
+        sim.connections[0].send_chunk(data[:700], first=False)
         if rest_at is not None:
-            node.loop.call_at(rest_at, lambda: world.connections[0].send_chunk(data[700:], first=False))
+            node.loop.call_at(rest_at, lambda: sim.connections[0].send_chunk(data[700:], first=False))
 
-    world.run_steps(begin, seconds=4.0)
+    sim.run_steps(begin, seconds=4.0)
     assert seen == [(listens_at, 30 if rest_at else 0)]
 
 
 def test_an_empty_line_behind_a_long_list_waits_for_it(tmp_path: Path) -> None:
-    world, seen = LongListWorld(tmp_path), list[bool]()
+    sim, seen = LongListSimulation(tmp_path), list[bool]()
 
     def send(node: Node, _: DiscoveryClient) -> None:
-        world.module.on_update = lambda _: seen.append(node.endpoints_received.is_set())
-        world.connections[0].send_chunk(encode(complete_list(8, 30)) + b"\n\n", first=False)
+        sim.module.on_update = lambda _: seen.append(node.endpoints_received.is_set())
+        sim.connections[0].send_chunk(encode(complete_list(8, 30)) + b"\n\n", first=False)
 
-    node = world.run_steps(send)
-    assert seen and not any(seen) and node.endpoints_received.is_set() and world.applied == [8]
+    node = sim.run_steps(send)
+    assert seen and not any(seen) and node.endpoints_received.is_set() and sim.applied == [8]
 
 
 def test_an_empty_line_alone_confirms_the_list(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
-    node = world.run_steps(lambda *_: world.connections[0].send_chunk(b"\n", first=False))
-    assert node.endpoints_received.is_set() and world.applied == [-1]
+    sim = LongListSimulation(tmp_path)
+    node = sim.run_steps(lambda *_: sim.connections[0].send_chunk(b"\n", first=False))
+    assert node.endpoints_received.is_set() and sim.applied == [-1]
 
 
 def test_a_pause_is_as_long_as_the_slice_before_it(tmp_path: Path) -> None:
-    world, at = LongListWorld(tmp_path), list[float]()
-    world.module.on_update = lambda _: at.append(world.now)
+    sim, at = LongListSimulation(tmp_path), list[float]()
+    sim.module.on_update = lambda _: at.append(sim.now)
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
         node.scheduler.skips_pauses = False
@@ -224,13 +222,13 @@
         assert discovery.watch_call is not None
         discovery.receiver.apply(discovery.watch_call, complete_list(8, 30))
 
-    world.run_steps(send)
+    sim.run_steps(send)
     assert len(at) == 15
     assert [round(b - a, 6) for a, b in pairwise(at)] == [0.003] * 14
 
 
 def test_a_complete_list_of_discovery_supersedes_cached_and_repeated_updates(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
 
     def put(node: Node, _: DiscoveryClient) -> None:
         node.update_endpoints(complete_list(8, 30, b3=REMOVED), ListUpdateKind.SNAPSHOT)
@@ -239,57 +237,57 @@
             EndpointUpdate(7, False, (member("b3"),), is_repeated=True), ListUpdateKind.DELTA
         )
 
-    world.run_steps(put, seconds=2.0)
-    assert world.module.in_force == dict.fromkeys((f"b{i}" for i in range(30) if i != 3), IN_SERVICE)
+    sim.run_steps(put, seconds=2.0)
+    assert sim.module.in_force == dict.fromkeys((f"b{i}" for i in range(30) if i != 3), IN_SERVICE)
 
 
 def test_a_delta_of_discovery_is_applied_after_a_cached_list_that_is_put_later(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
 
     def put(node: Node, _: DiscoveryClient) -> None:
         node.update_endpoints(complete_list(7, 30), ListUpdateKind.CACHED)
         node.update_endpoints(delta(8, b1=IN_SERVICE, b4=REMOVED), ListUpdateKind.DELTA)
         node.update_endpoints(complete_list(7, 30, b1=DRAINING, b2=DRAINING), ListUpdateKind.CACHED)
 
-    world.run_steps(put, seconds=2.0)
-    assert world.applied == [8]
-    assert "b4" not in world.module.in_force
-    assert [world.module.in_force[name] for name in ("b1", "b2", "b3")] == [IN_SERVICE, DRAINING, IN_SERVICE]
+    sim.run_steps(put, seconds=2.0)
+    assert sim.applied == [8]
+    assert "b4" not in sim.module.in_force
+    assert [sim.module.in_force[name] for name in ("b1", "b2", "b3")] == [IN_SERVICE, DRAINING, IN_SERVICE]
 
 
 def test_updates_put_while_one_is_reported_are_applied_in_order(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
 
     def send(node: Node, _: DiscoveryClient) -> None:
         def list_received(update: EndpointUpdate, kind: ListUpdateKind) -> None:
-            world.applied.append(update.revision)
+            sim.applied.append(update.revision)
             if update.revision == 8:
                 node.update_endpoints(delta(9, b0=REMOVED), ListUpdateKind.DELTA)
                 node.update_endpoints(complete_list(10, 20), ListUpdateKind.SNAPSHOT)
                 node.update_endpoints(delta(11, b1=REMOVED), ListUpdateKind.DELTA)
 
         cast(Any, node.fleet).list_received = list_received
-        world.send(complete_list(8, 30))(node, _)
+        sim.send(complete_list(8, 30))(node, _)
 
-    world.run_steps(send)
-    assert world.applied == [8, 9, 10, 11]
-    assert world.module.in_force == dict.fromkeys((f"b{i}" for i in range(20) if i != 1), IN_SERVICE)
+    sim.run_steps(send)
+    assert sim.applied == [8, 9, 10, 11]
+    assert sim.module.in_force == dict.fromkeys((f"b{i}" for i in range(20) if i != 1), IN_SERVICE)
 
 
 def test_an_exception_while_a_list_is_applied_does_not_block_the_next(tmp_path: Path) -> None:
-    world = LongListWorld(tmp_path)
+    sim = LongListSimulation(tmp_path)
 
     def fail_once(node: Node, _: DiscoveryClient) -> None:
         def fails(*_: object) -> None:
-            cast(Any, node.fleet).list_received = lambda update, kind: world.applied.append(update.revision)
+            cast(Any, node.fleet).list_received = lambda update, kind: sim.applied.append(update.revision)
             raise RuntimeError
 
         cast(Any, node.fleet).list_received = fails
-        world.loop.set_exception_handler(lambda loop, context: None)
-        world.send(complete_list(8, 30))(node, _)
+        sim.loop.set_exception_handler(lambda loop, context: None)
+        sim.send(complete_list(8, 30))(node, _)
 
-    world.run_steps(fail_once, world.send(complete_list(9, 31)))
-    assert world.applied == [9] and len(world.module.in_force) == 31
+    sim.run_steps(fail_once, sim.send(complete_list(9, 31)))
+    assert sim.applied == [9] and len(sim.module.in_force) == 31
 
 
 NAMES = [f"b{i}" for i in range(14)]
@@ -308,17 +306,17 @@
     tmp_path: Path, updates: list[tuple[tuple[bool, dict[str, EndpointPhase]], int, int]]
 ) -> None:
     """No backend that the last update stops is put into service after it."""
-    world, expected = LongListWorld(tmp_path), dict[str, EndpointPhase]()
+    sim, expected = LongListSimulation(tmp_path), dict[str, EndpointPhase]()
 
     async def run_node() -> None:
-        node = world.node(world.config)
+        node = sim.node(sim.config)
         last = dict[str, EndpointPhase]()
 
         def check_batch(_: int) -> None:
-            batch = world.module.updates[-1][1]
+            batch = sim.module.updates[-1][1]
             assert not any(phase is IN_SERVICE and last.get(name) is REMOVED for name, phase in batch.items())
 
-        world.module.on_update = check_batch
+        sim.module.on_update = check_batch
         for number, ((complete, phases), slices, port) in enumerate(updates, 1):
             members = tuple(member(name, phase, port=port) for name, phase in phases.items())
             last = phases if not complete else dict.fromkeys(NAMES, REMOVED) | phases
@@ -332,15 +330,15 @@
         while node.endpoint_updater.pending:
             await asyncio.sleep(0)
         in_force = {name: phase for name, phase in expected.items() if phase is not REMOVED}
-        assert world.module.in_force == in_force
+        assert sim.module.in_force == in_force
         assert {name: m.phase is IN_SERVICE for name, m in node.pool.members.items()} == {
             name: phase is IN_SERVICE for name, phase in in_force.items()
         }
         assert node.pool.in_service_count == sum(phase is IN_SERVICE for phase in in_force.values())
-        assert not updates or world.applied[-1] == len(updates)
+        assert not updates or sim.applied[-1] == len(updates)
         cast(DiscoveryClient, node.discovery).watch(False)
 
     try:
-        world.loop.run_until_complete(run_node())
+        sim.loop.run_until_complete(run_node())
     finally:
-        world.loop.close()
+        sim.loop.close()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -13,7 +13,7 @@
 from balancer.net.rate_limited_log import PERIOD_S, RateLimitedLog
 from balancer.net.request_log import RequestLog
 from tests.helpers import entry, member
-from tests.virtual_discovery import DiscoveryWorld
+from tests.virtual_discovery import DiscoverySimulation
 
 HERE = "127.0.0.1:9"
 
@@ -78,8 +78,8 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    world = DiscoveryWorld(tmp_path, False, "goes_silent", "connection_refused", "rejects", "healthy")
-    world.run(20)
+    sim = DiscoverySimulation(tmp_path, False, "goes_silent", "connection_refused", "rejects", "healthy")
+    sim.run(20)
     lines = [line for line in caplog.messages if line.startswith(("discovery: call", "list: revision"))]
     target = "127.0.0.1:1 for /discovery/hosts?watch=1&from="
     names = " ".join(f"b{i}" for i in range(MAX_NAMES_PER_CHANGE))
