--- a/tests/long_lists.py
+++ b/tests/long_lists.py
@@ -1,4 +1,4 @@
-"""A node in virtual time that gets long lists: limits are so small that a few entries are many."""
+"""Simulate in virtual time a node that receives long lists; low limits make short lists count as long."""
 
 from __future__ import annotations
 
@@ -21,38 +21,39 @@
 from balancer.net.node import Node
 from balancer.net.node_ports import FleetServices
 from balancer.policy import Balancer
-from tests.helpers import member as listed_at
+from tests.helpers import member as member_at
 from tests.virtual_discovery import DiscoverySimulation
 
 IN_SERVICE = EndpointPhase.IN_SERVICE
 DRAINING = EndpointPhase.DRAINING
 REMOVED = EndpointPhase.REMOVED
-PHASE_WORDS = {phase: word for word, phase in PHASES.items()}
-MAX_SHORT = 4  # entries of an update that is applied at once
-BATCH = 2  # entries
+PHASE_NAMES = {phase: name for name, phase in PHASES.items()}
+MAX_SHORT_ENTRIES = 4  # updates of up to this many entries are applied at once
+BATCH_ENTRIES = 2
 
 
 @pytest.fixture
 def small_limits(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Set limits so small that a list of a few entries is a long one."""
+    """Lower the limits so that a list of a few entries counts as long."""
     monkeypatch.setattr(json_stream, "LONG_OBJECT_BYTES", 100)
     monkeypatch.setattr(list_layout, "MIN_RUN_BYTES", 100)
     monkeypatch.setattr(list_layout, "ROWS_PER_MATCH", 2)
     monkeypatch.setattr(list_layout, "RUNS_PER_SLICE", 1)
-    monkeypatch.setattr(endpoint_updater, "MAX_SHORT_UPDATE_ENTRIES", MAX_SHORT)
-    monkeypatch.setattr(endpoint_updater, "BATCH_ENTRIES", BATCH)
+    monkeypatch.setattr(endpoint_updater, "MAX_SHORT_UPDATE_ENTRIES", MAX_SHORT_ENTRIES)
+    monkeypatch.setattr(endpoint_updater, "BATCH_ENTRIES", BATCH_ENTRIES)
     monkeypatch.setattr(endpoint_updater, "ENTRIES_COMPARED_PER_SLICE", 5)
     yield
 
 
 class FakeModule:
-    """Stands in for the decision module: records the updates that it gets."""
+    """Stands in for the decision module and records the updates that it receives."""
 
     def __init__(self) -> None:
         self.phases: dict[str, EndpointPhase] = {}
         self.entries: dict[str, api.Endpoint] = {}
         self.updates = list[tuple[ListUpdateKind, dict[str, EndpointPhase]]]()
-        self.on_update: Callable[[int], None] = lambda count: None  # with the number of updates
+        # Called after each update with the number of updates so far.
+        self.on_update: Callable[[int], None] = lambda count: None
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.ListUpdate) and event.kind is not ListUpdateKind.FAILED:
@@ -73,11 +74,11 @@
 def member(name: str, phase: EndpointPhase = IN_SERVICE, **over: Any) -> Member:
     port = over.pop("port", 9)
     entry = replace(api.Endpoint(name, "a", 0, 1.0, phase, 0.0), **over)
-    return listed_at(entry, f"127.0.0.1:{port}")
+    return member_at(entry, f"127.0.0.1:{port}")
 
 
 def complete_list(revision: int, number: int, **phases: EndpointPhase) -> EndpointUpdate:
-    """Return a complete list of b0, b1, ..., some of them in another phase."""
+    """Return a complete list of b0, b1, ..., in service except for the given phases."""
     phases_by_id = dict.fromkeys((f"b{i}" for i in range(number)), IN_SERVICE) | phases
     return EndpointUpdate(
         revision, True, tuple(member(*one) for one in phases_by_id.items() if one[1] is not REMOVED)
@@ -85,14 +86,14 @@
 
 
 def delta(revision: int, **phases: EndpointPhase) -> EndpointUpdate:
-    """Return an event that changes the phases of some members."""
+    """Return a watch event that changes the phases of some members."""
     return EndpointUpdate(revision, False, tuple(member(name, phase) for name, phase in phases.items()))
 
 
 def encode(update: EndpointUpdate) -> bytes:
-    """Return an update as discovery sends it."""
+    """Return an update as JSON, as discovery sends it."""
     members = [
-        {"id": m.backend, "host_port": f"{m.address[0]}:{m.address[1]}", "phase": PHASE_WORDS[m.phase],
+        {"id": m.backend, "host_port": f"{m.address[0]}:{m.address[1]}", "phase": PHASE_NAMES[m.phase],
          "locality": m.zone} for m in update.members
     ]  # fmt: skip
     table = {"revision": update.revision, "complete": update.complete, "members": members}
@@ -100,16 +101,17 @@
 
 
 class LongListSimulation(DiscoverySimulation):
-    """A node with a fake decision module, and a discovery that sends what the test says."""
+    """A node with a fake decision module, and a discovery that sends the updates of the test."""
 
     def __init__(self, path: Path, *behaviours: str) -> None:
         super().__init__(path, False, *(behaviours or ("headers_only",)))
         self.module = FakeModule()
-        self.applied = list[int]()  # revisions, as they came into force; -1: an empty line
+        # The revisions in the order in which they came into force, and -1 for each confirmation.
+        self.applied = list[int]()
         self.task: asyncio.Task[None] | None = None
 
-    def node(self, held: config.Config) -> Node:
-        node = super().node(held)
+    def node(self, node_config: config.Config) -> Node:
+        node = super().node(node_config)
         node.balancer = cast(Balancer, self.module)
         self.module.updates.clear()
         fleet = SimpleNamespace(
@@ -120,7 +122,7 @@
         return node
 
     def run_steps(self, *steps: Callable[[Node, DiscoveryClient], None], seconds: float = 1.0) -> Node:
-        """Run each step a second after the one before, then for so many seconds."""
+        """Run the steps at intervals of 1 s, then continue for a number of seconds."""
 
         def begin(discovery: DiscoveryClient) -> None:
             for i, step in enumerate(steps):
@@ -133,17 +135,17 @@
 
 
 def batches(sim: LongListSimulation) -> list[dict[str, EndpointPhase]]:
-    """Return the batches that the module has got, as phases by id."""
+    """Return the batches that the decision module has received, as maps from id to phase."""
     return [phases_by_id for _, phases_by_id in sim.module.updates]
 
 
-class Clock:
-    """A processor clock that advances by the same step at each reading."""
+class FakeCpuClock:
+    """A fake CPU clock that advances by a fixed step at each reading."""
 
-    def __init__(self, step: float) -> None:
-        self.step = step
+    def __init__(self, step_s: float) -> None:
+        self.step_s = step_s
         self.used = 0.0
 
     def __call__(self) -> float:
-        self.used += self.step
+        self.used += self.step_s
         return self.used
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list applied in slices, and what arrives while one is applied."""
+"""Test updates of the endpoint list that are applied in slices, and updates that arrive meanwhile."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from balancer.net.takeover import prepare_takeover
 from balancer.policy import Balancer
 from tests.long_lists import (
-    BATCH,
+    BATCH_ENTRIES,
     DRAINING,
     IN_SERVICE,
-    MAX_SHORT,
+    MAX_SHORT_ENTRIES,
     REMOVED,
-    Clock,
+    FakeCpuClock,
     LongListSimulation,
     batches,
     complete_list,
@@ -38,7 +38,7 @@
 pytestmark = pytest.mark.usefixtures("small_limits")
 
 
-def test_a_long_list_is_in_force_and_reported_after_many_slices(tmp_path: Path) -> None:
+def test_a_long_list_is_reported_once_all_slices_are_applied(tmp_path: Path) -> None:
     sim, seen = LongListSimulation(tmp_path), list[tuple[bool, bool, int]]()
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
@@ -50,13 +50,13 @@
     node = sim.run_steps(send)
     assert {ready for ready, _, _ in seen} == {fresh for _, fresh, _ in seen} == {False}
     assert node.has_endpoints and node.endpoints_received.is_set() and sim.applied == [8]
-    assert len(batches(sim)) == 15 and max(map(len, batches(sim))) == BATCH
+    assert len(batches(sim)) == 15 and max(map(len, batches(sim))) == BATCH_ENTRIES
     assert {kind for kind, _ in sim.module.updates} == {ListUpdateKind.DELTA}
     assert sim.module.in_force == dict.fromkeys((f"b{i}" for i in range(30)), IN_SERVICE)
     assert node.pool.members.keys() == sim.module.in_force.keys() and node.pool.in_service_count == 30
 
 
-def test_stopped_backends_go_first_and_unchanged_ones_are_not_sent(tmp_path: Path) -> None:
+def test_drained_and_removed_backends_are_sent_first_and_unchanged_ones_not_at_all(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
     sim.run_steps(
         sim.send(complete_list(8, 30)),
@@ -66,10 +66,10 @@
     sent = [item for batch in batches(sim) for item in batch.items()]
     assert sent[:3] == [("b3", REMOVED), ("b5", REMOVED), ("b4", DRAINING)]
     assert sent[3:-1] == [(f"b{i}", IN_SERVICE) for i in range(30, 40) if i != 31]
-    assert sent[-1] == ("b31", DRAINING)  # it is new and has nothing to stop
+    assert sent[-1] == ("b31", DRAINING)  # draining a new backend is not urgent
 
 
-def test_the_module_gets_a_long_list_without_changes(tmp_path: Path) -> None:
+def test_a_long_list_without_changes_sends_one_empty_batch(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
     sim.run_steps(
         sim.send(complete_list(8, 30)),
@@ -79,7 +79,7 @@
     assert sim.module.updates == [(ListUpdateKind.DELTA, {})] and sim.applied == [8, 9]
 
 
-def test_an_id_with_another_address_or_zone_is_sent(tmp_path: Path) -> None:
+def test_a_member_with_a_changed_address_or_zone_is_sent(tmp_path: Path) -> None:
     moved = EndpointUpdate(
         9, True, (member("b0", port=10), member("b1", zone="b"), *complete_list(9, 30).members[2:])
     )
@@ -91,7 +91,7 @@
     assert node.pool.members["b0"].address == ("127.0.0.1", 10) and sim.module.entries["b1"].zone == "b"
 
 
-def test_only_the_first_batch_of_a_cached_list_makes_the_module_poll(tmp_path: Path) -> None:
+def test_only_the_first_batch_of_a_cached_list_is_marked_as_cached(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
     cached = EndpointUpdate(7, True, (member("b0", DRAINING), *complete_list(7, 30).members[1:]))
     fresh = list[bool]()
@@ -106,11 +106,12 @@
     sim.loop.run_until_complete(run_node())
     sim.loop.close()
     assert [kind for kind, _ in sim.module.updates] == [ListUpdateKind.CACHED] + [ListUpdateKind.DELTA] * 15
-    assert IN_SERVICE in batches(sim)[0].values()  # the module polls where a backend is in service
+    # The decision module calls discovery on a cached list only if a backend in it is in service.
+    assert IN_SERVICE in batches(sim)[0].values()
     assert fresh == [False, True] and len(sim.module.in_force) == 30
 
 
-def test_a_delta_waits_for_the_list_but_stops_backends_at_once(tmp_path: Path) -> None:
+def test_a_delta_during_a_list_drains_and_removes_backends_at_once(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
 
     newer = encode(delta(9, b0=REMOVED, b29=REMOVED, b28=DRAINING, b40=IN_SERVICE))
@@ -118,7 +119,7 @@
         sim.connections[0].send_chunk(newer, first=False) if batch == 5 else None
     )
     sim.run_steps(sim.send(complete_list(8, 30)))
-    sent = batches(sim)  # the delta, too, is long enough to be decoded in slices
+    sent = batches(sim)  # the delta is also long enough to be decoded in slices
     assert 5 <= sent.index({"b0": REMOVED}) <= 8 and any("b27" in batch for batch in sent[9:])
     assert not any(batch.get("b29") is IN_SERVICE or batch.get("b28") is IN_SERVICE for batch in batches(sim))
     assert sim.applied == [8, 9]
@@ -126,7 +127,7 @@
     assert sim.module.in_force == dict.fromkeys(in_service, IN_SERVICE) | {"b28": DRAINING}
 
 
-def test_a_backend_that_is_stopped_and_started_by_pending_deltas_is_in_service(tmp_path: Path) -> None:
+def test_a_backend_removed_and_restored_by_pending_deltas_is_in_service(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
     later = [
         delta(9, b0=REMOVED, b29=REMOVED),
@@ -140,7 +141,7 @@
     )
 
 
-def test_a_newer_complete_list_supersedes_one_that_is_being_applied(tmp_path: Path) -> None:
+def test_a_newer_complete_list_supersedes_the_one_being_applied(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
     newer = encode(complete_list(9, 12, b1=REMOVED))
     sim.module.on_update = lambda batch: (
@@ -150,12 +151,12 @@
     assert sim.applied == [9] and sim.module.in_force.keys() == {"b0", *(f"b{i}" for i in range(2, 12))}
     assert node.pool.members.keys() == sim.module.in_force.keys()
     names = [name for batch in batches(sim) for name in batch]
-    assert len(names) < 30 and names.count("b0") == 1  # the rest of the older one was never sent
+    assert len(names) < 30 and names.count("b0") == 1  # the rest of the older list must not be sent
 
 
 @pytest.mark.parametrize("slices", range(20))
-def test_a_backend_removed_by_both_list_and_delta_is_removed_once(tmp_path: Path, slices: int) -> None:
-    """A list that leaves out a backend must not fail because the backend was removed meanwhile."""
+def test_a_backend_removed_by_a_list_and_a_delta_is_removed_once(tmp_path: Path, slices: int) -> None:
+    """Guards against an error when a list omits a backend that a delta removes while the list is applied."""
     sim = LongListSimulation(tmp_path)
 
     def send(node: Node, _: DiscoveryClient) -> None:
@@ -174,10 +175,10 @@
 
 
 @pytest.mark.parametrize(("rest_at", "listens_at"), [(2.1, 2.1), (None, 3.1)])
-def test_a_process_that_takes_over_listens_once_a_long_list_is_in_force(
+def test_a_successor_listens_once_a_long_list_is_in_force(
     tmp_path: Path, rest_at: float | None, listens_at: float
 ) -> None:
-    """Where the list stays incomplete, it listens in time with the cached one."""
+    """If the list stays incomplete, the successor listens with the cached list after the timeout."""
     sim, data = LongListSimulation(tmp_path), encode(complete_list(8, 30))
     seen = list[tuple[float, int]]()
 
@@ -195,7 +196,7 @@
     assert seen == [(listens_at, 30 if rest_at else 0)]
 
 
-def test_an_empty_line_behind_a_long_list_waits_for_it(tmp_path: Path) -> None:
+def test_an_empty_line_after_a_long_list_is_processed_after_it(tmp_path: Path) -> None:
     sim, seen = LongListSimulation(tmp_path), list[bool]()
 
     def send(node: Node, _: DiscoveryClient) -> None:
@@ -206,7 +207,7 @@
     assert seen and not any(seen) and node.endpoints_received.is_set() and sim.applied == [8]
 
 
-def test_an_empty_line_alone_confirms_the_list(tmp_path: Path) -> None:
+def test_an_empty_line_confirms_the_current_list(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
     node = sim.run_steps(lambda *_: sim.connections[0].send_chunk(b"\n", first=False))
     assert node.endpoints_received.is_set() and sim.applied == [-1]
@@ -218,7 +219,7 @@
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
         node.scheduler.skips_pauses = False
-        node.scheduler.clock = Clock(0.003)
+        node.scheduler.clock = FakeCpuClock(0.003)
         assert discovery.watch_call is not None
         discovery.receiver.apply(discovery.watch_call, complete_list(8, 30))
 
@@ -241,7 +242,7 @@
     assert sim.module.in_force == dict.fromkeys((f"b{i}" for i in range(30) if i != 3), IN_SERVICE)
 
 
-def test_a_delta_of_discovery_is_applied_after_a_cached_list_that_is_put_later(tmp_path: Path) -> None:
+def test_a_delta_of_discovery_is_applied_after_a_later_cached_list(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
 
     def put(node: Node, _: DiscoveryClient) -> None:
@@ -255,7 +256,7 @@
     assert [sim.module.in_force[name] for name in ("b1", "b2", "b3")] == [IN_SERVICE, DRAINING, IN_SERVICE]
 
 
-def test_updates_put_while_one_is_reported_are_applied_in_order(tmp_path: Path) -> None:
+def test_updates_put_by_the_callback_of_an_applied_one_are_applied_in_order(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
 
     def send(node: Node, _: DiscoveryClient) -> None:
@@ -274,7 +275,7 @@
     assert sim.module.in_force == dict.fromkeys((f"b{i}" for i in range(20) if i != 1), IN_SERVICE)
 
 
-def test_an_exception_while_a_list_is_applied_does_not_block_the_next(tmp_path: Path) -> None:
+def test_an_exception_while_a_list_is_applied_does_not_block_the_next_list(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
 
     def fail_once(node: Node, _: DiscoveryClient) -> None:
@@ -292,7 +293,9 @@
 
 NAMES = [f"b{i}" for i in range(14)]
 LISTS = st.dictionaries(
-    st.sampled_from(NAMES), st.sampled_from([IN_SERVICE, IN_SERVICE, DRAINING]), min_size=MAX_SHORT + 1
+    st.sampled_from(NAMES),
+    st.sampled_from([IN_SERVICE, IN_SERVICE, DRAINING]),
+    min_size=MAX_SHORT_ENTRIES + 1,
 )
 CHANGES = st.dictionaries(
     st.sampled_from(NAMES), st.sampled_from([IN_SERVICE, DRAINING, REMOVED]), max_size=9
@@ -302,10 +305,10 @@
 
 @settings(max_examples=150, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(st.lists(st.tuples(UPDATES, st.integers(0, 6), st.integers(1, 3)), max_size=8))
-def test_updates_at_any_slice_end_as_if_each_were_applied_at_once(
+def test_updates_at_any_slice_have_the_same_result_as_if_applied_at_once(
     tmp_path: Path, updates: list[tuple[tuple[bool, dict[str, EndpointPhase]], int, int]]
 ) -> None:
-    """No backend that the last update stops is put into service after it."""
+    """Guards also against a backend that is put into service after the last update has removed it."""
     sim, expected = LongListSimulation(tmp_path), dict[str, EndpointPhase]()
 
     async def run_node() -> None:
--- a/tests/test_json_stream.py
+++ b/tests/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects out of a stream: cut anywhere, in any layout, sound or broken; time linear in the bytes."""
+"""Test splitting of a byte stream into JSON objects, for any chunks and layouts, and for malformed data."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 from balancer.net.json_stream import JsonSplitter, JsonStreamError
 
-MOST = 8 * 1024 * 1024
+MAX_BYTES = 8 * 1024 * 1024
 ROW = {"id": 'a"b\\', "x": "}{][\n\t", "y": "ü\u2028💥"}
-ODD: dict[str, Any] = {"revision": 7, "members": [ROW, {}, [], [[1, {"z": None}]]]}
+UNUSUAL_OBJECT: dict[str, Any] = {"revision": 7, "members": [ROW, {}, [], [[1, {"z": None}]]]}
 
 
-def cut(pieces: Iterable[bytes], most: int = MOST) -> list[Any]:
-    """What comes out, decoded; None for a mark that nothing is new."""
-    objects = JsonSplitter(most)
-    return [json.loads(item[:]) if item else None for piece in pieces for item in objects.feed(piece)]
+def split(chunks: Iterable[bytes], max_bytes: int = MAX_BYTES) -> list[Any]:
+    """Return the decoded objects of a stream, with None for each empty line."""
+    splitter = JsonSplitter(max_bytes)
+    return [json.loads(item[:]) if item else None for chunk in chunks for item in splitter.feed(chunk)]
 
 
-def parts(data: bytes, size: int) -> list[bytes]:
+def chunks_of(data: bytes, size: int) -> list[bytes]:
     return [data[i : i + size] for i in range(0, len(data), size)]
 
 
@@ -39,36 +39,39 @@
     st.lists(st.dictionaries(st.text(), VALUES), max_size=3), st.sampled_from([None, 0, 1, 4]), st.booleans(),
     st.sampled_from(["", "\n", "\r\n", "\n\n", " \r\n\t\n"]), st.lists(st.integers(0, 400)),
 )  # fmt: skip
-def test_any_objects_in_any_layout_come_out_whole_wherever_they_are_cut(
+def test_objects_in_any_layout_are_split_correctly_for_any_chunks(
     tables: list[Any], indent: int | None, ascii_only: bool, gap: str, cuts: list[int]
 ) -> None:
     data = "".join(json.dumps(t, indent=indent, ensure_ascii=ascii_only) + gap for t in tables)
     raw = data.replace("\n", "\r\n" if gap == "\r\n" else "\n").encode()
     ends = sorted({0, len(raw), *(c for c in cuts if c < len(raw))})
-    pieces = [raw[a:b] for a, b in pairwise(ends)]
-    assert [t for t in cut(pieces) if t is not None] == tables
-    assert [t for t in cut(parts(raw, 1)) if t is not None] == tables
+    chunks = [raw[a:b] for a, b in pairwise(ends)]
+    assert [t for t in split(chunks) if t is not None] == tables
+    assert [t for t in split(chunks_of(raw, 1)) if t is not None] == tables
 
 
-def test_each_single_cut_even_in_an_escape_or_a_character() -> None:
-    for raw in (json.dumps(ODD).encode(), json.dumps(ODD, indent=1, ensure_ascii=False).encode()):
+def test_an_object_may_be_cut_at_any_byte_even_in_an_escape_or_a_character() -> None:
+    for raw in (
+        json.dumps(UNUSUAL_OBJECT).encode(),
+        json.dumps(UNUSUAL_OBJECT, indent=1, ensure_ascii=False).encode(),
+    ):
         for at in range(len(raw) + 1):
-            assert cut([raw[:at], raw[at:]]) == [ODD]
+            assert split([raw[:at], raw[at:]]) == [UNUSUAL_OBJECT]
 
 
-def test_empty_lines_tell_that_nothing_is_new_only_between_objects() -> None:
-    assert cut([b"\n"]) == cut([b"\r\n"]) == cut([b" ", b"\n"]) == [None]
-    assert cut([b" ", b" \t"]) == []
-    assert cut([b"{}\n{}\n"]) == cut([b"{}", b"\r\n{}{}\n"])[:2] == [{}, {}]
-    assert cut([b"{}\n\n{}\n", b"\n"]) == [{}, None, {}, None]
-    assert cut([b'{"a":\n\n', b"\n\n", b"\n1}"]) == [{"a": 1}]
-    objects = JsonSplitter(MOST)
-    assert (list(objects.feed(b"\n{")), objects.is_between_objects) == ([b""], False)
-    assert (list(objects.feed(b"}")), objects.is_between_objects) == ([b"{}"], True)
+def test_empty_lines_are_reported_only_between_objects() -> None:
+    assert split([b"\n"]) == split([b"\r\n"]) == split([b" ", b"\n"]) == [None]
+    assert split([b" ", b" \t"]) == []
+    assert split([b"{}\n{}\n"]) == split([b"{}", b"\r\n{}{}\n"])[:2] == [{}, {}]
+    assert split([b"{}\n\n{}\n", b"\n"]) == [{}, None, {}, None]
+    assert split([b'{"a":\n\n', b"\n\n", b"\n1}"]) == [{"a": 1}]
+    splitter = JsonSplitter(MAX_BYTES)
+    assert (list(splitter.feed(b"\n{")), splitter.is_between_objects) == ([b""], False)
+    assert (list(splitter.feed(b"}")), splitter.is_between_objects) == ([b"{}"], True)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         b"nonsense", b"[1]", b'"a"', b"7", b"\xff", b"}",
         b'{"a":]}', b'{"a":[}', b'{"revision":4\n', b'{"revision":43,"complete"\n', b'{"revision":43,\n',
@@ -76,47 +79,47 @@
         b'{"revision":43,"members":[{"id":"s-5b"}\n', b'{"id":"\\\n',
     ],
 )  # fmt: skip
-def test_a_broken_object_shows_before_the_sound_one_behind_it_is_taken(bad: bytes) -> None:
-    sound = b'{"revision":44,"complete":false,"members":[{"id":"s-1"}]}\n'
+def test_a_malformed_object_is_detected_before_the_next_object_is_yielded(malformed: bytes) -> None:
+    valid = b'{"revision":44,"complete":false,"members":[{"id":"s-1"}]}\n'
     for size in (1, 7, 1000):
-        objects, out = JsonSplitter(MOST), []
+        splitter, out = JsonSplitter(MAX_BYTES), []
         with pytest.raises(JsonStreamError):
-            for piece in parts(b"{}\n" + bad + sound, size):
-                for item in objects.feed(piece):
+            for chunk in chunks_of(b"{}\n" + malformed + valid, size):
+                for item in splitter.feed(chunk):
                     out.append(item)
         assert out == [b"{}"]
 
 
-def test_blanks_cost_no_memory_and_do_not_make_an_object_too_long() -> None:
-    blanks = b" \r\n\t" * (2 * 1024 * 1024)
+def test_whitespace_takes_no_memory_and_does_not_count_towards_the_size_limit() -> None:
+    whitespace = b" \r\n\t" * (2 * 1024 * 1024)
     for head, tail in ((b"", b"{}"), (b"{", b"}"), (b'{"a": [1,', b"2]}")):
-        pieces = [head, *parts(blanks, 65_536), tail]
-        objects = JsonSplitter(64)
+        chunks = [head, *chunks_of(whitespace, 65_536), tail]
+        splitter = JsonSplitter(64)
         tracemalloc.start()
-        out = [item for piece in pieces for item in objects.feed(piece) if item]
+        out = [item for chunk in chunks for item in splitter.feed(chunk) if item]
         peak = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
         assert len(out) == 1 and json.loads(out[0][:]) == json.loads(head + tail)
         assert peak < 1024 * 1024
-    assert cut([b"\n" * MOST]) == [None]
+    assert split([b"\n" * MAX_BYTES]) == [None]
 
 
-def test_the_bytes_of_a_long_object_are_not_the_allocators() -> None:
-    """Guards against room for the longest list that is kept for ever once the list has been taken."""
+def test_a_long_object_is_buffered_outside_the_allocator() -> None:
+    """Guards against memory for the longest list that stays allocated after the list has been applied."""
     data = b'{"a":"' + b"x" * 6_000_000 + b'"}'
-    pieces, objects = parts(data, 65_536), JsonSplitter(MOST)
+    chunks, splitter = chunks_of(data, 65_536), JsonSplitter(MAX_BYTES)
     tracemalloc.start()
-    (whole,) = (item for piece in pieces for item in objects.feed(piece))
+    (whole,) = (item for chunk in chunks for item in splitter.feed(chunk))
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert isinstance(whole, mmap) and whole[:] == data and peak < 400_000
 
 
-def test_an_object_may_be_as_long_as_the_cap_and_no_longer_whole_or_in_pieces() -> None:
+def test_the_size_limit_of_an_object_holds_for_one_or_several_chunks() -> None:
     fits, longer = (b'{"a":"%b"}' % (b"x" * n) for n in (92, 93))
     for size in (9, 1000):
-        assert cut(parts(fits, size), most=100) == [json.loads(fits)]
+        assert split(chunks_of(fits, size), max_bytes=100) == [json.loads(fits)]
         with pytest.raises(JsonStreamError):
-            cut(parts(longer, size), most=100)
+            split(chunks_of(longer, size), max_bytes=100)
     with pytest.raises(JsonStreamError):
-        cut([b'{"a":' + b"[" * 100])
+        split([b'{"a":' + b"[" * 100])
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Long lists received by calls of discovery: decoding in slices, resets, moves and limits."""
+"""Test long lists received by discovery calls: decoding in slices, resets, address changes and limits."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests import test_discovery, test_discovery_moves, virtual_discovery
 from tests.long_lists import (
     REMOVED,
-    Clock,
+    FakeCpuClock,
     LongListSimulation,
     batches,
     complete_list,
@@ -29,7 +29,7 @@
 __all__ = ["all_longest_draws", "longest_draws", "small_limits"]  # fixtures
 pytestmark = pytest.mark.usefixtures("small_limits")
 
-# What holds for short lists holds for long ones, with the bounds below.
+# These tests of short lists must hold for long lists as well, with the limits of `small_limits`.
 test_silence = test_discovery.test_events_missed_by_a_silent_watch_are_received_by_the_deadline
 test_slow = test_discovery.test_a_slow_list_is_received_with_few_calls
 test_malformed = test_discovery.test_malformed_lists_cause_few_calls_and_log_lines
@@ -41,7 +41,10 @@
 
 @pytest.mark.parametrize("batches_before", [None, 0, 5])
 def test_a_list_received_before_a_reset_is_applied(tmp_path: Path, batches_before: int | None) -> None:
-    """While it is decoded (None: with the next one begun), or taken."""
+    """Guards against a reset that drops a list while it is decoded or applied.
+
+    With None the next list has already begun.
+    """
     sim = LongListSimulation(tmp_path, "headers_only", "no_response")
 
     def send(node: Node, _: DiscoveryClient) -> None:
@@ -66,7 +69,7 @@
     assert len(sim.requests) > 1
 
 
-def test_a_malformed_long_list_leaves_the_last_one_in_force(
+def test_a_malformed_long_list_leaves_the_current_list_in_force(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     sim = LongListSimulation(tmp_path, "headers_only", "no_response")
@@ -88,7 +91,7 @@
 
     def slow(node: Node, _: DiscoveryClient) -> None:
         node.scheduler.skips_pauses = False
-        node.scheduler.clock = Clock(0.2)  # each slice takes so long, and a pause as well
+        node.scheduler.clock = FakeCpuClock(0.2)  # each slice takes 0.2 s and is followed by a pause of 0.2 s
         sim.send(complete_list(8, 60))(node, _)
         sim.connections[0].send_empty_lines(sim.now, 40)
 
@@ -97,8 +100,10 @@
 
 
 @pytest.mark.parametrize("batch_number", [None, 5])
-def test_a_list_received_before_a_move_is_applied(tmp_path: Path, batch_number: int | None) -> None:
-    """Decoded or taken then: it came whole and counts as told, so the next call goes on from it."""
+def test_a_list_received_before_an_address_change_is_applied(
+    tmp_path: Path, batch_number: int | None
+) -> None:
+    """Guards against an address change that drops a received list while it is decoded or applied."""
     sim = LongListSimulation(tmp_path, "headers_only", "headers_only", "no_response")
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
@@ -115,7 +120,7 @@
     assert len(sim.module.in_force) == 29
 
 
-def test_a_list_that_is_not_decoded_when_the_watch_is_stopped_is_dropped(tmp_path: Path) -> None:
+def test_a_list_not_yet_decoded_when_the_watch_stops_is_dropped(tmp_path: Path) -> None:
     sim = LongListSimulation(tmp_path)
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
@@ -127,7 +132,7 @@
 
 
 def test_a_long_list_received_by_two_calls_is_applied_once(tmp_path: Path) -> None:
-    """The slow one and the next: whichever is whole first goes on, and the other one is closed."""
+    """Two calls receive the same list: the first to complete it stays open, and the other is closed."""
     sim = LongListSimulation(tmp_path, "endless_object", "headers_only", "no_response")
 
     def send(node: Node, discovery: DiscoveryClient) -> None:
@@ -137,14 +142,14 @@
         sim.connections[1].send_chunk(encode(complete_list(8, 30)), first=False)
 
     sim.run(5, lambda discovery: cast(None, sim.loop.call_at(4.0, send, discovery.node, discovery)))
-    assert sim.applied == [9] and len(sim.module.in_force) == 30  # the slow one has that revision
+    assert sim.applied == [9] and len(sim.module.in_force) == 30  # the list of the slow call has revision 9
     assert [line.was_open_at(4.5) for line in sim.connections] == [True, False]
 
 
-def test_the_limit_of_an_object_follows_from_the_memory(
+def test_the_size_limit_of_an_object_follows_from_the_memory_limit(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A list of 70,000 has 10,434,719 bytes."""
+    """A list of 70,000 members has 10,434,719 bytes and must fit the default memory limit."""
     assert max_object_bytes(192.0) >= 1.5 * 10_434_719 and max_object_bytes(16.0) == MIN_OBJECT_LIMIT_BYTES
     caplog.set_level(logging.INFO)
     sim = LongListSimulation(tmp_path, "headers_only", "no_response")
@@ -161,7 +166,7 @@
     assert sim.applied == [] and sim.requests[1][1].endswith("from=0")
 
 
-def test_a_list_of_seventy_thousand_in_chunks_of_any_size_is_applied(
+def test_a_list_of_70000_members_is_applied_for_any_chunk_size(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for where, name, value in (
@@ -191,17 +196,20 @@
     assert max(map(len, batches(sim))) == 128
 
 
-def test_a_long_chunk_is_parsed_in_slices_to_its_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also where the connection has ended by then, and where no HTTP stands behind it."""
+def test_a_long_chunk_is_parsed_completely_in_slices(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection ends before parsing does, and the chunk may be followed by bytes that are not HTTP."""
     monkeypatch.setattr(discovery_call, "MAX_SLICE_BYTES", 50)
-    for behind in (b"0\r\n\r\n", b"no HTTP\r\n"):
+    for trailing_bytes in (b"0\r\n\r\n", b"no HTTP\r\n"):
         sim, calls = LongListSimulation(tmp_path, "headers_only", "no_response"), list[int]()
 
         def send(
-            node: Node, watch: DiscoveryClient, sim: LongListSimulation = sim, behind: bytes = behind
+            node: Node,
+            watch: DiscoveryClient,
+            sim: LongListSimulation = sim,
+            trailing_bytes: bytes = trailing_bytes,
         ) -> None:
             text = encode(complete_list(8, 30)) + encode(delta(9, b0=REMOVED))
-            sim.connections[0].send_raw(b"%x\r\n%b\r\n" % (len(text), text) + behind)
+            sim.connections[0].send_raw(b"%x\r\n%b\r\n" % (len(text), text) + trailing_bytes)
             sim.connections[0].abort()
 
         def bytes_received(self: LivenessTimeout, now: float, calls: list[int] = calls) -> None:
