--- a/balancer/net/counts_log.py
+++ b/balancer/net/counts_log.py
@@ -1,4 +1,4 @@
-"""The counts line: every few seconds what the node did, its load and the lag of its event loop."""
+"""Counts line: a periodic log line with event counts, load and event loop lag."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 log = logging.getLogger(__name__)
 
-LAG_SAMPLE_INTERVAL_S = 1.0  # between two measurements of the event loop's lag
+LAG_SAMPLE_INTERVAL_S = 1.0
 SAMPLES_PER_LINE = 5
 
 
 class CountsLog:
-    """Periodic task of one node; a line is written while there is something to count."""
+    """Periodic task that writes the counts line of a node, unless nothing was counted."""
 
     def __init__(self, node: Node) -> None:
-        """Make the task of a node."""
+        """Create the task of a node."""
         self._node = node
-        self._lag_s = 0.0  # the longest since the last line
-        self._pulses = 0  # since the last line
+        self._max_lag_s = 0.0  # Longest event loop lag since the last counts line.
+        self._sample_count = 0  # Number of lag samples since the last counts line.
         self._defects = DefectLog(log, "counts")
 
     def start(self) -> None:
-        """Measure and log from now on."""
-        self._pulse(self._node.loop.time())
+        """Start measuring and logging."""
+        self._sample(self._node.loop.time())
 
-    def _pulse(self, due: float) -> None:
+    def _sample(self, due: float) -> None:
         node = self._node
         now = node.loop.time()
-        self._lag_s = max(self._lag_s, now - due)
-        self._pulses += 1
-        node.loop.call_at(now + LAG_SAMPLE_INTERVAL_S, self._pulse, now + LAG_SAMPLE_INTERVAL_S)
+        self._max_lag_s = max(self._max_lag_s, now - due)
+        self._sample_count += 1
+        node.loop.call_at(now + LAG_SAMPLE_INTERVAL_S, self._sample, now + LAG_SAMPLE_INTERVAL_S)
         if node.fleet is not None:
-            with self._defects.contain("the sample of learned state"):
+            with self._defects.contain("saving the learned state"):
                 node.fleet.save_learned(node.balancer.learned_state, node.now())
-        if self._pulses >= SAMPLES_PER_LINE and node.counts:
-            with self._defects.contain("the counts line"):
+        if self._sample_count >= SAMPLES_PER_LINE and node.counts:
+            with self._defects.contain("writing the counts line"):
                 self._write_line(now)
 
     def _write_line(self, now: float) -> None:
@@ -52,11 +52,11 @@
             " ".join(f"{name}={count}" for name, count in sorted(node.counts.items())),
             len(node.requests.open),
             node.pool.connection_count,
-            self._lag_s * 1000,
+            self._max_lag_s * 1000,
             node.endpoint_revision,
             now - node.last_discovery_at,
             node.balancer.gauge(),
         )
         node.counts.clear()
-        self._lag_s = 0.0
-        self._pulses = 0
+        self._max_lag_s = 0.0
+        self._sample_count = 0
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -1,4 +1,4 @@
-"""The node: drives the decision module with events, carries out its actions, keeps endpoints in force."""
+"""The node: passes events to the balancer, executes its actions, applies endpoint list updates."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class Node:
-    """One load-balancer node around one `Balancer`. It carries out decisions and makes none."""
+    """A load-balancing node: it executes the decisions of its `Balancer` and makes none itself."""
 
     def __init__(self, config: Config) -> None:
-        """Make a node that does not listen yet."""
+        """Create a node that is not listening yet."""
         self._apply_config(config)
         self.balancer = Balancer(config.settings, config.seed)
         self.loop = asyncio.get_running_loop()
-        # The clock is monotonic and set to Unix time once, at the start: it can read `up_since_ms` as it is.
+        # The clock is monotonic but starts at Unix time, so `up_since_ms` values can be compared with it.
         self._clock_offset = time.time() * 1000 - time.monotonic() * 1000
         self.statistics = RequestStatistics()
-        self.counts: Counter[str] = Counter()  # since the last counts line
+        self.counts: Counter[str] = Counter()  # Events since the last counts line.
         self.shared_path = shared_path(os.environ, "{}:{}".format(*config.listen))
         self.maintenance = MaintenanceFile(self.shared_path, self.apply_maintenance)
         self.memory = StreamMemory(config.memory_mb)
@@ -53,14 +53,17 @@
         )
         self.discovery: EndpointWatcher | None = None
         self.fleet: FleetServices | None = None
-        self.has_endpoints = False  # an endpoint has been in service
+        self.has_endpoints = False  # True once an endpoint has been in service.
         self.is_listening = False
         self.is_stopping = False
-        self.has_successor = False  # another process of this node takes over
-        self.endpoints_received = asyncio.Event()  # from discovery
+        self.has_successor = False  # True if another process of this node takes over at shutdown.
+        self.endpoints_received = (
+            asyncio.Event()
+        )  # Set once discovery has sent or confirmed the endpoint list.
         self.endpoint_revision = config.known.revision
-        self.last_discovery_at = -math.inf  # loop time of discovery's last response
-        self._is_failure_reported = False  # to the module, since discovery last said that nothing has changed
+        self.last_discovery_at = -math.inf  # Loop time in seconds of discovery's last response.
+        # True if the balancer was told of a discovery failure and discovery has not answered since.
+        self._is_failure_reported = False
         self._events: deque[api.Event] = deque()
         self._is_handling = False
 
@@ -70,43 +73,47 @@
         self.classes = {request_class.name: request_class for request_class in config.settings.classes}
 
     def reconfigure(self, config: Config) -> None:
-        """Apply a configuration that replaces the one in force."""
+        """Replace the current configuration."""
         self._apply_config(config)
         self.pool.configure(config.settings)
         self.handle_event(api.Reconfigured(config.settings))
         self.statistics.reloads += 1
 
     def now(self) -> float:
-        """Return the time in milliseconds; it never goes back."""
+        """Return the current time in ms on a clock that never goes back."""
         return self._clock_offset + time.monotonic() * 1000
 
     # --- events and actions
 
     def handle_event(self, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions; events made meanwhile are queued."""
+        """Pass an event to the balancer and execute its actions; events raised meanwhile are queued."""
         self._events.append(event)
         if self._is_handling:
             return
         self._is_handling = True
         try:
             while self._events:
-                self._handle(self._events.popleft())
+                self._dispatch(self._events.popleft())
         finally:
             self._is_handling = False
 
-    def _handle(self, event: api.Event) -> None:
-        """Carry out the decision on an event; one bad request must not end the node with all the others."""
+    def _dispatch(self, event: api.Event) -> None:
+        """Execute the decision on an event; an exception fails its request only, not the whole node."""
         try:
             actions = self.balancer.handle(self.now(), event)
         except Exception:
-            log.exception("decision on %s failed", type(event).__name__)
+            log.exception(
+                "decision on %s failed: its request, if it has one, is failed too", type(event).__name__
+            )
             self.requests.abandon(getattr(event, "request", ""))
             return
         for action in actions:
             try:
                 self._execute(action)
             except Exception:
-                log.exception("decision on %s failed", type(event).__name__)
+                log.exception(
+                    "decision on %s failed: its request, if it has one, is failed too", type(event).__name__
+                )
                 self.requests.abandon(getattr(action, "request", getattr(event, "request", "")))
 
     def _execute(self, action: api.Action) -> None:
@@ -131,29 +138,29 @@
             case api.WriteLog():
                 log.info("%s", action.text)
             case _:
-                log.error("not carried out: %r", action)
+                log.error("not carried out: no handler for action %r", action)
 
-    # --- admission of requests by the node itself
+    # --- admission control before the balancer
 
     @property
     def is_full(self) -> bool:
-        """Whether the node holds as many requests as it may."""
+        """Whether the maximum number of open requests is reached."""
         return len(self.requests.open) >= self.settings.max_open
 
     def count_over_limit(self, class_name: str) -> None:
-        """Count a request rejected before it was accepted, as the node or its listener is full."""
+        """Count a request that was rejected because the node or its listener is full."""
         self.counts["over_cap"] += 1
         self.statistics.record_outcome(RequestOutcome.REJECTED, class_name)
 
-    # --- operators
+    # --- status and maintenance for operators
 
     @property
     def is_up(self) -> bool:
-        """Whether the node serves; at an upgrade it does, whichever of its processes is asked."""
+        """Whether the node serves; during an upgrade both of its processes answer the same."""
         return self.has_endpoints and self.is_listening and (self.has_successor or not self.is_stopping)
 
     def unready_reason(self) -> str:
-        """Return why the process is not ready to serve, empty if it is."""
+        """Return why the process is not ready to serve, or an empty string if it is."""
         if self.is_stopping:
             return "stopping"
         if self.is_listening:
@@ -161,7 +168,7 @@
         return (self.fleet.startup_status() if self.fleet is not None else "") or "starting"
 
     async def set_maintenance(self, backend: str, is_out: bool) -> bool:
-        """Take a backend out or put it back; False if it was never listed. Raises BalancerError."""
+        """Start or end maintenance of a backend; return False for an unknown one. Raises BalancerError."""
         if not self.balancer.is_listed(backend) and not self.maintenance.is_known(backend):
             return False
         now = self.now()
@@ -177,20 +184,21 @@
                 lambda: self.fleet is None or self.fleet.confirms(backend, is_out),
             )
         except BalancerError:
-            if self.fleet is not None and is_change:  # the call fails: no later process may take it as done
+            # The change failed, so its record must be undone before a later process reads it.
+            if self.fleet is not None and is_change:
                 with contextlib.suppress(BalancerError):
                     await self.fleet.record_maintenance(backend, not is_out, now, is_change)
             raise
         return True
 
     def apply_maintenance(self, backend: str, is_out: bool, since: float) -> None:
-        """Apply that a backend was taken out, or put back at `since` (ms)."""
+        """Apply the start of a backend's maintenance, or its end at `since` (ms)."""
         log.info("maintenance: %s %s", backend, "is out" if is_out else "is back")
         self.pool.set_maintenance(backend, is_out)
         self.handle_event(api.MaintenanceChanged(backend, is_out, since))
 
     def stats(self) -> dict[str, object]:
-        """Return the statistics, in the form of `GET /stats`."""
+        """Return the statistics in the format of `GET /stats`."""
         table = self.statistics.table(list(self.classes)) | {
             "pending": self.requests.pending_count,
             "members": len(self.pool.members),
@@ -198,28 +206,29 @@
         }
         return table if self.fleet is None else table | {"fleet": self.fleet.stats()}
 
-    # --- endpoints
+    # --- the endpoint list
 
     def member(self, name: str) -> Member | None:
-        """Return what is in force of a backend."""
+        """Return the endpoint list entry of a backend, or None if it is not listed."""
         return self.pool.members.get(name)
 
     def update_endpoints(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
-        """Apply the endpoint list, or a change of it; long ones come into force later."""
+        """Apply a complete or partial update of the endpoint list; long updates take effect later."""
         if kind is not api.ListUpdateKind.CACHED:
             self.endpoint_revision = update.revision
             self.last_discovery_at = self.loop.time()
         self.endpoint_updater.put(update, kind)
 
     def endpoints_unchanged(self) -> None:
-        """Take note that discovery says that nothing has changed."""
+        """Handle discovery's response that the endpoint list has not changed."""
         self.last_discovery_at = self.loop.time()
         self.endpoint_updater.put(None, api.ListUpdateKind.DELTA)
 
     def _endpoints_updated(self, update: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
-        """Tell of an update that is in force; None for one without a change."""
+        """Report an update that has been applied; None means that nothing has changed."""
         if update is None:
-            if self._is_failure_reported:  # the module is to know that discovery answers
+            # An empty delta tells the balancer that discovery answers again after a failure.
+            if self._is_failure_reported:
                 self._is_failure_reported = False
                 self.handle_event(api.ListUpdate(api.ListUpdateKind.DELTA, []))
             if not self.endpoints_received.is_set() and self.fleet is not None:
@@ -233,7 +242,7 @@
         self.has_endpoints = self.has_endpoints or self.pool.in_service_count > 0
 
     def discovery_failed(self, reached: bool = False, queued: bool = False) -> None:
-        """Report that a call for the list has failed; see `api.DiscoveryFailure`."""
+        """Report a failed discovery call to the balancer; see `api.DiscoveryFailure`."""
         self._is_failure_reported = True
         silent_ms = (self.loop.time() - self.last_discovery_at) * 1000
         failure = api.DiscoveryFailure(silent_ms, reached, queued)
--- a/balancer/net/node_ports.py
+++ b/balancer/net/node_ports.py
@@ -1,4 +1,4 @@
-"""What the node asks of the parties around it: clients, the fleet's services, the watch of endpoints."""
+"""Interfaces through which the node uses clients, the fleet's services and the endpoint watcher."""
 
 from __future__ import annotations
 
@@ -11,67 +11,67 @@
 
 
 class Client(Protocol):
-    """Receiver of the response to one request."""
+    """Receiver of the responses to the requests of one client connection."""
 
     @property
     def has_disconnected(self) -> bool:
-        """Whether it has left unseen, as nothing is read from it now."""
+        """Whether the client has disconnected unnoticed because reading from it is paused."""
 
     def send_response(self, body: bytes, content_type: bytes) -> None:
-        """Send a backend's buffered response."""
+        """Send a response that was buffered completely."""
 
     def reject(self, retry_after_ms: float) -> None:
-        """Reject the request; 0 for no advice on a retry."""
+        """Reject the request; 0 means no advice on when to retry."""
 
     def fail(self) -> None:
-        """Send an error, or break off the streamed response."""
+        """Send an error response, or abort the streamed response in progress."""
 
     def begin_stream(self, backend: BackendConnection, size: int | None, content_type: bytes) -> None:
-        """Begin a streamed response from `backend`, whose body follows by `feed`."""
+        """Begin a streamed response from `backend`; calls of `feed` deliver its body."""
 
     def feed(self, data: bytes) -> None:
-        """Send a piece of the streamed response."""
+        """Send a chunk of the streamed response."""
 
     def finish_stream(self) -> None:
-        """Complete the streamed response."""
+        """Finish the streamed response."""
 
 
 class FleetServices(Protocol):
-    """The services that nodes of a fleet share: what the node asks of them, and what it tells them."""
+    """Services that the nodes of a fleet share, such as membership, recovery and durable state."""
 
     def stats(self) -> dict[str, object]:
-        """Return their part of the statistics."""
+        """Return the `fleet` section of the statistics."""
 
     def list_received(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> None:
-        """Take an update of the endpoint list."""
+        """Handle an update of the endpoint list."""
 
     def list_confirmed(self) -> None:
-        """Take note that the list in force is discovery's, before any update of it."""
+        """Handle discovery's first response saying that the current endpoint list has not changed."""
 
     def save_learned(self, export: Callable[[float], api.LearnedState], now: float) -> None:
-        """Save the learned state, which `export` returns, if that is due at `now` (ms)."""
+        """Save the learned state returned by `export` if a save is due at `now` (ms)."""
 
     async def record_maintenance(self, backend: str, is_out: bool, at: float, is_change: bool) -> None:
-        """Record a maintenance change, durably where that is configured.
+        """Record a maintenance change, durably if that is configured.
 
-        `is_change` tells whether it differs from what is in force. Raises BalancerError.
+        `is_change` is False if the backend is in that state already. Raises BalancerError.
         """
 
     def confirms(self, backend: str, is_out: bool) -> bool:
-        """Return whether a recorded maintenance change is still the newest that the tier knows of."""
+        """Return whether a recorded maintenance change is still the newest one known in the tier."""
 
     def list_request_failed(self) -> None:
-        """Take note that a call of discovery has ended or failed."""
+        """Handle the end or failure of a discovery call."""
 
     def startup_status(self) -> str:
-        """Return what the node's start waits for, empty if that is none of these services."""
+        """Return which of these services the start of the node waits for, or an empty string."""
 
 
 class EndpointWatcher(Protocol):
     """Source of the endpoint list."""
 
     def watch(self, on: bool) -> None:
-        """Start or stop watching."""
+        """Start or stop watching the endpoint list."""
 
     def fetch(self) -> None:
-        """Fetch the whole list once."""
+        """Fetch the complete endpoint list once."""
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -1,4 +1,4 @@
-"""One process of a node: its parts, its start alone or at a take-over, its end."""
+"""One process of a node: its components, its start alone or as a takeover, its shutdown."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 log = logging.getLogger(__name__)
 
 
-def fleet_of(config: Config) -> Fleet | None:
-    """Return the fleet's services if `PROXY_FLEET` names their file; else none of them is imported."""
+def create_fleet(config: Config) -> Fleet | None:
+    """Return the fleet's services if `PROXY_FLEET` names their file; import them only in that case."""
     if not os.environ.get("PROXY_FLEET"):
         return None
     from balancer.net.fleet import Fleet
@@ -41,23 +41,26 @@
 
 
 class NodeProcess:
-    """The parts of one process."""
+    """The components of one node process."""
 
     def __init__(self, config: Config) -> None:
-        """Make the parts. Raises ConfigError."""
+        """Create the components. Raises ConfigError."""
         self.config = config
         self.node = Node(config)
-        self.fleet = fleet_of(config)
-        self.known = config.known  # the endpoint list to begin with
-        self.recovered: LearnedStateRestored | None = None  # learned state that an earlier process has saved
+        self.fleet = create_fleet(config)
+        self.initial_list = (
+            config.known
+        )  # The process starts with this endpoint list, before discovery answers.
+        # Learned state that an earlier process has saved durably.
+        self.recovered_learned: LearnedStateRestored | None = None
         self.node.fleet = self.fleet
         if self.fleet is not None:
-            self.known = self.fleet.newest_list(config.known)
-            self.recovered = self.fleet.recovered_learned()
-        self.discovery = DiscoveryClient(self.node, config.discovery, self.known.revision)
+            self.initial_list = self.fleet.newest_list(config.known)
+            self.recovered_learned = self.fleet.recovered_learned()
+        self.discovery = DiscoveryClient(self.node, config.discovery, self.initial_list.revision)
         self.node.discovery = self.discovery
         if self.fleet is not None:
-            self.node.discovery = self.fleet.wrap_watcher(self.node, self.discovery, self.known)
+            self.node.discovery = self.fleet.wrap_watcher(self.node, self.discovery, self.initial_list)
         self.listener = Listener(self.node, config.limits_per_process(1)[0])
         self.console = Console(self.node)
         self.slots = ProcessSlots(self.node.shared_path, partial(handle_peer_change, self.node, self.fleet))
@@ -66,7 +69,7 @@
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then answer all accepted requests. Raises SlotError, OSError."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully. Raises SlotError, OSError."""
         self._handle_signals()
         has_peer = await self._open_console() if self.config.console is not None else False
         if self.fleet is not None:
@@ -88,7 +91,7 @@
         loop.add_signal_handler(signal.SIGHUP, reload, self.node, self.discovery, self.fleet)
 
     async def _open_console(self) -> bool:
-        """Open what only a node with a console has; returns whether another process of the node runs."""
+        """Open the console, slot and maintenance file; return whether another process of the node runs."""
         assert self.config.console is not None
         await self.console.listen(self.config.console)
         log.info("console on %s:%d", *self.console.address)
@@ -99,31 +102,31 @@
         return has_peer
 
     async def _load_endpoints(self) -> None:
-        """Begin with the endpoints known, and watch them."""
+        """Apply the initial endpoint list and start watching it."""
         node = self.node
-        node.update_endpoints(self.known, ListUpdateKind.CACHED)
+        node.update_endpoints(self.initial_list, ListUpdateKind.CACHED)
         if not self.config.settings.must_subscribe and node.discovery is not None:
             node.discovery.watch(True)
-        # What was learned is of backends in a long list: it has to be in force.
+        # Learned state refers to listed backends, so a long list must be applied completely first.
         if node.endpoint_updater.pending:
-            await self._unless_stopped(node.endpoint_updater.wait_idle())
+            await self._run_unless_stopped(node.endpoint_updater.wait_idle())
 
     async def _become_ready(self, has_peer: bool) -> bool:
-        """Recover state and take over from another process; returns whether the process is to listen."""
+        """Recover state and take over from another process; return whether to go on and listen."""
         fleet = self.fleet
-        returns_to_fleet = fleet is not None and fleet.recovery is not None
-        if self.recovered is not None and not returns_to_fleet:
-            self.node.handle_event(self.recovered)
+        has_recovery = fleet is not None and fleet.recovery is not None
+        if self.recovered_learned is not None and not has_recovery:
+            self.node.handle_event(self.recovered_learned)
         is_ready = True
-        if fleet is not None and returns_to_fleet:
-            is_ready = await self._unless_stopped(fleet.wait_until_serving(has_peer))
+        if fleet is not None and has_recovery:
+            is_ready = await self._run_unless_stopped(fleet.wait_until_serving(has_peer))
         if is_ready and has_peer:
-            takeover = prepare_takeover(self.node, self.shares, self.recovered is None)
-            is_ready = await self._unless_stopped(takeover)
+            takeover = prepare_takeover(self.node, self.shares, self.recovered_learned is None)
+            is_ready = await self._run_unless_stopped(takeover)
         return is_ready
 
     async def _listen(self) -> None:
-        """Serve clients, and join the fleet."""
+        """Start serving clients, and join the fleet."""
         gc.freeze()
         node = self.node
         await self.listener.listen(node.config.listen, shared=node.config.console is not None)
@@ -136,8 +139,8 @@
         if self.fleet is not None and not self.slots.has_peer:
             self.fleet.start()
 
-    async def _unless_stopped(self, work: Coroutine[None, None, None]) -> bool:
-        """Carry out `work` unless the process is to end before that; returns whether it goes on."""
+    async def _run_unless_stopped(self, work: Coroutine[None, None, None]) -> bool:
+        """Run `work` until it ends or a stop is requested; return False if the process has to stop."""
         task = asyncio.create_task(work)
         stopped = asyncio.create_task(self._stop.wait())
         await asyncio.wait((task, stopped), return_when=asyncio.FIRST_COMPLETED)
@@ -148,7 +151,7 @@
         return not self._stop.is_set()
 
     def _abandon_start(self) -> None:
-        """End before having listened."""
+        """Leave the fleet after a stop that was requested before the process listened."""
         self.node.is_stopping = True
         self.slots.refresh()
         if self.fleet is not None and not self.slots.has_peer:
--- a/balancer/net/process_slots.py
+++ b/balancer/net/process_slots.py
@@ -1,7 +1,7 @@
-"""Slots of the processes of one node, which run side by side while a new version takes over.
+"""Lock files, called slots, that tell the processes of one node apart while a new version takes over.
 
-Each process holds a lock on a slot file, which ends with the process, whatever ends it, and may leave a line
-in it for the others.
+Each process locks one slot file and may write a line into it for the other processes. The kernel releases the
+lock when the process ends for any reason.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 log = logging.getLogger(__name__)
 
 REFRESH_INTERVAL_S = 0.1
-MAX_TEXT_BYTES = 128  # of a slot's line that are read
-SLOT_COUNT = 4  # two processes, or more if upgrades follow one another closely
+MAX_LINE_BYTES = 128
+SLOT_COUNT = 4  # An upgrade runs two processes; upgrades in quick succession run more.
 NO_SLOT = -1
 
 
 class SlotError(BalancerError):
-    """As many processes of this node run as may."""
+    """All slots are taken: the maximum number of processes of this node is running."""
 
     code = "NOD02"
     remedy = "wait until one of them has ended, or send SIGTERM to the oldest"
 
 
 class ProcessSlots:
-    """This process's slot, and what the other processes' slots show."""
+    """The slot of this process, and the lines in the slots of its peers."""
 
     def __init__(self, path: Path, on_peer_change: Callable[[bool], None]) -> None:
-        """Make it without a slot; `on_peer_change` is called when a peer appears, and when none is left."""
+        """Create it without a slot; `on_peer_change` is called when a first peer appears or the last ends."""
         self.paths = [path.with_suffix(f".slot{number}") for number in range(SLOT_COUNT)]
         self.on_refresh: Callable[[], None] = lambda: None
-        self.peer_texts: dict[int, str] = {}  # the lines read last, by slot
+        self.peer_lines: dict[int, str] = {}  # The peers' lines as of the last successful read, by slot.
         self.own_slot = NO_SLOT
         self.has_peer = False
         self.peer_started_first = False
@@ -53,11 +53,12 @@
         return self.own_slot != NO_SLOT
 
     def acquire(self) -> bool:
-        """Take a slot; returns whether another process of this node runs. Raises SlotError."""
+        """Acquire a slot and return whether another process of this node is running. Raises SlotError."""
         try:
             self._lock_free_slot()
-        except OSError as err:  # no process can be seen from here, nor see this one
-            log.warning("no slot among the node's processes: %s", err)
+        except OSError as err:
+            # Without a slot this process and the other ones cannot detect each other.
+            log.warning("no slot among the node's processes: other processes cannot be detected: %s", err)
             return False
         self.has_peer = self._peers_exist()
         self.peer_started_first = self.has_peer
@@ -74,29 +75,29 @@
                 continue
             self.own_slot = number
             self._lock_fd = fd
-            os.ftruncate(fd, 0)  # the line of a process that has ended
+            os.ftruncate(fd, 0)  # The file may still hold the line of a process that has ended.
             return
-        raise SlotError(f"{SLOT_COUNT} processes of this node run already")
+        raise SlotError(f"{SLOT_COUNT} processes of this node are running already, which is the maximum")
 
-    def write_text(self, text: str) -> bool:
-        """Write this process's line, which is always as long; returns whether it was written."""
+    def write_line(self, line: str) -> bool:
+        """Write the line of this process, which must have a fixed length; return whether it was written."""
         try:
-            line = text.encode()
-            return os.pwrite(self._lock_fd, line, 0) == len(line)
+            data = line.encode()
+            return os.pwrite(self._lock_fd, data, 0) == len(data)
         except OSError as err:
-            log.debug("slot %d: %s", self.own_slot, err)
+            log.debug("slot %d: line not written: %s", self.own_slot, err)
             return False
 
     def _peers_exist(self) -> bool:
-        self.read_peers()  # if no descriptor is free to look with, what was seen last holds
-        return bool(self.peer_texts)
+        self.read_peers()  # On failure, for example without a free descriptor, the previous lines stay valid.
+        return bool(self.peer_lines)
 
     def refresh_periodically(self) -> None:
-        """Look for peers now and every `REFRESH_INTERVAL_S`."""
+        """Look for peers now and again every `REFRESH_INTERVAL_S`."""
         self._schedule()
-        with self._defects.contain("the look for other processes"):
+        with self._defects.contain("search for other processes"):
             self.refresh()
-        with self._defects.contain("the refresh"):
+        with self._defects.contain("refresh of the descriptor share"):
             self.on_refresh()
 
     def _schedule(self) -> None:
@@ -104,7 +105,7 @@
         self._timer = loop.call_later(REFRESH_INTERVAL_S, self.refresh_periodically)
 
     def refresh(self) -> None:
-        """Look for peers, and tell of a change."""
+        """Look for peers, and report if the first has appeared or the last has ended."""
         has_peer = self.has_slot and self._peers_exist()
         if has_peer != self.has_peer:
             self.has_peer = has_peer
@@ -112,23 +113,23 @@
             self._on_peer_change(has_peer)
 
     def read_peers(self) -> dict[int, str] | None:
-        """Return the peers' lines by slot, or None if they cannot be seen; `refresh` tells of a change."""
+        """Return the peers' lines by slot, or None if they cannot be read; `refresh` reports changes."""
         try:
-            texts = {
+            lines = {
                 number: read_slot(path) for number, path in enumerate(self.paths) if number != self.own_slot
             }
         except OSError:
             return None
-        self.peer_texts = {number: text for number, text in texts.items() if text is not None}
-        return self.peer_texts
+        self.peer_lines = {number: line for number, line in lines.items() if line is not None}
+        return self.peer_lines
 
     def stop(self) -> None:
-        """Look no more. The slot stays taken until the process ends, as its connections do."""
+        """Stop looking for peers; the slot stays locked until the process and its connections end."""
         if self._timer is not None:
             self._timer.cancel()
 
     def release(self) -> None:
-        """Give up the slot."""
+        """Unlock the slot."""
         if self._lock_fd != NO_SLOT:
             os.close(self._lock_fd)
             self._lock_fd = NO_SLOT
@@ -136,9 +137,9 @@
 
 
 def read_slot(path: Path) -> str | None:
-    """Return the line of the process that holds a slot, None if none does. Raises OSError.
+    """Return the line of the process that holds a slot, or None if the slot is free. Raises OSError.
 
-    The shared lock that this takes for a moment is in the way of a process that starts only.
+    The check takes a shared lock for a moment, which only a process that is acquiring a slot can run into.
     """
     try:
         fd = os.open(path, os.O_RDWR | os.O_CLOEXEC)
@@ -147,7 +148,7 @@
     try:
         fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
     except BlockingIOError:
-        return os.pread(fd, MAX_TEXT_BYTES, 0).decode("latin-1")
+        return os.pread(fd, MAX_LINE_BYTES, 0).decode("latin-1")
     finally:
         os.close(fd)
     return None
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -60,7 +60,7 @@
     def accept(
         self, event: api.RequestArrived, client: Client, render: Render, upload: Upload | None = None
     ) -> None:
-        """Open a request; with an `upload` its deadline starts at `body_received`, and `render` omits it."""
+        """Open a request; `render` omits the body of an `upload`, and `body_received` starts its deadline."""
         self._counts["taken"] += 1
         deadline = event.deadline - DEADLINE_MARGIN_MS
         request = OpenRequest(event.request, event.class_name, client, deadline, render, upload)
--- a/balancer/net/socket_state.py
+++ b/balancer/net/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection beyond what its transport shows, and a close by reset."""
+"""Connection state that only the kernel knows, and closing with a TCP reset."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 import sys
 import termios
 
-PEER_ENDED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # a FIN or a RST was received
-NO_LINGER = struct.pack("ii", 1, 0)  # close by a reset
+PEER_ENDED_EVENTS = (
+    select.POLLRDHUP | select.POLLHUP | select.POLLERR
+)  # Poll reports these after a FIN or RST.
+LINGER_ZERO = struct.pack("ii", 1, 0)  # With SO_LINGER on and a timeout of 0, a close sends a reset.
 
 
 def has_unread_data(transport: asyncio.Transport) -> bool:
-    """Return whether the kernel holds received bytes that the loop has not read."""
+    """Return whether the kernel holds received bytes that the event loop has not read."""
     sock = transport.get_extra_info("socket")
     count = bytearray(4)
     try:
         fcntl.ioctl(sock.fileno(), termios.FIONREAD, count)
-    except (OSError, ValueError):  # the connection is gone
+    except (OSError, ValueError):  # The socket has been closed, so it has no unread data.
         return False
     return int.from_bytes(count, sys.byteorder) > 0
 
@@ -28,19 +30,19 @@
 def has_peer_ended(transport: asyncio.Transport) -> bool:
     """Return whether the peer has closed or reset the connection.
 
-    A read would tell as well, but only after what was sent before the end.
+    Unlike a read, this detects the end before the bytes in front of it have been read.
     """
     poll = select.poll()
     try:
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return any(events & PEER_ENDED_EVENTS for _, events in poll.poll(0))
-    except (OSError, ValueError):  # it is being closed here
+    except (OSError, ValueError):  # This side has closed the socket itself.
         return False
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close a connection by a reset, unless it is closing."""
+    """Close a connection with a reset, unless it is closing already."""
     if transport.is_closing():
         return
-    transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+    transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     transport.abort()
--- a/balancer/net/takeover.py
+++ b/balancer/net/takeover.py
@@ -1,4 +1,4 @@
-"""Take-over at an upgrade: what the new process waits for and inherits, and what the old one hands over."""
+"""Takeover during an upgrade: a new process of the node inherits state from the old one."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 
 log = logging.getLogger(__name__)
 
-DISCOVERY_TIMEOUT_S = 3.0  # for the endpoint list; a process that takes over has 6 s to be ready
+DISCOVERY_TIMEOUT_S = 3.0  # A process that takes over must be ready within 6 s, even without discovery.
 
 
 async def prepare_takeover(node: Node, shares: DescriptorShares, inherits_learned: bool) -> None:
-    """Wait until this process is as ready as the one it takes over from, before both listen.
+    """Wait for the endpoint list and the descriptor share before this process listens beside the old one.
 
-    `inherits_learned`: whether it takes the other's learned state.
+    With `inherits_learned`, the learned state of the old process is read soon after.
     """
     log.info("another process of this node runs: taking over")
     node.handle_event(TakeoverStarted())
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(DISCOVERY_TIMEOUT_S):
             await node.endpoints_received.wait()
-            while not shares.has_enough:
+            while not shares.has_guaranteed_share:
                 await asyncio.sleep(REFRESH_INTERVAL_S)
     if inherits_learned:
-        node.loop.call_later(READ_DELAY_S, _inherit, node)
+        node.loop.call_later(READ_DELAY_S, _restore_learned, node)
 
 
-def _inherit(node: Node) -> None:
-    """Go on from what the other process has learned, if it has written that."""
+def _restore_learned(node: Node) -> None:
+    """Apply the learned state of the other process, if that has written any."""
     restored = consume_learned(node.shared_path.with_suffix(LEARNED_SUFFIX))
     if restored is not None:
         node.handle_event(restored)
@@ -46,7 +46,7 @@
 
 
 def handle_peer_change(node: Node, fleet: Fleet | None, has_peer: bool) -> None:
-    """Hand over to another process of this node that has started, or take over if it has ended."""
+    """Hand over to another process of the node that has started, or take over from one that has ended."""
     if node.is_stopping:
         return
     if has_peer:
@@ -57,5 +57,6 @@
                 node.shared_path.with_suffix(LEARNED_SUFFIX), node.balancer.learned_state(node.now())
             )
     elif fleet is not None and node.is_listening:
-        fleet.take_over()  # if a successor had done so and has ended
+        # A successor may have taken over the fleet's services and ended since.
+        fleet.take_over()
         fleet.start()
--- a/tests/test_defects.py
+++ b/tests/test_defects.py
@@ -276,7 +276,7 @@
     node = object.__new__(Node)
     _plant(node, ["first", "bad", "last"], execute, abandoned.append)
     with caplog.at_level(logging.ERROR):
-        node._handle(api.RequestArrived("r1", "read", 1.0))
+        node._dispatch(api.RequestArrived("r1", "read", 1.0))
     assert done == ["first", "last"] and abandoned == ["r1"]
 
 
--- a/tests/test_descriptor_shares.py
+++ b/tests/test_descriptor_shares.py
@@ -139,7 +139,7 @@
     new = tier.start()
     new.flood(half=half)
     tier.check()
-    assert not new.shares.has_enough
+    assert not new.shares.has_guaranteed_share
     order = (old, new) if first == 0 else (new, old)
     for end in range(12):
         for one in order:
@@ -154,7 +154,7 @@
             old.answer()
     for one in order:
         one.look()
-    assert new.shares.has_enough and new.listener.limit >= 30 and new.node.pool.limit >= 15
+    assert new.shares.has_guaranteed_share and new.listener.limit >= 30 and new.node.pool.limit >= 15
     assert old.listener.limit == SOCKETS // 3
     old.shares.is_draining = True  # after SIGTERM: new connections come to the other
     old.answer()
@@ -225,7 +225,7 @@
     new = tier.start()
     assert (new.listener.limit, new.node.pool.limit) == tier.config.limits_per_process(
         2
-    ) and new.shares.has_enough
+    ) and new.shares.has_guaranteed_share
     slot.write_bytes(good)
     new.look()
     tier.check()
@@ -239,7 +239,7 @@
         old.node.pool.connection_count = 0
         new.look()
         tier.check()
-    assert new.shares.has_enough
+    assert new.shares.has_guaranteed_share
     new.slots.paths[1].write_bytes(text.encode("latin-1"))
     old.look()  # it is known to have come later
     assert old.shares.share == tier.config.predecessor_fds
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -184,7 +184,7 @@
     seen = list[tuple[float, int]]()
 
     async def take_over(node: Node) -> None:
-        await prepare_takeover(node, cast(Any, SimpleNamespace(has_enough=True)), False)
+        await prepare_takeover(node, cast(Any, SimpleNamespace(has_guaranteed_share=True)), False)
         seen.append((round(world.now, 2), len(world.module.in_force)))
 
     def begin(node: Node, _: DiscoveryClient) -> None:
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -73,7 +73,7 @@
         config=SimpleNamespace(seed=1),
         now=lambda: 1000.0,
         update_endpoints=take,
-        event=lambda event: None,
+        handle_event=lambda event: None,
     )
     watcher = Watcher()
     port = PeerSocket(HERE, [HERE], HERE)
