--- a/balancer/net/descriptor_shares.py
+++ b/balancer/net/descriptor_shares.py
@@ -73,7 +73,7 @@
     @property
     def has_guaranteed_share(self) -> bool:
         """Whether the predecessors have released the share that is guaranteed to a new process."""
-        return self.share >= self.node.config.sockets - self.node.config.predecessor_fds
+        return self.share >= self.node.config.max_fds - self.node.config.predecessor_fds
 
     def apply(self) -> None:
         """Apply the current limits of this process, and claim the descriptors that it may hold."""
@@ -100,9 +100,9 @@
             return self._limits_beside_successor(claims)
         claimed = self._claimed_by_predecessors(claims)
         if claimed is None:
-            self.share = config.sockets // 2
+            self.share = config.max_fds // 2
             return None
-        share = max(MIN_FDS, config.sockets - claimed) if claims else config.sole_process_fds
+        share = max(MIN_FDS, config.max_fds - claimed) if claims else config.sole_process_fds
         limits = ConnectionLimits(*config.connection_limits(share))
         max_held = self._max_held(limits)
         if max_held > self.claimed:
@@ -171,7 +171,7 @@
         """Return the limits beside a successor: they never grow, and while draining they follow the usage."""
         config = self.node.config
         claimed = self._claimed_by_predecessors(claims)
-        remaining = config.predecessor_fds - (claimed if claimed is not None else config.sockets // 2)
+        remaining = config.predecessor_fds - (claimed if claimed is not None else config.max_fds // 2)
         self.share = max(MIN_FDS, remaining)
         clients, backends = config.predecessor_limits(self.share)
         if self.is_draining:
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -60,7 +60,7 @@
         self.endpoints_received = (
             asyncio.Event()
         )  # Set once discovery has sent or confirmed the endpoint list.
-        self.endpoint_revision = config.known.revision
+        self.endpoint_revision = config.initial_list.revision
         self.last_discovery_at = -math.inf  # Loop time in seconds of discovery's last response.
         # True if the balancer was told of a discovery failure and discovery has not answered since.
         self._is_failure_reported = False
@@ -121,7 +121,7 @@
             case api.StartAttempt():
                 self.requests.start_attempt(action)
             case api.SetTimer():
-                delay_s = max(0.0, action.when - self.now()) / 1000
+                delay_s = max(0.0, action.fires_at - self.now()) / 1000
                 self.loop.call_later(delay_s, self.handle_event, api.TimerFired(action.token))
             case api.RejectRequest():
                 self.requests.reject(action)
@@ -132,7 +132,7 @@
             case api.CloseIdleConnections():
                 self.pool.close_idle(action.backend)
             case api.WatchEndpoints() if self.discovery is not None:
-                self.discovery.watch(action.on)
+                self.discovery.watch(action.enabled)
             case api.FetchEndpoints() if self.discovery is not None:
                 self.discovery.fetch()
             case api.WriteLog():
@@ -145,7 +145,7 @@
     @property
     def is_full(self) -> bool:
         """Whether the maximum number of open requests is reached."""
-        return len(self.requests.open) >= self.settings.max_open
+        return len(self.requests.open) >= self.settings.max_open_requests
 
     def count_over_limit(self, class_name: str) -> None:
         """Count a request that was rejected because the node or its listener is full."""
@@ -172,11 +172,11 @@
         if not self.balancer.is_listed(backend) and not self.maintenance.is_known(backend):
             return False
         now = self.now()
-        is_change = is_out != (backend in self.maintenance.record.out)
+        is_change = is_out != (backend in self.maintenance.record.banned)
         if self.fleet is not None:
             await self.fleet.record_maintenance(backend, is_out, now, is_change)
         try:
-            await self.maintenance.change(
+            await self.maintenance.set_ban(
                 backend,
                 is_out,
                 now,
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -49,13 +49,13 @@
         self.node = Node(config)
         self.fleet = create_fleet(config)
         self.initial_list = (
-            config.known
+            config.initial_list
         )  # The process starts with this endpoint list, before discovery answers.
         # Learned state that an earlier process has saved durably.
         self.recovered_learned: LearnedStateRestored | None = None
         self.node.fleet = self.fleet
         if self.fleet is not None:
-            self.initial_list = self.fleet.newest_list(config.known)
+            self.initial_list = self.fleet.newest_list(config.initial_list)
             self.recovered_learned = self.fleet.recovered_learned()
         self.discovery = DiscoveryClient(self.node, config.discovery, self.initial_list.revision)
         self.node.discovery = self.discovery
--- a/balancer/net/shutdown.py
+++ b/balancer/net/shutdown.py
@@ -26,7 +26,7 @@
 
 def seconds_until_kill(settings: Settings) -> float:
     """Return the minimum time from SIGTERM to SIGKILL."""
-    longest_s = max(request_class.deadline for request_class in settings.classes) / 1000
+    longest_s = max(request_class.deadline_ms for request_class in settings.classes) / 1000
     return min(longest_s, MAX_DEADLINE_S) + KILL_DELAY_S
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -63,7 +63,10 @@
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = ConnectionPool(
-            replace(BASE, connect_timeout=1000 * WAIT_TIMEOUT_S), 10, RequestStatistics(), StreamMemory(192)
+            replace(BASE, connect_timeout_ms=1000 * WAIT_TIMEOUT_S),
+            10,
+            RequestStatistics(),
+            StreamMemory(192),
         )
         pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
         ended: list[AttemptResult] = []
@@ -133,7 +136,10 @@
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = ConnectionPool(
-            replace(BASE, connect_timeout=1000 * WAIT_TIMEOUT_S), 10, RequestStatistics(), StreamMemory(192)
+            replace(BASE, connect_timeout_ms=1000 * WAIT_TIMEOUT_S),
+            10,
+            RequestStatistics(),
+            StreamMemory(192),
         )
         pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
         ended: asyncio.Queue[AttemptResult] = asyncio.Queue()
@@ -161,7 +167,7 @@
     path.write_text(json.dumps(node_config([b.list_entry() for b in backends], 1, **LONG_DEADLINES)))
     config = load({"PROXY_CONFIG": str(path)})
     node = Node(config)
-    node.update_endpoints(config.known, ListUpdateKind.CACHED)
+    node.update_endpoints(config.initial_list, ListUpdateKind.CACHED)
     node.is_listening = node.has_endpoints = True
     listener = Listener(node, limit)
     await listener.listen(("127.0.0.1", 0), shared=False)
