--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of a node: configuration, log, exit code."""
+"""Entry point of a node process: load the configuration, set up logging, return the exit code."""
 
 from __future__ import annotations
 
@@ -16,21 +16,23 @@
 
 
 class ListenError(BalancerError):
-    """An address that the node is to serve on, or its console, cannot be had."""
+    """The node cannot listen on its service address or on the address of its console."""
 
     code = "NOD01"
-    remedy = "see who listens there (ss -ltnp): give that one, or this, another listen or PROXY_CONSOLE"
+    remedy = (
+        "find the process that listens there (ss -ltnp) and stop it, or change listen or PROXY_CONSOLE here"
+    )
 
 
 class FleetLibrariesError(BalancerError):
-    """The fleet file asks for parts whose libraries are not installed."""
+    """`PROXY_FLEET` is set, but the libraries for the fleet's services are not installed."""
 
     code = "NOD03"
-    remedy = "install requirements-fleet.txt where run has its libraries, or unset PROXY_FLEET"
+    remedy = "install requirements-fleet.txt into the Python environment of the node, or unset PROXY_FLEET"
 
 
 def main() -> int:
-    """Run a node and return its exit code; one that cannot run says why in one line on standard error."""
+    """Run a node and return its exit code; a startup failure is reported in one line on standard error."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     error: BalancerError
     try:
@@ -39,7 +41,9 @@
     except BalancerError as err:
         error = err
     except ModuleNotFoundError as err:
-        error = FleetLibrariesError(f"PROXY_FLEET needs requirements-fleet.txt: {err}")
+        error = FleetLibrariesError(
+            f"PROXY_FLEET is set, but a library of requirements-fleet.txt is missing: {err}"
+        )
     except OSError as err:
         error = ListenError(f"listen: {err}")
     print(f"balancer: {error.one_line_report}", file=sys.stderr)
--- a/balancer/net/random_source.py
+++ b/balancer/net/random_source.py
@@ -1,4 +1,4 @@
-"""The interface of a source of random draws."""
+"""Interface of a random number source."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RandomSource(Protocol):
-    """A source of uniform draws: a `random.Random`, or the module `random`."""
+    """Source of uniformly distributed numbers: a `random.Random` or the module `random`."""
 
     def uniform(self, a: float, b: float) -> float:
-        """Draw a number between `a` and `b`."""
+        """Return a random number between `a` and `b`."""
--- a/balancer/net/rate_limited_log.py
+++ b/balancer/net/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""A logger that limits how many lines of one kind it writes, and says how many it left out."""
+"""Rate limit per kind of log line; suppressed lines are counted in the next one of their kind."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class RateLimitedLog:
     """Write at most a fixed number of lines of each kind within `PERIOD_S`.
 
-    The kinds have to be few and fixed, as each takes memory: the name of a peer is no kind.
+    Each kind takes memory, so kinds must be few and fixed and must not contain names of peers or requests.
     """
 
     def __init__(
@@ -22,16 +22,16 @@
         max_lines: int = 1,
         level: int = logging.WARNING,
     ) -> None:
-        """Make a log on `logger`; `clock` returns seconds, `max_lines` of a kind are written per period."""
+        """Create a log on `logger`; `clock` returns seconds, `max_lines` of a kind are written per period."""
         self.logger = logger
         self.clock = clock
         self.max_lines = max_lines
         self.level = level
-        self._logged_at: dict[str, deque[float]] = {}  # times of the latest lines, by kind
+        self._logged_at: dict[str, deque[float]] = {}  # Times in seconds of the latest lines, by kind.
         self._suppressed: Counter[str] = Counter()
 
     def log(self, kind: str, text: str) -> None:
-        """Write a line, with the number of lines of its kind suppressed since the last, or suppress it."""
+        """Write or suppress a line; a written line tells how many of its kind were suppressed before it."""
         now = self.clock()
         logged_at = self._logged_at.setdefault(kind, deque(maxlen=self.max_lines))
         if len(logged_at) == self.max_lines and now - logged_at[0] < PERIOD_S:
--- a/balancer/net/statistics.py
+++ b/balancer/net/statistics.py
@@ -1,4 +1,4 @@
-"""Cumulative statistics of the process, by request class, and the reasons for which connections close."""
+"""Cumulative request statistics of the process, and the reasons for closing backend connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RequestOutcome(Enum):
-    """How a request that the node accepted has ended for its client; the values are keys of `/stats`."""
+    """Outcome of an accepted request for its client; the values are keys of `/stats`."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -15,35 +15,35 @@
 
 
 class CloseReason(Enum):
-    """Why this side closes a connection to a backend; the values are part of the keys of the counts line."""
+    """Why this side closes a backend connection; the values are suffixes of keys in the counts line."""
 
-    PEER_CLOSED = "ended"  # or it was never established
-    ABANDONED = "given_up"  # its attempt was cancelled or timed out
+    PEER_CLOSED = "ended"  # The backend closed the connection, or it was never established.
+    ABANDONED = "given_up"  # The attempt on the connection was cancelled or timed out.
     IDLE_TIMEOUT = "idle"
-    EVICTED = "crowded"  # another connection needs its descriptor
-    ENDPOINT_REMOVED = "unlisted"  # the endpoint drains, is gone, in maintenance or at another address
+    EVICTED = "crowded"  # A new connection needed the descriptor of this idle one.
+    ENDPOINT_REMOVED = "unlisted"  # The endpoint is draining, removed, in maintenance or has moved.
     NOT_REUSABLE = "unusable"
 
 
 class RequestStatistics:
-    """Counts since the start of the process; a class that the configuration drops keeps its counts.
+    """Counts since the start of the process; a class removed from the configuration keeps its counts.
 
-    Each count is raised in one place only: where the thing that it counts ends.
+    Each count is incremented in one place only, at the end of the request, attempt or reload that it counts.
     """
 
     def __init__(self) -> None:
-        """Begin at zero."""
+        """Create statistics with all counts at zero."""
         self.outcomes: dict[RequestOutcome, Counter[str]] = {outcome: Counter() for outcome in RequestOutcome}
-        self.attempts_sent = 0  # attempts whose last byte has been sent
+        self.attempts_sent = 0  # Number of attempts whose last byte has been sent.
         self.reloads = 0
         self.reload_errors = 0
 
     def record_outcome(self, outcome: RequestOutcome, class_name: str) -> None:
-        """Count a request that has its final response."""
+        """Count a request that has received its final response."""
         self.outcomes[outcome][class_name] += 1
 
     def table(self, class_names: list[str]) -> dict[str, object]:
-        """Return the counts in the form of `GET /stats`, with zeros for classes without a request."""
+        """Return the counts in the format of `GET /stats`, with zeros for classes without requests."""
         table: dict[str, object] = {
             outcome.value: dict.fromkeys(class_names, 0) | counts for outcome, counts in self.outcomes.items()
         }
