--- a/tests/broken_node.py
+++ b/tests/broken_node.py
@@ -1,7 +1,7 @@
-"""A stand-in node for the judge's tests: keeps the rules, but for the one that its defect names.
+"""Simple node with a chosen defect, for tests of the judge: it breaks only the rule named by the defect.
 
-`none` keeps them all. It is no load balancer: it sends to a random backend that may have the request, once.
-As a process of its own it has the defect as its first argument.
+The defect `none` breaks no rule. The node does not balance load: it sends each request once, to a random
+eligible backend. When run as a program, its first argument is the defect.
 """
 
 from __future__ import annotations
@@ -15,35 +15,35 @@
 from collections.abc import Callable
 from typing import Any
 
-CRASH_AT = 3.0  # s after its start that a node with the defect `crash` ends
+CRASH_AFTER_S = 3.0  # A node with the defect `crash` exits this long after its start.
 Headers = dict[str, str]
 Address = tuple[str, int]
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
-    """Start line, headers, body."""
+    """Read one HTTP message and return its start line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     start, *lines = head.rstrip("\r\n").split("\r\n")
     headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
     return start, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-def http_response(code: int, body: bytes = b"") -> bytes:
-    """An HTTP answer."""
-    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (code, len(body), body)
+def http_response(status: int, body: bytes = b"") -> bytes:
+    """Return the bytes of an HTTP response."""
+    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
 
 
 def address(text: str) -> Address:
-    """HOST:PORT."""
+    """Parse an address of the form HOST:PORT."""
     host, port = text.split(":")
     return host, int(port)
 
 
 class DefectiveNode:
-    """The node: its list, who is out, its connections. `die` ends all of it at once."""
+    """Node with one defect; `exit_process` ends its process at once."""
 
-    def __init__(self, defect: str, config: dict[str, Any], die: Callable[[], None]) -> None:
-        self.defect, self.die, self.random = defect, die, random.Random(1)
+    def __init__(self, defect: str, config: dict[str, Any], exit_process: Callable[[], None]) -> None:
+        self.defect, self.exit_process, self.random = defect, exit_process, random.Random(1)
         self.discovery = address(config["discovery"])
         self.members = {m["id"]: m for m in config["known"]["members"]}
         self.banned: set[str] = set()
@@ -51,7 +51,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     def choose(self) -> dict[str, Any]:
-        """A backend that may have a request; cold ones get a tenth."""
+        """Choose a backend at random; one that has started recently gets a tenth of the weight."""
         rows = [m for m in self.members.values() if m["id"] not in self.banned]
         cold = [m for m in rows if m["up_since_ms"]]
         if self.defect == "topple" and cold and self.random.random() < 0.8:
@@ -61,7 +61,7 @@
         return chosen
 
     async def watch(self) -> None:
-        """Apply the lines of the watch."""
+        """Apply the endpoint list updates of the watch."""
         reader, writer = await asyncio.open_connection(*self.discovery)
         writer.write(b"GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\nHost: d\r\n\r\n")
         await reader.readuntil(b"\r\n\r\n")
@@ -75,7 +75,7 @@
                     self.members.pop(row["id"], None)
 
     async def attempt(self, start: str, headers: Headers, body: bytes) -> tuple[int, bool, bytes]:
-        """Send a request once; its status (0: no connection), whether it was turned away, its body."""
+        """Send a request once; return its status (0: none), whether it never ran, and the response body."""
         lines = [start, "Host: b", *(f"{k}: {v}" for k, v in headers.items() if k != "host")]
         try:
             reader, writer = await asyncio.open_connection(*address(self.choose()["host_port"]))
@@ -93,7 +93,7 @@
         return int(status.split(" ")[1]), "not-started" in back, text
 
     async def serve(self, start: str, headers: Headers, body: bytes) -> bytes | None:
-        """The answer to one request; None for never."""
+        """Return the response to one request, or None to send none."""
         defect, hit, method = self.defect, self.random.random() < 0.1, start.split(" ")[0]
         if defect == "answer" and hit:
             return None
@@ -115,7 +115,7 @@
         return http_response(503 if never else 500)
 
     async def client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One client's connection."""
+        """Serve one client connection."""
         self.writers.add(writer)
         try:
             while True:
@@ -137,7 +137,7 @@
             self.writers.discard(writer)
 
     async def operator(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One call to the console."""
+        """Serve one console request."""
         start, _, _ = await read_message(reader)
         parts = start.split(" ")[1].split("/")
         if parts[-1] == "maint" and self.defect != "banned":
@@ -148,17 +148,17 @@
         writer.close()
 
     async def run(self, listen: Address, console: Address) -> None:
-        """Listen, and follow discovery while it is there."""
+        """Listen, and watch discovery until it closes the connection."""
         for handler, place in ((self.client, listen), (self.operator, console)):
             self.servers.append(await asyncio.start_server(handler, *place, backlog=512))
         if self.defect == "crash":
-            asyncio.get_running_loop().call_later(CRASH_AT, self.die)
+            asyncio.get_running_loop().call_later(CRASH_AFTER_S, self.exit_process)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-            await self.watch()  # discovery is gone: the run is at its end
+            await self.watch()  # Discovery closes the watch at the end of the run.
 
 
 async def main() -> None:
-    """Listen until killed."""
+    """Run the node until it is killed."""
     with open(os.environ["PROXY_CONFIG"]) as file:
         node = DefectiveNode(sys.argv[1], json.load(file), lambda: os._exit(3))
     await node.run(address(os.environ["PROXY_LISTEN"]), address(os.environ["PROXY_CONSOLE"]))
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""A node in a process of its own, with small fake backends, discovery and clients on loopback sockets."""
+"""Harness that runs a node in a separate process with fake backends, discovery and clients on loopback."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from balancer.net.backend_connection import REUSE_DELAY_S
 
 ROOT = Path(__file__).parents[1]
-WAIT_TIMEOUT_S = 30.0  # s until a test that waits for something that does not come fails
-HOUR_MS = 3_600_000  # ms: no time-out or idle limit comes to the help of a test that does not set its own
+WAIT_TIMEOUT_S = 30.0  # A test fails if an expected event has not happened after this time.
+HOUR_MS = 3_600_000  # Timeouts this long cannot expire during a test and hide a missing event.
 REQUEST_NUMBERS = itertools.count(1)
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "retryable", "give-up": 4000, "objective": 3000},
@@ -55,23 +55,23 @@
 
 
 def wait_until(look: Callable[[], Found], every: float = 0.02) -> Found:
-    """What a look finds, as soon as that is something; looks every so many seconds."""
+    """Call `look` every `every` seconds until its result is true, and return that."""
     return Retrying(**_retry_options(every))(look)
 
 
 async def wait_until_async(look: Callable[[], Awaitable[Found]], every: float = 0.02) -> Found:
-    """The same beside what the test does meanwhile."""
+    """Await `look` every `every` seconds until its result is true, and return that."""
     return await AsyncRetrying(**_retry_options(every))(look)
 
 
 async def wait_until_reusable() -> None:
-    """Returns once the connections that have just been given back may be used again."""
+    """Wait until the connections that have just become idle may be reused."""
     await asyncio.sleep(2 * REUSE_DELAY_S)
 
 
 @dataclass
 class Message:
-    """A request or an answer as it came over a socket."""
+    """A request or response as received over a socket."""
 
     start_line: str
     headers: dict[str, str]
@@ -79,12 +79,12 @@
 
     @property
     def status(self) -> int:
-        """An answer's status."""
+        """The status code of a response."""
         return int(self.start_line.split(" ")[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """One HTTP message with a Content-Length."""
+    """Read one HTTP message, whose body is delimited by Content-Length."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     start, *lines = head.rstrip("\r\n").split("\r\n")
     headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
@@ -92,7 +92,7 @@
 
 
 def http_response(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
-    """An HTTP answer."""
+    """Return the bytes of an HTTP response with a Content-Length."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
@@ -101,12 +101,12 @@
 
 
 async def echo(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """Serve with a body that names backend and request."""
+    """Respond with a body that contains the names of the backend and the request."""
     writer.write(http_response(f"{backend.name} {message.headers['request-id']}".encode()))
 
 
 def abort_connection(writer: asyncio.StreamWriter) -> None:
-    """Break a connection unless it has closed: one that closed behind its last bytes cannot be aborted."""
+    """Abort a connection unless it has closed: once its last bytes are sent, it cannot be aborted."""
     transport = writer.transport
     if not transport.is_closing() or transport.get_write_buffer_size():
         transport.abort()
@@ -114,7 +114,7 @@
 
 @dataclass
 class Backend:
-    """A fake backend; `respond` answers each request, `requests` holds the requests in order."""
+    """Fake backend; `respond` answers each request, `requests` queues the requests in order of arrival."""
 
     name: str
     respond: Respond = echo
@@ -127,12 +127,12 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Listen no more and break all connections."""
+        """Stop listening and abort all connections."""
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
@@ -153,7 +153,7 @@
         self.closed_connections.put_nowait(number)
 
     def list_entry(self, **over: Any) -> dict[str, Any]:
-        """Its entry in the list."""
+        """Return the endpoint list entry of this backend, with the fields in `over` replaced."""
         table = {"id": self.name, "host_port": f"127.0.0.1:{self.port}", "locality": "a", "flavor": "m",
                  "cell": 0, "phase": "in_service", "size": 1.0, "up_since_ms": 0}  # fmt: skip
         return table | over
@@ -161,7 +161,7 @@
 
 @dataclass
 class FakeDiscovery:
-    """Answers watches with the chunks it is told to send; `watch_targets` holds their targets."""
+    """Fake discovery that sends given chunks to the latest watch; `watch_targets` queues request targets."""
 
     watch_targets: asyncio.Queue[str] = field(default_factory=asyncio.Queue)
     writer: asyncio.StreamWriter | None = None
@@ -169,7 +169,7 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -182,24 +182,24 @@
             await reader.read()
 
     def send_chunk(self, text: bytes) -> None:
-        """One chunk of the watch."""
+        """Send one HTTP chunk to the watch."""
         assert self.writer is not None
         self.writer.write(b"%x\r\n%b\r\n" % (len(text), text))
 
     def send_update(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
-        """One line of the watch."""
+        """Send an endpoint list update as one line."""
         line = {"revision": revision, "complete": complete, "members": members}
         self.send_chunk(json.dumps(line).encode() + b"\n")
 
 
 class Client:
-    """One connection of a client."""
+    """A client connection to the node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     def send(self, target: str, *headers: str, method: str = "GET", body: bytes = b"") -> str:
-        """Write a request; returns its id."""
+        """Write a request and return its id."""
         name = f"{next(REQUEST_NUMBERS):016x}"
         lines = [f"{method} {target} HTTP/1.1", "Host: api.internal", f"Request-Id: {name}", *headers]
         if method == "POST":
@@ -208,26 +208,26 @@
         return name
 
     async def read_response(self) -> Message:
-        """The next answer."""
+        """Read the next response."""
         return await asyncio.wait_for(read_message(self.reader), WAIT_TIMEOUT_S)
 
     async def request(self, target: str, *headers: str, method: str = "GET", body: bytes = b"") -> Message:
-        """Send a request and wait for its answer."""
+        """Send a request and return its response."""
         self.send(target, *headers, method=method, body=body)
         return await self.read_response()
 
     async def request_pay(self) -> Message:
-        """A keyed request."""
+        """Send a request with an idempotency key and return its response."""
         return await self.request("/pay", "Idempotency-Key: k1", method="POST", body=b"{}")
 
     async def read_until_closed(self) -> bytes:
-        """Whatever else comes until the node closes."""
+        """Return the bytes received until the node closes the connection."""
         return await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT_S)
 
 
 @dataclass
 class Rig:
-    """A running node and what stands round it."""
+    """A running node process and its surroundings."""
 
     process: asyncio.subprocess.Process
     port: int
@@ -238,13 +238,13 @@
     clients: list[Client] = field(default_factory=list)
 
     async def connect(self) -> Client:
-        """A new connection to the node."""
+        """Open a new client connection to the node."""
         out = Client(*await asyncio.open_connection("127.0.0.1", self.port))
         self.clients.append(out)
         return out
 
     async def call_console(self, target: str, method: str = "GET") -> Message:
-        """One call to the console."""
+        """Send one request to the console and return its response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.console_port)
         writer.write(f"{method} {target} HTTP/1.1\r\nHost: node\r\n\r\n".encode())
         got = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
@@ -253,14 +253,14 @@
         return got
 
     async def stats(self) -> dict[str, Any]:
-        """The figures."""
+        """Return the statistics of the node."""
         got = await self.call_console("/stats")
         assert got.status == 200
         out: dict[str, Any] = json.loads(got.body)
         return out
 
     async def wait_for_log(self, text: str) -> None:
-        """Wait for a log line."""
+        """Wait for a log line that contains `text`."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not any(text in line for line in self.log):
                 line = await self._line()
@@ -274,16 +274,16 @@
         return line
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Send SIGTERM to the node."""
         self.process.send_signal(signal.SIGTERM)
 
     def reload(self, text: str) -> None:
-        """Replace the configuration file, then SIGHUP."""
+        """Replace the configuration file and send SIGHUP to the node."""
         self.config.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     async def wait_for_exit(self) -> int:
-        """Wait for the node's end; its exit code."""
+        """Wait until the node process ends and return its exit code."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while await self._line():
                 pass
@@ -291,7 +291,7 @@
 
 
 def node_config(members: list[dict[str, Any]], discovery: int, **over: Any) -> dict[str, Any]:
-    """A node's configuration; `limits` and others replace the settings of that name."""
+    """Return a node configuration; `limits` and other keywords replace the settings of the same name."""
     top = {name: over.pop(name) for name in ("console", "listen") if name in over}
     settings = {
         "request-classes": CLASSES, "limits": LIMITS | over.pop("limits", {}), "zone": "a",
@@ -308,7 +308,7 @@
 
 
 async def spawn_node(path: Path, **more: str) -> asyncio.subprocess.Process:
-    """Start the program on a configuration file, with `more` in its environment."""
+    """Start a node with a configuration file and the environment variables in `more`."""
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     env |= {"PROXY_CONFIG": str(path), "TMPDIR": str(path.parent)} | more
     return await asyncio.create_subprocess_exec(
@@ -319,7 +319,7 @@
 
 @contextlib.asynccontextmanager
 async def started_node(path: Path, discovery: FakeDiscovery, **more: str) -> AsyncIterator[Rig]:
-    """A process on this configuration, from when it serves."""
+    """Run a node with a configuration file, and yield it once it serves."""
     process = await spawn_node(path, **more)
     rig = Rig(process, 0, discovery, [], path)
     try:
@@ -341,7 +341,7 @@
 
 @contextlib.asynccontextmanager
 async def running_node(tmp: Path, *backends: Backend, **over: Any) -> AsyncIterator[Rig]:
-    """A node that knows these backends and has its watch."""
+    """Run a node that has these backends in its initial list, and a fake discovery."""
     discovery = FakeDiscovery()
     await discovery.start()
     for backend in backends:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Connections that this side closes, at the moments in which that is delicate."""
+"""Test closing of connections by the node while other events happen at the same time."""
 
 from __future__ import annotations
 
@@ -33,32 +33,32 @@
 from tests.sockets import LONG_DEADLINES, WAIT_TIMEOUT_S, Backend, Message, http_response, node_config
 
 
-class Turns(uvloop.Loop):
-    """A loop that calls `hook` so many turns after it began to take a descriptor over."""
+class HookedLoop(uvloop.Loop):
+    """Event loop that calls `hook` a number of iterations after it began to take over a descriptor."""
 
     hook: Callable[[], None]
-    turns = 0
+    delay_iterations = 0
 
     async def create_connection(self, *args: Any, **more: Any) -> Any:
-        """Calls made before the loop's own are carried out before them."""
-        self._after(self.turns)
+        """Schedule the hook before the loop schedules its own callbacks."""
+        self._call_hook_after(self.delay_iterations)
         return await super().create_connection(*args, **more)
 
-    def _after(self, turns: int) -> None:
-        self.call_soon(self._after, turns - 1) if turns else self.call_soon(self.hook)
+    def _call_hook_after(self, count: int) -> None:
+        self.call_soon(self._call_hook_after, count - 1) if count else self.call_soon(self.hook)
 
 
-def run(loop: asyncio.AbstractEventLoop, what: Coroutine[Any, Any, None]) -> None:
-    """To its end, or fail."""
+def run(loop: asyncio.AbstractEventLoop, coroutine: Coroutine[Any, Any, None]) -> None:
+    """Run a coroutine with a timeout, then close the loop."""
     try:
-        loop.run_until_complete(asyncio.wait_for(what, WAIT_TIMEOUT_S))
+        loop.run_until_complete(asyncio.wait_for(coroutine, WAIT_TIMEOUT_S))
     finally:
         loop.close()
 
 
-@pytest.mark.parametrize("turns", [0, 1, 2])
-def test_descriptor_of_a_connection_that_is_called_off_while_it_comes_up_is_closed_once(turns: int) -> None:
-    """The second close would hit whoever has the number by then: a client that waits for its answer."""
+@pytest.mark.parametrize("delay_iterations", [0, 1, 2])
+def test_descriptor_of_an_attempt_cancelled_while_connecting_is_closed_once(delay_iterations: int) -> None:
+    """A second close would hit the next user of the number, such as a client that waits for its response."""
 
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -70,28 +70,27 @@
         )
         pool.endpoints["b0"] = EndpointConnections(listener.getsockname(), is_in_maintenance=False)
         ended: list[AttemptResult] = []
-        called = asyncio.Event()
+        cancelled = asyncio.Event()
         others: list[socket.socket] = []
 
-        def call_off() -> None:
+        def cancel_attempt() -> None:
             attempt.cancel()
-            others.extend(socket.socketpair())  # the lowest numbers that are free
-            called.set()
+            others.extend(socket.socketpair())  # New sockets get the lowest free descriptor numbers.
+            cancelled.set()
 
-        loop.hook, loop.turns = call_off, turns
+        loop.hook, loop.delay_iterations = cancel_attempt, delay_iterations
         attempt = pool.start_attempt("b0", b"GET / HTTP/1.1\r\n\r\n", ended.append)
         assert attempt.connection is not None
         task = attempt.connection.connect_task
         assert task is not None
         known = attempt.connection
-        await called.wait()
+        await cancelled.wait()
         accepted = listener.accept()[0]
         accepted.settimeout(WAIT_TIMEOUT_S)
         assert accepted.recv(100) in (b"", b"GET / HTTP/1.1\r\n\r\n")
         await asyncio.wait([task])
-        while (
-            known.socket is not None and known.socket.fileno() >= 0
-        ):  # the loop lets go of it some turns later
+        # The event loop releases the descriptor some iterations later.
+        while known.socket is not None and known.socket.fileno() >= 0:
             await asyncio.sleep(0)
         del known, task
         gc.collect()
@@ -104,18 +103,18 @@
         for sock in (*others, accepted, listener):
             sock.close()
 
-    loop = Turns()
+    loop = HookedLoop()
     run(loop, drive())
 
 
-def test_connection_that_does_not_come_up_leaves_its_descriptor_alone_after() -> None:
-    """Ruled out: the time-out cancels a connection attempt, and the number is free only once."""
+def test_descriptor_of_a_failed_connection_is_not_closed_again() -> None:
+    """Guards against a second close of a descriptor whose number is in use again after a failed connect."""
 
     async def drive() -> None:
-        full = socket.socket()  # bound and not listening: refused
-        full.bind(("127.0.0.1", 0))
+        unlistening = socket.socket()  # A bound socket that does not listen refuses connections.
+        unlistening.bind(("127.0.0.1", 0))
         pool = ConnectionPool(BASE, 10, RequestStatistics(), StreamMemory(192))
-        pool.endpoints["b0"] = EndpointConnections(full.getsockname(), is_in_maintenance=False)
+        pool.endpoints["b0"] = EndpointConnections(unlistening.getsockname(), is_in_maintenance=False)
         ended: asyncio.Queue[AttemptResult] = asyncio.Queue()
         pool.start_attempt("b0", b"GET / HTTP/1.1\r\n\r\n", ended.put_nowait)
         assert (await ended.get()).status is AttemptStatus.CONNECT_FAILED
@@ -125,13 +124,13 @@
         for other in others:
             os.fstat(other.fileno())
             other.close()
-        full.close()
+        unlistening.close()
 
     run(uvloop.new_event_loop(), drive())
 
 
-def test_a_descriptor_that_the_loop_cannot_take_over_ends_its_attempt() -> None:
-    """It never ran; nothing is left counted."""
+def test_attempt_ends_if_the_event_loop_cannot_take_over_its_descriptor() -> None:
+    """The attempt ends as not executed, and the pool counts no connection."""
 
     async def drive() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -148,19 +147,19 @@
         assert not pool.connection_count
         listener.close()
 
-    class Unable(uvloop.Loop):
+    class FailingLoop(uvloop.Loop):
         async def create_connection(self, *args: Any, **more: Any) -> Any:
             raise OSError
 
-    run(Unable(), drive())
+    run(FailingLoop(), drive())
 
 
-# --- the client side, in one process with its clients, on the loop that is used
+# --- client connections, with node and clients in one process on uvloop
 
 
 @contextlib.asynccontextmanager
-async def listener_of(tmp: Path, *backends: Backend, limit: int = 100) -> AsyncIterator[Listener]:
-    """A node's client side, listening."""
+async def running_listener(tmp: Path, *backends: Backend, limit: int = 100) -> AsyncIterator[Listener]:
+    """Run a listener with a node and these backends."""
     for backend in backends:
         await backend.start()
     path = tmp / "config.json"
@@ -182,7 +181,7 @@
 
 
 class Peer:
-    """A client that does what it is told only."""
+    """Client on a raw socket, controlled by the test."""
 
     def __init__(self, window: int = 0) -> None:
         self.sock = socket.socket()
@@ -191,8 +190,8 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window)
         self.sock.setblocking(False)
 
-    async def reach(self, listener: Listener) -> ClientConnection:
-        """Connect; the node's side of it."""
+    async def connect(self, listener: Listener) -> ClientConnection:
+        """Connect to the listener and return the node's side of the connection."""
         known = listener.connections | listener.lingering.keys()
         await asyncio.get_running_loop().sock_connect(self.sock, listener.address)
         while not (new := (listener.connections | listener.lingering.keys()) - known):
@@ -200,26 +199,26 @@
         return new.pop()
 
     async def read(self, size: int) -> bytes:
-        """So many bytes, or fewer where the node ends; a reset is an error."""
+        """Read `size` bytes, or fewer up to the node's end of file; a reset raises ConnectionResetError."""
         loop, out = asyncio.get_running_loop(), b""
         while len(out) < size and (data := await loop.sock_recv(self.sock, size - len(out))):
             out += data
         return out
 
     def reset(self) -> None:
-        """Leave, rudely."""
+        """Close the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
 UP = b"GET /up HTTP/1.1\r\nHost: n\r\n\r\n"
 READ = b"GET /read HTTP/1.1\r\nHost: n\r\nRequest-Id: %d\r\n\r\n"
-ANSWERED = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nup\n"
+UP_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nup\n"
 Test = Callable[[Path], Awaitable[None]]
 
 
 def on_uvloop(test: Test) -> Callable[[Path], None]:
-    """A test on the loop that the program uses."""
+    """Turn a coroutine into a test that runs on uvloop, as the program does."""
 
     def run_it(tmp_path: Path) -> None:
         async def drive() -> None:
@@ -233,9 +232,9 @@
 
 async def _nodelay(tmp: Path) -> None:
     backend = Backend("b0")
-    async with listener_of(tmp, backend) as listener:
+    async with running_listener(tmp, backend) as listener:
         peer = Peer()
-        accepted = await peer.reach(listener)
+        accepted = await peer.connect(listener)
         peer.sock.send(READ % 1)
         await backend.requests.get()
         while not listener.node.pool.endpoints["b0"].idle:
@@ -246,22 +245,22 @@
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-test_small_writes_are_not_held_back_on_accepted_and_dialled_connections = on_uvloop(_nodelay)
+test_accepted_and_outgoing_connections_have_tcp_nodelay = on_uvloop(_nodelay)
 
 
 async def _crossed(tmp: Path) -> None:
-    """A request that has come unread when an idle connection is ended meets a clean end, and goes nowhere."""
+    """A request unread when the node closes an idle connection meets a clean close and is not executed."""
     backend = Backend("b0")
-    async with listener_of(tmp, backend) as listener:
+    async with running_listener(tmp, backend) as listener:
         for end in (ClientConnection.linger, ClientConnection.on_receive_timeout):
             peer = Peer()
-            connection = await peer.reach(listener)
+            connection = await peer.connect(listener)
             peer.sock.send(UP)
-            assert await peer.read(len(ANSWERED)) == ANSWERED
-            peer.sock.send(READ % 1)  # in the kernel, as the loop has had no turn
+            assert await peer.read(len(UP_RESPONSE)) == UP_RESPONSE
+            peer.sock.send(READ % 1)  # The request is in the kernel: the event loop has not run since.
             end(connection)
             assert await peer.read(1) == b""
-            peer.sock.send(READ % 2)  # nor is one taken that comes later
+            peer.sock.send(READ % 2)  # A request that arrives after the close is not executed either.
             assert connection in listener.lingering
             peer.sock.close()
             while listener.lingering:
@@ -270,21 +269,21 @@
         assert not listener.node.requests.open
 
 
-test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_taken = on_uvloop(_crossed)
+test_request_crossing_the_close_of_an_idle_connection_is_not_executed = on_uvloop(_crossed)
 
 
 async def _whole_answer(tmp: Path) -> None:
-    """The last answer reaches a client with a small window that sends more behind its request."""
+    """The last response reaches a client with a small window that sends more bytes after its request."""
     body = bytes(60_000)
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(body))
 
-    async with listener_of(tmp, Backend("b0", respond)) as listener:
+    async with running_listener(tmp, Backend("b0", respond)) as listener:
         peer = Peer(window=4096)
-        connection = await peer.reach(listener)
+        connection = await peer.connect(listener)
         peer.sock.send(READ.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") % 1)
-        while not connection.is_closing:  # the answer is on its way
+        while not connection.is_closing:  # Once closing, the connection has its whole response buffered.
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         peer.sock.send(b"x" * 1000)
@@ -294,19 +293,20 @@
         peer.sock.close()
 
 
-test_the_last_answer_is_whole_for_a_client_that_sends_on = on_uvloop(_whole_answer)
+test_last_response_is_complete_for_a_client_that_keeps_sending = on_uvloop(_whole_answer)
 
 
 async def _bounded(tmp: Path) -> None:
-    """Clients that rest after the node's end: no new one is crowded out, and there are only so many."""
+    """If clients do not close after the node has, new ones are still served and lingering is limited."""
     limit = 3
-    async with listener_of(tmp, limit=limit) as listener:
+    async with running_listener(tmp, limit=limit) as listener:
         peers, seen = [], []
         for _ in range(limit + overflow_limit(limit) + 5):
             peers.append(Peer())
-            seen.append(await peers[-1].reach(listener))
+            seen.append(await peers[-1].connect(listener))
             peers[-1].sock.send(UP)
-            assert await peers[-1].read(len(ANSWERED)) == ANSWERED  # not over the cap
+            # The usual response shows that the connection is not over the limit.
+            assert await peers[-1].read(len(UP_RESPONSE)) == UP_RESPONSE
             assert len(listener.connections) <= limit
             assert len(listener.connections) + len(listener.lingering) <= limit + overflow_limit(limit)
         first = seen[0].transport
@@ -317,14 +317,14 @@
             peer.sock.close()
 
 
-test_lingering_connections_are_bounded_and_in_nobodys_way = on_uvloop(_bounded)
+test_lingering_connections_are_limited_and_do_not_block_new_ones = on_uvloop(_bounded)
 
 
-async def _resting(tmp: Path) -> None:
-    """One that never ends its side is let go after a while."""
-    async with listener_of(tmp) as listener:
+async def _never_closing(tmp: Path) -> None:
+    """A client that never closes its side is disconnected after the linger timeout."""
+    async with running_listener(tmp) as listener:
         peer = Peer()
-        connection = await peer.reach(listener)
+        connection = await peer.connect(listener)
         connection.linger()
         assert await peer.read(1) == b""
         while listener.lingering:
@@ -332,54 +332,56 @@
         peer.sock.close()
 
 
-def test_a_client_that_rests_on_is_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The lingering is bounded in time."""
+def test_client_that_never_closes_is_disconnected_after_the_linger_timeout(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against lingering connections that stay forever."""
     monkeypatch.setattr(client_file, "LINGER_TIMEOUT_S", 0.05)
-    on_uvloop(_resting)(tmp_path)
+    on_uvloop(_never_closing)(tmp_path)
 
 
 async def _reset_first(tmp: Path) -> None:
-    """Ruled out: a client that resets in the moment of the close costs no log line."""
-    async with listener_of(tmp) as listener:
+    """A client that resets at the moment of the close causes no log line."""
+    async with running_listener(tmp) as listener:
         peer = Peer()
-        connection = await peer.reach(listener)
+        connection = await peer.connect(listener)
         peer.reset()
         connection.linger()
         while listener.connections or listener.lingering:
             await asyncio.sleep(0)
 
 
-def test_a_reset_that_crosses_a_close_is_quiet(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    """Neither from this side's hand nor the loop's."""
+def test_reset_crossing_a_close_is_not_logged(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against log lines of the node or the event loop for a routine reset."""
     with caplog.at_level(logging.INFO):
         on_uvloop(_reset_first)(tmp_path)
     assert not caplog.records
 
 
 async def _flood(tmp: Path) -> None:
-    """Requests without end from a client that reads no answer: it is left waiting."""
-    async with listener_of(tmp) as listener:
+    """Reading from a client that sends requests and reads no responses is paused."""
+    async with running_listener(tmp) as listener:
         peer = Peer(window=4096)
-        connection = await peer.reach(listener)
+        connection = await peer.connect(listener)
         transport = connection.transport
         assert transport is not None
-        whole = 0
+        request_count = 0
         while transport.is_reading():
             assert peer.sock.send(UP * 100) == 100 * len(UP)
-            whole += 100
+            request_count += 100
             while connection.has_unread_data and transport.is_reading():
                 await asyncio.sleep(0)
             assert transport.get_write_buffer_size() < 200_000
-        assert await peer.read(whole * len(ANSWERED)) == ANSWERED * whole  # and then it goes on
-        assert transport.is_reading()
+        assert await peer.read(request_count * len(UP_RESPONSE)) == UP_RESPONSE * request_count
+        assert transport.is_reading()  # Reading has resumed after the client read its responses.
         peer.sock.close()
 
 
-test_a_client_that_sends_on_and_reads_nothing_fills_no_memory = on_uvloop(_flood)
+test_client_that_sends_requests_and_reads_nothing_is_paused = on_uvloop(_flood)
 
 
 async def _behind(tmp: Path) -> None:
-    """What follows an open request is dropped: one answer for it, none for the rest, and no log line."""
+    """Bytes after an open request are dropped: it gets one response, the rest none, and nothing is logged."""
     go = asyncio.Event()
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -387,11 +389,11 @@
         writer.write(http_response(b"done"))
 
     backend = Backend("b0", respond)
-    async with listener_of(tmp, backend) as listener:
+    async with running_listener(tmp, backend) as listener:
         for rest in (b"nonsense\r\n\r\n", READ % 2 + b"\0\0\0", READ % 2 * 30_000, b"x" * 2_000_000):
             go.clear()
             peer = Peer()
-            connection = await peer.reach(listener)
+            connection = await peer.connect(listener)
             peer.sock.send(READ % 1)
             await backend.requests.get()
             await asyncio.get_running_loop().sock_sendall(peer.sock, rest)
@@ -409,19 +411,20 @@
                 await asyncio.sleep(0)
 
 
-def test_what_follows_an_open_request_is_dropped(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    """Bad requests behind a good one, and floods."""
+def test_bytes_after_an_open_request_are_dropped(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against responses, memory use or log lines for malformed or endless bytes after a request."""
     with caplog.at_level(logging.INFO):
         on_uvloop(_behind)(tmp_path)
-    assert caplog.messages == ["list: revision 41: in service b0"]  # at its start, and nothing since
+    # The only line is written at the start of the node.
+    assert caplog.messages == ["list: revision 41: in service b0"]
 
 
 async def _early(tmp: Path) -> None:
-    """A flood behind a request that was answered at once as bad gets no second answer."""
-    async with listener_of(tmp) as listener:
+    """Bytes after a request that was answered with an error get no second response."""
+    async with running_listener(tmp) as listener:
         for leave in (Peer.reset, lambda peer: peer.sock.close()):
             peer = Peer()
-            connection = await peer.reach(listener)
+            connection = await peer.connect(listener)
             peer.sock.send(b"GET /nobody HTTP/1.1\r\n\r\n" + READ % 1 * 1000)
             got = await peer.read(100_000)
             assert got.count(b"HTTP/1.1") == 1
@@ -435,17 +438,18 @@
             assert not listener.node.requests.open
 
 
-test_one_answer_for_a_flood_behind_a_bad_request = on_uvloop(_early)
+test_flood_after_a_rejected_request_gets_one_response = on_uvloop(_early)
 
 
 async def _queued(tmp: Path) -> None:
-    """Connections that wait to be accepted when the listener closes are served their request."""
+    """Connections still in the accept queue when the listener closes get their responses."""
     backend = Backend("b0")
-    async with listener_of(tmp, backend) as listener:
+    async with running_listener(tmp, backend) as listener:
         peers = [Peer() for _ in range(5)]
         for number, peer in enumerate(peers):
             with contextlib.suppress(BlockingIOError):
-                peer.sock.connect(listener.address)  # the kernel takes it up; the loop has had no turn
+                # The kernel queues the connection; the event loop cannot accept it yet.
+                peer.sock.connect(listener.address)
             peer.sock.send(READ % number)
         listener.node.is_stopping = True
         listener.stop()
@@ -456,17 +460,17 @@
             peer.sock.close()
 
 
-test_connections_in_the_listeners_queue_are_served_at_the_end = on_uvloop(_queued)
+test_connections_in_the_accept_queue_are_served_at_shutdown = on_uvloop(_queued)
 
 
 async def _spared(tmp: Path) -> None:
-    """A connection spared at the stop, as something has come there, that is no whole request."""
-    async with listener_of(tmp) as listener:
+    """Stopping spares a connection with unread data; one with an incomplete request is closed later."""
+    async with running_listener(tmp) as listener:
         peer, other = Peer(), Peer()
         for each in (peer, other):
-            await each.reach(listener)
+            await each.connect(listener)
             each.sock.send(UP)
-            assert await each.read(len(ANSWERED)) == ANSWERED
+            assert await each.read(len(UP_RESPONSE)) == UP_RESPONSE
         peer.sock.send(UP[:10])
         other.sock.send(UP[:10])
         listener.node.is_stopping = True
@@ -480,20 +484,20 @@
             each.sock.close()
 
 
-test_a_connection_spared_at_the_stop_is_ended_all_the_same = on_uvloop(_spared)
+test_connection_with_an_incomplete_request_is_closed_at_shutdown = on_uvloop(_spared)
 
 
 async def _closed(tmp: Path) -> None:
-    """Once the client side is closed nothing is taken, whatever comes and wherever it stands."""
+    """After the listener has closed, no request is executed, wherever it was when that happened."""
     backend = Backend("b0")
-    async with listener_of(tmp, backend) as listener:
+    async with running_listener(tmp, backend) as listener:
         peers = [Peer() for _ in range(3)]
         for peer in peers:
-            await peer.reach(listener)
-        peers[1].sock.send(READ[:20])  # in the middle of a head
+            await peer.connect(listener)
+        peers[1].sock.send(READ[:20])  # The second client has sent part of a head.
         while not listener.connections & {c for c in listener.connections if c.parser.is_receiving}:
             await asyncio.sleep(0)
-        peers[2].sock.send(READ % 3)  # unread
+        peers[2].sock.send(READ % 3)  # The third client's request is in the kernel, unread.
         listener.node.is_stopping = True
         ending = asyncio.ensure_future(listener.close(WAIT_TIMEOUT_S))
         await asyncio.sleep(0)
@@ -501,7 +505,7 @@
         peers[1].sock.send(READ[20:] % 2)
         for peer in peers:
             assert await peer.read(1) == b""
-        assert not ending.done()  # the clients have not ended
+        assert not ending.done()  # The listener waits because the clients have not closed yet.
         for peer in peers:
             peer.sock.close()
         await ending
@@ -509,11 +513,11 @@
         assert not listener.node.requests.open
 
 
-test_once_closed_nothing_is_taken = on_uvloop(_closed)
+test_no_request_is_executed_after_the_listener_has_closed = on_uvloop(_closed)
 
 
 async def _unframed(tmp: Path) -> None:
-    """Ruled out: an answer that ends with its connection does not look whole where it broke off."""
+    """A truncated response without framing ends in a reset: a clean close would make it look complete."""
     go = asyncio.Event()
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -524,9 +528,9 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async with listener_of(tmp, Backend("b0", respond)) as listener:
+    async with running_listener(tmp, Backend("b0", respond)) as listener:
         peer = Peer()
-        await peer.reach(listener)
+        await peer.connect(listener)
         peer.sock.send(b"GET /read HTTP/1.0\r\nRequest-Id: 1\r\n\r\n")
         assert (await peer.read(60_000)).startswith(b"HTTP/1.1 200 OK")
         go.set()
@@ -535,4 +539,4 @@
         peer.sock.close()
 
 
-test_an_answer_with_no_framing_that_breaks_off_ends_in_a_reset = on_uvloop(_unframed)
+test_truncated_response_without_framing_ends_in_a_reset = on_uvloop(_unframed)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool's idle connections: which goes when one must, and that no backend listed costs anything then."""
+"""Test eviction and sweeping of idle backend connections, without iteration over the endpoint list."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.virtual_discovery import VirtualLoop
 
 
-class Unwalked(ShardedDict[Member]):
-    """Backends of which there are too many to look through."""
+class NonIterableMembers(ShardedDict[Member]):
+    """Endpoint list that fails on iteration, which would be too slow with many endpoints."""
 
     def __iter__(self) -> Any:
         raise AssertionError
@@ -25,8 +25,8 @@
     keys = values = items = __iter__
 
 
-class Endpoints(dict[str, EndpointConnections]):
-    """Those that were sent to may be as many."""
+class NonIterableEndpoints(dict[str, EndpointConnections]):
+    """Connection states that fail on iteration, as they may be as many as the endpoints listed."""
 
     def __iter__(self) -> Any:
         raise AssertionError
@@ -38,29 +38,29 @@
     return tuple(Member(n, "a", 0, 1.0, phase, 0.0, host_port="127.0.0.1:9") for n in names)
 
 
-def played(play: Callable[[ConnectionPool, VirtualLoop], None]) -> None:
-    """With a pool of four backends that nothing walks through."""
+def run_with_pool(body: Callable[[ConnectionPool, VirtualLoop], None]) -> None:
+    """Run `body` with a pool of four endpoints that fails on iteration over them."""
 
     async def run() -> None:
         pool = ConnectionPool(BASE, 10, RequestStatistics(), StreamMemory(192))
-        pool.members, pool.endpoints = Unwalked(), Endpoints()
+        pool.members, pool.endpoints = NonIterableMembers(), NonIterableEndpoints()
         pool.update(members("b0", "b1", "b2", "b3"), False)
-        play(pool, loop)
+        body(pool, loop)
         pool.close()
         assert pool.connection_count == 0 and not pool.idle
 
-    async def never(*_: object) -> None:
+    async def unexpected_call(*_: object) -> None:
         raise AssertionError
 
-    loop = VirtualLoop(never)
+    loop = VirtualLoop(unexpected_call)
     try:
         loop.run_until_complete(run())
     finally:
         loop.close()
 
 
-def idle(pool: ConnectionPool, loop: VirtualLoop, *names: str) -> list[BackendConnection]:
-    """Connections to these that fall idle one after the other."""
+def add_idle(pool: ConnectionPool, loop: VirtualLoop, *names: str) -> list[BackendConnection]:
+    """Add connections to these endpoints that become idle one after the other."""
     out = []
     for name in names:
         loop.skipping_selector.now += 0.01
@@ -70,11 +70,11 @@
     return out
 
 
-def test_the_connection_that_has_been_idle_longest_makes_room() -> None:
-    def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
-        made = idle(pool, loop, "b3", "b0", "b3", "b1")
+def test_eviction_closes_the_connection_idle_longest() -> None:
+    def body(pool: ConnectionPool, loop: VirtualLoop) -> None:
+        made = add_idle(pool, loop, "b3", "b0", "b3", "b1")
         pool.remove_idle(made[0])
-        pool.release(made[0], True)  # used once more
+        pool.release(made[0], True)  # The connection has been used again, so it is now the last one idle.
         order = [made[1], made[2], made[3], made[0]]
         for number, expected in enumerate(order):
             assert [one.is_closed for one in order] == [i < number for i in range(4)]
@@ -84,14 +84,14 @@
             pool.endpoints
         ) == 3
 
-    played(play)
+    run_with_pool(body)
 
 
-def test_a_sweep_closes_what_has_been_idle_for_long_and_looks_again_while_any_is() -> None:
-    def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
-        old = idle(pool, loop, "b2", "b0")
+def test_sweep_closes_expired_idle_connections_and_repeats_while_any_is_idle() -> None:
+    def body(pool: ConnectionPool, loop: VirtualLoop) -> None:
+        old = add_idle(pool, loop, "b2", "b0")
         loop.skipping_selector.now += IDLE_TIMEOUT_FRACTION * pool.idle_timeout_s
-        young = idle(pool, loop, "b2")
+        young = add_idle(pool, loop, "b2")
         pool.sweep()
         assert [one.is_closed for one in (*old, *young)] == [True, True, False]
         assert pool.sweep_timer is not None and pool.endpoints["b2"].idle == young
@@ -99,44 +99,44 @@
         pool.sweep()
         assert young[0].is_closed and pool.sweep_timer is None
 
-    played(play)
+    run_with_pool(body)
 
 
-def test_what_is_closed_with_its_backend_is_not_closed_again_for_room() -> None:
-    def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
-        made = idle(pool, loop, "b0", "b1", "b1")
+def test_connections_closed_by_drain_or_maintenance_are_not_evicted_again() -> None:
+    def body(pool: ConnectionPool, loop: VirtualLoop) -> None:
+        made = add_idle(pool, loop, "b0", "b1", "b1")
         pool.update(members("b1", phase=api.EndpointPhase.DRAINING), False)
         pool.set_maintenance("b0", True)
         assert all(one.is_closed for one in made) and not pool.evict_longest_idle()
 
-    played(play)
+    run_with_pool(body)
 
 
-def test_the_backends_in_service_are_counted_as_the_list_goes_on() -> None:
-    def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
+def test_in_service_count_follows_list_updates() -> None:
+    def body(pool: ConnectionPool, loop: VirtualLoop) -> None:
         assert pool.in_service_count == 4
         pool.update(members("b0", "b1", phase=api.EndpointPhase.DRAINING) + members("b1", "b4"), False)
         assert pool.in_service_count == 4
         pool.update(members("b0", "b2", "b9", phase=api.EndpointPhase.REMOVED), False)
         assert pool.in_service_count == 3 and len(pool.members) == 3
 
-    played(play)
+    run_with_pool(body)
 
 
-def test_hosts_share_no_idle_connections() -> None:
-    def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
-        made, other = idle(pool, loop, "b0"), idle(pool, loop, "b1")
+def test_idle_connections_are_kept_per_endpoint() -> None:
+    def body(pool: ConnectionPool, loop: VirtualLoop) -> None:
+        made, other = add_idle(pool, loop, "b0"), add_idle(pool, loop, "b1")
         assert pool.endpoints["b0"].idle == made and pool.endpoints["b1"].idle == other
 
-    played(play)
+    run_with_pool(body)
 
 
-def test_only_what_is_sent_to_has_a_host_of_its_own() -> None:
-    """Guards against a record and a parsed address for each backend of a list of 70,000."""
+def test_only_endpoints_with_attempts_have_connection_state() -> None:
+    """Guards against memory for a record and a parsed address per endpoint of a list of 70,000."""
 
-    def play(pool: ConnectionPool, loop: VirtualLoop) -> None:
+    def body(pool: ConnectionPool, loop: VirtualLoop) -> None:
         assert not pool.endpoints and len(pool.members) == 4
-        idle(pool, loop, "b1")
+        add_idle(pool, loop, "b1")
         pool.update(members("b1", phase=api.EndpointPhase.DRAINING), False)
         assert (
             list(dict.keys(pool.endpoints)) == ["b1"]
@@ -146,4 +146,4 @@
         pool.update(members("b1", "b2", phase=api.EndpointPhase.REMOVED), False)
         assert not pool.endpoints and len(pool.members) == 2
 
-    played(play)
+    run_with_pool(body)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The real node over loopback sockets: outcomes, the one answer, drains, the list, the end, bad input."""
+"""Test a node over loopback sockets: attempt outcomes, endpoint list, invalid input, limits, shutdown."""
 
 from __future__ import annotations
 
@@ -40,17 +40,17 @@
 
 
 async def never_respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """Take the request and say nothing."""
+    """Receive a request and send no response."""
 
 
-def respond_with(*answers: bytes) -> Callable[[Backend, Message, asyncio.StreamWriter], Awaitable[None]]:
-    """Give these answers in turn, over all backends that share them, then serve."""
-    left = list(answers)
+def respond_with(*responses: bytes) -> Callable[[Backend, Message, asyncio.StreamWriter], Awaitable[None]]:
+    """Send these responses in turn, over all backends that share them, then echo; b"" resets instead."""
+    remaining = list(responses)
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        if not left:
+        if not remaining:
             await echo(backend, message, writer)
-        elif text := left.pop(0):
+        elif text := remaining.pop(0):
             writer.write(text)
         else:
             writer.transport.abort()
@@ -58,10 +58,10 @@
     return respond
 
 
-# --- serving
+# --- serving requests and attempt outcomes
 
 
-async def test_serves_and_keeps_connections(tmp_path: Path) -> None:
+async def test_requests_are_served_over_one_kept_alive_connection(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
         client = await rig.connect()
@@ -77,37 +77,43 @@
         assert (await backend.requests.get()).body == body
         assert (await client.request_pay()).status == 200
         assert (await backend.requests.get()).headers["idempotency-key"] == "k1"
-        assert backend.connection_count == 1  # each new one costs
+        assert backend.connection_count == 1
 
 
 FULL = http_response(b"", "503 Service Unavailable", "Not-Started: 1")
 
 
 @pytest.mark.parametrize(
-    ("first", "path", "again"),
+    ("first", "path", "is_retried"),
     [
         (FULL, "/once", True),
         (http_response(b"", "504 Gateway Timeout", "Not-Started: 1"), "/once", True),
-        (http_response(b"", "503 Service Unavailable"), "/once", False),  # without the mark it may have run
+        (
+            http_response(b"", "503 Service Unavailable"),
+            "/once",
+            False,
+        ),  # Without Not-Started the request may have run.
         (http_response(b"", "500 Internal Server Error"), "/once", False),
         (http_response(b"", "500 Internal Server Error", "Not-Started: 1"), "/once", False),
-        (b"", "/once", False),  # a reset
+        (b"", "/once", False),  # The backend resets the connection.
         (b"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", "/once", False),
         (b"", "/read", True),
     ],
 )
-async def test_outcomes_decide_what_goes_again(tmp_path: Path, first: bytes, path: str, again: bool) -> None:
+async def test_attempt_outcome_decides_whether_a_request_is_retried(
+    tmp_path: Path, first: bytes, path: str, is_retried: bool
+) -> None:
     respond = respond_with(first)
     one, two = Backend("b0", respond), Backend("b1", respond)
     async with running_node(tmp_path, one, two) as rig:
         client = await rig.connect()
         got = await client.request(path, method="GET" if path == "/read" else "POST")
-        assert got.status == (200 if again else 502)
-        assert one.requests.qsize() + two.requests.qsize() == 1 + again
+        assert got.status == (200 if is_retried else 502)
+        assert one.requests.qsize() + two.requests.qsize() == 1 + is_retried
 
 
-async def test_refused_connections_never_ran(tmp_path: Path) -> None:
-    """An unsafe request may go on to another backend, and a refusal is allowed if there is none."""
+async def test_refused_connections_count_as_not_executed(tmp_path: Path) -> None:
+    """A refused connection proves that the request never ran: it may be retried, or else rejected."""
 
     dead = [Backend(f"b{i}") for i in range(3)]
     async with running_node(tmp_path, *dead) as rig:
@@ -117,8 +123,8 @@
         assert (await client.request("/once", method="POST")).status == 503
 
 
-async def test_a_connection_that_never_comes_up_never_ran(tmp_path: Path) -> None:
-    mute = socket.socket()  # full accept queue: further connections get no answer
+async def test_connect_timeout_counts_as_not_executed(tmp_path: Path) -> None:
+    mute = socket.socket()  # With a full accept queue, further connections are not established.
     mute.bind(("127.0.0.1", 0))
     mute.listen(0)
     fill = [socket.socket() for _ in range(4)]
@@ -152,11 +158,11 @@
     return await ends.get()
 
 
-async def test_a_break_before_the_last_byte_left_never_ran() -> None:
+async def test_connection_lost_before_the_last_byte_was_sent_counts_as_not_executed() -> None:
     met = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readexactly(1)  # it has begun, and most of it is still with the sender
+        await reader.readexactly(1)  # The request has begun, and most of it is still unsent.
         writer.transport.abort()
         met.set()
 
@@ -174,7 +180,7 @@
     server.close()
 
 
-async def test_a_backend_that_left_while_its_connection_came_up_is_sent_nothing() -> None:
+async def test_endpoint_removed_while_connecting_is_sent_nothing() -> None:
     backend = Backend("b0")
     await backend.start()
     pool = ConnectionPool(
@@ -193,8 +199,8 @@
     backend.stop()
 
 
-async def test_a_dropped_attempt_is_closed_before_anything_else_happens() -> None:
-    """Guards against a second copy that goes out while the first is still out on an open connection."""
+async def test_cancelled_attempt_closes_its_connection_at_once() -> None:
+    """Guards against a retry that is sent while the connection of the cancelled attempt is still open."""
 
     listener = socket.create_server(("127.0.0.1", 0))
     pool = ConnectionPool(
@@ -204,7 +210,7 @@
         StreamMemory(64.0),
     )
     pool.update(_endpoint_update("b0", listener.getsockname()[1]), True)
-    attempt = pool.start_attempt("b0", b"hello", lambda http_response: None)
+    attempt = pool.start_attempt("b0", b"hello", lambda result: None)
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     peer, _ = await loop.sock_accept(listener)
@@ -212,13 +218,13 @@
     attempt.cancel()
     peer.setblocking(True)
     peer.settimeout(WAIT_TIMEOUT_S)
-    assert peer.recv(1) == b""  # without a turn of the loop in between
+    assert peer.recv(1) == b""  # The connection is closed before the next event loop iteration.
     peer.close()
     listener.close()
 
 
-async def test_the_cap_on_upstream_connections_holds(tmp_path: Path) -> None:
-    """The longest idle connection makes room; where none is idle the attempt was never sent."""
+async def test_limit_on_backend_connections_holds(tmp_path: Path) -> None:
+    """Over the limit the longest idle connection is closed; without one the attempt is not started."""
 
     backends = [Backend("b0"), Backend("b1", never_respond)]
     pool = ConnectionPool(
@@ -234,7 +240,7 @@
     pool.update(members, True)
     request = b"GET / HTTP/1.1\r\nrequest-id: 1\r\n\r\n".replace(b"request-id:", b"Request-Id:")
     assert (await _start_attempt(pool, request)).status is AttemptStatus.OK
-    attempt = pool.start_attempt("b1", request, lambda http_response: None)
+    attempt = pool.start_attempt("b1", request, lambda result: None)
     await backends[1].requests.get()
     await backends[0].closed_connections.get()
     assert pool.connection_count == 1
@@ -244,8 +250,8 @@
         backend.stop()
 
 
-async def test_a_socket_that_cannot_be_made_is_not_counted() -> None:
-    """Guards the pool against shrinking for good in a moment without descriptors."""
+async def test_failed_socket_creation_is_not_counted_as_a_connection() -> None:
+    """Guards against a pool that counts failed sockets, and so shrinks whenever descriptors run out."""
 
     backend = Backend("b0", respond_with(http_response(b"x")))
     await backend.start()
@@ -267,7 +273,7 @@
     backend.stop()
 
 
-async def test_an_idle_connection_is_closed_before_the_backend_would(tmp_path: Path) -> None:
+async def test_idle_connection_is_closed_before_the_backend_closes_it(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend, limits={"conn-idle": 300}) as rig:
         client = await rig.connect()
@@ -277,7 +283,7 @@
         assert backend.connection_count == 2
 
 
-async def test_what_follows_an_answer_spoils_the_connection_only(tmp_path: Path) -> None:
+async def test_excess_response_closes_the_connection_but_does_not_fail_the_request(tmp_path: Path) -> None:
     async def twice(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(b"mine") + http_response(b"not mine"))
 
@@ -289,7 +295,7 @@
             assert await backend.closed_connections.get() == number
 
 
-async def test_an_answer_whose_head_does_not_end_is_given_up(tmp_path: Path) -> None:
+async def test_response_with_an_endless_head_fails(tmp_path: Path) -> None:
     backend = Backend("b0", respond_with(b"HTTP/1.1 200 OK\r\nLong: " + b"x" * 20_000))
     async with running_node(tmp_path, backend) as rig:
         client = await rig.connect()
@@ -298,17 +304,17 @@
         await backend.closed_connections.get()
 
 
-async def test_interim_answers_are_passed_over(tmp_path: Path) -> None:
+async def test_interim_responses_are_skipped(tmp_path: Path) -> None:
     first = b"HTTP/1.1 103 Early Hints\r\nNot-Started: 1\r\n\r\n" + http_response(b"late")
     async with running_node(tmp_path, Backend("b0", respond_with(first))) as rig:
         client = await rig.connect()
         assert (await client.request("/once", method="POST")).body == b"late"
 
 
-# --- load reports
+# --- load reports in responses
 
 
-def test_load_reports() -> None:
+def test_load_reports_are_parsed_and_invalid_ones_raise() -> None:
     report = parse_load_report("TEXT inflight=7, queue=2, util=0.61, other=3")
     assert (report.in_flight, report.queue, report.cpu_utilization) == (7.0, 2.0, 0.61)
     for bad in ("", "JSON {}", "TEXT inflight", "TEXT inflight=x", "TEXT inflight=nan", "TEXT queue=-1"):
@@ -316,7 +322,7 @@
             parse_load_report(bad)
 
 
-async def test_a_broken_report_costs_one_log_line(tmp_path: Path) -> None:
+async def test_invalid_load_report_is_logged_and_the_response_used(tmp_path: Path) -> None:
     first = http_response(b"fine", "200 OK", "Server-Load: TEXT inflight=many")
     async with running_node(tmp_path, Backend("b0", respond_with(first))) as rig:
         client = await rig.connect()
@@ -325,10 +331,10 @@
         assert (await client.request("/read")).status == 200
 
 
-# --- the one answer
+# --- deadlines, disconnects and rejections
 
 
-async def test_no_answer_in_time_fails_before_the_limit(tmp_path: Path) -> None:
+async def test_request_without_a_response_fails_at_its_deadline(tmp_path: Path) -> None:
     backend = Backend("b0", never_respond)
     async with running_node(tmp_path, backend) as rig:
         client = await rig.connect()
@@ -336,12 +342,12 @@
         start = loop.time()
         assert (await client.request("/once", "Request-Timeout: 700m", method="POST")).status == 502
         assert loop.time() - start >= 0.6
-        await backend.closed_connections.get()  # it is waited for no longer
+        await backend.closed_connections.get()  # The attempt is cancelled at the deadline.
         backend.respond = echo
         assert (await client.request("/up")).status == 200
 
 
-async def test_a_client_that_leaves_calls_its_attempt_off(tmp_path: Path) -> None:
+async def test_client_disconnect_cancels_its_attempt(tmp_path: Path) -> None:
     backend = Backend("b0", never_respond)
     async with running_node(tmp_path, backend, **LONG_DEADLINES) as rig:
         client = await rig.connect()
@@ -351,8 +357,8 @@
         await backend.closed_connections.get()
 
 
-async def test_a_refusal_comes_at_once_and_says_when_to_return(tmp_path: Path) -> None:
-    """Guards against clients that all come back at once after a refusal."""
+async def test_rejection_is_immediate_and_has_retry_after(tmp_path: Path) -> None:
+    """Guards against clients that all retry at once after a rejection."""
 
     backend = Backend("b0", never_respond)
     limits = {"retry-after": True, "max-retry-after": 100}
@@ -366,10 +372,10 @@
         assert 0 < float(got.headers["retry-after"]) <= 0.1
 
 
-# --- the list
+# --- the endpoint list and its watch
 
 
-async def test_a_drain_is_kept_and_idle_connections_go(tmp_path: Path) -> None:
+async def test_draining_endpoint_gets_no_requests_and_its_idle_connections_close(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
         client = await rig.connect()
@@ -382,7 +388,7 @@
         assert backend.requests.empty()
 
 
-async def test_changes_come_across_packet_borders_and_a_full_list_drops_what_it_lacks(tmp_path: Path) -> None:
+async def test_complete_list_in_small_chunks_replaces_the_endpoints(tmp_path: Path) -> None:
     old, new = Backend("b0"), Backend("b1")
     await new.start()
     async with running_node(tmp_path, old) as rig:
@@ -399,7 +405,7 @@
     new.stop()
 
 
-async def test_a_backend_may_return_elsewhere(tmp_path: Path) -> None:
+async def test_endpoint_may_move_to_another_address(tmp_path: Path) -> None:
     old, new = Backend("b0"), Backend("b0")
     await new.start()
     async with running_node(tmp_path, old) as rig:
@@ -413,7 +419,7 @@
     new.stop()
 
 
-async def test_a_watch_that_ends_or_goes_silent_is_asked_for_again(tmp_path: Path) -> None:
+async def test_ended_or_silent_watch_is_repeated_from_the_last_revision(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
         await rig.discovery.watch_targets.get()
@@ -421,14 +427,14 @@
         assert rig.discovery.writer is not None
         rig.discovery.writer.close()
         assert await rig.discovery.watch_targets.get() == "/discovery/hosts?watch=1&from=47"
-        # Nothing more comes now, and nothing closes: a node that waits for either waits for ever.
+        # Discovery now sends nothing and does not close, so the node must time the watch out.
         assert await rig.discovery.watch_targets.get() == "/discovery/hosts?watch=1&from=47"
         client = await rig.connect()
-        assert (await client.request("/read")).status == 200  # on the last list, all the while
+        assert (await client.request("/read")).status == 200  # The last list stays in use.
 
 
-async def test_a_reload_moves_the_watch_at_once_and_survives_a_bad_file(tmp_path: Path) -> None:
-    """Guards against SIGHUP ending the node, and against drains that the new discovery alone tells."""
+async def test_reload_moves_the_watch_at_once_and_ignores_an_invalid_file(tmp_path: Path) -> None:
+    """Guards against SIGHUP ending the node, and against missing a drain that only the new address sends."""
 
     backend, moved = Backend("b0"), FakeDiscovery()
     await moved.start()
@@ -445,14 +451,14 @@
         assert await moved.watch_targets.get() == "/discovery/hosts?watch=1&from=43"
         assert (await client.request("/read")).status == 200
         moved.send_update(44, backend.list_entry(phase="terminating"))
-        await backend.closed_connections.get()  # the idle connection goes: the news came through
+        await backend.closed_connections.get()  # The drain has arrived, so the idle connection is closed.
         assert (await client.request("/read")).status == 503
         assert rig.discovery.watch_targets.empty()
     assert moved.server is not None
     moved.server.close()
 
 
-async def test_a_reload_finds_discovery_again_while_the_old_address_is_away(tmp_path: Path) -> None:
+async def test_reload_moves_the_watch_while_the_old_address_is_down(tmp_path: Path) -> None:
     backend, moved = Backend("b0"), FakeDiscovery()
     await moved.start()
     async with running_node(tmp_path, backend) as rig:
@@ -472,8 +478,8 @@
     moved.server.close()
 
 
-async def test_a_bad_object_costs_a_log_line_and_the_whole_list(tmp_path: Path) -> None:
-    """Guards also against a change behind it that is taken as if nothing were missing."""
+async def test_invalid_update_is_logged_and_the_complete_list_is_requested(tmp_path: Path) -> None:
+    """Guards against applying a later update although the invalid one before it is missing."""
 
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
@@ -487,8 +493,8 @@
         assert (await client.request("/read")).status == 200
 
 
-async def test_an_indented_list_is_taken_whole_and_in_pieces(tmp_path: Path) -> None:
-    """Guards against taking a line for an object: none was ever taken, and reconnects went on for ever."""
+async def test_indented_list_is_accepted_in_one_chunk_and_in_many(tmp_path: Path) -> None:
+    """Guards against parsing each line as an object: no list was ever accepted, and the node reconnected."""
 
     old, new = Backend("b0"), Backend("b1")
     await new.start()
@@ -514,17 +520,17 @@
     "row",
     [{}, {"id": 3}, {"phase": "odd"}, {"size": -1}, {"size": "1"}, {"host_port": "here:1"}, {"cell": "x"}],
 )
-def test_bad_entries_are_named(row: dict[str, Any]) -> None:
+def test_invalid_endpoint_entries_raise(row: dict[str, Any]) -> None:
     good = {"id": "b0", "host_port": "127.0.0.1:1", "phase": "in_service"}
     with pytest.raises(EndpointListError):
         update_from_json({"revision": 1, "complete": True, "members": [good | row if row else "b0"]})
 
 
-# --- bad input
+# --- invalid requests
 
 
 @pytest.mark.parametrize(
-    ("text", "code"),
+    ("text", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
         (b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: soon\r\n\r\n", 400),
@@ -544,45 +550,48 @@
         (b"GET /read HTTP/1.1\r\nUpgrade: websocket\r\nConnection: upgrade\r\n\r\n", 400),
     ],
 )
-async def test_bad_input_gets_a_plain_answer_and_a_close(tmp_path: Path, text: bytes, code: int) -> None:
+async def test_invalid_request_gets_an_error_response_and_a_close(
+    tmp_path: Path, text: bytes, status: int
+) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
         client = await rig.connect()
         client.writer.write(text)
-        assert (await client.read_response()).status == code
+        assert (await client.read_response()).status == status
         assert await client.read_until_closed() == b""
         assert backend.requests.empty()
         assert (await (await rig.connect()).request("/read")).status == 200
 
 
-async def test_an_upgrade_is_not_answered_twice(tmp_path: Path) -> None:
-    """The parser stops at an upgrade once the request is whole, and so may be answered already."""
+async def test_upgrade_request_gets_one_response(tmp_path: Path) -> None:
+    """The parser reports an upgrade only after the complete request, which may already be answered."""
 
-    async with running_node(tmp_path) as rig:  # no backends: all is refused at once
+    async with running_node(tmp_path) as rig:  # Without backends every request is rejected at once.
         client = await rig.connect()
         client.send("/read", "Upgrade: websocket", "Connection: upgrade")
         assert (await client.read_response()).status == 503
         assert await client.read_until_closed() == b""
 
 
-async def test_a_request_behind_an_answer_that_closes_is_not_taken(tmp_path: Path) -> None:
+async def test_pipelined_request_after_a_closing_response_is_not_executed(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
-        await (await rig.connect()).request("/read")  # leaves a connection on which the next is sent at once
+        # The idle backend connection that this leaves would carry a further request at once.
+        await (await rig.connect()).request("/read")
         await backend.requests.get()
         rig.terminate()
         while (await (await rig.connect()).request("/up")).status != 503:
             pass
         client = await rig.connect()
         two = b"GET /up HTTP/1.1\r\n\r\nGET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
-        client.writer.write(two)  # in one packet, so that both are read at once
+        client.writer.write(two)  # One packet makes the node read both requests at once.
         assert (await client.read_response()).headers["connection"] == "close"
         assert await client.read_until_closed() == b""
         assert await rig.wait_for_exit() == 0
         assert backend.requests.empty()
 
 
-async def test_a_request_behind_an_open_one_is_left_to_another_connection(tmp_path: Path) -> None:
+async def test_request_pipelined_behind_an_open_one_is_not_executed(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
         client = await rig.connect()
@@ -593,14 +602,14 @@
         assert await client.read_until_closed() == b"" and backend.requests.qsize() == 1
 
 
-# --- limits, start and end
+# --- connection limits, start and shutdown
 
 
-async def test_the_cap_on_client_connections_holds(tmp_path: Path) -> None:
-    """The longest idle connection makes room."""
+async def test_limit_on_client_connections_holds(tmp_path: Path) -> None:
+    """Over the limit the longest idle connection is closed."""
 
     backend = Backend("b0")
-    async with running_node(tmp_path, backend, sockets=64) as rig:  # 19 for clients
+    async with running_node(tmp_path, backend, sockets=64) as rig:  # 64 descriptors allow 19 clients.
         idle = [await rig.connect() for _ in range(19)]
         for client in idle:
             assert (await client.request("/up")).status == 200
@@ -610,8 +619,8 @@
             assert (await client.request("/read")).status == 200
 
 
-async def test_a_connection_over_the_cap_gets_a_legal_answer(tmp_path: Path) -> None:
-    """Where none is idle the newest is answered, and closed."""
+async def test_connection_over_the_limit_gets_a_valid_response(tmp_path: Path) -> None:
+    """Without an idle connection the newest one gets a 503 response and is closed."""
 
     backend = Backend("b0", never_respond)
     await backend.start()
@@ -638,7 +647,7 @@
     backend.stop()
 
 
-async def test_no_more_than_max_open_requests_are_taken(tmp_path: Path) -> None:
+async def test_requests_over_max_open_are_rejected(tmp_path: Path) -> None:
     backend = Backend("b0", never_respond)
     async with running_node(tmp_path, backend, limits={"max-open": 1}, **LONG_DEADLINES) as rig:
         first, second = await rig.connect(), await rig.connect()
@@ -647,7 +656,7 @@
         assert (await second.request("/read")).status == 503
 
 
-async def test_sigterm_answers_what_was_taken_and_exits_0(tmp_path: Path) -> None:
+async def test_sigterm_answers_accepted_requests_and_exits_with_0(tmp_path: Path) -> None:
     go = asyncio.Event()
 
     async def slow(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -663,7 +672,7 @@
         rig.terminate()
         while (await (await rig.connect()).request("/up")).status != 503:
             pass
-        late = await rig.connect()  # connections that come now are still taken
+        late = await rig.connect()  # New connections are still accepted for a while.
         late.send("/read")
         await backend.requests.get()
         assert await idle.read_until_closed() == b""
@@ -687,7 +696,9 @@
         (None, "PROXY_CONFIG"),
     ],
 )
-async def test_a_bad_configuration_is_named(tmp_path: Path, over: dict[str, Any] | None, field: str) -> None:
+async def test_invalid_configuration_is_reported_in_one_line_naming_the_field(
+    tmp_path: Path, over: dict[str, Any] | None, field: str
+) -> None:
     path = tmp_path / "config.json"
     path.write_text("{" if over is None else json.dumps(node_config([], 1) | over))
     process = await spawn_node(path)
@@ -699,8 +710,8 @@
 SLOW_BODY = b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\n1"
 
 
-async def test_peers_without_a_proper_request_are_let_go_in_time(tmp_path: Path) -> None:
-    """Guards against silent peers that hold a connection: each is owed an error or a close within 3 s."""
+async def test_peers_without_a_complete_request_are_closed_in_time(tmp_path: Path) -> None:
+    """Guards against silent peers that keep a connection: each gets an error or a close in time."""
 
     async with running_node(tmp_path, Backend("b0")) as rig:
         kept = await rig.connect()
@@ -713,4 +724,5 @@
             got = await peer.read_until_closed()
             assert (b" 408 " in got) == (len(sent) > 2), sent
             assert asyncio.get_running_loop().time() - begun < 8.0, sent
-        assert (await kept.request("/read")).status == 200  # a peer that has sent a request may stay
+        # A client that has completed a request may stay connected.
+        assert (await kept.request("/read")).status == 200
