--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A client that leaves: nothing begins for it any more, wherever its request stands, and the books close."""
+"""Test client disconnects: no attempt starts afterwards and no state is left, at any stage of the request."""
 
 from __future__ import annotations
 
@@ -22,69 +22,70 @@
 from balancer.net.stream import MAX_BUFFERED_BODY_BYTES, MAX_REPLAY_BYTES
 from tests.sockets import HOUR_MS, WAIT_TIMEOUT_S, Backend, Client, Message, echo, http_response, node_config
 
-FULL = http_response(b"", "503 Service Unavailable", "Not-Started: 1")
+NOT_STARTED_RESPONSE = http_response(b"", "503 Service Unavailable", "Not-Started: 1")
 
 
-async def never(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """Take the request and say nothing."""
+async def never_respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    """Receive a request and send no response."""
 
 
-class Scene:
-    """A node in this process, on sockets, whose connections to backends come up when the test says so."""
+class NodeHarness:
+    """Node in the test process whose connections to backends are established when the test allows it."""
 
     def __init__(self, node: Node, listener: Listener, backends: tuple[Backend, ...]) -> None:
         self.node, self.listener, self.backends = node, listener, backends
         self.clients: list[Client] = []
-        self.dials: asyncio.Queue[asyncio.Event] = asyncio.Queue()  # each waits until it is set
-        self.freely = 0  # so many connections come up at once
-        self.refusing = False  # those that waited do not come up
+        # Pending connects to backends; each one proceeds when its event is set.
+        self.pending_connects: asyncio.Queue[asyncio.Event] = asyncio.Queue()
+        self.immediate_connects = 0  # Number of further connects that do not wait for the test.
+        self.refuses_connects = False  # If set, pending connects fail as refused.
         self.loop = asyncio.get_running_loop()
-        self.connect = self.loop.sock_connect
+        self.real_sock_connect = self.loop.sock_connect
 
-    async def dial(self, sock: socket.socket, address: Any) -> None:
-        """Stands in for the loop's `sock_connect`."""
+    async def sock_connect(self, sock: socket.socket, address: Any) -> None:
+        """Replace `sock_connect` of the event loop: delay connects to backends."""
         if address[1] not in {backend.port for backend in self.backends}:
-            pass  # a client's
-        elif self.freely:
-            self.freely -= 1
+            pass  # Connects of the test's clients are not delayed.
+        elif self.immediate_connects:
+            self.immediate_connects -= 1
         else:
             gate = asyncio.Event()
-            self.dials.put_nowait(gate)
+            self.pending_connects.put_nowait(gate)
             await gate.wait()
-            if self.refusing:
+            if self.refuses_connects:
                 raise ConnectionRefusedError
-        await self.connect(sock, address)
+        await self.real_sock_connect(sock, address)
 
-    async def client(self) -> Client:
-        """A new connection to the node."""
+    async def connect_client(self) -> Client:
+        """Open a new client connection to the node."""
         out = Client(*await asyncio.open_connection(*self.listener.address))
         self.clients.append(out)
         return out
 
-    async def dialled(self) -> asyncio.Event:
-        """The next connection that waits to come up."""
-        return await asyncio.wait_for(self.dials.get(), WAIT_TIMEOUT_S)
+    async def next_pending_connect(self) -> asyncio.Event:
+        """Wait for the next pending connect and return the event that releases it."""
+        return await asyncio.wait_for(self.pending_connects.get(), WAIT_TIMEOUT_S)
 
-    async def until(self, what: Callable[[], bool]) -> None:
-        """Run the loop until this holds."""
+    async def run_until(self, condition: Callable[[], bool]) -> None:
+        """Run the event loop until the condition is true."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            while not what():
+            while not condition():
                 await asyncio.sleep(0)
 
-    async def leave(self, client: Client, reset: bool) -> None:
-        """The client closes its connection, and the node has seen it."""
+    async def disconnect(self, client: Client, reset: bool) -> None:
+        """Close a client connection and wait until the node has noticed."""
         count = len(self.listener.connections)
-        depart(client, reset)
-        await self.until(lambda: len(self.listener.connections) < count)
+        close_client(client, reset)
+        await self.run_until(lambda: len(self.listener.connections) < count)
 
-    def nothing_left(self) -> bool:
-        """Whether neither the node nor its module has anything under way."""
-        module = self.node.balancer
-        return not (self.node.requests.open or module.requests.by_id or module.limit.in_flight)
+    def has_no_open_request(self) -> bool:
+        """Return whether neither the node nor its balancer has an open request or attempt."""
+        balancer = self.node.balancer
+        return not (self.node.requests.open or balancer.requests.by_id or balancer.limit.in_flight)
 
 
-def depart(client: Client, reset: bool) -> None:
-    """End a client's connection by a FIN or a RST."""
+def close_client(client: Client, reset: bool) -> None:
+    """Close a client connection with a FIN, or with a RST if `reset`."""
     sock = client.writer.get_extra_info("socket")
     if reset:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -92,10 +93,10 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(
+async def node_harness(
     tmp: Path, monkeypatch: pytest.MonkeyPatch, *backends: Backend, **over: Any
-) -> AsyncIterator[Scene]:
-    """A node that knows these backends."""
+) -> AsyncIterator[NodeHarness]:
+    """Run a node in this process that has these backends in its endpoint list."""
     for backend in backends:
         await backend.start()
     path = tmp / "config.json"
@@ -107,8 +108,8 @@
     node.update_endpoints(config.initial_list, ListUpdateKind.CACHED)
     listener = Listener(node, 100)
     await listener.listen(("127.0.0.1", 0), shared=False)
-    out = Scene(node, listener, backends)
-    monkeypatch.setattr(out.loop, "sock_connect", out.dial)
+    out = NodeHarness(node, listener, backends)
+    monkeypatch.setattr(out.loop, "sock_connect", out.sock_connect)
     try:
         yield out
     finally:
@@ -117,66 +118,66 @@
             client.writer.transport.abort()
         for backend in backends:
             backend.stop()
-        await out.until(lambda: not (listener.connections or node.requests.open))
+        await out.run_until(lambda: not (listener.connections or node.requests.open))
         node.pool.close()
 
 
-def send(client: Client, path: str) -> str:
-    """A small request of this class."""
+def send_request(client: Client, path: str) -> str:
+    """Send a small request of the class named by the path, and return its id."""
     if path == "/read":
         return client.send(path)
     return client.send(path, "Idempotency-Key: k1", method="POST", body=b"{}")
 
 
-# --- while its connection comes up
+# --- the client disconnects while a backend connection is being established
 
 
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("path", ["/read", "/pay", "/once"])
-async def test_a_client_that_leaves_while_its_attempt_dials_is_sent_on_to_nobody(
+async def test_disconnect_while_the_attempt_connects_sends_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, path: str, cancel: bool, reset: bool
 ) -> None:
     backend = Backend("b0")
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as on:
-        first = await on.client()
-        send(first, path)
-        gate = await on.dialled()
-        await on.leave(first, reset)
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as harness:
+        first = await harness.connect_client()
+        send_request(first, path)
+        gate = await harness.next_pending_connect()
+        await harness.disconnect(first, reset)
         gate.set()
-        assert on.nothing_left() and on.node.pool.connection_count == 0
-        assert on.node.counts["attempt_moot"] + on.node.counts["attempt_cancelled"] == 1
-        on.freely = 1
-        second = await on.client()
-        name = send(second, path)
+        assert harness.has_no_open_request() and harness.node.pool.connection_count == 0
+        assert harness.node.counts["attempt_moot"] + harness.node.counts["attempt_cancelled"] == 1
+        harness.immediate_connects = 1
+        second = await harness.connect_client()
+        name = send_request(second, path)
         assert (await second.read_response()).status == 200
         assert (await backend.requests.get()).headers["request-id"] == name and backend.requests.empty()
-        assert backend.connection_count == 1 and on.nothing_left()
+        assert backend.connection_count == 1 and harness.has_no_open_request()
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-async def test_a_client_that_leaves_while_its_second_attempt_dials_is_sent_on_no_more(
+async def test_disconnect_while_the_retry_connects_sends_nothing_more(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cancel: bool
 ) -> None:
     async def full(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(FULL)
+        writer.write(NOT_STARTED_RESPONSE)
 
     backends = Backend("b0", full), Backend("b1", full)
-    async with scene(tmp_path, monkeypatch, *backends, limits={"cancel": cancel}) as on:
-        on.freely = 1
-        client = await on.client()
-        send(client, "/once")
-        gate = await on.dialled()
-        assert on.node.counts["attempt_full"] == 1
-        await on.leave(client, False)
+    async with node_harness(tmp_path, monkeypatch, *backends, limits={"cancel": cancel}) as harness:
+        harness.immediate_connects = 1
+        client = await harness.connect_client()
+        send_request(client, "/once")
+        gate = await harness.next_pending_connect()
+        assert harness.node.counts["attempt_full"] == 1
+        await harness.disconnect(client, False)
         gate.set()
-        assert on.nothing_left()
+        assert harness.has_no_open_request()
         assert sum(backend.requests.qsize() for backend in backends) == 1
 
 
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("path", ["/read", "/once"])
-async def test_what_was_written_is_left_as_the_settings_allow(
+async def test_disconnect_cancels_a_sent_attempt_if_the_settings_allow(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, path: str, cancel: bool
 ) -> None:
     go = asyncio.Event()
@@ -186,23 +187,23 @@
         await echo(backend, message, writer)
 
     backend = Backend("b0", slow)
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as on:
-        on.freely = 1
-        client = await on.client()
-        send(client, path)
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as harness:
+        harness.immediate_connects = 1
+        client = await harness.connect_client()
+        send_request(client, path)
         await backend.requests.get()
-        await on.leave(client, False)
+        await harness.disconnect(client, False)
         if cancel:
-            assert on.node.counts["attempt_cancelled"] == 1
+            assert harness.node.counts["attempt_cancelled"] == 1
         else:
-            assert on.node.pool.connection_count == 1 and on.node.balancer.limit.in_flight == 1
+            assert harness.node.pool.connection_count == 1 and harness.node.balancer.limit.in_flight == 1
             go.set()
-            await on.until(lambda: on.node.counts["attempt_ok"] == 1)
-        assert on.nothing_left() and backend.requests.empty()
+            await harness.run_until(lambda: harness.node.counts["attempt_ok"] == 1)
+        assert harness.has_no_open_request() and backend.requests.empty()
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-async def test_a_client_that_leaves_while_its_request_is_held_is_sent_on_to_nobody(
+async def test_disconnect_while_the_request_is_queued_sends_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cancel: bool
 ) -> None:
     go = asyncio.Event()
@@ -212,159 +213,169 @@
         await echo(backend, message, writer)
 
     backend = Backend("b0", slow)
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as on:
-        on.freely = 2
-        clients = [await on.client() for _ in range(3)]
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as harness:
+        harness.immediate_connects = 2
+        clients = [await harness.connect_client() for _ in range(3)]
         for client in clients[:2]:
-            send(client, "/read")
+            send_request(client, "/read")
             await backend.requests.get()
-        send(clients[2], "/read")
-        await on.until(lambda: len(on.node.balancer.router.queue) == 1)
-        await on.leave(clients[2], False)
+        send_request(clients[2], "/read")
+        await harness.run_until(lambda: len(harness.node.balancer.router.queue) == 1)
+        await harness.disconnect(clients[2], False)
         go.set()
         for client in clients[:2]:
             assert (await client.read_response()).status == 200
-        assert on.nothing_left() and not on.node.balancer.router.queue
-        assert backend.requests.empty() and on.node.counts["left_unsent"] == 1
+        assert harness.has_no_open_request() and not harness.node.balancer.router.queue
+        assert backend.requests.empty() and harness.node.counts["left_unsent"] == 1
 
 
-async def test_a_request_that_a_fault_ends_leaves_nothing_in_the_books(
+async def test_request_failed_by_an_exception_leaves_no_open_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the count of open requests and of attempts out, whatever the module makes of an event."""
+    """Guards against requests and attempts that stay counted as open after an exception in the balancer."""
 
-    backend = Backend("b0", never)
-    async with scene(tmp_path, monkeypatch, backend) as on:
-        handle = on.node.balancer.handle
+    backend = Backend("b0", never_respond)
+    async with node_harness(tmp_path, monkeypatch, backend) as harness:
+        handle = harness.node.balancer.handle
 
         def faulty(now: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.RequestBodyReceived):
                 raise ZeroDivisionError
             return handle(now, event)
 
-        monkeypatch.setattr(on.node.balancer, "handle", faulty)
-        on.freely = 1
-        client = await on.client()
+        monkeypatch.setattr(harness.node.balancer, "handle", faulty)
+        harness.immediate_connects = 1
+        client = await harness.connect_client()
         client.writer.write(
             b"POST /once HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\nContent-Length: %d\r\n\r\n"
             % MAX_REPLAY_BYTES
         )
         client.writer.write(b"x" * (MAX_REPLAY_BYTES - 1))
-        await on.until(lambda: bool(on.node.requests.open) and on.node.pool.connection_count == 1)
+        await harness.run_until(
+            lambda: bool(harness.node.requests.open) and harness.node.pool.connection_count == 1
+        )
         client.writer.write(b"x")
         assert (await client.read_response()).status == 502
-        assert on.nothing_left() and on.node.pool.connection_count == 0
+        assert harness.has_no_open_request() and harness.node.pool.connection_count == 0
 
 
-async def test_a_request_that_a_fault_ends_while_it_dials_is_sent_on_to_nobody(
+async def test_request_abandoned_while_connecting_sends_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     backend = Backend("b0")
-    async with scene(tmp_path, monkeypatch, backend) as on:
-        client = await on.client()
-        name = send(client, "/once")
-        gate = await on.dialled()
-        on.node.requests.abandon(name)
+    async with node_harness(tmp_path, monkeypatch, backend) as harness:
+        client = await harness.connect_client()
+        name = send_request(client, "/once")
+        gate = await harness.next_pending_connect()
+        harness.node.requests.abandon(name)
         gate.set()
         assert (await client.read_response()).status == 502
-        assert on.nothing_left() and on.node.pool.connection_count == 0 and backend.requests.empty()
+        assert (
+            harness.has_no_open_request()
+            and harness.node.pool.connection_count == 0
+            and backend.requests.empty()
+        )
 
 
-# --- while nothing is read from it
+# --- the client disconnects while reading from it is paused
 
 
 @dataclass
-class Raw(Backend):
-    """Keeps all that comes on a connection, in the order in which connections end."""
+class RecordingBackend(Backend):
+    """Backend that queues all bytes of a connection when it ends."""
 
-    raw: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
+    received: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connection_count += 1
         self.writers.append(writer)
-        self.raw.put_nowait(await reader.read())
+        self.received.put_nowait(await reader.read())
         writer.close()
 
 
-async def paused(on: Scene, rest: bytes) -> tuple[Client, asyncio.Event]:
-    """A client whose long body is not read any more, as its connection to the backend still comes up.
+async def start_paused_upload(harness: NodeHarness, rest: bytes) -> tuple[Client, asyncio.Event]:
+    """Start a long upload from which reading is paused, as the backend connection is still pending.
 
-    `rest` stands unread, before whatever the client does next.
+    `rest` is sent afterwards and stays unread in front of whatever the client does next.
     """
-    client = await on.client()
+    client = await harness.connect_client()
     head = b"POST /pay HTTP/1.1\r\nRequest-Id: 1\r\nIdempotency-Key: k\r\nContent-Length: %d\r\n\r\n"
     client.writer.write(head % (2 * MAX_BUFFERED_BODY_BYTES) + b"x" * (2 * MAX_BUFFERED_BODY_BYTES - 10))
-    gate = await on.dialled()
-    await on.until(lambda: any(connection.receive_timer.is_paused for connection in on.listener.connections))
+    gate = await harness.next_pending_connect()
+    await harness.run_until(
+        lambda: any(connection.receive_timer.is_paused for connection in harness.listener.connections)
+    )
     client.writer.write(rest)
-    await on.until(lambda: not client.writer.transport.get_write_buffer_size())
+    await harness.run_until(lambda: not client.writer.transport.get_write_buffer_size())
     return client, gate
 
 
-NEXT = b"x" * 10 + b"GET /read HTTP/1.1\r\nHost: n\r\nRequest-Id: 2\r\n\r\n"
+REST_AND_NEXT_REQUEST = b"x" * 10 + b"GET /read HTTP/1.1\r\nHost: n\r\nRequest-Id: 2\r\n\r\n"
 
 
 @pytest.mark.parametrize("reset", [False, True])
-@pytest.mark.parametrize("rest", [b"", b"x", NEXT])
-async def test_a_client_that_leaves_while_it_is_not_read_from_is_sent_on_to_nobody(
+@pytest.mark.parametrize("rest", [b"", b"x", REST_AND_NEXT_REQUEST])
+async def test_disconnect_while_reading_is_paused_sends_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, rest: bytes, reset: bool
 ) -> None:
-    backend = Raw("b0")
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": False}) as on:
-        client, gate = await paused(on, rest)
-        depart(client, reset)
+    backend = RecordingBackend("b0")
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": False}) as harness:
+        client, gate = await start_paused_upload(harness, rest)
+        close_client(client, reset)
         gate.set()
-        assert await asyncio.wait_for(backend.raw.get(), WAIT_TIMEOUT_S) == b""
-        await on.until(on.nothing_left)
-        assert on.node.counts["left"] == on.node.counts["attempt_moot"] == 1
-        assert on.node.pool.connection_count == 0
+        assert await asyncio.wait_for(backend.received.get(), WAIT_TIMEOUT_S) == b""
+        await harness.run_until(harness.has_no_open_request)
+        assert harness.node.counts["left"] == harness.node.counts["attempt_moot"] == 1
+        assert harness.node.pool.connection_count == 0
 
 
 @pytest.mark.parametrize("reset", [False, True])
-@pytest.mark.parametrize("rest", [b"", b"x", NEXT])
-async def test_no_further_attempt_begins_for_a_client_that_left_while_it_was_not_read_from(
+@pytest.mark.parametrize("rest", [b"", b"x", REST_AND_NEXT_REQUEST])
+async def test_disconnect_while_reading_is_paused_prevents_a_retry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, rest: bytes, reset: bool
 ) -> None:
-    backends = Raw("b0"), Raw("b1")
-    async with scene(tmp_path, monkeypatch, *backends, limits={"cancel": False}) as on:
-        client, gate = await paused(on, rest)
-        depart(client, reset)
-        on.refusing = True
+    backends = RecordingBackend("b0"), RecordingBackend("b1")
+    async with node_harness(tmp_path, monkeypatch, *backends, limits={"cancel": False}) as harness:
+        client, gate = await start_paused_upload(harness, rest)
+        close_client(client, reset)
+        harness.refuses_connects = True
         gate.set()
-        await on.until(on.nothing_left)
-        assert on.node.counts["attempt_connect_failed"] == on.node.counts["attempt_moot"] == 1
-        assert on.dials.empty() and on.node.pool.connection_count == 0
+        await harness.run_until(harness.has_no_open_request)
+        assert harness.node.counts["attempt_connect_failed"] == harness.node.counts["attempt_moot"] == 1
+        assert harness.pending_connects.empty() and harness.node.pool.connection_count == 0
 
 
-async def test_a_client_that_reads_no_answers_and_leaves_is_sent_on_to_nobody(
+async def test_disconnect_of_a_client_that_reads_no_responses_sends_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nothing more is read of one that pipelines and reads nothing; its request stands before its end."""
-    backend = Raw("b0")
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": False}) as on:
+    """The node pauses reading from a client that pipelines and reads nothing, so its close stays unread."""
+    backend = RecordingBackend("b0")
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": False}) as harness:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect(on.listener.address)
-        await on.until(lambda: bool(on.listener.connections))
-        (connection,) = on.listener.connections
+        sock.connect(harness.listener.address)
+        await harness.run_until(lambda: bool(harness.listener.connections))
+        (connection,) = harness.listener.connections
         assert connection.transport is not None
         here = connection.transport.get_extra_info("socket")
         here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         text = b"GET /up HTTP/1.1\r\n\r\n" * 2500 + b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
-        assert len(text) < MAX_BUFFERED_BODY_BYTES and sock.send(text) == len(text)  # one read
-        gate = await on.dialled()
+        assert len(text) < MAX_BUFFERED_BODY_BYTES and sock.send(text) == len(
+            text
+        )  # The node receives this in one read.
+        gate = await harness.next_pending_connect()
         assert connection.responses.is_reading_paused and not connection.has_disconnected
         sock.shutdown(socket.SHUT_WR)
         gate.set()
-        assert await asyncio.wait_for(backend.raw.get(), WAIT_TIMEOUT_S) == b""
-        await on.until(on.nothing_left)
-        assert on.node.counts["left"] == on.node.counts["attempt_moot"] == 1
+        assert await asyncio.wait_for(backend.received.get(), WAIT_TIMEOUT_S) == b""
+        await harness.run_until(harness.has_no_open_request)
+        assert harness.node.counts["left"] == harness.node.counts["attempt_moot"] == 1
         sock.close()
 
 
 @dataclass
-class Stalled(Raw):
-    """Reads nothing of its connection until it is let go."""
+class StalledBackend(RecordingBackend):
+    """Backend that reads nothing until `go` is set."""
 
     go: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -377,62 +388,62 @@
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-async def test_a_body_whose_client_left_before_all_of_it_was_passed_on_never_looks_whole(
+async def test_upload_truncated_by_a_disconnect_does_not_look_complete(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cancel: bool
 ) -> None:
-    """All of it is in, part of it waits here for a slow backend: that part is thrown away with the client."""
-    backend = Stalled("b0")
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as on:
+    """A complete body that is partly queued for a slow backend loses the queued part with its client."""
+    backend = StalledBackend("b0")
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as harness:
         assert backend.server is not None
         backend.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        client = await on.client()
+        client = await harness.connect_client()
         head = b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
         client.writer.write(
             head + b"%x\r\n%b\r\n" % (2 * MAX_BUFFERED_BODY_BYTES, b"x" * 2 * MAX_BUFFERED_BODY_BYTES)
         )
-        gate = await on.dialled()
+        gate = await harness.next_pending_connect()
         (connection,) = {
             item.attempt.connection
-            for request in on.node.requests.open.values()
+            for request in harness.node.requests.open.values()
             for item in request.attempts
             if item.attempt is not None
         }
         assert connection is not None and connection.socket is not None
         connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         gate.set()
-        await on.until(lambda: connection.is_write_blocked)
+        await harness.run_until(lambda: connection.is_write_blocked)
         client.writer.write(b"5\r\nhello\r\n0\r\n\r\n")
-        (request,) = on.node.requests.open.values()
-        await on.until(lambda: request.upload is not None and request.upload.is_complete)
+        (request,) = harness.node.requests.open.values()
+        await harness.run_until(lambda: request.upload is not None and request.upload.is_complete)
         assert connection.is_write_blocked
-        await on.leave(client, False)
+        await harness.disconnect(client, False)
         backend.go.set()
-        got = await asyncio.wait_for(backend.raw.get(), WAIT_TIMEOUT_S)
+        got = await asyncio.wait_for(backend.received.get(), WAIT_TIMEOUT_S)
         assert got and not got.endswith(b"0\r\n\r\n") and b"hello" not in got
-        assert on.nothing_left()
+        assert harness.has_no_open_request()
 
 
-async def test_a_client_that_stays_is_served_though_it_is_not_read_from(
+async def test_connected_client_is_served_while_reading_is_paused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     backend = Backend("b0")
-    async with scene(tmp_path, monkeypatch, backend) as on:
-        client, gate = await paused(on, b"x" * 10)
+    async with node_harness(tmp_path, monkeypatch, backend) as harness:
+        client, gate = await start_paused_upload(harness, b"x" * 10)
         gate.set()
         assert (await client.read_response()).status == 200
         assert len((await backend.requests.get()).body) == 2 * MAX_BUFFERED_BODY_BYTES
 
 
-# --- the same id again
+# --- the same request id in two requests
 
 
-async def test_an_id_is_in_use_while_its_attempt_is_out(
+async def test_id_of_an_open_attempt_is_rejected_with_409(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Every request gets a new id; only one that no node has read is sent once more, and that is not open.
+    """Guards against two open requests with one id, whose attempts the balancer could not tell apart.
 
-    Guards against a second send of an unsafe request that neither the module nor the backend's answer to the
-    first would tell from the other.
+    Clients choose a new id for every request and repeat one only if no node has read it, so a repeated id of
+    an open request is rejected.
     """
     go = asyncio.Event()
 
@@ -441,32 +452,32 @@
         await echo(backend, message, writer)
 
     backend = Backend("b0", slow)
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": False}) as on:
-        on.freely = 1
-        first, again = await on.client(), await on.client()
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": False}) as harness:
+        harness.immediate_connects = 1
+        first, again = await harness.connect_client(), await harness.connect_client()
         text = b"POST /once HTTP/1.1\r\nHost: n\r\nRequest-Id: same\r\nContent-Length: 0\r\n\r\n"
         first.writer.write(text)
         await backend.requests.get()
-        await on.leave(first, False)
+        await harness.disconnect(first, False)
         again.writer.write(text)
         assert (await again.read_response()).status == 409
         go.set()
-        await on.until(on.nothing_left)
+        await harness.run_until(harness.has_no_open_request)
         assert backend.requests.empty()
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-async def test_an_id_that_was_never_sent_on_may_come_again_at_once(
+async def test_id_that_was_never_sent_to_a_backend_may_be_reused_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cancel: bool
 ) -> None:
     backend = Backend("b0")
-    async with scene(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as on:
-        first, again = await on.client(), await on.client()
+    async with node_harness(tmp_path, monkeypatch, backend, limits={"cancel": cancel}) as harness:
+        first, again = await harness.connect_client(), await harness.connect_client()
         text = b"POST /once HTTP/1.1\r\nHost: n\r\nRequest-Id: same\r\nContent-Length: 0\r\n\r\n"
         first.writer.write(text)
-        await on.dialled()
-        await on.leave(first, True)
-        on.freely = 1
+        await harness.next_pending_connect()
+        await harness.disconnect(first, True)
+        harness.immediate_connects = 1
         again.writer.write(text)
         assert (await again.read_response()).status == 200
-        assert backend.requests.qsize() == 1 and on.nothing_left()
+        assert backend.requests.qsize() == 1 and harness.has_no_open_request()
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -1,4 +1,4 @@
-"""Further attempts: inside the window for repeats, under the settings a request came with, one end each."""
+"""Test retries: deduplication window, settings at arrival, late responses, one result per attempt."""
 
 from __future__ import annotations
 
@@ -38,39 +38,39 @@
     running_node,
     wait_until_reusable,
 )  # fmt: skip
-from tests.test_leaving import never, scene, send
+from tests.test_leaving import never_respond, node_harness, send_request
 
 ERROR = http_response(b"", "500 Internal Server Error")
-SPAN = 300.0  # ms
+DEDUPLICATION_WINDOW_MS = 300.0
 
 
-async def error(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """It may have run."""
+async def respond_error(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    """Respond with status 500, after which the request may have run."""
     writer.write(ERROR)
 
 
-def failed(request: str, attempt: int, backend: str, status: api.AttemptStatus) -> api.AttemptEnded:
-    """An attempt's end without an answer."""
+def attempt_failed(request: str, attempt: int, backend: str, status: api.AttemptStatus) -> api.AttemptEnded:
+    """Return the event of an attempt that ended without a response."""
     return api.AttemptEnded(request, attempt, backend, status, 5.0, False)
 
 
-# --- the window for repeats
+# --- the deduplication window
 
 
 @pytest.mark.parametrize(
     "status", [api.AttemptStatus.ERROR, api.AttemptStatus.RESET, api.AttemptStatus.CONNECT_FAILED]
 )
-def test_a_retry_has_a_latest_start(status: api.AttemptStatus) -> None:
-    """It counts from the first copy that may have run; one that never ran starts no window."""
+def test_retry_has_a_latest_start_in_the_deduplication_window(status: api.AttemptStatus) -> None:
+    """The window counts from the first attempt that may have run; one that never ran starts no window."""
     balancer = node(BASE, ["b0", "b1", "b2"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("r", "pay", 2001.0)))[0]
     assert first.latest_start == 0.0
-    second = sends(balancer.handle(1011.0, failed("r", 0, first.backend, status)))[0]
+    second = sends(balancer.handle(1011.0, attempt_failed("r", 0, first.backend, status)))[0]
     begun = 1011.0 if status is api.AttemptStatus.CONNECT_FAILED else 1001.0
     assert second.latest_start == (
         0.0 if begun > 1001.0 else begun + KEYED.deduplication_window_ms - 2 * BASE.clock_granularity_ms
     )
-    third = sends(balancer.handle(1021.0, failed("r", 1, second.backend, api.AttemptStatus.RESET)))[0]
+    third = sends(balancer.handle(1021.0, attempt_failed("r", 1, second.backend, api.AttemptStatus.RESET)))[0]
     assert third.latest_start == begun + KEYED.deduplication_window_ms - 2 * BASE.clock_granularity_ms
 
 
@@ -78,33 +78,33 @@
 def test_only_requests_with_a_key_have_a_deduplication_window(name: str, again: int) -> None:
     balancer = node(BASE, ["b0", "b1"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("r", name, 2001.0)))[0]
-    more = sends(balancer.handle(1011.0, failed("r", 0, first.backend, api.AttemptStatus.RESET)))
+    more = sends(balancer.handle(1011.0, attempt_failed("r", 0, first.backend, api.AttemptStatus.RESET)))
     assert [one.latest_start for one in more] == [0.0] * again
 
 
-KEYED_ONLY = [CLASSES[1] | {"memory-span": SPAN, "give-up": HOUR_MS, "objective": HOUR_MS}]
+KEYED_ONLY = [CLASSES[1] | {"memory-span": DEDUPLICATION_WINDOW_MS, "give-up": HOUR_MS, "objective": HOUR_MS}]
 
 
-async def test_a_retry_that_connects_after_the_window_is_not_written(
+async def test_retry_that_connects_after_the_window_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    backends = Backend("b0", error), Backend("b1", error)
+    backends = Backend("b0", respond_error), Backend("b1", respond_error)
     over = {"request-classes": KEYED_ONLY}
-    async with scene(tmp_path, monkeypatch, *backends, **over) as on:
-        on.freely = 1
-        client = await on.client()
-        send(client, "/pay")
-        gate = await on.dialled()
-        assert (await client.read_response()).status == 502  # as soon as the window is over
+    async with node_harness(tmp_path, monkeypatch, *backends, **over) as harness:
+        harness.immediate_connects = 1
+        client = await harness.connect_client()
+        send_request(client, "/pay")
+        gate = await harness.next_pending_connect()
+        assert (await client.read_response()).status == 502  # The request fails at the end of the window.
         gate.set()
-        assert on.node.counts["attempt_error"] == on.node.counts["attempt_moot"] == 1
-        assert sum(backend.requests.qsize() for backend in backends) == 1 and on.nothing_left()
+        assert harness.node.counts["attempt_error"] == harness.node.counts["attempt_moot"] == 1
+        assert sum(backend.requests.qsize() for backend in backends) == 1 and harness.has_no_open_request()
 
 
-async def test_a_retry_that_connects_inside_the_window_is_served(
+async def test_retry_that_connects_within_the_window_is_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It may work on after the window: what counts is when it was sent."""
+    """The backend may respond after the window: only the time of sending counts."""
     first = True
 
     async def slow(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -114,54 +114,54 @@
             writer.write(ERROR)
             return
         over = loop.create_future()
-        loop.call_later(2 * SPAN / 1000, over.set_result, None)
+        loop.call_later(2 * DEDUPLICATION_WINDOW_MS / 1000, over.set_result, None)
         await over
         writer.write(http_response(b"late"))
 
     loop = asyncio.get_running_loop()
     backends = Backend("b0", slow), Backend("b1", slow)
     over = {"request-classes": KEYED_ONLY}
-    async with scene(tmp_path, monkeypatch, *backends, **over) as on:
-        on.freely = 1
-        client = await on.client()
-        send(client, "/pay")
-        (await on.dialled()).set()
+    async with node_harness(tmp_path, monkeypatch, *backends, **over) as harness:
+        harness.immediate_connects = 1
+        client = await harness.connect_client()
+        send_request(client, "/pay")
+        (await harness.next_pending_connect()).set()
         got = await client.read_response()
-        assert (got.status, got.body) == (200, b"late") and on.nothing_left()
+        assert (got.status, got.body) == (200, b"late") and harness.has_no_open_request()
 
 
-async def test_a_retry_with_unsent_bytes_after_the_window_ends(
+async def test_retry_with_unsent_bytes_is_cancelled_at_the_end_of_the_window(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It counts once its last byte has come, and that would come too late."""
+    """Its last byte would arrive at the backend after the window, so the retry is cancelled."""
     first = True
 
-    async def stands(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def fail_first(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         nonlocal first
         if first:
             first = False
             writer.write(ERROR)
 
-    backends = Backend("b0", stands), Backend("b1", stands)
+    backends = Backend("b0", fail_first), Backend("b1", fail_first)
     over = {"request-classes": KEYED_ONLY}
-    async with scene(tmp_path, monkeypatch, *backends, **over) as on:
-        on.freely = 2
-        client = await on.client()
-        name = send(client, "/pay")
-        await on.until(lambda: sum(backend.requests.qsize() for backend in backends) == 2)
-        attempt = on.node.requests.open[name].attempts[1].attempt
+    async with node_harness(tmp_path, monkeypatch, *backends, **over) as harness:
+        harness.immediate_connects = 2
+        client = await harness.connect_client()
+        name = send_request(client, "/pay")
+        await harness.run_until(lambda: sum(backend.requests.qsize() for backend in backends) == 2)
+        attempt = harness.node.requests.open[name].attempts[1].attempt
         assert attempt is not None and attempt.connection is not None
-        attempt.connection.pause_writing()  # as the transport says it
+        attempt.connection.pause_writing()  # The transport reports unsent bytes by this call.
         assert (await client.read_response()).status == 502
-        assert on.node.counts["attempt_moot"] == 1 and on.nothing_left()
-        assert on.node.pool.connection_count == 1  # the first one's, at rest
+        assert harness.node.counts["attempt_moot"] == 1 and harness.has_no_open_request()
+        assert harness.node.pool.connection_count == 1  # The idle connection of the first attempt remains.
 
 
-# --- new settings between a request's head and its last byte
+# --- a reload between the head and the last byte of a request
 
 
-async def head(rig: Rig, path: str) -> Client:
-    """A client whose request's head the node has read, and of its body nothing."""
+async def send_head(rig: Rig, path: str) -> Client:
+    """Send the head of a request and wait until the node has read it; the body is still to be sent."""
     client = await rig.connect()
     lines = [f"POST {path} HTTP/1.1", f"Request-Id: {next(REQUEST_NUMBERS):016x}", "Idempotency-Key: k",
              "Content-Length: 2", "Expect: 100-continue"]  # fmt: skip
@@ -170,8 +170,8 @@
     return client
 
 
-async def reload(rig: Rig, classes: list[dict[str, Any]], **limits: Any) -> None:
-    """The same configuration with these classes and limits."""
+async def reload_settings(rig: Rig, classes: list[dict[str, Any]], **limits: Any) -> None:
+    """Reload the configuration with other classes and limits."""
     fresh = json.loads(rig.config.read_text())
     fresh["settings"]["request-classes"] = classes
     fresh["settings"]["limits"] |= limits
@@ -179,14 +179,14 @@
     await rig.wait_for_log("reload: classes")
 
 
-def erring(times: int) -> Respond:
-    """Fail so many requests, which may have run, then serve."""
-    left = times
+def fail_then_serve(count: int) -> Respond:
+    """Respond with an error to the first `count` requests, then serve."""
+    remaining = count
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        nonlocal left
-        left -= 1
-        writer.write(http_response(b"x") if left < 0 else ERROR)
+        nonlocal remaining
+        remaining -= 1
+        writer.write(http_response(b"x") if remaining < 0 else ERROR)
 
     return respond
 
@@ -194,11 +194,11 @@
 READ, PAY, ONCE = CLASSES
 
 
-async def test_a_request_whose_class_is_removed_before_its_last_byte_is_served(tmp_path: Path) -> None:
+async def test_request_whose_class_is_removed_during_its_upload_is_served(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
-        client = await head(rig, "/pay")
-        await reload(rig, [READ])
+        client = await send_head(rig, "/pay")
+        await reload_settings(rig, [READ])
         client.writer.write(b"{}")
         assert (await client.read_response()).status == 200
         assert (await client.request_pay()).status == 404
@@ -208,43 +208,43 @@
     ("classes", "limits"),
     [([READ, PAY | {"effect": "fragile"}], {}), ([READ, PAY], {"most-tries": 1})],
 )
-async def test_idempotency_and_attempts_are_those_at_the_requests_head(
+async def test_idempotency_and_attempt_limit_are_fixed_at_the_request_head(
     tmp_path: Path, classes: list[dict[str, Any]], limits: dict[str, Any]
 ) -> None:
-    respond = erring(1)
+    respond = fail_then_serve(1)
     backends = Backend("b0", respond), Backend("b1", respond)
     async with running_node(tmp_path, *backends) as rig:
-        client = await head(rig, "/pay")
-        await reload(rig, classes, **limits)
+        client = await send_head(rig, "/pay")
+        await reload_settings(rig, classes, **limits)
         client.writer.write(b"{}")
         assert (await client.read_response()).status == 200
         assert sum(backend.requests.qsize() for backend in backends) == 2
-    respond = erring(1)
+    respond = fail_then_serve(1)
     backends = Backend("b0", respond), Backend("b1", respond)
     async with running_node(tmp_path, *backends) as rig:
-        await reload(rig, classes, **limits)
-        client = await head(rig, "/pay")
+        await reload_settings(rig, classes, **limits)
+        client = await send_head(rig, "/pay")
         client.writer.write(b"{}")
         assert (await client.read_response()).status == 502
         assert sum(backend.requests.qsize() for backend in backends) == 1
 
 
-async def test_a_class_that_becomes_idempotent_does_not_change_requests_under_way(tmp_path: Path) -> None:
-    respond = erring(1)
+async def test_class_that_becomes_idempotent_does_not_affect_open_requests(tmp_path: Path) -> None:
+    respond = fail_then_serve(1)
     backends = Backend("b0", respond), Backend("b1", respond)
     async with running_node(tmp_path, *backends) as rig:
-        client = await head(rig, "/once")
-        await reload(rig, [PAY | {"name": "once", "group": "all"}], **{"most-tries": 9})
+        client = await send_head(rig, "/once")
+        await reload_settings(rig, [PAY | {"name": "once", "group": "all"}], **{"most-tries": 9})
         client.writer.write(b"{}")
         assert (await client.read_response()).status == 502
         assert sum(backend.requests.qsize() for backend in backends) == 1
 
 
-async def test_the_deadline_is_that_at_the_requests_head(tmp_path: Path) -> None:
+async def test_deadline_is_fixed_at_the_request_head(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend) as rig:
-        client = await head(rig, "/pay")
-        await reload(rig, [PAY | {"give-up": 2000, "objective": 1500}])
+        client = await send_head(rig, "/pay")
+        await reload_settings(rig, [PAY | {"give-up": 2000, "objective": 1500}])
         client.writer.write(b"{}")
         assert (await client.read_response()).status == 200
         assert (await client.request_pay()).status == 200
@@ -252,7 +252,7 @@
         assert new <= 2_000_000 < old
 
 
-def test_statistics_of_a_class_serve_requests_of_former_settings() -> None:
+def test_class_statistics_are_shared_by_requests_of_former_settings() -> None:
     balancer = node(BASE, ["b0"])
     stricter = replace(BASE, classes=(replace(KEYED, idempotency=api.Idempotency.NOT_IDEMPOTENT),))
     balancer.classes.by_name["pay"].expected_ms = 33.0
@@ -267,15 +267,15 @@
     assert balancer.requests.by_id["new"].statistics is balancer.classes.by_name["pay"]
 
 
-# --- a second answer, late
+# --- a late second response
 
 
 STRAY_DELAY_S = 0.003
-PLAYS = 10  # at most, until one was not held up by a busy machine
+MAX_RUNS = 10  # A run is repeated if a busy machine delays the second response too long.
 
 
 class LateResponses:
-    """A backend's behaviour: its first response comes twice, the second time some ms late."""
+    """Backend behaviour: the first response is sent twice, the second time some ms later."""
 
     def __init__(self) -> None:
         self.stray = asyncio.Event()
@@ -297,18 +297,18 @@
 
     @property
     def was_in_time(self) -> bool:
-        """Whether the stray response was written while the node still let the connection rest."""
+        """Whether the second response was written before the connection could be reused."""
         first, stray = self.written_at[:2]
         return stray - first < REUSE_DELAY_S
 
 
-async def test_a_late_second_response_is_given_to_no_other_request(tmp_path: Path) -> None:
-    """It comes some ms behind the first, on a connection that was just given back, with others waiting.
+async def test_late_second_response_is_not_given_to_another_request(tmp_path: Path) -> None:
+    """Guards against taking a second response, some ms late, for the response to the next request.
 
-    One that comes later than the node lets a connection rest may be taken for the next response: a play in
-    which a busy machine held it back so long is played again.
+    The node reuses a connection after `REUSE_DELAY_S` only; a run in which a busy machine delays the second
+    response for longer proves nothing and is repeated.
     """
-    for number in range(PLAYS):
+    for number in range(MAX_RUNS):
         late = LateResponses()
         backend = Backend("b0", late.respond)
         (tmp_path / str(number)).mkdir()
@@ -322,15 +322,14 @@
             if not late.was_in_time:
                 continue
             assert responses == [True, True]
-            assert (
-                await asyncio.wait_for(backend.closed_connections.get(), WAIT_TIMEOUT_S) == 1
-            )  # the stray bytes spoilt it
+            # The second response closes the connection.
+            assert await asyncio.wait_for(backend.closed_connections.get(), WAIT_TIMEOUT_S) == 1
             return
-    pytest.fail(f"in {PLAYS} plays the second response was never in time")
+    pytest.fail(f"in {MAX_RUNS} runs the second response was never in time")
 
 
-async def test_a_connection_is_reused_after_a_rest() -> None:
-    """Guards the backends' tables too: requests one right behind the other open no further connection."""
+async def test_connection_is_reused_after_the_reuse_delay() -> None:
+    """Guards against a new connection for each request that directly follows another one."""
     loop, backend = asyncio.get_running_loop(), Backend("b0")
     await backend.start()
     pool = ConnectionPool(BASE, 9, RequestStatistics(), StreamMemory(64.0))
@@ -350,48 +349,48 @@
     backend.stop()
 
 
-@pytest.mark.parametrize("spoil", ["bytes", "end", "drain", "drop"])
-async def test_an_attempt_that_waits_for_a_rest_ends_as_not_started(spoil: str) -> None:
-    here = Peer()
-    peer = await here.idle()
-    attempt = here.start(b"two")
+@pytest.mark.parametrize("event", ["bytes", "end", "drain", "drop"])
+async def test_attempt_waiting_for_the_reuse_delay_ends_as_not_started(event: str) -> None:
+    harness = PoolHarness()
+    peer = await harness.accept_idle()
+    attempt = harness.start(b"two")
     assert attempt.is_sent
     await asyncio.get_running_loop().sock_sendall(peer, http_response(b"x"))
-    assert await here.end() is api.AttemptStatus.OK
-    attempt = here.start(b"three")
+    assert await harness.attempt_status() is api.AttemptStatus.OK
+    attempt = harness.start(b"three")
     assert not attempt.is_sent
-    if spoil == "drop":
+    if event == "drop":
         attempt.cancel()
-    elif spoil == "drain":
-        here.pool.set_maintenance("b0", True)
-        assert await here.end() is api.AttemptStatus.NOT_STARTED
+    elif event == "drain":
+        harness.pool.set_maintenance("b0", True)
+        assert await harness.attempt_status() is api.AttemptStatus.NOT_STARTED
     else:
-        if spoil == "bytes":
+        if event == "bytes":
             await asyncio.get_running_loop().sock_sendall(peer, http_response(b"late"))
         else:
             peer.shutdown(socket.SHUT_WR)
-        assert await here.end() is api.AttemptStatus.NOT_STARTED
-    assert here.pool.connection_count == 0
+        assert await harness.attempt_status() is api.AttemptStatus.NOT_STARTED
+    assert harness.pool.connection_count == 0
     assert await asyncio.get_running_loop().sock_recv(peer, 9) == b"two"
     assert await asyncio.get_running_loop().sock_recv(peer, 9) == b""
     peer.close()
-    here.close()
+    harness.close()
 
 
-# --- one end each
+# --- one result per attempt
 
 
 @pytest.mark.parametrize("path", ["/read", "/pay", "/once"])
 @pytest.mark.parametrize("order", list(itertools.permutations(["deadline", "timeout", "answer"])))
-async def test_two_timers_and_a_response_in_one_turn_make_one_end(
+async def test_two_timers_and_a_response_in_one_iteration_give_one_result(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, order: tuple[str, ...], path: str
 ) -> None:
-    backends = Backend("b0", never), Backend("b1", never)
-    async with scene(tmp_path, monkeypatch, *backends) as on:
-        on.freely = 9
-        client, module = await on.client(), on.node
-        name = send(client, path)
-        await on.until(lambda: sum(backend.requests.qsize() for backend in backends) == 1)
+    backends = Backend("b0", never_respond), Backend("b1", never_respond)
+    async with node_harness(tmp_path, monkeypatch, *backends) as harness:
+        harness.immediate_connects = 9
+        client, module = await harness.connect_client(), harness.node
+        name = send_request(client, path)
+        await harness.run_until(lambda: sum(backend.requests.qsize() for backend in backends) == 1)
         request = module.requests.open[name]
         item = request.attempts[0]
         connection = item.attempt.connection if item.attempt is not None else None
@@ -401,20 +400,22 @@
             "timeout": partial(module.requests.expire_attempt, item),
             "answer": partial(connection.data_received, http_response(b"x")),
         }
-        for what in order:
-            due[what]()
+        for name_of_event in order:
+            due[name_of_event]()
         assert ((await client.read_response()).status == 200) == (order[0] == "answer")
-        assert (await client.request("/up")).body.endswith(b"up\n")  # and not a second answer
-        ends = [count for what, count in module.counts.items() if what.startswith("attempt_")]
-        assert sum(ends) == len(request.attempts) and on.nothing_left()
+        assert (await client.request("/up")).body.endswith(
+            b"up\n"
+        )  # The next response is not a second one to the request.
+        ends = [count for key, count in module.counts.items() if key.startswith("attempt_")]
+        assert sum(ends) == len(request.attempts) and harness.has_no_open_request()
         assert sum(sum(counts.values()) for counts in module.statistics.outcomes.values()) == 1
 
 
-# --- what is said never to have run
+# --- attempts reported as sent or as not executed
 
 
-class Peer:
-    """A backend's end of a pool's connection, on sockets that wait."""
+class PoolHarness:
+    """A pool, and the backend's end of its connections as raw sockets."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -424,98 +425,98 @@
         self.ends: asyncio.Queue[AttemptResult] = asyncio.Queue()
 
     def start(self, data: bytes) -> Attempt:
-        """Begin an attempt."""
+        """Start an attempt."""
         return self.pool.start_attempt("b0", data, self.ends.put_nowait)
 
-    async def end(self) -> api.AttemptStatus:
-        """How it ends."""
+    async def attempt_status(self) -> api.AttemptStatus:
+        """Wait for the end of an attempt and return its status."""
         return (await asyncio.wait_for(self.ends.get(), WAIT_TIMEOUT_S)).status
 
-    async def idle(self) -> socket.socket:
-        """The backend's end of a connection that has served one request and rested."""
+    async def accept_idle(self) -> socket.socket:
+        """Serve one request, wait until the connection is reusable, and return the backend's end of it."""
         loop = asyncio.get_running_loop()
         self.start(b"one")
         self.listener.setblocking(False)
         peer, _ = await loop.sock_accept(self.listener)
         peer.setblocking(False)
-        # What it says behind an answer is not to wait in its system until the node has acknowledged that.
+        # Without TCP_NODELAY, later bytes would wait until the node has acknowledged the response.
         peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         assert await loop.sock_recv(peer, 9) == b"one"
         await loop.sock_sendall(peer, http_response(b"x"))
-        assert await self.end() is api.AttemptStatus.OK
+        assert await self.attempt_status() is api.AttemptStatus.OK
         await wait_until_reusable()
         return peer
 
     def close(self) -> None:
-        """Clean up."""
+        """Close the pool and the listening socket."""
         self.pool.close()
         self.listener.close()
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a RST."""
+    """Close a socket with a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-RUNS = pytest.mark.parametrize("run", [asyncio.run, uvloop.run])
+ON_BOTH_LOOPS = pytest.mark.parametrize("run", [asyncio.run, uvloop.run])
 Run = Callable[[Coroutine[Any, Any, None]], None]
 
 
-@RUNS
-def test_a_pending_reset_on_a_resting_connection_costs_no_attempt(run: Run) -> None:
-    """Both come while it is idle, and the loop has not seen them when the request is to be written."""
+@ON_BOTH_LOOPS
+def test_unread_reset_on_an_idle_connection_does_not_fail_the_attempt(run: Run) -> None:
+    """Guards against failed attempts because an idle connection has ended and the event loop has not run."""
 
     async def body() -> None:
-        loop, here = asyncio.get_running_loop(), Peer()
+        loop, harness = asyncio.get_running_loop(), PoolHarness()
         for leave in (reset, socket.socket.close):
-            peer = await here.idle()
+            peer = await harness.accept_idle()
             leave(peer)
-            here.start(b"two")  # in the same turn of the loop
-            other, _ = await loop.sock_accept(here.listener)
+            harness.start(b"two")  # The event loop has not run since the peer closed.
+            other, _ = await loop.sock_accept(harness.listener)
             other.setblocking(False)
             assert await loop.sock_recv(other, 9) == b"two"
             await loop.sock_sendall(other, http_response(b"x"))
-            assert await here.end() is api.AttemptStatus.OK
-            assert here.pool.connection_count == 1
-            here.pool.close()
+            assert await harness.attempt_status() is api.AttemptStatus.OK
+            assert harness.pool.connection_count == 1
+            harness.pool.close()
             other.close()
-        here.close()
+        harness.close()
 
     run(body())
 
 
-@RUNS
-def test_a_write_is_sent_when_the_call_returns(run: Run) -> None:
-    """No loop and no system holds a small request back: what was written is called so at once."""
+@ON_BOTH_LOOPS
+def test_small_request_is_sent_when_the_write_returns(run: Run) -> None:
+    """Guards against reporting a request as sent while the event loop or the kernel delays it."""
 
     async def body() -> None:
-        here = Peer()
-        peer = await here.idle()
+        harness = PoolHarness()
+        peer = await harness.accept_idle()
         peer.setblocking(True)
         peer.settimeout(WAIT_TIMEOUT_S)
-        attempt = here.start(b"two")
-        assert attempt.is_sent and peer.recv(9) == b"two"  # without a turn of the loop in between
+        attempt = harness.start(b"two")
+        assert attempt.is_sent and peer.recv(9) == b"two"  # The event loop has not run since the write.
         assert attempt.connection is not None and attempt.connection.transport is not None
         sock = attempt.connection.transport.get_extra_info("socket")
         assert run is asyncio.run or sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         reset(peer)
-        assert await here.end() is api.AttemptStatus.RESET
-        here.close()
+        assert await harness.attempt_status() is api.AttemptStatus.RESET
+        harness.close()
 
     run(body())
 
 
-@RUNS
+@ON_BOTH_LOOPS
 def test_a_complete_request_is_never_reported_as_not_executed(run: Run) -> None:
-    """A reset right behind the last byte, while the loop may not yet know that this has left."""
+    """A reset directly after the last byte arrives while the event loop may not know that it was sent."""
     size = 4_000_000
 
     async def body() -> None:
-        loop, here = asyncio.get_running_loop(), Peer()
+        loop, harness = asyncio.get_running_loop(), PoolHarness()
 
         def take() -> None:
-            peer, _ = here.listener.accept()
+            peer, _ = harness.listener.accept()
             left = size
             while left:
                 left -= len(peer.recv(min(left, 1 << 16)))
@@ -523,9 +524,9 @@
 
         for _ in range(20):
             taken = loop.run_in_executor(None, take)
-            here.start(b"x" * size)
-            assert await here.end() is api.AttemptStatus.RESET
+            harness.start(b"x" * size)
+            assert await harness.attempt_status() is api.AttemptStatus.RESET
             await taken
-        here.close()
+        harness.close()
 
     run(body())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Signals that end the program, at the moments in which that is delicate."""
+"""Test shutdown signals during start, takeover, open requests and slow clients."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 )
 from tests.test_console import CONSOLE
 
-STAYS = 0.5  # s in which a process that waits for nothing would have ended
+EXIT_TIME_S = 0.5  # A process that waits for nothing exits within this time.
 
 
-async def _stopped(rig: Rig) -> None:
-    """Wait until the node listens no more: idle connections have been ended then."""
+async def _wait_until_stopped(rig: Rig) -> None:
+    """Wait until the node has stopped listening, and so has closed its idle connections."""
 
     async def refused() -> bool:
         try:
@@ -50,8 +50,10 @@
         [signal.SIGHUP, signal.SIGTERM, signal.SIGHUP],
     ],
 )
-async def test_one_end_for_any_signals(tmp_path: Path, signals: list[signal.Signals]) -> None:
-    """Ruled out: what was taken is answered, and the code is 0, for two signals too and in a reload."""
+async def test_any_shutdown_signals_answer_requests_and_exit_with_0(
+    tmp_path: Path, signals: list[signal.Signals]
+) -> None:
+    """Guards against lost responses or another exit code on repeated signals or one during a reload."""
     go = asyncio.Event()
 
     async def slow(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -78,8 +80,8 @@
         assert await rig.wait_for_exit() == 0
 
 
-async def test_sigterm_while_a_process_takes_over_ends_it_at_once(tmp_path: Path) -> None:
-    """It waits for a list that does not come, for longer than SIGKILL may take to come."""
+async def test_sigterm_during_a_takeover_ends_the_new_process_at_once(tmp_path: Path) -> None:
+    """The new process waits for a list that does not arrive, which would take longer than until SIGKILL."""
     async with running_node(tmp_path, Backend("b0"), console=CONSOLE) as old:
         new = Rig(await spawn_node(old.config), 0, old.discovery, [], old.config)
         try:
@@ -96,9 +98,9 @@
 
 
 @pytest.mark.parametrize("seen", ["console on", "serves on"])
-async def test_sigterm_before_the_first_list(tmp_path: Path, seen: str) -> None:
-    """Ruled out: nor while the listeners begin."""
-    async with running_node(tmp_path, console=CONSOLE) as first:  # no backends are known
+async def test_sigterm_before_the_first_endpoint_list_exits_with_0(tmp_path: Path, seen: str) -> None:
+    """Guards against a failed exit or a traceback when SIGTERM arrives while the listeners start."""
+    async with running_node(tmp_path, console=CONSOLE) as first:  # The node starts without known backends.
         first.terminate()
         assert await first.wait_for_exit() == 0
         rig = Rig(await spawn_node(first.config), 0, first.discovery, [], first.config)
@@ -108,21 +110,21 @@
         assert not any("Traceback" in line for line in rig.log)
 
 
-async def test_a_request_in_pieces_across_the_end_is_answered(tmp_path: Path) -> None:
-    """In the middle of a head, of a body, of a long body; and one that never becomes whole."""
+async def test_request_received_across_sigterm_is_answered(tmp_path: Path) -> None:
+    """The requests are cut within the head, the body or a long body; one of them is never completed."""
     backend = Backend("b0")
     async with running_node(tmp_path, backend, **LONG_DEADLINES) as rig:
         head = b"POST /pay HTTP/1.1\r\nIdempotency-Key: k\r\nRequest-Id: %d\r\nContent-Length: %d\r\n\r\n"
         texts = [head % (1, 5) + b"hello", head % (2, 5) + b"hello", head % (3, 100_000) + bytes(100_000)]
         cuts = [20, -2, -2]
         clients = [await rig.connect() for _ in texts]
-        never = await rig.connect()
-        never.writer.write(head[:20])
+        incomplete = await rig.connect()
+        incomplete.writer.write(head[:20])
         for client, text, cut in zip(clients, texts, cuts, strict=True):
             client.writer.write(text[:cut])
             await client.writer.drain()
         rig.terminate()
-        await _stopped(rig)
+        await _wait_until_stopped(rig)
         for client, text, cut in zip(clients, texts, cuts, strict=True):
             client.writer.write(text[cut:])
         for client in clients:
@@ -130,15 +132,15 @@
             assert (got.status, got.headers["connection"]) == (200, "close")
             assert await client.read_until_closed() == b""
             client.writer.close()
-        got = await never.read_response()
+        got = await incomplete.read_response()
         assert (got.status, got.headers["connection"]) == (408, "close")
-        never.writer.close()
+        incomplete.writer.close()
         assert await rig.wait_for_exit() == 0
         assert backend.requests.qsize() == 3
 
 
-async def test_the_last_answer_is_out_before_the_end_for_one_that_reads_slowly(tmp_path: Path) -> None:
-    """Over its window and what the system holds for it: the rest is in this process."""
+async def test_last_response_reaches_a_slow_client_before_the_exit(tmp_path: Path) -> None:
+    """The response exceeds the TCP window and the kernel's buffers, so the rest is still in the process."""
     size = 600_000
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -152,12 +154,12 @@
         await loop.sock_connect(sock, ("127.0.0.1", rig.port))
         await loop.sock_sendall(sock, b"GET /read HTTP/1.1\r\nHost: n\r\nRequest-Id: 1\r\n\r\n")
         got += await loop.sock_recv(sock, 1000)
-        while (await rig.stats())["pending"]:  # the backend has not been read whole
+        while (await rig.stats())["pending"]:  # The node is still reading the response from the backend.
             got += await loop.sock_recv(sock, 10_000)
         rig.terminate()
-        await _stopped(rig)
-        with pytest.raises(TimeoutError):  # it stays for the rest
-            await asyncio.wait_for(rig.process.wait(), STAYS)
+        await _wait_until_stopped(rig)
+        with pytest.raises(TimeoutError):  # The process stays until the response is written.
+            await asyncio.wait_for(rig.process.wait(), EXIT_TIME_S)
         while data := await loop.sock_recv(sock, 10_000):
             got += data
         assert got.endswith(b"\r\n\r\n" + bytes(size))
@@ -165,11 +167,11 @@
         assert await rig.wait_for_exit() == 0
 
 
-async def test_a_client_that_rests_does_not_hold_the_end_up_for_ever(tmp_path: Path) -> None:
-    """It ends its side never: the process goes before it would be killed; others are not waited for."""
+async def test_client_that_never_closes_does_not_block_the_exit(tmp_path: Path) -> None:
+    """Guards against a process that waits for a client which never closes its side until SIGKILL."""
     async with running_node(tmp_path, Backend("b0"), **LONG_DEADLINES) as rig:
-        resting = Client(*await asyncio.open_connection("127.0.0.1", rig.port, limit=1))
-        resting.send("/read")
+        open_client = Client(*await asyncio.open_connection("127.0.0.1", rig.port, limit=1))
+        open_client.send("/read")
         rig.terminate()
         assert await rig.wait_for_exit() == 0
-        resting.writer.transport.abort()
+        open_client.writer.transport.abort()
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -1,4 +1,4 @@
-"""A backend's cut, endless, doubled or spoilt answer, and what crosses on a connection that rests."""
+"""Test truncated, endless, duplicate and malformed responses, and events on idle backend connections."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 HELLO = http_response(b"hello")
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3;a=b\r\nyou\r\n0\r\nEnd: x\r\n\r\n"
-UNKNOWN = HEAD + b"Server-Load: TEXT inflight=1\r\n\r\nhello"
+UNKNOWN_LENGTH = HEAD + b"Server-Load: TEXT inflight=1\r\n\r\nhello"
 READ = RequestClass("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]
 
@@ -42,77 +42,77 @@
 class Close(Enum):
     """How a backend ends its connection."""
 
-    FIN, RST, NOT = range(3)
+    FIN, RST, NONE = range(3)
 
 
 @dataclass
-class Wire:
-    """A pool, the backend that it dials, and what it has read so far, to be awaited."""
+class PoolHarness:
+    """A pool, the raw socket of its backend, and a queue of its reads to wait for."""
 
     pool: ConnectionPool
     listener: socket.socket
     reads: asyncio.Queue[int]
-    connections: set[BackendConnection]  # that have read something
-    begun: bytearray = field(default_factory=bytearray)  # a long answer
+    connections: set[BackendConnection]  # Connections that have received bytes.
+    streamed: bytearray = field(default_factory=bytearray)  # The streamed part of the current response.
     ends: asyncio.Queue[AttemptResult] = field(default_factory=asyncio.Queue)
 
     def feed(self, data: bytes) -> None:
-        """A piece of a long answer."""
-        self.begun += data
+        """Receive a chunk of a streamed response."""
+        self.streamed += data
 
-    def start(self, begin: bool = True) -> Attempt:
-        """An attempt."""
-        self.begun.clear()
+    def start(self, accepts_stream: bool = True) -> Attempt:
+        """Start an attempt."""
+        self.streamed.clear()
         return self.pool.start_attempt(
-            "b0", REQUEST, self.ends.put_nowait, lambda *_: self if begin else None
+            "b0", REQUEST, self.ends.put_nowait, lambda *_: self if accepts_stream else None
         )
 
-    async def accepted(self) -> socket.socket:
-        """The backend's end of a new connection, once the request has come on it."""
-        waits = asyncio.get_running_loop().sock_accept(self.listener)
-        peer, _ = await asyncio.wait_for(waits, WAIT_TIMEOUT_S)
-        await self.asked(peer)
+    async def accept_request(self) -> socket.socket:
+        """Accept a connection, wait for the request on it, and return the backend's end."""
+        accepting = asyncio.get_running_loop().sock_accept(self.listener)
+        peer, _ = await asyncio.wait_for(accepting, WAIT_TIMEOUT_S)
+        await self.wait_for_request(peer)
         return peer
 
-    async def asked(self, peer: socket.socket) -> None:
-        """Once the request has come."""
+    async def wait_for_request(self, peer: socket.socket) -> None:
+        """Wait until the backend has received the request."""
         assert (
             await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 1000), WAIT_TIMEOUT_S)
             == REQUEST
         )
 
-    async def read(self, count: int) -> None:
-        """Once the pool has read so many bytes more."""
+    async def wait_until_read(self, count: int) -> None:
+        """Wait until the pool has read `count` more bytes."""
         while count > 0:
             count -= await asyncio.wait_for(self.reads.get(), WAIT_TIMEOUT_S)
 
-    async def ended(self) -> AttemptResult:
-        """The attempt's one end."""
+    async def attempt_result(self) -> AttemptResult:
+        """Wait for the result of the attempt."""
         return await asyncio.wait_for(self.ends.get(), WAIT_TIMEOUT_S)
 
-    def rested(self) -> None:
-        """What rests has done so for a second."""
+    def make_reusable(self) -> None:
+        """Make the idle connections look as if they had been idle for a second longer."""
         for connection in self.pool.endpoints["b0"].idle:
             connection.idle_since -= 1.0
 
-    async def exchange(self, data: bytes, end: Close, apart: bool) -> AttemptResult:
-        """Answer a request with these bytes and this end, at once or once the bytes were read."""
+    async def exchange(self, data: bytes, end: Close, separately: bool) -> AttemptResult:
+        """Respond to a request and end the connection, in one step or once the bytes have been read."""
         self.start()
-        peer = await self.accepted()
+        peer = await self.accept_request()
         while not self.reads.empty():
             self.reads.get_nowait()
         if data:
             assert peer.send(data) == len(data)
-            if apart:
-                await self.read(len(data))
-        shut(peer, end)
-        got = await self.ended()
+            if separately:
+                await self.wait_until_read(len(data))
+        end_connection(peer, end)
+        got = await self.attempt_result()
         peer.close()
-        return AttemptResult(got.status, got.report, bytes(self.begun) + got.body)
+        return AttemptResult(got.status, got.report, bytes(self.streamed) + got.body)
 
 
-def shut(peer: socket.socket, end: Close) -> None:
-    """End a connection this way."""
+def end_connection(peer: socket.socket, end: Close) -> None:
+    """End a connection in the given way."""
     if end is Close.RST:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
@@ -120,14 +120,14 @@
         peer.shutdown(socket.SHUT_WR)
 
 
-Play = Callable[[Callable[[Wire], Coroutine[Any, Any, None]]], None]
+RunInLoop = Callable[[Callable[[PoolHarness], Coroutine[Any, Any, None]]], None]
 
 
 @pytest.fixture(params=LOOPS, ids=["asyncio", "uvloop"])
-def play(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[Play]:
-    """Runs a test's body in a loop of either kind."""
+def run_in_loop(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[RunInLoop]:
+    """Return a function that runs the body of a test, on asyncio's loop and on uvloop."""
 
-    async def run(body: Callable[[Wire], Coroutine[Any, Any, None]]) -> None:
+    async def run(body: Callable[[PoolHarness], Coroutine[Any, Any, None]]) -> None:
         reads: asyncio.Queue[int] = asyncio.Queue()
         connections: set[BackendConnection] = set()
         take = BackendConnection.data_received
@@ -148,41 +148,41 @@
         )
         pool.update(_endpoint_update("b0", listener.getsockname()[1]), True)
         try:
-            await body(Wire(pool, listener, reads, connections))
+            await body(PoolHarness(pool, listener, reads, connections))
         finally:
             pool.close()
             listener.close()
 
-    def runs(body: Callable[[Wire], Coroutine[Any, Any, None]]) -> None:
+    def runs(body: Callable[[PoolHarness], Coroutine[Any, Any, None]]) -> None:
         with asyncio.Runner(loop_factory=request.param) as runner:
             runner.run(run(body))
 
     yield runs
 
 
-# --- cut short
+# --- truncated responses
 
 
 @pytest.mark.parametrize("end", [Close.FIN, Close.RST])
-@pytest.mark.parametrize("form", [HELLO, CHUNKED, UNKNOWN], ids=["length", "chunked", "unknown"])
-def test_an_answer_that_is_cut_anywhere_is_no_answer(play: Play, form: bytes, end: Close) -> None:
-    """Where its length is not known an end makes it whole, and a reset never does."""
+@pytest.mark.parametrize("form", [HELLO, CHUNKED, UNKNOWN_LENGTH], ids=["length", "chunked", "unknown"])
+def test_response_truncated_at_any_byte_fails(run_in_loop: RunInLoop, form: bytes, end: Close) -> None:
+    """Only a response of unknown length is completed by a close; a reset never completes one."""
 
-    async def body(wire: Wire) -> None:
+    async def body(harness: PoolHarness) -> None:
         for cut in range(len(form) + 1):
-            for apart in (False, True):
-                got = await wire.exchange(form[:cut], end, apart)
+            for separately in (False, True):
+                got = await harness.exchange(form[:cut], end, separately)
                 whole = cut == len(form)
-                if form is UNKNOWN:
+                if form is UNKNOWN_LENGTH:
                     whole = end is Close.FIN and cut >= form.index(b"\r\n\r\n") + 4
-                assert got.status is (AttemptStatus.OK if whole else AttemptStatus.RESET), (cut, apart)
+                assert got.status is (AttemptStatus.OK if whole else AttemptStatus.RESET), (cut, separately)
                 if whole:
                     assert got.body == (b"helloyou" if form is CHUNKED else form[:cut].split(b"\r\n\r\n")[1])
-                if not whole or form is UNKNOWN:
-                    assert wire.pool.connection_count == 0
-                wire.pool.close_idle("b0")
+                if not whole or form is UNKNOWN_LENGTH:
+                    assert harness.pool.connection_count == 0
+                harness.pool.close_idle("b0")
 
-    play(body)
+    run_in_loop(body)
 
 
 @pytest.mark.parametrize("end", [Close.FIN, Close.RST])
@@ -192,52 +192,64 @@
         b"HTTP/1.1 103 Early Hints\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD,
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nxyz",
-        HEAD + b"Content-Length: 5\r\n\r\n",  # as to HEAD
+        HEAD + b"Content-Length: 5\r\n\r\n",  # A response to HEAD has a length and no body.
         HEAD + b"Connection: close\r\nContent-Length: 6\r\n\r\nhello",
-        HEAD + b"Transfer-Encoding: gzip\r\n\r\nhello",  # where it ends is not said in a way known here
+        HEAD
+        + b"Transfer-Encoding: gzip\r\n\r\nhello",  # The end of a gzip transfer coding cannot be recognized.
         b"HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nno",
     ],
 )
-def test_an_interim_or_bodiless_answer_that_ends_is_no_answer(play: Play, text: bytes, end: Close) -> None:
-    async def body(wire: Wire) -> None:
-        for apart in (False, True):
-            assert (await wire.exchange(text, end, apart)).status is AttemptStatus.RESET
-            assert wire.pool.connection_count == 0
+def test_incomplete_response_at_the_end_of_the_connection_fails(
+    run_in_loop: RunInLoop, text: bytes, end: Close
+) -> None:
+    async def body(harness: PoolHarness) -> None:
+        for separately in (False, True):
+            assert (await harness.exchange(text, end, separately)).status is AttemptStatus.RESET
+            assert harness.pool.connection_count == 0
 
-    play(body)
+    run_in_loop(body)
 
 
 @pytest.mark.parametrize("code", [b"204 No Content", b"304 Not Modified"])
-def test_an_answer_without_a_body_is_whole_with_its_head(play: Play, code: bytes) -> None:
-    async def body(wire: Wire) -> None:
-        got = await wire.exchange(b"HTTP/1.1 " + code + b"\r\n\r\n", Close.NOT, False)
-        assert got.status is AttemptStatus.ERROR and len(wire.pool.endpoints["b0"].idle) == 1
-        wire.pool.close_idle("b0")
-        got = await wire.exchange(b"HTTP/1.1 " + code + b"\r\nContent-Length: 3\r\n\r\nabc", Close.NOT, False)
-        assert got.status is AttemptStatus.ERROR and wire.pool.connection_count == 0
+def test_response_status_without_a_body_is_complete_after_its_head(
+    run_in_loop: RunInLoop, code: bytes
+) -> None:
+    async def body(harness: PoolHarness) -> None:
+        got = await harness.exchange(b"HTTP/1.1 " + code + b"\r\n\r\n", Close.NONE, False)
+        assert got.status is AttemptStatus.ERROR and len(harness.pool.endpoints["b0"].idle) == 1
+        harness.pool.close_idle("b0")
+        got = await harness.exchange(
+            b"HTTP/1.1 " + code + b"\r\nContent-Length: 3\r\n\r\nabc", Close.NONE, False
+        )
+        assert got.status is AttemptStatus.ERROR and harness.pool.connection_count == 0
 
-    play(body)
+    run_in_loop(body)
 
 
 @pytest.mark.parametrize(
     ("text", "end"),
     [
-        (HEAD + b"Connection: close\r\nContent-Length: 5\r\n\r\nhello", Close.NOT),
-        (b"HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello", Close.NOT),
+        (HEAD + b"Connection: close\r\nContent-Length: 5\r\n\r\nhello", Close.NONE),
+        (b"HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello", Close.NONE),
         (b"HTTP/1.0 200 OK\r\n\r\nhello", Close.FIN),
         (HEAD + b"Connection: keep-alive\r\n\r\nhello", Close.FIN),
     ],
 )
-def test_a_connection_that_the_backend_closes_is_not_kept(play: Play, text: bytes, end: Close) -> None:
-    async def body(wire: Wire) -> None:
-        for apart in (False, True):
-            got = await wire.exchange(text, end, apart)
-            assert (got.status, got.body) == (AttemptStatus.OK, b"hello") and wire.pool.connection_count == 0
+def test_connection_closed_by_the_backend_is_not_reused(
+    run_in_loop: RunInLoop, text: bytes, end: Close
+) -> None:
+    async def body(harness: PoolHarness) -> None:
+        for separately in (False, True):
+            got = await harness.exchange(text, end, separately)
+            assert (got.status, got.body) == (
+                AttemptStatus.OK,
+                b"hello",
+            ) and harness.pool.connection_count == 0
 
-    play(body)
+    run_in_loop(body)
 
 
-# --- spoilt
+# --- malformed responses
 
 
 @pytest.mark.parametrize(
@@ -274,38 +286,42 @@
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 70_000,
     ],
 )
-def test_an_answer_that_makes_no_sense_has_failed_and_spoils_its_connection(play: Play, text: bytes) -> None:
-    """Without waiting for its end."""
+def test_malformed_response_fails_and_closes_its_connection(run_in_loop: RunInLoop, text: bytes) -> None:
+    """The attempt fails at once, without waiting for the end of the connection."""
 
-    async def body(wire: Wire) -> None:
-        got = await wire.exchange(text, Close.NOT, False)
-        assert got.status is AttemptStatus.RESET and wire.pool.connection_count == 0 and not wire.begun
+    async def body(harness: PoolHarness) -> None:
+        got = await harness.exchange(text, Close.NONE, False)
+        assert (
+            got.status is AttemptStatus.RESET and harness.pool.connection_count == 0 and not harness.streamed
+        )
 
-    play(body)
+    run_in_loop(body)
 
 
 @pytest.mark.parametrize("more", [HELLO, b"HTTP/1.1 200 O", b"x", b"\0", b"\r\n\r\nx"])
-def test_what_comes_behind_an_answer_is_nobodys_and_spoils_the_connection(play: Play, more: bytes) -> None:
-    """In the same read, and in a later one, when the connection rests."""
-
-    async def body(wire: Wire) -> None:
-        got = await wire.exchange(HELLO + more, Close.NOT, False)
-        assert (got.status, got.body) == (AttemptStatus.OK, b"hello") and wire.pool.connection_count == 0
-        wire.start()
-        peer = await wire.accepted()
+def test_excess_bytes_are_discarded_and_close_the_connection(run_in_loop: RunInLoop, more: bytes) -> None:
+    """Excess bytes arrive in the read of the response, or in a later one on the idle connection."""
+
+    async def body(harness: PoolHarness) -> None:
+        got = await harness.exchange(HELLO + more, Close.NONE, False)
+        assert (got.status, got.body) == (AttemptStatus.OK, b"hello") and harness.pool.connection_count == 0
+        harness.start()
+        peer = await harness.accept_request()
         peer.send(HELLO)
-        assert (await wire.ended()).body == b"hello" and wire.pool.connection_count == 1
-        await wire.read(len(HELLO))
+        assert (await harness.attempt_result()).body == b"hello" and harness.pool.connection_count == 1
+        await harness.wait_until_read(len(HELLO))
         peer.send(more)
-        await wire.read(len(more))
-        assert wire.pool.connection_count == 0
+        await harness.wait_until_read(len(more))
+        assert harness.pool.connection_count == 0
         peer.close()
 
-    play(body)
+    run_in_loop(body)
 
 
-def test_what_comes_before_a_request_is_no_answer_to_it(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A backend that speaks first, read between the connection's coming up and the request's going out."""
+def test_bytes_before_the_request_are_not_a_response(
+    run_in_loop: RunInLoop, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The backend's bytes are read after the connection is established and before the request is sent."""
     made = BackendConnection.connection_made
 
     def connection_made(self: BackendConnection, transport: asyncio.BaseTransport) -> None:
@@ -314,64 +330,68 @@
 
     monkeypatch.setattr(BackendConnection, "connection_made", connection_made)
 
-    async def body(wire: Wire) -> None:
-        wire.start()
+    async def body(harness: PoolHarness) -> None:
+        harness.start()
         peer, _ = await asyncio.wait_for(
-            asyncio.get_running_loop().sock_accept(wire.listener), WAIT_TIMEOUT_S
+            asyncio.get_running_loop().sock_accept(harness.listener), WAIT_TIMEOUT_S
         )
-        assert (await wire.ended()).status is AttemptStatus.CONNECT_FAILED and wire.pool.connection_count == 0
-        with pytest.raises(ConnectionError):  # or nothing, but no request
+        assert (
+            await harness.attempt_result()
+        ).status is AttemptStatus.CONNECT_FAILED and harness.pool.connection_count == 0
+        with pytest.raises(ConnectionError):  # The backend sees a reset or an end of file, but no request.
             if await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 10), WAIT_TIMEOUT_S) == b"":
                 raise ConnectionError
         peer.close()
 
-    play(body)
+    run_in_loop(body)
 
 
-# --- a connection that rests
+# --- idle connections
 
 
 @pytest.mark.parametrize("end", list(Close))
 @pytest.mark.parametrize("text", [b"", b"HTTP/1.1 2", HELLO])
-def test_what_crosses_the_reuse_of_a_connection_is_nobodys(play: Play, text: bytes, end: Close) -> None:
-    """Bytes, an end or a reset that the loop has not read yet when the next request comes."""
+def test_unread_event_on_an_idle_connection_prevents_its_reuse(
+    run_in_loop: RunInLoop, text: bytes, end: Close
+) -> None:
+    """Bytes, a close or a reset that the event loop has not read when the next attempt starts."""
 
-    async def body(wire: Wire) -> None:
-        wire.start()
-        peer = await wire.accepted()
+    async def body(harness: PoolHarness) -> None:
+        harness.start()
+        peer = await harness.accept_request()
         peer.send(HELLO)
-        assert (await wire.ended()).body == b"hello" and wire.pool.connection_count == 1
+        assert (await harness.attempt_result()).body == b"hello" and harness.pool.connection_count == 1
         if text:
             peer.send(text)
-        shut(peer, end)
-        wire.rested()
-        wire.start()  # no turn of the loop in between
-        other = await wire.accepted() if text or end is not Close.NOT else peer
+        end_connection(peer, end)
+        harness.make_reusable()
+        harness.start()  # The event loop has not run since the peer acted.
+        other = await harness.accept_request() if text or end is not Close.NONE else peer
         if other is peer:
-            await wire.asked(peer)
-        assert wire.pool.connection_count == 1
+            await harness.wait_for_request(peer)
+        assert harness.pool.connection_count == 1
         other.send(http_response(b"mine"))
-        assert (await wire.ended()).body == b"mine"
+        assert (await harness.attempt_result()).body == b"mine"
         for sock in (peer, other):
             sock.close()
 
-    play(body)
+    run_in_loop(body)
 
 
-def test_bytes_behind_the_close_of_a_connection_are_nobodys(play: Play) -> None:
-    """Read after it was closed, by a sweep or a drain, or given to it by a transport that is slow to stop."""
+def test_bytes_after_the_close_of_a_connection_are_discarded(run_in_loop: RunInLoop) -> None:
+    """Bytes may arrive after a sweep or drain has closed the connection, or from a transport still open."""
 
-    async def body(wire: Wire) -> None:
-        wire.start()
-        peer = await wire.accepted()
+    async def body(harness: PoolHarness) -> None:
+        harness.start()
+        peer = await harness.accept_request()
         peer.send(HELLO)
-        await wire.ended()
-        await wire.read(len(HELLO))
-        (connection,) = wire.connections
+        await harness.attempt_result()
+        await harness.wait_until_read(len(HELLO))
+        (connection,) = harness.connections
         peer.send(b"HTTP/1.1 200 O")
         connection.idle_since = -1e9
-        wire.pool.sweep()  # over unread bytes
-        assert wire.pool.connection_count == 0 and not wire.pool.endpoints["b0"].idle
+        harness.pool.sweep()  # The sweep closes the connection although it has unread bytes.
+        assert harness.pool.connection_count == 0 and not harness.pool.endpoints["b0"].idle
         for _ in range(2):
             connection.data_received(HELLO)
             assert connection.eof_received() is False
@@ -380,25 +400,25 @@
             connection.resume_reading()
             connection.connection_lost(ConnectionResetError())
             connection.close(CloseReason.ABANDONED)
-        assert wire.pool.connection_count == 0 and wire.ends.empty()
-        wire.start()
-        other = await wire.accepted()
+        assert harness.pool.connection_count == 0 and harness.ends.empty()
+        harness.start()
+        other = await harness.accept_request()
         other.send(HELLO)
-        assert (await wire.ended()).body == b"hello" and wire.pool.connection_count == 1
+        assert (await harness.attempt_result()).body == b"hello" and harness.pool.connection_count == 1
         for sock in (peer, other):
             sock.close()
 
-    play(body)
+    run_in_loop(body)
 
 
 @pytest.mark.parametrize("late", ["bytes", "end", "reset"])
-def test_an_end_on_a_connection_that_rests_closes_it(play: Play, late: str) -> None:
-    async def body(wire: Wire) -> None:
-        wire.start()
-        peer = await wire.accepted()
+def test_event_on_an_idle_connection_closes_it(run_in_loop: RunInLoop, late: str) -> None:
+    async def body(harness: PoolHarness) -> None:
+        harness.start()
+        peer = await harness.accept_request()
         peer.send(HELLO)
-        await wire.ended()
-        (connection,) = wire.connections
+        await harness.attempt_result()
+        (connection,) = harness.connections
         lost = asyncio.Event()
         whole = connection.connection_lost
 
@@ -410,85 +430,87 @@
         if late == "bytes":
             peer.send(b"H")
         else:
-            shut(peer, Close.FIN if late == "end" else Close.RST)
+            end_connection(peer, Close.FIN if late == "end" else Close.RST)
         await asyncio.wait_for(lost.wait(), WAIT_TIMEOUT_S)
-        assert wire.pool.connection_count == 0 and wire.ends.empty()
+        assert harness.pool.connection_count == 0 and harness.ends.empty()
         peer.close()
 
-    play(body)
+    run_in_loop(body)
 
 
-# --- long answers
+# --- long responses
 
 
 def chunk(size: int) -> bytes:
-    """One chunk."""
+    """Return one HTTP chunk of `size` bytes."""
     return b"%x\r\n%b\r\n" % (size, b"x" * size)
 
 
-def test_the_clock_of_an_answer_that_is_held_ends_with_it(
-    play: Play, monkeypatch: pytest.MonkeyPatch
+def test_streaming_timer_ends_with_its_response(
+    run_in_loop: RunInLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against beginning the next answer on that connection before its backend has."""
+    """Guards against a streaming timer that outlives its response and starts streaming the next one."""
     monkeypatch.setattr(backend_connection, "STREAMING_DELAY_S", 2 * WAIT_TIMEOUT_S)
 
-    async def body(wire: Wire) -> None:
-        wire.start()
-        peer = await wire.accepted()
+    async def body(harness: PoolHarness) -> None:
+        harness.start()
+        peer = await harness.accept_request()
         first = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(MAX_BUFFERED_BODY_BYTES // 2)
         peer.send(first)
-        await wire.read(len(first))
-        connection = next(iter(wire.connections))
-        held = connection.streaming_timer
-        assert held is not None and not wire.begun
+        await harness.wait_until_read(len(first))
+        connection = next(iter(harness.connections))
+        timer = connection.streaming_timer
+        assert timer is not None and not harness.streamed
         peer.send(chunk(MAX_BUFFERED_BODY_BYTES))
-        await wire.read(len(chunk(MAX_BUFFERED_BODY_BYTES)))
-        assert wire.begun and held.cancelled()  # it has become long by its size
+        await harness.wait_until_read(len(chunk(MAX_BUFFERED_BODY_BYTES)))
+        assert harness.streamed and timer.cancelled()  # Its size has started the streaming before the timer.
         peer.send(b"0\r\n\r\n")
-        assert (await wire.ended()).status is AttemptStatus.OK and len(
-            wire.begun
+        assert (await harness.attempt_result()).status is AttemptStatus.OK and len(
+            harness.streamed
         ) == MAX_BUFFERED_BODY_BYTES + MAX_BUFFERED_BODY_BYTES // 2
-        wire.rested()
-        wire.start()
-        await wire.asked(peer)
+        harness.make_reusable()
+        harness.start()
+        await harness.wait_for_request(peer)
         assert connection.streaming_timer is None
         peer.send(HELLO)
-        assert (await wire.ended()).body == b"hello" and not wire.begun
+        assert (await harness.attempt_result()).body == b"hello" and not harness.streamed
         peer.close()
 
-    play(body)
+    run_in_loop(body)
 
 
-def test_an_answer_of_unknown_length_ends_with_the_longest_that_there_is(
-    play: Play, monkeypatch: pytest.MonkeyPatch
+def test_response_of_unknown_length_is_limited_to_the_maximum_body_size(
+    run_in_loop: RunInLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(response_parser, "MAX_BODY_BYTES", 3 * MAX_BUFFERED_BODY_BYTES)
 
-    async def body(wire: Wire) -> None:
+    async def body(harness: PoolHarness) -> None:
         whole = HEAD + b"\r\n" + b"x" * 3 * MAX_BUFFERED_BODY_BYTES
-        got = await wire.exchange(whole, Close.FIN, False)
+        got = await harness.exchange(whole, Close.FIN, False)
         assert got.status is AttemptStatus.OK and len(got.body) == 3 * MAX_BUFFERED_BODY_BYTES
-        got = await wire.exchange(whole + b"x", Close.NOT, False)
-        assert got.status is AttemptStatus.RESET and wire.pool.connection_count == 0
+        got = await harness.exchange(whole + b"x", Close.NONE, False)
+        assert got.status is AttemptStatus.RESET and harness.pool.connection_count == 0
 
-    play(body)
+    run_in_loop(body)
 
 
-def test_what_is_long_is_told_from_what_does_not_end(play: Play, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_long_response_is_distinguished_from_an_endless_one(
+    run_in_loop: RunInLoop, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(backend_connection, "STREAMING_DELAY_S", 0.0)
 
-    async def body(wire: Wire) -> None:
+    async def body(harness: PoolHarness) -> None:
         for head in (b"", b"Content-Length: %d\r\n" % (2 * MAX_BUFFERED_BODY_BYTES)):
-            attempt = wire.start()
-            assert not attempt.has_long_response  # it has not even begun
-            peer = await wire.accepted()
+            attempt = harness.start()
+            assert not attempt.has_long_response  # The response has not begun.
+            peer = await harness.accept_request()
             peer.send(HEAD + head + b"\r\nhello")
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                while not wire.begun:
+                while not harness.streamed:
                     await asyncio.sleep(0)
             connection = attempt.connection
             assert connection is not None
-            connection.streaming_since += HOUR_MS  # it is not over yet
+            connection.streaming_since += HOUR_MS  # With a start in the future, the response is fast enough.
             assert attempt.has_long_response
             connection.streaming_since -= 2 * HOUR_MS
             assert attempt.has_long_response == bool(head)
@@ -499,23 +521,24 @@
             connection.response.on_body(b"x" * MAX_BUFFERED_BODY_BYTES)
             assert attempt.has_long_response
             attempt.cancel()
-            assert not attempt.has_long_response and wire.pool.connection_count == 0
+            assert not attempt.has_long_response and harness.pool.connection_count == 0
             peer.close()
 
-    play(body)
+    run_in_loop(body)
 
 
-def test_two_looks_at_an_answer_after_its_time_are_closer_than_what_may_pass() -> None:
-    assert (LONG_RESPONSE_CHECK_S + DEADLINE_MARGIN_MS / 1000) < SLACK
+def test_check_interval_for_long_responses_is_within_the_allowed_overrun() -> None:
+    assert (LONG_RESPONSE_CHECK_S + DEADLINE_MARGIN_MS / 1000) < MAX_OVERRUN_S
 
 
-TIME = 0.7  # s that a client gives
-SLACK = 0.5  # s after which a request without its final answer is lost
-BUSY = 4 * SLACK  # s that a busy machine may take for that, where the bound itself is shown otherwise
+TIMEOUT_S = 0.7  # Clients in these tests send this as their Request-Timeout.
+MAX_OVERRUN_S = 0.5  # A request without a final response this long after its deadline counts as lost.
+# A busy machine may take this long; another test checks that the intervals add up to less than the bound.
+MAX_OVERRUN_ON_BUSY_MACHINE_S = 4 * MAX_OVERRUN_S
 
 
-def drips(head: bytes, piece: bytes, every: float, count: int, last: bytes = b"") -> Respond:
-    """Answer with so many pieces, one after another."""
+def respond_slowly(head: bytes, piece: bytes, every: float, count: int, last: bytes = b"") -> Respond:
+    """Respond with `count` pieces, one each `every` seconds."""
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + head + b"\r\n")
@@ -529,8 +552,8 @@
     return respond
 
 
-async def breaks_off(client: Client, framed: bool) -> None:
-    """An end that no client takes for that of the answer: short of its last chunk, or a reset."""
+async def assert_truncated(client: Client, framed: bool) -> None:
+    """Check that the response ends visibly truncated: before its last chunk, or by a reset."""
     try:
         rest = await client.read_until_closed()
     except ConnectionError:
@@ -540,89 +563,90 @@
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
 @pytest.mark.parametrize("head", [b"", b"Transfer-Encoding: chunked\r\n"])
-async def test_an_answer_that_never_ends_is_broken_off_in_time(
+async def test_endless_response_is_aborted_at_the_deadline(
     tmp_path: Path, head: bytes, version: bytes
 ) -> None:
-    backend = Backend("b0", drips(head, chunk(9) if head else b"x" * 9, 0.05, 10**9))
+    backend = Backend("b0", respond_slowly(head, chunk(9) if head else b"x" * 9, 0.05, 10**9))
     async with running_node(tmp_path, backend, console=CONSOLE) as rig:
         client, loop = await rig.connect(), asyncio.get_running_loop()
         client.writer.write(
-            b"GET /read HTTP/%b\r\nRequest-Id: 1\r\nRequest-Timeout: %dm\r\n\r\n" % (version, TIME * 1000)
+            b"GET /read HTTP/%b\r\nRequest-Id: 1\r\nRequest-Timeout: %dm\r\n\r\n"
+            % (version, TIMEOUT_S * 1000)
         )
         begun = loop.time()
         assert await asyncio.wait_for(client.reader.readuntil(b"xxx"), WAIT_TIMEOUT_S)
-        await breaks_off(client, version == b"1.1")
-        assert loop.time() - begun < TIME + BUSY
+        await assert_truncated(client, version == b"1.1")
+        assert loop.time() - begun < TIMEOUT_S + MAX_OVERRUN_ON_BUSY_MACHINE_S
         await backend.closed_connections.get()
         figures = await rig.stats()
         assert (figures["failed"]["read"], figures["pending"]) == (1, 0)
 
 
-async def test_one_that_begins_before_its_request_is_whole_is_broken_off_too(tmp_path: Path) -> None:
-    """From then on the client's time runs: nobody wants the rest of the body."""
-    backend = Backend("b0", drips(b"", b"x" * 9, 0.05, 10**9))
+async def test_endless_response_during_an_upload_is_aborted(tmp_path: Path) -> None:
+    """A response before the end of the upload starts the deadline: the rest of the body is not needed."""
+    backend = Backend("b0", respond_slowly(b"", b"x" * 9, 0.05, 10**9))
     async with running_node(tmp_path, backend, console=CONSOLE) as rig:
         client, loop = await rig.connect(), asyncio.get_running_loop()
-        head = upload_head(None, "1", f"Request-Timeout: {TIME * 1000:.0f}m")
+        head = upload_head(None, "1", f"Request-Timeout: {TIMEOUT_S * 1000:.0f}m")
         client.writer.write(head + chunk(MAX_BUFFERED_BODY_BYTES + 1))
         assert await asyncio.wait_for(client.reader.readuntil(b"xxx"), WAIT_TIMEOUT_S)
         begun = loop.time()
-        await breaks_off(client, True)
-        assert loop.time() - begun < TIME + BUSY
+        await assert_truncated(client, True)
+        assert loop.time() - begun < TIMEOUT_S + MAX_OVERRUN_ON_BUSY_MACHINE_S
         await backend.closed_connections.get()
         figures = await rig.stats()
         assert (figures["failed"]["once"], figures["pending"]) == (1, 0)
 
 
 @pytest.mark.parametrize("head", [b"", b"Transfer-Encoding: chunked\r\n", b"Content-Length: 160000\r\n"])
-async def test_a_long_answer_that_comes_slowly_has_more_than_its_time(tmp_path: Path, head: bytes) -> None:
+async def test_long_response_may_continue_past_the_deadline(tmp_path: Path, head: bytes) -> None:
     chunked = b"chunked" in head
     piece = chunk(8000) if chunked else b"x" * 8000
-    backend = Backend("b0", drips(head, piece, 0.08, 20, b"0\r\n\r\n" if chunked else b""))
+    backend = Backend("b0", respond_slowly(head, piece, 0.08, 20, b"0\r\n\r\n" if chunked else b""))
     async with running_node(tmp_path, backend, console=CONSOLE) as rig:
         client = await rig.connect()
-        got = await request_streamed(client, "/read", f"Request-Timeout: {TIME * 1000:.0f}m")
+        got = await request_streamed(client, "/read", f"Request-Timeout: {TIMEOUT_S * 1000:.0f}m")
         assert got.status == 200 and len(got.body) == 160_000
         assert (await rig.stats())["completed"]["read"] == 1
 
 
-# --- what is said of it
+# --- log lines
 
 
-def test_a_flood_of_broken_answers_is_one_line_in_ten_seconds(
-    play: Play, caplog: pytest.LogCaptureFixture
+def test_malformed_responses_are_logged_once_in_ten_seconds(
+    run_in_loop: RunInLoop, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def body(wire: Wire) -> None:
+    async def body(harness: PoolHarness) -> None:
         now = [100.0]
-        wire.pool.warnings.clock = lambda: now[0]
+        harness.pool.warnings.clock = lambda: now[0]
         for _ in range(20):
-            await wire.exchange(b"nonsense\r\n", Close.NOT, False)
-        await wire.exchange(http_response(b"", "200 OK", "Server-Load: many"), Close.NOT, False)
-        wire.pool.close_idle("b0")
+            await harness.exchange(b"nonsense\r\n", Close.NONE, False)
+        await harness.exchange(http_response(b"", "200 OK", "Server-Load: many"), Close.NONE, False)
+        harness.pool.close_idle("b0")
         now[0] += 10.0
-        await wire.exchange(b"nonsense\r\n", Close.NOT, False)
+        await harness.exchange(b"nonsense\r\n", Close.NONE, False)
 
     with caplog.at_level(logging.WARNING):
-        play(body)
+        run_in_loop(body)
     said = [r.getMessage() for r in caplog.records if "malformed response" in r.getMessage()]
     assert len(said) == 2 and "more since" not in said[0] and said[1].endswith("(19 more since such a line)")
     assert sum("not a load report" in r.getMessage() for r in caplog.records) == 1
 
 
-def test_attempts_without_a_descriptor_are_one_line_in_ten_seconds(
-    play: Play, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+def test_failed_socket_creation_is_logged_once_in_ten_seconds(
+    run_in_loop: RunInLoop, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def no_socket(*args: Any) -> socket.socket:
         raise OSError(errno.EMFILE, "Too many open files")
 
-    async def body(wire: Wire) -> None:
+    async def body(harness: PoolHarness) -> None:
         with monkeypatch.context() as patch:
             patch.setattr(socket, "socket", no_socket)
             for _ in range(20):
-                wire.start()
+                harness.start()
             for _ in range(20):
-                assert (await wire.ended()).status is AttemptStatus.NOT_STARTED
+                assert (await harness.attempt_result()).status is AttemptStatus.NOT_STARTED
 
     with caplog.at_level(logging.WARNING):
-        play(body)
+        run_in_loop(body)
     assert sum("no socket for a backend" in r.getMessage() for r in caplog.records) == 1
