--- a/tests/test_defects.py
+++ b/tests/test_defects.py
@@ -283,7 +283,7 @@
     node = object.__new__(Node)
     _replace_components(node, ["first", "bad", "last"], execute, abandoned.append)
     with caplog.at_level(logging.ERROR):
-        node._handle(api.RequestArrived("r1", "read", 1.0))
+        node._dispatch(api.RequestArrived("r1", "read", 1.0))
     assert done == ["first", "last"] and abandoned == ["r1"]
 
 
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -183,7 +183,7 @@
     seen = list[tuple[float, int]]()
 
     async def take_over(node: Node) -> None:
-        await prepare_takeover(node, cast(Any, SimpleNamespace(has_enough=True)), False)
+        await prepare_takeover(node, cast(Any, SimpleNamespace(has_guaranteed_share=True)), False)
         seen.append((round(sim.now, 2), len(sim.module.in_force)))
 
     def begin(node: Node, _: DiscoveryClient) -> None:
