--- a/balancer/policy/attempts.py
+++ b/balancer/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Starts and ends of attempts: the one place where a request is sent."""
+"""Starts and ends attempts; no other module sends a request to an endpoint."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempts:
-    """Starts attempts within all rules, and counts those in flight."""
+    """Starts attempts that the rules permit, and counts those in flight."""
 
     outbox: Outbox
     requests: RequestTable
@@ -27,25 +27,26 @@
     limit: ConcurrencyLimit
     timeouts: AttemptTimeouts
     endpoints: EndpointList
-    _checks_first: bool = field(default=False, init=False)
+    _checks_health_first: bool = field(default=False, init=False)
 
     def configure(self, settings: api.Settings) -> None:
-        """Take new settings."""
-        self._checks_first = checks_health_before_sending(settings)
+        """Apply new settings."""
+        self._checks_health_first = checks_health_before_sending(settings)
 
     def start(self, request: Request, endpoint: EndpointRecord, now: float) -> None:
-        """Send a request to an endpoint, or give it up where a rule forbids that."""
+        """Send a request to an endpoint, or give it up if a rule forbids the attempt."""
         if not self._is_allowed(request, endpoint, now):
             self.requests.give_up(request, api.GiveUpReason.TOO_LATE, now)
             return
         if self.slow_start.recovery is not None:
             self.slow_start.count_recovery_attempt(endpoint, now)
         latest_start = self.eligibility.latest_start(request)
-        attempt = Attempt(endpoint, now, endpoint.estimate == 0 or not self._checks_first)
+        attempt = Attempt(endpoint, now, endpoint.estimate == 0 or not self._checks_health_first)
         request.attempts.append(attempt)
         request.in_flight += 1
         endpoint.estimate += 1
-        if request.is_arriving:  # a slow client takes no capacity from others: the endpoint has yet to begin
+        if request.is_arriving:
+            # The endpoint starts work once the body is complete; a slow client must not use up the limit.
             attempt.counts_in_flight = False
         else:
             endpoint.in_flight += 1
@@ -56,7 +57,7 @@
         )
 
     def on_body_received(self, request: Request, now: float) -> None:
-        """Count the attempt in flight of a request whose body is complete now."""
+        """Count an attempt as in flight once the body of its request is complete."""
         if request.in_flight:
             attempt = request.attempts[-1]
             attempt.counts_in_flight = True
@@ -65,7 +66,7 @@
             self.limit.in_flight += 1
 
     def end(self, request: Request, attempt: Attempt, status: api.AttemptStatus) -> None:
-        """Count an attempt as ended."""
+        """Record the status of an ended attempt and stop counting it as in flight."""
         attempt.status = status
         request.in_flight -= 1
         if attempt.counts_in_flight:
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Events in, actions out: one node's decisions, composed of the other modules of the package."""
+"""The balancing policy of one node: dispatches events to the components of the package."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
 
 
 class Balancer:
-    """One node. `handle` takes the clock time and an event, and returns the actions.
+    """The policy of one node: `handle` takes the clock time in ms and an event, and returns actions.
 
-    Its public fields are its collaborators, one a concern. Times are clock times in ms.
+    The public attributes are the components of the policy.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Make a node without endpoints; `seed` determines all its random draws."""
+        """Create a policy without endpoints; `seed` determines all its random numbers."""
         self.rng = random.Random(seed)
         self.now = 0.0
         self.settings = settings
-        self._make_state(settings)
-        self._make_flow(settings)
+        self._create_components(settings)
+        self._create_request_path(settings)
         self._configure(settings)
         self._handlers: dict[type, Handler] = {
             api.RequestArrived: self._on_request,
@@ -65,31 +65,34 @@
         }
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event at the clock time `now`, which never goes back.
+        """Handle an event at the clock time `now`, which must never decrease.
 
-        Raises CallError where the event is of no known type, or names a class that the settings do not have.
+        Raises CallError if the type of the event is unknown or the settings lack the class of a request.
         """
         if (handler := self._handlers.get(type(event))) is None:
-            raise api.CallError(f"not an event: {event!r}")
+            raise api.CallError(f"not an event: expected an event of balancer.interface, got {event!r}")
         self.now = now
         actions = self.outbox.begin()
         handler(now, event)
         return actions
 
     def learned_state(self, now: float) -> api.LearnedState:
-        """Return what a successor of this node can use, at the clock time `now`."""
+        """Return the learned state for a successor process, as of the clock time `now`."""
         return self.warm_start.export(now)
 
     def is_listed(self, name: str) -> bool:
-        """Return whether the list names this endpoint, or did so until lately."""
+        """Return whether an endpoint is in the list or was removed from it recently."""
         return name in self.index.records or name in self.index.forgotten_names
 
     def count_unavailable(self, now: float) -> int:
-        """Return how many listed endpoints get no requests now, or none but in a panic."""
+        """Return how many listed endpoints get no requests at present, or only in a panic."""
         return self.ejection.count_unavailable(now)
 
     def gauge(self) -> str:
-        """Return a line of counts: limit, queue, and requests given up since the last call."""
+        """Format limit, attempts in flight, queue length, success rate and new give-ups as one line.
+
+        The counts of requests that were given up start again from zero.
+        """
         given_up = self.requests.given_up
         reasons = " ".join(f"given_up_{reason}={count}" for reason, count in sorted(given_up.items()))
         given_up.clear()
@@ -97,8 +100,8 @@
         state = f"limit={limit.limit:.1f} out={limit.in_flight} held={len(self.router.queue)}"
         return f"{state} trust={self.shedding.success_rate:.2f} {reasons}".rstrip()
 
-    def _make_state(self, settings: api.Settings) -> None:
-        """Make the concerns that keep state and decide on their own."""
+    def _create_components(self, settings: api.Settings) -> None:
+        """Create the components that hold state and do not depend on the request path."""
         rng = self.rng
         self.outbox = Outbox()
         self.log = OperatorLog(self.outbox)
@@ -125,8 +128,8 @@
             self.classes, self.ejection, self.limit, self.selection, self.shedding, self.timeouts, self.zones
         )
 
-    def _make_flow(self, settings: api.Settings) -> None:
-        """Make the way of a request through these concerns."""
+    def _create_request_path(self, settings: api.Settings) -> None:
+        """Create the components of the request path, which use the stateful ones."""
         rng = self.rng
         self.requests = RequestTable(rng, self.outbox, self.log, self.slow_start)
         self.attempts = Attempts(
@@ -148,17 +151,17 @@
         )  # fmt: skip
 
     def _configure(self, settings: api.Settings) -> None:
-        """Hand settings to all concerns; requests under way keep what they arrived with."""
+        """Apply settings to all components; open requests keep the settings that they arrived with."""
         self.settings = settings
         self.classes.configure(settings)
         self.limit.configure(self.classes.by_name)
         zones_changed = self.zones.configure(settings)
         self.maintenance.configure(settings.slow_start_ms)
-        for concern in (
+        for component in (
             self.timeouts, self.subsetting, self.shedding, self.ejection, self.eligibility, self.polling,
             self.slow_start, self.requests, self.attempts, self.health_checks, self.router,
         ):  # fmt: skip
-            concern.configure(settings)
+            component.configure(settings)
         self.endpoints.configure(settings, zones_changed)
 
     def _on_request(self, now: float, event: api.RequestArrived) -> None:
@@ -179,14 +182,14 @@
         )
         self.requests.by_id[event.request] = request
         self.slow_start.count_arrival(now, self.limit, self.classes.mean_expected_ms)
-        # What cannot meet its objective is shed at once: cheaper for all than a failure after it.
+        # A request that cannot meet its objective is rejected at once, which is cheaper than a late failure.
         if can_finish_in_time(request, now):
             self.router.route(request, now)
         else:
             self.requests.give_up(request, api.GiveUpReason.TOO_LATE, now)
 
     def _on_body_received(self, now: float, event: api.RequestBodyReceived) -> None:
-        """Begin the request's time and its endpoint's work."""
+        """Set the deadline of a request whose body is complete, and count its attempt as in flight."""
         request = self.requests.by_id.get(event.request)
         if request is None or not request.is_arriving or request.is_closed:
             return
@@ -203,7 +206,8 @@
             return
         attempt = request.attempts[event.attempt]
         if attempt.status is not None:
-            if request.is_streaming:  # the end of a long response
+            # The attempt of a long response was recorded as ended when the response started.
+            if request.is_streaming:
                 if event.status is api.AttemptStatus.RESET:
                     self.ejection.eject(attempt.endpoint, now)
                 self.requests.close(request)
@@ -220,7 +224,7 @@
         self.router.release(now)
 
     def _on_response_started(self, now: float, event: api.ResponseStarted) -> None:
-        """End the attempt of a long response: a client that reads slowly takes no capacity from others."""
+        """End the attempt when a long response starts, so that a slow client does not use up the limit."""
         if (request := self.requests.by_id.get(event.request)) is None:
             return
         request.is_streaming = True
@@ -242,8 +246,10 @@
             return
         self.polling.on_success()
         if event.kind is api.ListUpdateKind.CACHED and self.settings.must_subscribe:
-            has_some = any(entry.phase is api.EndpointPhase.IN_SERVICE for entry in event.entries)
-            self.polling.on_cached_list(has_some, now)
+            has_endpoint_in_service = any(
+                entry.phase is api.EndpointPhase.IN_SERVICE for entry in event.entries
+            )
+            self.polling.on_cached_list(has_endpoint_in_service, now)
         self.endpoints.apply(event)
 
     def _on_reconfigured(self, now: float, event: api.Reconfigured) -> None:
@@ -251,7 +257,7 @@
         self.router.release(now)
 
     def _on_maintenance_changed(self, now: float, event: api.MaintenanceChanged) -> None:
-        """Ban an endpoint by id, or lift the ban, which the list cannot."""
+        """Ban an endpoint by its id, or lift the ban, which no update of the list does."""
         name = event.backend
         if event.banned:
             order = self.index.order
@@ -263,9 +269,10 @@
         if is_recent and self.slow_start.is_first_sender(name, self.classes.mean_expected_ms):
             self.maintenance.awaiting_first_request.add(name)
         if (endpoint := self.index.records.get(name)) is not None:
-            endpoint.reset()  # it was restarted meanwhile
+            endpoint.reset()  # The backend is assumed to have been restarted during maintenance.
         self.endpoints.refresh([name])
-        self.maintenance.positions.pop(name, None)  # if it is not listed now, it comes as a new one
+        # The position of an unlisted endpoint is dropped, so that it will return as a new one.
+        self.maintenance.positions.pop(name, None)
 
     def _on_learned_state(self, now: float, event: api.LearnedStateRestored) -> None:
         self.selection.candidates.clear()
--- a/balancer/policy/eligibility.py
+++ b/balancer/policy/eligibility.py
@@ -1,4 +1,4 @@
-"""Whether a request may go to an endpoint: phase, bans, ejection, crowding and idempotency."""
+"""Decides whether a request may go to an endpoint: phase, bans, ejection, load and idempotency."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 
 class Eligibility:
-    """Judges endpoints by the list, the operators, own observations and the attempts of a request."""
+    """Checks endpoints against the list, bans, observed faults and a request's earlier attempts."""
 
     __slots__ = ("_banned", "_clock_granularity_ms", "_index")
 
     def __init__(self, index: EndpointIndex, maintenance: Maintenance) -> None:
-        """Judge endpoints of this index; `maintenance` has the bans."""
+        """Check the endpoints of `index` against the bans of `maintenance`."""
         self._index = index
         self._banned = maintenance.banned
         self._clock_granularity_ms = 0.0
 
     def configure(self, settings: api.Settings) -> None:
-        """Take new settings."""
+        """Apply new settings."""
         self._clock_granularity_ms = settings.clock_granularity_ms
 
     def is_in_service(self, endpoint: EndpointRecord) -> bool:
-        """Return whether the list and the operators let an endpoint have new work."""
+        """Return whether an endpoint is listed as in service and is not banned."""
         entry = endpoint.entry
         return entry.phase is api.EndpointPhase.IN_SERVICE and entry.backend not in self._banned
 
     def required_domains(self, request: Request, now: float) -> set[idempotency.DeduplicationDomain] | None:
-        """Return all domains that the next attempt has to be in, or None if no attempt may be made."""
+        """Return the deduplication domains that bind the next attempt, or None if none may be made."""
         return idempotency.required_domains(request, now, self._clock_granularity_ms)
 
     def permits_attempt(self, request: Request, endpoint: EndpointRecord, now: float) -> bool:
-        """Return whether an attempt at this endpoint cannot make the request take effect twice."""
+        """Return whether an attempt at an endpoint cannot make the request take effect twice."""
         if not request.attempts:
             return True
         domains = self.required_domains(request, now)
@@ -46,7 +46,7 @@
         )
 
     def permits_retry(self, request: Request, now: float) -> bool:
-        """Return whether any endpoint in service may have the next attempt."""
+        """Return whether the next attempt may go to any endpoint in service."""
         domains = self.required_domains(request, now)
         if domains is None or len(domains) > 1:
             return False
@@ -57,7 +57,7 @@
         return all(domain in present for domain in domains)
 
     def latest_start(self, request: Request) -> float:
-        """Return the clock time until which the next attempt may leave; 0 means no limit."""
+        """Return the latest clock time at which the next attempt may be sent; 0 means no limit."""
         if not request.attempts:
             return 0.0
         return idempotency.latest_start(request, self._clock_granularity_ms)
@@ -65,9 +65,9 @@
     def filter_for(
         self, request: Request, now: float, max_in_flight: float, ignore_ejection: bool = False
     ) -> IsEligible:
-        """Return a predicate whether a warm endpoint may be given this request.
+        """Return a predicate that tells whether a warm endpoint may receive this request.
 
-        Endpoints with more than `max_in_flight` attempts of this node are too crowded.
+        It excludes endpoints with more than `max_in_flight` attempts of this node.
         """
         checked = request.checked
         domains = self.required_domains(request, now) if request.attempts else NO_DOMAINS
@@ -91,5 +91,5 @@
 
 
 def _reject(endpoint: EndpointRecord) -> bool:
-    """Return False: the request may go to no endpoint."""
+    """Exclude every endpoint."""
     return False
--- a/balancer/policy/endpoint_index.py
+++ b/balancer/policy/endpoint_index.py
@@ -1,6 +1,6 @@
-"""The listed endpoints and what follows from the list; an update costs what it names, not the list.
+"""An index of the listed endpoints; the cost of an update depends on its entries, not on the list's length.
 
-Nothing here decides: callers determine which endpoints may get new work and which are local.
+The index makes no decisions: its callers determine which endpoints may get new requests and which are local.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from balancer.policy.ordered_names import EndpointOrder, Insertion
 from balancer.policy.records import EndpointRecord
 
-MAX_FORGOTTEN_NAMES = 1024  # removed endpoints that are still known by name, for operators who name one
+MAX_FORGOTTEN_NAMES = 1024  # Operators may still refer to a removed endpoint by its name.
 
 
 class ZoneSummary:
-    """The endpoints of one zone that may get new work."""
+    """A summary of the endpoints of one zone that may get new requests."""
 
     def __init__(self, zone: str, records: dict[str, EndpointRecord]) -> None:
-        """Summarise an empty zone; `records` are those of the index."""
+        """Create the summary of an empty zone; `records` are those of the index."""
 
         def min_response_ms(name: str) -> float:
             endpoint = records.get(name)
@@ -34,51 +34,57 @@
 
 
 class EndpointIndex:
-    """All listed endpoints, the node's order of those that may get new work, and summaries of both."""
+    """All listed endpoints, and the node's order of those that may get new requests.
+
+    `records` keeps removed endpoints while attempts are in flight; `listed_count` leaves them out. `zones`
+    and `cells` summarise the endpoints in `order`. `maybe_avoided` and `maybe_observed` have the names of
+    endpoints that may be ejected or busy, or that may have statistics; entries can be out of date.
+    `forgotten_names` are those of the endpoints that were dropped last.
+    """
 
     def __init__(self) -> None:
-        """Start without endpoints."""
-        self.records: dict[str, EndpointRecord] = {}  # removed ones stay while attempts are in flight
+        """Create an index without endpoints."""
+        self.records: dict[str, EndpointRecord] = {}
         self.order = EndpointOrder(self.records)
-        self.listed_count = 0  # of the records, those that were not removed
-        self.zones: dict[str, ZoneSummary] = {}  # of those in the order
-        self.cells: Counter[int] = Counter()  # of those in the order
-        self.maybe_avoided: dict[str, None] = {}  # ejected or busy, perhaps no more
-        self.maybe_observed: dict[str, None] = {}  # those of which something is known, perhaps no more
-        self.forgotten_names: dict[str, None] = {}  # the latest that were forgotten
+        self.listed_count = 0
+        self.zones: dict[str, ZoneSummary] = {}
+        self.cells: Counter[int] = Counter()
+        self.maybe_avoided: dict[str, None] = {}
+        self.maybe_observed: dict[str, None] = {}
+        self.forgotten_names: dict[str, None] = {}
 
     def apply_entry(self, entry: api.Endpoint) -> None:
-        """Take an entry of the list. An endpoint that returns or has restarted is treated as a new one."""
+        """Apply an entry of the list; the state of an endpoint that returned or restarted is reset."""
         endpoint = self.records.get(entry.backend)
         if endpoint is None:
             if _is_listed(entry):
                 self.records[entry.backend] = EndpointRecord(entry)
                 self.listed_count += 1
             return
-        former = endpoint.entry
-        self.listed_count += _is_listed(entry) - _is_listed(former)
-        if entry.started_at > former.started_at or (_is_listed(entry) and not _is_listed(former)):
+        previous = endpoint.entry
+        self.listed_count += _is_listed(entry) - _is_listed(previous)
+        if entry.started_at > previous.started_at or (_is_listed(entry) and not _is_listed(previous)):
             endpoint.reset()
-        if endpoint.order_block is None or (former.zone, former.cell) == (entry.zone, entry.cell):
+        if endpoint.order_block is None or (previous.zone, previous.cell) == (entry.zone, entry.cell):
             endpoint.entry = entry
         else:
-            self._uncount(endpoint)
+            self._remove_from_summaries(endpoint)
             endpoint.entry = entry
-            self._count(endpoint)
+            self._add_to_summaries(endpoint)
 
     def insert(self, insertions: Sequence[Insertion], is_local: bool) -> None:
-        """Let these endpoints have new work; see `EndpointOrder.insert`."""
+        """Add endpoints to the order, so that they get new requests; see `EndpointOrder.insert`."""
         self.order.insert(insertions, is_local)
         for _, name in insertions:
-            self._count(self.records[name])
+            self._add_to_summaries(self.records[name])
 
     def remove(self, name: str) -> None:
-        """Let an endpoint have no new work."""
-        self._uncount(self.records[name])
+        """Remove an endpoint from the order, so that it gets no new requests."""
+        self._remove_from_summaries(self.records[name])
         self.order.remove(name)
 
     def forget(self, endpoint: EndpointRecord) -> bool:
-        """Drop the record of a removed endpoint that nothing waits for, and return whether it was dropped."""
+        """Drop the record of a removed endpoint that is no longer in use; return whether it was dropped."""
         name = endpoint.entry.backend
         if (
             _is_listed(endpoint.entry)
@@ -97,16 +103,16 @@
         return True
 
     def window(self, first: int, last: int, remote_first: bool = False) -> list[EndpointRecord]:
-        """Return the endpoints at these positions of the order; see `EndpointOrder.window`."""
+        """Return the endpoints at a range of positions of the order; see `EndpointOrder.window`."""
         records = self.records
         return [records[name] for name in self.order.window(first, last, remote_first)]
 
     def min_response_ms(self, zone: str) -> float:
-        """Return the lowest recent duration of a response of the endpoints in a zone."""
+        """Return the lowest recent response time of the endpoints in a zone, or infinity if there is none."""
         return self.zones[zone].response_times.minimum() if zone in self.zones else math.inf
 
     def mark_changed(self, endpoint: EndpointRecord) -> None:
-        """Take note that something was learned of an endpoint, or that it was ejected or is busy."""
+        """Record that the statistics of an endpoint changed, or that it was ejected or is busy."""
         name = endpoint.entry.backend
         if self.records.get(name) is endpoint:
             self.maybe_observed[name] = None
@@ -116,7 +122,7 @@
                 self.zones[endpoint.entry.zone].response_times.update(name)
 
     def iter_avoided(self, now: float) -> Iterator[EndpointRecord]:
-        """Yield the endpoints that may have new work but are ejected or busy at the clock time `now`."""
+        """Yield the endpoints in the order that are ejected or busy at the clock time `now`."""
         for name in list(self.maybe_avoided):
             endpoint = self.records[name]
             if max(endpoint.busy_until, endpoint.ejected_until) <= now:
@@ -124,7 +130,7 @@
             elif endpoint.order_block is not None:
                 yield endpoint
 
-    def _count(self, endpoint: EndpointRecord) -> None:
+    def _add_to_summaries(self, endpoint: EndpointRecord) -> None:
         name = endpoint.entry.zone
         if (zone := self.zones.get(name)) is None:
             zone = self.zones[name] = ZoneSummary(name, self.records)
@@ -133,7 +139,7 @@
             zone.response_times.update(endpoint.entry.backend)
         self.cells[endpoint.entry.cell] += 1
 
-    def _uncount(self, endpoint: EndpointRecord) -> None:
+    def _remove_from_summaries(self, endpoint: EndpointRecord) -> None:
         zone = self.zones[endpoint.entry.zone]
         zone.size -= 1
         if not zone.size:
--- a/balancer/policy/endpoint_list.py
+++ b/balancer/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Applies updates of the endpoint list, and of the operators, to the node's order of endpoints."""
+"""Applies updates of the endpoint list and of maintenance bans to the node's order of endpoints."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointList:
-    """Keeps index, order, sizes and cached candidates in line with the list."""
+    """Updates index, order, subset size and cached candidates when the list changes.
+
+    `_is_receiving_first_list` is set while the first list arrives, which may take several events.
+    """
 
     rng: random.Random
     index: EndpointIndex
@@ -30,10 +33,13 @@
     limit: ConcurrencyLimit
     selection: Selection
     _node_count: int = field(default=1, init=False)
-    _is_opening: bool = field(default=False, init=False)  # the first list is arriving in pieces
+    _is_receiving_first_list: bool = field(default=False, init=False)
 
     def configure(self, settings: api.Settings, zones_changed: bool) -> None:
-        """Take new settings after the other concerns; `zones_changed`: which endpoints are local."""
+        """Apply new settings after all other components.
+
+        `zones_changed` tells whether the settings change which endpoints are local.
+        """
         self._node_count = settings.node_count
         if zones_changed:
             self.index.order.partition(self.zones.is_local)
@@ -41,7 +47,7 @@
         self._resize()
 
     def apply(self, update: api.ListUpdate) -> None:
-        """Apply an update, whatever it brings but a failure."""
+        """Apply a list update of any kind but `FAILED`."""
         entries = update.entries
         if update.kind is not api.ListUpdateKind.DELTA:
             records = self.index.records
@@ -54,29 +60,29 @@
         self.refresh({entry.backend: None for entry in entries}, update.more_follows)
 
     def refresh(self, names: Iterable[str], more_follows: bool = False) -> None:
-        """Bring the order in line with endpoints whose eligibility for new work may have changed."""
+        """Update the order after endpoints may have started or stopped to be in service."""
         index = self.index
         is_first = not index.order
-        self._is_opening = self._is_opening or is_first
+        self._is_receiving_first_list = self._is_receiving_first_list or is_first
         changed = [endpoint for name in names if (endpoint := index.records.get(name)) is not None]
         added = self._remove_and_move(changed)
         if is_first:
-            self._lay_out(sorted(endpoint.entry.backend for endpoint in added))
+            self._insert_initial(sorted(endpoint.entry.backend for endpoint in added))
         else:
             self._insert(added)
         self.selection.discard_changed(changed)
         self._resize()
-        if self._is_opening:
+        if self._is_receiving_first_list:
             self.zones.reset_spill(self.subsetting.local_count, len(index.order))
-        self._is_opening = self._is_opening and more_follows
+        self._is_receiving_first_list = self._is_receiving_first_list and more_follows
 
     def forget(self, endpoint: EndpointRecord) -> None:
-        """Drop a removed endpoint once nothing of it is in flight: lists change for ever."""
+        """Drop a removed endpoint with nothing in flight; otherwise changing lists would leak memory."""
         if self.index.forget(endpoint):
             self.maintenance.forget(endpoint.entry.backend)
 
     def _remove_and_move(self, changed: list[EndpointRecord]) -> list[EndpointRecord]:
-        """Remove endpoints that get no new work, move those that changed zone, and return those to add."""
+        """Remove endpoints that left service, move those that changed zone, and return those to add."""
         added = list[EndpointRecord]()
         moved = list[str]()
         for endpoint in changed:
@@ -90,7 +96,7 @@
                 moved.append(name)
             if endpoint.entry.phase is api.EndpointPhase.REMOVED:
                 self.forget(endpoint)
-        self.index.order.change_sides(moved)
+        self.index.order.switch_sides(moved)
         return added
 
     def _insert(self, added: list[EndpointRecord]) -> None:
@@ -100,7 +106,7 @@
             insertions = self.subsetting.insertions(names, side_size, self.maintenance.positions)
             self.index.insert(insertions, is_local)
 
-    def _lay_out(self, names: list[str]) -> None:
+    def _insert_initial(self, names: list[str]) -> None:
         records = self.index.records
         local_names = {name for name in names if self.zones.is_local(records[name])}
         order = self.subsetting.initial_order(names, local_names, self.rng)
--- a/balancer/policy/health_checks.py
+++ b/balancer/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks before sending: a request waits one round trip and goes to an endpoint that reports idle."""
+"""Health checks before sending: a request waits for load reports of a sample and goes to an idle endpoint."""
 
 from __future__ import annotations
 
@@ -22,14 +22,16 @@
 from balancer.policy.selection import Selection
 from balancer.policy.subsetting import Subsetting
 
-HEALTH_CHECK_TIMEOUT_ROUND_TRIPS = 3.0  # after which an endpoint counts as stalled
-INITIAL_ROUND_TRIP_TICKS = 2.0  # expected round trip before the first result
-MEAN_RESIDUAL_REQUESTS = 0.5  # mean remaining part of the request that an endpoint works on
+HEALTH_CHECK_TIMEOUT_ROUND_TRIPS = (
+    3.0  # An endpoint that answers a check after 3 round trips counts as stalled.
+)
+INITIAL_ROUND_TRIP_TICKS = 2.0
+MEAN_RESIDUAL_REQUESTS = 0.5  # On average, half of the request that an endpoint executes remains.
 
 
 @dataclass(slots=True, eq=False)
 class HealthChecks:
-    """Asks a few endpoints how they are and settles where a request goes."""
+    """Checks the health of a few endpoints for each request and chooses one of them by the results."""
 
     rng: random.Random
     outbox: Outbox
@@ -46,21 +48,21 @@
     _round_trip_ms: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Expect a round trip of a few clock ticks before the first result."""
+        """Assume a round trip of a few clock ticks until the first result."""
         self._round_trip_ms = INITIAL_ROUND_TRIP_TICKS * self.clock_granularity_ms
 
     def configure(self, settings: api.Settings) -> None:
-        """Take new settings."""
+        """Apply new settings."""
         self.clock_granularity_ms = settings.clock_granularity_ms
 
     def start(self, request: Request, now: float) -> None:
-        """Check endpoints for a request, from the first round on."""
+        """Start the first round of health checks for a request."""
         request.check_rounds = 0
         request.checked = []
-        self._check(request, now)
+        self._start_round(request, now)
 
     def on_result(self, now: float, event: api.HealthCheckEnded) -> None:
-        """Take the result of a check to all requests that wait for it."""
+        """Apply the result of a health check to the endpoint and to all requests that wait for it."""
         endpoint = self.index.records[event.backend]
         waiters = endpoint.health_check_waiters or []
         endpoint.health_check_waiters = None
@@ -77,23 +79,23 @@
             request.pending_checks.discard(event.backend)
             if is_ok:
                 request.checked.append(endpoint)
-            # Reports may freeze: an idle one is believed as often as attempts on such reports succeed.
+            # A backend may repeat an outdated report; an idle one is trusted as often as attempts succeed.
             if endpoint.estimate == 0 and self.rng.random() > self.shedding.success_rate:
                 endpoint.estimate = join_up_to_m.cap(request.statistics)
             if not request.pending_checks or (request.checked and endpoint.estimate == 0):
-                self._settle(request, now)
+                self._end_round(request, now)
         self.endpoints.forget(endpoint)
 
-    def _check(self, request: Request, now: float) -> None:
+    def _start_round(self, request: Request, now: float) -> None:
         request.check_rounds += 1
         request.total_check_rounds += 1
         width = self.subsetting.subset_size
-        view = self.index.window(0, 2 * width)
+        window = self.index.window(0, 2 * width)
         draw = self.selection.sample
         sample = (
-            draw(request, HEALTH_CHECK_SAMPLE_SIZE, view[:width], now)
-            or draw(request, HEALTH_CHECK_SAMPLE_SIZE, view[width:], now)
-            or self.selection.sample_in_panic(request, HEALTH_CHECK_SAMPLE_SIZE, view, now)
+            draw(request, HEALTH_CHECK_SAMPLE_SIZE, window[:width], now)
+            or draw(request, HEALTH_CHECK_SAMPLE_SIZE, window[width:], now)
+            or self.selection.sample_in_panic(request, HEALTH_CHECK_SAMPLE_SIZE, window, now)
         )
         for endpoint in sample:
             request.pending_checks.add(endpoint.entry.backend)
@@ -101,21 +103,23 @@
                 endpoint.health_check_waiters = []
                 self.outbox.actions.append(api.CheckHealth(endpoint.entry.backend))
             endpoint.health_check_waiters.append(request)
-        overdue_at = now + HEALTH_CHECK_TIMEOUT_ROUND_TRIPS * self._round_trip_ms + self.clock_granularity_ms
-        self.outbox.set_timer(overdue_at, self._on_overdue, (request, request.total_check_rounds))
+        times_out_at = (
+            now + HEALTH_CHECK_TIMEOUT_ROUND_TRIPS * self._round_trip_ms + self.clock_granularity_ms
+        )
+        self.outbox.set_timer(times_out_at, self._on_round_timeout, (request, request.total_check_rounds))
         if not request.pending_checks:
-            self._settle(request, now)
+            self._end_round(request, now)
 
-    def _on_overdue(self, now: float, argument: tuple[Request, int]) -> None:
+    def _on_round_timeout(self, now: float, argument: tuple[Request, int]) -> None:
         request, check_round = argument
         if request.total_check_rounds == check_round and request.pending_checks:
             for name in sorted(request.pending_checks):
                 endpoint = self.index.records[name]
                 self.ejection.avoid_stalled(endpoint, now, request.statistics.expected_ms)
-            self._settle(request, now)
+            self._end_round(request, now)
 
-    def _settle(self, request: Request, now: float) -> None:
-        """Decide: all endpoints that were asked have answered, or an idle one has."""
+    def _end_round(self, request: Request, now: float) -> None:
+        """Send, check again or give up, once all checks of a round have ended or one endpoint is idle."""
         request.pending_checks = set()
         pool = [
             endpoint
@@ -127,7 +131,7 @@
         m = join_up_to_m.cap(request.statistics)
         wait_ms = max(0.0, lowest - MEAN_RESIDUAL_REQUESTS) * request.statistics.expected_ms
         if lowest > 0 and request.check_rounds < MAX_HEALTH_CHECK_ROUNDS:
-            self._check(request, now)
+            self._start_round(request, now)
         elif lowest < m and can_finish_in_time(request, now, wait_ms):
             self.attempts.start(request, join_up_to_m.pick(self.rng, pool, m), now)
         else:
--- a/balancer/policy/idempotency.py
+++ b/balancer/policy/idempotency.py
@@ -1,4 +1,4 @@
-"""Where and until when a request may be sent again without taking effect twice."""
+"""Rules for retries: where and until when a request can be sent again without taking effect twice."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from balancer.policy.records import Attempt, EndpointRecord, Request
 
 DeduplicationDomain = str | int
-"""What bounds a retry: a zone, or a cell."""
+"""A zone or a cell: the endpoints in it recognise a retry of a request that another one may have executed."""
 
 CLOCK_ERROR_TICKS = 2
 
 
 def deduplication_domain(request: Request, endpoint: EndpointRecord) -> DeduplicationDomain:
-    """Return the zone or the cell of an endpoint, whichever shares the request's idempotency keys."""
+    """Return the zone or the cell of an endpoint, depending on which one shares the request's keys."""
     if request.statistics.config.deduplication_scope is api.DeduplicationScope.ZONE:
         return endpoint.entry.zone
     return endpoint.entry.cell
@@ -21,11 +21,11 @@
 def required_domains(
     request: Request, now: float, clock_granularity_ms: float
 ) -> set[DeduplicationDomain] | None:
-    """Return all domains that the next attempt has to be in, or None if no attempt may be made."""
+    """Return the domains that the endpoint of the next attempt must be in, or None if none may be made."""
     config = request.statistics.config
     domains = set[DeduplicationDomain]()
     for attempt in request.attempts:
-        if attempt.status is None:  # one attempt is in flight at a time
+        if attempt.status is None:  # Only one attempt of a request may be in flight.
             return None
         if attempt.status in api.NOT_EXECUTED or config.idempotency is api.Idempotency.IDEMPOTENT:
             continue
@@ -39,7 +39,7 @@
 
 
 def latest_start(request: Request, clock_granularity_ms: float) -> float:
-    """Return the clock time until which the next attempt may leave; 0 means no limit."""
+    """Return the latest clock time at which the next attempt may be sent; 0 means no limit."""
     if request.statistics.config.idempotency is not api.Idempotency.WITH_KEY:
         return 0.0
     return min(
@@ -52,8 +52,8 @@
     )
 
 
-def is_safe_to_repeat(request: Request) -> bool:
-    """Return whether a client may send the request again without any limit of time or domain."""
+def is_safe_to_retry(request: Request) -> bool:
+    """Return whether the client may retry the request at any time and through any endpoint."""
     config = request.statistics.config
     return (
         config.idempotency is api.Idempotency.IDEMPOTENT
@@ -66,6 +66,6 @@
 
 
 def _window_end(request: Request, attempt: Attempt, clock_granularity_ms: float) -> float:
-    """Return when endpoints may have forgotten the idempotency key of an attempt."""
+    """Return the earliest time at which endpoints may have forgotten the idempotency key of an attempt."""
     window_ms = request.statistics.config.deduplication_window_ms
     return attempt.sent_at + window_ms - CLOCK_ERROR_TICKS * clock_granularity_ms
--- a/balancer/policy/join_up_to_m.py
+++ b/balancer/policy/join_up_to_m.py
@@ -1,10 +1,10 @@
-"""Join-Up-To(m): the choice of an endpoint by estimates of its load.
+"""Join-Up-To(m): chooses an endpoint by estimates of its load.
 
-Each node keeps, for each endpoint, an upper bound of its load: the attempts that the node itself has sent
-since the endpoint last reported idle. A request joins an endpoint of the lowest estimate, ties at random,
-while that is below the cap m. Once all estimates have reached m they are too loose, and an endpoint is
-drawn at random. The cap is how many requests can stand in line such that the last still meets its latency
-objective.
+For each endpoint, a node keeps as its estimate an upper bound of the load: the attempts that the node itself
+has sent since the endpoint last reported to be idle. A request goes to an endpoint with the lowest estimate,
+with ties broken at random, while that estimate is below the cap m. Once all estimates have reached m, they
+are too imprecise, and the endpoint is drawn at random by weight. The cap m is the number of requests that an
+endpoint can queue such that the last one still meets its latency objective.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from balancer.policy.constants import MIN_DIVISOR_MS
 from balancer.policy.records import Candidates, ClassStatistics, EndpointRecord
 
-JOB_SIZE_VARIABILITY = 1.5  # second moment of job sizes over their squared mean, E[G^2] / E[G]^2
+JOB_SIZE_VARIABILITY = 1.5  # Variability is the second moment of job sizes over their squared mean.
 MAX_REJECTION_SAMPLES = 8
-MAX_IDLE_LOAD = 0.5  # a reported load below this means idle
+MAX_IDLE_LOAD = 0.5
 
 IsEligible = Callable[[EndpointRecord], bool]
 
 
 def cap(statistics: ClassStatistics) -> int:
-    """Return m for a class: the requests that can stand in line, the last of which meets its objective."""
+    """Return m for a class: how many requests can queue such that the last one meets its objective."""
     objective_ms = statistics.config.latency_objective_ms
     return max(1, int(objective_ms / (JOB_SIZE_VARIABILITY * max(statistics.expected_ms, MIN_DIVISOR_MS))))
 
 
 def pick(rng: random.Random, pool: list[EndpointRecord], m: int) -> EndpointRecord:
-    """Return an endpoint of the lowest estimate below m, or one at random by weight if there is none."""
+    """Return an endpoint with the lowest estimate, or one drawn by weight if no estimate is below m."""
     lowest = min(endpoint.estimate for endpoint in pool)
     if lowest < m:
         return rng.choice([endpoint for endpoint in pool if endpoint.estimate == lowest])
@@ -44,12 +44,12 @@
     m: int,
     is_eligible: IsEligible,
 ) -> EndpointRecord | None:
-    """Return the `pick` among all eligible warm candidates and `warming`, or None if there are none.
+    """Return the `pick` among `warming` and all eligible warm candidates, or None if there are none.
 
-    Without warming endpoints, rejection sampling makes the cost independent of the number of candidates: a
-    warm one drawn at random is taken if it is eligible and none can have a lower estimate, or, once all have
-    reached m, with a probability in proportion to its weight. Each sample gives every endpoint the chance
-    that `pick` gives it, and `pick` itself decides once all samples were rejected.
+    Without warming endpoints, rejection sampling makes the cost independent of the number of candidates. A
+    random warm endpoint is accepted if it is eligible and no other can have a lower estimate, or, once all
+    estimates have reached m, with a probability proportional to its weight. Every sample has the same
+    distribution as `pick`, which is called once all samples were rejected.
     """
     warm = candidates.warm
     for _ in range(MAX_REJECTION_SAMPLES if warm and not warming else 0):
@@ -68,10 +68,10 @@
 
 
 def apply_report(endpoint: EndpointRecord, report: api.LoadReport | None, is_fresh: bool) -> bool:
-    """Update an estimate by a load report and return whether the report has a load.
+    """Update the estimate of an endpoint from a load report; return whether the report contains a load.
 
-    An idle report lowers the estimate to the own attempts in flight, which a late report does not know. Any
-    other load counts only when it is fresh, as a health check that is one round trip old.
+    A report of an idle endpoint lowers the estimate to this node's attempts in flight, some of which may have
+    been sent after the report. Any other load is used only if the report is fresh, as in a health check.
     """
     if report is None:
         return False
--- a/balancer/policy/minimum.py
+++ b/balancer/policy/minimum.py
@@ -1,4 +1,4 @@
-"""The minimum of many values that change one at a time."""
+"""Tracks the minimum of many named values that change one at a time."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 import math
 from collections.abc import Callable
 
-STALE_ENTRIES_ALLOWED = 64  # in addition to twice the number of current ones
+STALE_ENTRIES_ALLOWED = 64  # Compaction removes stale entries beyond 64 plus one per current entry.
 
 
 class MinimumTracker:
-    """A heap of named values whose stale entries are dropped as they surface."""
+    """A heap of named values that drops a stale entry when it becomes the minimum."""
 
     def __init__(self, current: Callable[[str], float]) -> None:
-        """Use `current` to read the value that a name has now; infinite: it does not count."""
+        """Create an empty heap; `current` returns the present value of a name, infinity if it has none."""
         self.current = current
         self.heap: list[tuple[float, str]] = []
         self.max_size = STALE_ENTRIES_ALLOWED
 
     def update(self, name: str) -> None:
-        """Take note that the value of this name has changed, or counts again."""
+        """Record that the value of a name changed or that the name has a value again."""
         if (value := self.current(name)) < math.inf:
             heapq.heappush(self.heap, (value, name))
             if len(self.heap) > self.max_size:
                 self._compact()
 
     def minimum(self) -> float:
-        """Return the minimum, infinite where no value counts."""
+        """Return the minimum, or infinity if no name has a value."""
         while self.heap and self.current(self.heap[0][1]) != self.heap[0][0]:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else math.inf
--- a/balancer/policy/ordered_names.py
+++ b/balancer/policy/ordered_names.py
@@ -1,6 +1,6 @@
-"""Names of endpoints by position, kept in blocks.
+"""Lists of endpoint names that are stored in blocks.
 
-An insertion, a removal or a look-up costs about the square root of the number of names.
+The cost of an insertion, a removal or a look-up is about the square root of the block_index of names.
 """
 
 from __future__ import annotations
@@ -12,25 +12,27 @@
 
 from balancer.policy.records import EndpointRecord
 
-BLOCK_SIZE = 512  # names in a block, twice as many at most: about the square root of a long list
+BLOCK_SIZE = 512  # A block of 512 to 1024 names is about the square root of the length of a long list.
 
-MAX_POSITION_LOOKUPS = 64  # For more names, one pass over all names is cheaper than a look-up for each.
+MAX_POSITION_LOOKUPS = (
+    64  # For more than 64 names, one pass over all names is cheaper than looking up each one.
+)
 
 Insertion = tuple[int, str]
-"""A position, before whose present name a new name goes, and that name."""
+"""A position and a new name that is inserted before the present name at that position."""
 
 
 class OrderedNames:
-    """A list of names in blocks; each record knows the block that holds its name."""
+    """A list of names in blocks; the record of each endpoint refers to the block that has its name."""
 
     def __init__(self, records: dict[str, EndpointRecord]) -> None:
-        """Start empty; `records` has the record of each name."""
+        """Create an empty list; `records` has the record of each name."""
         self.records = records
         self.size = 0
         self.blocks: list[list[str]] = []
 
     def __len__(self) -> int:
-        """Return the number of names."""
+        """Return the block_index of names."""
         return self.size
 
     def __iter__(self) -> Iterator[str]:
@@ -39,7 +41,7 @@
             yield from block
 
     def window(self, first: int, last: int) -> list[str]:
-        """Return the names at these positions, `last` excluded."""
+        """Return the names from position `first` up to, but not including, `last`."""
         names: list[str] = []
         for block in self.blocks:
             if last <= 0:
@@ -51,38 +53,38 @@
         return names
 
     def index(self, name: str) -> int:
-        """Return the position of a name that is here."""
-        own_block = self.records[name].order_block
+        """Return the position of a name, which must be in the list."""
+        target_block = self.records[name].order_block
         begin = 0
         for block in self.blocks:
-            if block is own_block:
+            if block is target_block:
                 break
             begin += len(block)
-        return begin + (own_block or []).index(name)
+        return begin + (target_block or []).index(name)
 
     def insert(self, insertions: Sequence[Insertion]) -> None:
-        """Insert each name at its position, at the end beyond the last; positions ascend.
+        """Insert each name at its position, or at the end if that is beyond the last; positions must ascend.
 
-        All blocks are handled in one pass, as a long list comes in pieces of many names.
+        The blocks are updated in a single pass, because one update of a long list inserts many names.
         """
         if not self.blocks:
             self.blocks.append([])
         ends = list(accumulate(map(len, self.blocks)))
-        first = 0  # of the insertions that remain
+        first = 0
         added_blocks = 0
         while first < len(insertions):
-            number = min(bisect_left(ends, insertions[first][0]), len(ends) - 1)
+            block_index = min(bisect_left(ends, insertions[first][0]), len(ends) - 1)
             last = len(insertions)
-            if number < len(ends) - 1:
-                last = bisect_right(insertions, ends[number], first, key=itemgetter(0))
-            block = self.blocks[number + added_blocks]
-            self._insert_into(block, ends[number] - len(block), insertions[first:last])
+            if block_index < len(ends) - 1:
+                last = bisect_right(insertions, ends[block_index], first, key=itemgetter(0))
+            block = self.blocks[block_index + added_blocks]
+            self._insert_into(block, ends[block_index] - len(block), insertions[first:last])
             first = last
             if len(block) > 2 * BLOCK_SIZE:
-                added_blocks += self._split(number + added_blocks)
+                added_blocks += self._split(block_index + added_blocks)
 
     def remove(self, name: str) -> None:
-        """Remove a name that is here."""
+        """Remove a name, which must be in the list."""
         block = self.records[name].order_block or []
         block.remove(name)
         self.records[name].order_block = None
@@ -90,12 +92,12 @@
         if not block:
             del self.blocks[next(i for i, one in enumerate(self.blocks) if one is block)]
 
-    def _split(self, number: int) -> int:
-        """Split a block and return how many blocks were added behind it."""
-        block = self.blocks[number]
+    def _split(self, block_index: int) -> int:
+        """Split a block and return how many blocks were added after it."""
+        block = self.blocks[block_index]
         added = [block[at : at + BLOCK_SIZE] for at in range(BLOCK_SIZE, len(block), BLOCK_SIZE)]
         del block[BLOCK_SIZE:]
-        self.blocks[number + 1 : number + 1] = added
+        self.blocks[block_index + 1 : block_index + 1] = added
         for new_block in added:
             for name in new_block:
                 self.records[name].order_block = new_block
@@ -106,7 +108,8 @@
             self.records[name].order_block = block
         self.size += len(insertions)
         if (size := len(block)) > len(insertions):
-            for position, name in reversed(insertions):  # an insertion moves nothing before it
+            # Inserting in reverse order keeps the remaining positions valid.
+            for position, name in reversed(insertions):
                 block.insert(min(position - begin, size), name)
             return
         merged = list[str]()
@@ -119,16 +122,16 @@
 
 
 class EndpointOrder:
-    """A node's own order of the endpoints that may get new work: all local ones, then all remote ones."""
+    """A node's order of the endpoints that may get new requests: all local ones, then all remote ones."""
 
     def __init__(self, records: dict[str, EndpointRecord]) -> None:
-        """Start empty; `records` has the record of each name."""
+        """Create an empty order; `records` has the record of each name."""
         self.records = records
         self.remote = OrderedNames(records)
         self.local = OrderedNames(records)
 
     def __len__(self) -> int:
-        """Return the number of endpoints."""
+        """Return the block_index of endpoints."""
         return len(self.local) + len(self.remote)
 
     def __iter__(self) -> Iterator[str]:
@@ -137,34 +140,34 @@
         yield from self.remote
 
     def __contains__(self, name: str) -> bool:
-        """Return whether an endpoint may get new work."""
+        """Return whether an endpoint may get new requests."""
         return (endpoint := self.records.get(name)) is not None and endpoint.order_block is not None
 
     def window(self, first: int, last: int, remote_first: bool = False) -> list[str]:
-        """Return the names at these positions, counted from the first local or the first remote one."""
+        """Return the names at a range of positions, with the local or the remote endpoints first."""
         head, tail = (self.remote, self.local) if remote_first else (self.local, self.remote)
         return head.window(first, last) + tail.window(first - len(head), last - len(head))
 
     def side(self, is_local: bool) -> OrderedNames:
-        """Return the local ones or the remote ones."""
+        """Return the list of the local or of the remote endpoints."""
         return self.local if is_local else self.remote
 
     def index(self, name: str) -> int:
-        """Return the position, on its side, of a name that is here."""
+        """Return the position of an endpoint among the local or among the remote ones."""
         return self.side(self.records[name].is_local).index(name)
 
     def insert(self, insertions: Sequence[Insertion], is_local: bool) -> None:
-        """Insert local or remote endpoints; see `OrderedNames.insert`."""
+        """Insert endpoints among the local or the remote ones; see `OrderedNames.insert`."""
         for _, name in insertions:
             self.records[name].is_local = is_local
         self.side(is_local).insert(insertions)
 
     def remove(self, name: str) -> None:
-        """Remove an endpoint that is here."""
+        """Remove an endpoint, which must be in the order."""
         self.side(self.records[name].is_local).remove(name)
 
-    def change_sides(self, names: Sequence[str]) -> None:
-        """Move endpoints to the other side, next to the side that they leave, in the order that they have."""
+    def switch_sides(self, names: Sequence[str]) -> None:
+        """Move endpoints between local and remote, to the boundary of the two, without reordering them."""
         moved: dict[bool, list[str]] = {True: [], False: []}
         for name in self._in_order(names):
             moved[not self.records[name].is_local].append(name)
@@ -174,14 +177,14 @@
         self.insert([(0, name) for name in moved[False]], is_local=False)
 
     def _in_order(self, names: Sequence[str]) -> list[str]:
-        """Return names of both sides in the order of each side."""
+        """Return names of local and remote endpoints, those of each kind in their present order."""
         if len(names) <= MAX_POSITION_LOOKUPS:
             return sorted(names, key=self.index)
         wanted = set(names)
         return [name for name in self if name in wanted]
 
     def partition(self, is_local: Callable[[EndpointRecord], bool]) -> None:
-        """Assign all endpoints to sides anew; each side keeps its order."""
+        """Divide all endpoints anew into local and remote ones without reordering them."""
         sides: dict[bool, list[Insertion]] = {True: [], False: []}
         for name in self:
             sides[is_local(self.records[name])].append((0, name))
--- a/balancer/policy/outcomes.py
+++ b/balancer/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What is learned from the end of an attempt."""
+"""Passes the outcome of each attempt to the components that learn from it."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 UNINFORMATIVE_STATUSES = frozenset({api.AttemptStatus.CANCELLED, api.AttemptStatus.NOT_STARTED})
 LOAD_DEPENDENT_STATUSES = frozenset(
     {api.AttemptStatus.OK, api.AttemptStatus.REJECTED, api.AttemptStatus.TIMEOUT}
-)  # that depend on the load; other failures are faults
+)
 TIMED_STATUSES = frozenset({api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT})
 
 
 @dataclass(slots=True, eq=False)
 class OutcomeLearning:
-    """Passes the outcome of an attempt on to each concern that learns from it."""
+    """Updates the statistics of classes, endpoints and zones with the outcome of an attempt."""
 
     classes: ClassTable
     ejection: OutlierEjection
@@ -42,7 +42,7 @@
         duration_ms: float,
         now: float,
     ) -> None:
-        """Learn from the end of an attempt of a class."""
+        """Update all statistics after an attempt of a request of this class ended."""
         if status in UNINFORMATIVE_STATUSES or (
             attempt.has_short_timeout and status is api.AttemptStatus.TIMEOUT
         ):
@@ -68,11 +68,11 @@
     ) -> None:
         endpoint = attempt.endpoint
         objective_ms = statistics.config.latency_objective_ms
-        is_good = status is api.AttemptStatus.OK and duration_ms <= objective_ms
+        is_success = status is api.AttemptStatus.OK and duration_ms <= objective_ms
         self.timeouts.observe(status is api.AttemptStatus.TIMEOUT)
-        is_no_sign_of_load = attempt.has_reduced_timeout or status is api.AttemptStatus.REJECTED
-        self.shedding.observe(is_good, is_no_sign_of_load)
-        relative_ms = (duration_ms if is_good else objective_ms) / statistics.expected_ms
+        is_load_independent = attempt.has_reduced_timeout or status is api.AttemptStatus.REJECTED
+        self.shedding.observe(is_success, is_load_independent)
+        relative_ms = (duration_ms if is_success else objective_ms) / statistics.expected_ms
         endpoint.slowness += EWMA_WEIGHT * (relative_ms - endpoint.slowness)
         self.selection.refresh_max_weight(endpoint)
-        self.zones.observe(endpoint, is_good)
+        self.zones.observe(endpoint, is_success)
--- a/balancer/policy/routing.py
+++ b/balancer/policy/routing.py
@@ -1,4 +1,4 @@
-"""The way of a request to an endpoint: the order in which the concerns decide."""
+"""Routes requests to endpoints: the order in which the components of the policy decide."""
 
 from __future__ import annotations
 
@@ -28,7 +28,10 @@
 
 @dataclass(slots=True, eq=False)
 class Router:
-    """Sheds, queues or dispatches a request, and retries it."""
+    """Sheds, queues, dispatches and retries requests.
+
+    `queue` has the requests that wait for the concurrency limit; the last one leaves it first.
+    """
 
     rng: random.Random
     outbox: Outbox
@@ -45,37 +48,37 @@
     attempts: Attempts
     health_checks: HealthChecks
     retry_budget: RetryBudget = field(default_factory=RetryBudget, init=False)
-    # Requests that wait for the concurrency limit; the last one goes first.
     queue: list[Request] = field(default_factory=list, init=False)
     _node_count: int = field(default=1, init=False)
-    _checks_first: bool = field(default=False, init=False)
+    _checks_health_first: bool = field(default=False, init=False)
 
     def configure(self, settings: api.Settings) -> None:
-        """Take new settings."""
+        """Apply new settings."""
         self._node_count = settings.node_count
-        self._checks_first = checks_health_before_sending(settings)
+        self._checks_health_first = checks_health_before_sending(settings)
 
     def route(self, request: Request, now: float) -> None:
-        """Send a request, let it wait, or shed it."""
-        if self._checks_first:
+        """Send a request, queue it or shed it."""
+        if self._checks_health_first:
             self.health_checks.start(request, now)
         elif not (request.attempts or request.is_high_value) and not self.shedding.draw_admission():
             self.requests.give_up(request, api.GiveUpReason.LOW_SUCCESS_RATE, now)
         elif self.limit.in_flight < self.limit.limit or request.is_high_value or request.is_arriving:
             self.dispatch(request, now)
-        else:  # last come, first served, so that what is sent has time left
+        else:  # The queue is last in, first out, so that the requests it releases have time left.
             self.queue.append(request)
-            latest = request.useful_until - REQUIRED_TIME_FRACTION * request.statistics.expected_ms
-            self.outbox.set_timer(latest, self._expire, request)
+            latest_start = request.useful_until - REQUIRED_TIME_FRACTION * request.statistics.expected_ms
+            self.outbox.set_timer(latest_start, self._on_queue_timeout, request)
 
     def retry(self, request: Request, now: float) -> None:
-        """Retry a request whose attempt failed while that can be in time and the budget lasts."""
-        cost = 0.0 if request.attempts[-1].has_reduced_timeout else 1.0  # a lost response is no sign of load
+        """Retry a request whose attempt failed, if the rules, the time left and the retry budget allow it."""
+        # A lost response does not indicate load, so its retry is not charged to the budget.
+        cost = 0.0 if request.attempts[-1].has_reduced_timeout else 1.0
         if (
             self.retry_budget.allows(cost)
             and len(request.attempts) < request.max_attempts
             and can_finish_in_time(request, now)
-            and self.eligibility.permits_retry(request, now)  # else it would wait in vain
+            and self.eligibility.permits_retry(request, now)
         ):
             self.retry_budget.spend(cost)
             self.route(request, now)
@@ -87,20 +90,20 @@
         limit = self.limit
         while self.queue and limit.in_flight < limit.limit:
             request = self.queue.pop()
-            if request.is_closed:  # its client has disconnected
+            if request.is_closed:
                 continue
             if can_finish_in_time(request, now):
                 self.dispatch(request, now)
             else:
                 self.requests.give_up(request, api.GiveUpReason.QUEUE_TIMEOUT, now)
 
-    def _expire(self, now: float, request: Request) -> None:
+    def _on_queue_timeout(self, now: float, request: Request) -> None:
         if request in self.queue:
             self.queue.remove(request)
             self.requests.give_up(request, api.GiveUpReason.QUEUE_TIMEOUT, now)
 
     def dispatch(self, request: Request, now: float) -> None:
-        """Send a request without health checks, by Join-Up-To(m) over the subset."""
+        """Send a request to an endpoint of the subset that Join-Up-To(m) chooses, without health checks."""
         if (
             self.maintenance.awaiting_first_request
             and not request.attempts
@@ -108,37 +111,38 @@
         ):
             self.attempts.start(request, returned, now)
             return
-        endpoint = self._select(request, now)
+        endpoint = self._select_endpoint(request, now)
         if endpoint is not None:
             self.attempts.start(request, endpoint, now)
         else:
             self.requests.give_up(request, api.GiveUpReason.NO_ENDPOINT, now)
 
-    def _select(self, request: Request, now: float) -> EndpointRecord | None:
-        """Return an endpoint: of the subset, of its reserve, or of other zones."""
+    def _select_endpoint(self, request: Request, now: float) -> EndpointRecord | None:
+        """Return an endpoint of the subset, else of its reserve, else of another zone, or None."""
         count = len(self.index.order)
         local_count = self.subsetting.local_count
-        # The subset is wider for a node that carries far more than its part, lest it crowd the few endpoints
-        # that fall to it, but no wider than there are endpoints: the limit is shared over them.
+        # A node with far more than its share of the load uses a wider subset, so as not to overload the few
+        # endpoints in its own. It is no wider than the order, as the limit is divided among its endpoints.
         width = max(1, min(max(self.subsetting.subset_size, self.limit.in_flight), count))
         max_in_flight = math.inf if request.is_high_value else self.limit.limit / width
-        # Other zones come first as far as they are better by more than their price.
+        # A part of the requests prefers other zones if these are better by more than the cross-zone charge.
         remote_first = self.rng.random() < self.zones.spill_fraction
-        if request.attempts:  # a retry stays on its side: it may be bound to the zone
+        # A retry may be bound to the zone of the first attempt by its deduplication scope.
+        if request.attempts:
             remote_first = not self.zones.is_local(request.attempts[0].endpoint)
         remote_first = remote_first and local_count < count
-        # A subset that is wider than its side would mix both.
+        # A subset larger than the number of local or remote endpoints would mix both kinds.
         side_count = count - local_count if remote_first else local_count
         candidates = self.selection.candidates_for(min(width, side_count), remote_first, now)
-        # Every node takes its part of what an endpoint may be given after it reported idle.
+        # All nodes together may send an idle endpoint m requests, so each node uses an equal part of the cap.
         m = max(1, join_up_to_m.cap(request.statistics) // self._node_count)
         endpoint = self.selection.choose(request, candidates, m, max_in_flight, now)
         if endpoint is None:
-            view = self.index.window(0, 2 * width, remote_first)
-            reserve = view[len(candidates.endpoints) :]
+            window = self.index.window(0, 2 * width, remote_first)
+            reserve = window[len(candidates.endpoints) :]
             pool = self.selection.sample(
                 request, width, reserve, now, max_in_flight
-            ) or self.selection.sample_in_panic(request, width, view, now, max_in_flight)
+            ) or self.selection.sample_in_panic(request, width, window, now, max_in_flight)
             if pool:
                 endpoint = join_up_to_m.pick(self.rng, pool, m)
         if endpoint is None or self.slow_start.warmth(endpoint.entry, now) < 1.0:
@@ -151,9 +155,10 @@
         return endpoint
 
     def _returned_endpoint(self, now: float) -> EndpointRecord | None:
-        """Return an endpoint that operators put back and that was sent nothing yet.
+        """Return an endpoint that has got no request since its ban was lifted, or None.
 
-        A warming or remote one might wait long for its first request, and operators look for that.
+        A warming or remote endpoint could otherwise wait long for the first request, which operators look for
+        to confirm the lift.
         """
         awaiting = self.maintenance.awaiting_first_request
         for name in sorted(awaiting):
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Draws of endpoints: from the candidates of a subset, from a wider view, and in a panic."""
+"""Selects endpoints for requests: from the candidates of a subset, from a random sample, or in a panic."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from balancer.policy.records import Candidates, EndpointRecord, Request
 from balancer.policy.slow_start import SlowStart
 
-MAX_SAMPLED_PER_WANTED = 3  # endpoints drawn for each that is wanted, as some are not eligible
+MAX_SAMPLED_PER_WANTED = 3  # The sample is larger than needed, because some endpoints are not eligible.
 
 
 @dataclass(slots=True, eq=False)
 class Selection:
-    """Selects eligible endpoints for a request, and keeps the candidates of first draws."""
+    """Selects eligible endpoints for requests.
+
+    `candidates` caches those of the first choice; its key tells whether remote endpoints come first.
+    """
 
     rng: random.Random
     index: EndpointIndex
     eligibility: Eligibility
     slow_start: SlowStart
     log: OperatorLog
-    # By whether remote endpoints come first.
     candidates: dict[bool, Candidates] = field(default_factory=dict, init=False)
 
     def candidates_for(self, size: int, remote_first: bool, now: float) -> Candidates:
-        """Return the first so many endpoints of the order, as `EndpointOrder.window` counts."""
+        """Return the first `size` endpoints of the order, with the local or the remote ones first."""
         cached = self.candidates.get(remote_first)
         if cached is None or len(cached.endpoints) != size or cached.valid_until <= now:
             endpoints = self.index.window(0, size, remote_first)
@@ -45,7 +47,7 @@
         return cached
 
     def discard_changed(self, changed: list[EndpointRecord]) -> None:
-        """Drop cached candidates that differ from the order now, or of which one has changed."""
+        """Drop cached candidates that no longer match the order or that include a changed endpoint."""
         for remote_first, cached in list(self.candidates.items()):
             endpoints = self.index.window(0, len(cached.endpoints), remote_first)
             if endpoints != cached.endpoints or not set(endpoints).isdisjoint(changed):
@@ -54,7 +56,7 @@
     def choose(
         self, request: Request, candidates: Candidates, m: int, max_in_flight: float, now: float
     ) -> EndpointRecord | None:
-        """Return the choice of Join-Up-To(m) among eligible candidates, or None if there is none."""
+        """Return the eligible candidate that Join-Up-To(m) chooses, or None if no candidate is eligible."""
         is_eligible = self.eligibility.filter_for(request, now, max_in_flight)
         warming = list[EndpointRecord]()
         if candidates.warming:
@@ -72,49 +74,49 @@
     def sample(
         self,
         request: Request,
-        wanted: int,
+        count: int,
         pool: list[EndpointRecord],
         now: float,
         max_in_flight: float = math.inf,
         ignore_ejection: bool = False,
     ) -> list[EndpointRecord]:
-        """Return up to `wanted` eligible endpoints of a pool, drawn at random."""
+        """Return a random sample of up to `count` eligible endpoints of a pool."""
         is_eligible = self.eligibility.filter_for(request, now, max_in_flight, ignore_ejection)
         size = len(pool)
-        drawn: list[EndpointRecord] = []
-        sample = self.rng.sample(pool, min(size, MAX_SAMPLED_PER_WANTED * wanted))
+        sampled: list[EndpointRecord] = []
+        sample = self.rng.sample(pool, min(size, MAX_SAMPLED_PER_WANTED * count))
         for position, endpoint in enumerate(sample):
             if not is_eligible(endpoint):
                 continue
             warmth = self.slow_start.warmth(endpoint.entry, now)
-            if warmth < 1.0 and not self.slow_start.admits(request, endpoint, warmth, position, wanted, size):
+            if warmth < 1.0 and not self.slow_start.admits(request, endpoint, warmth, position, count, size):
                 continue
-            drawn.append(endpoint)
-            if len(drawn) >= wanted:
+            sampled.append(endpoint)
+            if len(sampled) >= count:
                 break
         request.may_try_warming = False
-        return drawn
+        return sampled
 
     def sample_in_panic(
         self,
         request: Request,
-        wanted: int,
+        count: int,
         pool: list[EndpointRecord],
         now: float,
         max_in_flight: float = math.inf,
     ) -> list[EndpointRecord]:
-        """Draw without regard to ejections: none is eligible, and the node's own view may be the culprit."""
-        self.log.write(now, f"panic: {len(pool)} backends in view, none eligible, ignoring ejections")
-        return self.sample(request, wanted, pool, now, max_in_flight, ignore_ejection=True)
+        """Sample a pool without regard to ejections, which may be wrong, as no endpoint is eligible."""
+        self.log.write(now, f"panic: none of {len(pool)} backends is eligible, sending to ejected ones too")
+        return self.sample(request, count, pool, now, max_in_flight, ignore_ejection=True)
 
     def apply_report(self, endpoint: EndpointRecord, report: api.LoadReport | None, is_fresh: bool) -> None:
-        """Update the estimate of an endpoint by a load report, and the bounds of cached candidates."""
+        """Apply a load report to the estimate of an endpoint and to the bounds of cached candidates."""
         if join_up_to_m.apply_report(endpoint, report, is_fresh):
             for cached in self.candidates.values():
                 cached.min_estimate = min(cached.min_estimate, endpoint.estimate)
 
     def refresh_max_weight(self, endpoint: EndpointRecord) -> None:
-        """Keep the bounds of cached candidates after the weight of an endpoint has changed."""
+        """Update the bounds of cached candidates after the weight of an endpoint changed."""
         weight = endpoint.weight
         for cached in self.candidates.values():
             cached.max_weight = max(cached.max_weight, weight)
--- a/balancer/policy/subsetting.py
+++ b/balancer/policy/subsetting.py
@@ -1,7 +1,8 @@
-"""Which endpoints a node feeds: a subset of its own order of the list.
+"""Deterministic subsetting: each node sends requests to a subset of the listed endpoints.
 
-The first `width` endpoints of the order are the subset, the next as many its reserve. A small subset
-keeps connections few and estimates tight. Subsets of all nodes start evenly spread, and changes move few.
+The first `subset_size` endpoints of the node's order form the subset, and as many that follow its reserve. A
+small subset keeps the number of connections low and the load estimates precise. The subsets of all nodes
+spread evenly over the endpoints, and a change of the list changes only a few of them.
 """
 
 from __future__ import annotations
@@ -20,54 +21,57 @@
 from balancer.policy.endpoint_index import EndpointIndex
 from balancer.policy.ordered_names import Insertion
 
-NODES_PER_ENDPOINT = 5  # that feed it
+NODES_PER_ENDPOINT = 5
 MIN_SUBSET_SIZE = 3
-GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2  # its multiples lie evenly on a ring, for any set of nodes
+# Multiples of the golden ratio spread evenly on a ring, for any number of nodes.
+GOLDEN_RATIO_FRACTION = (math.sqrt(5) - 1) / 2
 HASH_BYTES = 6
 HASH_RANGE = 2**48
 
 
 @dataclass(slots=True, eq=False)
 class Subsetting:
-    """The node's position among all nodes, and the sizes that follow from the list."""
+    """The node's position among all nodes, and the sizes that follow from the list.
+
+    `local_count` is the number of endpoints in the node's own zone, or of all if that has none.
+    `peak_endpoint_count` is the largest number of endpoints in service so far, by which the share of a warm
+    endpoint is computed. `endpoints_per_zone` is the mean.
+    """
 
     index: EndpointIndex
-    subset_size: int = field(default=0, init=False)  # endpoints in the subset
-    # Endpoints of the own zone; all of them where it has none.
+    subset_size: int = field(default=0, init=False)
     local_count: int = field(default=0, init=False)
-    # Most endpoints that ever had work: what the share of a warm one is measured by.
     peak_endpoint_count: int = field(default=0, init=False)
-    # If they were spread evenly.
     endpoints_per_zone: float = field(default=0.0, init=False)
     _node_index: int = field(default=0, init=False)
     _node_count: int = field(default=1, init=False)
-    _checks_first: bool = field(default=False, init=False)
+    _checks_health_first: bool = field(default=False, init=False)
 
     def configure(self, settings: api.Settings) -> None:
-        """Take new settings."""
+        """Apply new settings."""
         self._node_index = settings.node_index
         self._node_count = settings.node_count
-        self._checks_first = checks_health_before_sending(settings)
+        self._checks_health_first = checks_health_before_sending(settings)
 
     def resize(self) -> None:
-        """Compute the sizes anew after the list or the settings have changed."""
+        """Recompute the sizes after the list or the settings changed."""
         count = len(self.index.order)
         self.peak_endpoint_count = max(self.peak_endpoint_count, count)
-        self.subset_size = self._width_of(count)
+        self.subset_size = self._subset_size_of(count)
         self.local_count = len(self.index.order.local) or count
         self.endpoints_per_zone = count / max(1, len(self.index.zones))
 
     def ring_position(self, name: str) -> float:
-        """Return the node's position on a ring, 0 to 1, that each endpoint turns by another angle."""
+        """Return the node's position on a ring, 0 to 1, rotated by a hash of the endpoint's name."""
         digest = hashlib.blake2b(name.encode(), digest_size=HASH_BYTES).digest()
         angle = int.from_bytes(digest) / HASH_RANGE
         return (self._node_index * GOLDEN_RATIO_FRACTION + angle) % 1.0
 
     def insertions(self, names: list[str], side_size: int, positions: dict[str, int]) -> list[Insertion]:
-        """Return where new endpoints go in one side of the order, which has `side_size` of them.
+        """Return the insertions of new endpoints among the `side_size` local or remote ones of the order.
 
-        An endpoint that returns to its former place in `positions`, which this takes it from, is fed again by
-        the nodes that fed it before. A new one falls into as many subsets as any other.
+        An endpoint with an entry in `positions`, which is removed, returns to that position, so that the same
+        nodes as before send to it. A new endpoint comes into as many subsets as any other.
         """
         size = side_size + len(names)
         ring = {name: self.ring_position(name) for name in names}
@@ -75,27 +79,27 @@
         taken = dict[int, str]()
         free = 0
         for position, _, name in sorted(wanted):
-            # Where one has gone before, the next takes the next position.
+            # A name whose position is taken gets the next free position.
             free = max(free, min(position, size - 1))
             taken[free] = name
             free += 1
         gaps = (position for position in range(size) if position not in taken)
-        for position in range(size, free):  # on a ring, the first positions follow the last
+        for position in range(size, free):  # Positions beyond the end wrap around to the first gaps.
             taken[next(gaps)] = taken.pop(position)
         return [(position - number, name) for number, (position, name) in enumerate(sorted(taken.items()))]
 
     def initial_order(self, names: list[str], local_names: set[str], rng: random.Random) -> list[str]:
-        """Return the order of a first list: an evenly laid subset of the local endpoints, then the rest."""
+        """Return the order of a first list: an evenly spaced subset of local endpoints, then all others."""
         local = [name for name in names if name in local_names] or names
         count = len(local)
-        width = min(self._width_of(len(names)), count)
+        subset_size = min(self._subset_size_of(len(names)), count)
         first = int(self._node_index * GOLDEN_RATIO_FRACTION % 1.0 * count)
-        # Whole steps, so that none is taken twice.
-        subset = [local[(first + number * count // width) % count] for number in range(width)]
+        # Integer division of the multiples gives distinct indexes, so that no endpoint is selected twice.
+        subset = [local[(first + number * count // subset_size) % count] for number in range(subset_size)]
         rest = sorted(set(names) - set(subset))
         return subset + rng.sample(rest, len(rest))
 
-    def _width_of(self, count: int) -> int:
-        if self._checks_first:  # others would only fill the endpoints' connection tables
+    def _subset_size_of(self, count: int) -> int:
+        if self._checks_health_first:  # A larger subset would only fill the connection tables of endpoints.
             return min(count, HEALTH_CHECK_SAMPLE_SIZE * MAX_HEALTH_CHECK_ROUNDS)
         return min(count, max(MIN_SUBSET_SIZE, math.ceil(NODES_PER_ENDPOINT * count / self._node_count)))
--- a/balancer/policy/warm_start.py
+++ b/balancer/policy/warm_start.py
@@ -1,4 +1,4 @@
-"""What a node has learned, handed to its successor and taken from its predecessor."""
+"""Warm start: hands the learned state of a node's process over to its successor."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class WarmStart:
-    """Reads and writes what the other concerns have learned. Estimates are not handed over."""
+    """Exports and restores the learned state of the other components; load estimates are not handed over."""
 
     index: EndpointIndex
     classes: ClassTable
@@ -30,7 +30,7 @@
     slow_start: SlowStart
 
     def export(self, now: float) -> api.LearnedState:
-        """Return what a successor can use, at the clock time `now`."""
+        """Return the learned state for a successor, as of the clock time `now`."""
         classes = {
             name: (s.expected_ms, s.deviation_ms, s.overload) for name, s in self.classes.by_name.items()
         }
@@ -51,7 +51,7 @@
         )
 
     def restore(self, learned: api.LearnedState, age_ms: float, now: float) -> None:
-        """Take what a predecessor has learned, the less the older it is: it halves in the time of a ramp."""
+        """Restore a predecessor's learned state, whose weight halves with each slow start time of age."""
         weight = HALF ** (age_ms / self.slow_start.ramp_ms)
         limit = self.limit
         limit.limit = max(limit.limit, limit.min_limit + weight * (learned.limit - limit.min_limit))
@@ -73,7 +73,7 @@
         self.classes.refresh_mean()
 
     def _restore_endpoints(self, learned: api.LearnedState, age_ms: float, weight: float, now: float) -> None:
-        """Restore endpoints that neither restarted nor were put back since."""
+        """Restore the state of endpoints that neither restarted nor had a ban lifted since it was saved."""
         for name, (started_at, slowness, min_response_ms, failures, ejected_ms) in learned.backends.items():
             endpoint = self.index.records.get(name)
             if endpoint is None or endpoint.entry.started_at > started_at:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -462,7 +462,7 @@
 
 def test_wrong_calls_are_named() -> None:
     b = node(BASE, ["x"])
-    with pytest.raises(api.CallError, match="unknown class: 'nope'"):
+    with pytest.raises(api.CallError, match="unknown class: the settings have no request class 'nope'"):
         b.handle(1000.0, api.RequestArrived("r", "nope", 2000.0))
     with pytest.raises(api.CallError, match="not an event"):
         b.handle(1000.0, "hello")  # type: ignore[arg-type]
