--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -143,7 +143,7 @@
         reason = err
     except UnicodeDecodeError as err:
         reason = wire.WireError(f"a line of the input is not valid UTF-8: {err}")
-    print(f"balancer: {reason.sentence}", file=sys.stderr)
+    print(f"balancer: {reason.one_line_report}", file=sys.stderr)
     return 2
 
 
