--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, a node driven by hand, and a rule checker written from the protocol's obligations alone."""
+"""Test helpers: settings, endpoints, a node under test, and checkers of the protocol's rules."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     overload_multiple=3.0,
     load_report_mode=api.LoadReportMode.IN_RESPONSES,
 )
-LOOKING = replace(
+WITH_HEALTH_CHECKS = replace(
     BASE,
     load_report_mode=api.LoadReportMode.IN_HEALTH_CHECKS,
     health_checks_allowed=True,
@@ -42,7 +42,7 @@
 
 
 def entry(name: str, **over: Any) -> api.Endpoint:
-    """A listed backend, warm and up unless told otherwise."""
+    """Return an endpoint for a list, warm and in service unless `over` has other values."""
     table: dict[str, Any] = {
         "backend": name,
         "zone": "a",
@@ -55,30 +55,30 @@
 
 
 def member(entry: api.Endpoint, host_port: str) -> Member:
-    """An entry as a node's list has it."""
+    """Convert an endpoint to a member of a node's endpoint list with this address."""
     e = entry
     return Member(e.backend, e.zone, e.cell, e.weight, e.phase, e.started_at, e.kind, host_port)
 
 
 def node(settings: api.Settings, names: str | list[str], seed: int = 1, **over: Any) -> Balancer:
-    """A node with a full list of warm backends at the clock time 1,000."""
+    """Return a node whose list at the clock time 1,000 ms has warm endpoints of these names."""
     out = Balancer(settings, seed)
     out.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, [entry(n, **over) for n in names]))
     return out
 
 
 def sends(actions: list[api.Action]) -> list[api.StartAttempt]:
-    """The attempts among the actions."""
+    """Return the started attempts among the actions."""
     return [a for a in actions if isinstance(a, api.StartAttempt)]
 
 
 def answers(actions: list[api.Action]) -> list[api.RejectRequest | api.FailRequest]:
-    """The final answers among the actions."""
+    """Return the final responses among the actions: rejections and failures."""
     return [a for a in actions if isinstance(a, (api.RejectRequest, api.FailRequest))]
 
 
 @dataclass
-class _Seen:
+class _RequestState:
     cls: api.RequestClass
     deadline: float
     ended: bool = False
@@ -88,128 +88,151 @@
 
 
 class RuleChecker:
-    """Judges a node's actions by rules 1 to 3. It knows the module's types, nothing of its insides."""
+    """Checks a node's actions against rules 1 to 3, by the public types of the policy alone.
+
+    Rule 1: each request gets exactly one final response, in time. Rule 2: no retry makes a request take
+    effect twice. Rule 3: an endpoint that leaves service gets no attempts after the drain grace period.
+    """
 
     def __init__(self, settings: api.Settings) -> None:
-        self.cfg = settings
+        self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
-        self.seen: dict[str, _Seen] = {}
+        self.requests: dict[str, _RequestState] = {}
         self.entries: dict[str, api.Endpoint] = {}
-        self.barred_since: dict[str, float] = {}
-
-    def event(self, now: float, ev: api.Event) -> None:
-        """Take note of what the node was told."""
-        if isinstance(ev, api.RequestArrived):
-            self.seen[ev.request] = _Seen(self.classes[ev.class_name], ev.deadline)
-        elif isinstance(ev, api.AttemptEnded) and ev.request in self.seen:
-            r = self.seen[ev.request]
-            backend, sent, _ = r.attempts[ev.attempt]
-            r.attempts[ev.attempt] = (backend, sent, ev.status)
-            r.ended = r.ended or ev.is_answered
-        elif isinstance(ev, api.ClientDisconnected) and ev.request in self.seen:
-            self.seen[ev.request].ended = True
-        elif isinstance(ev, api.ListUpdate) and ev.kind is not api.ListUpdateKind.FAILED:
-            named = {e.backend for e in ev.entries}
-            if ev.kind is not api.ListUpdateKind.DELTA:
+        self.out_of_service_since: dict[str, float] = {}
+
+    def event(self, now: float, event: api.Event) -> None:
+        """Record an event that the node handles."""
+        if isinstance(event, api.RequestArrived):
+            self.requests[event.request] = _RequestState(self.classes[event.class_name], event.deadline)
+        elif isinstance(event, api.AttemptEnded) and event.request in self.requests:
+            request = self.requests[event.request]
+            backend, sent, _ = request.attempts[event.attempt]
+            request.attempts[event.attempt] = (backend, sent, event.status)
+            request.ended = request.ended or event.is_answered
+        elif isinstance(event, api.ClientDisconnected) and event.request in self.requests:
+            self.requests[event.request].ended = True
+        elif isinstance(event, api.ListUpdate) and event.kind is not api.ListUpdateKind.FAILED:
+            named = {e.backend for e in event.entries}
+            if event.kind is not api.ListUpdateKind.DELTA:
                 for name in self.entries.keys() - named:
-                    self.barred_since.setdefault(name, now)
-            for e in ev.entries:
+                    self.out_of_service_since.setdefault(name, now)
+            for e in event.entries:
                 self.entries[e.backend] = e
                 if e.phase is api.EndpointPhase.IN_SERVICE:
-                    self.barred_since.pop(e.backend, None)
+                    self.out_of_service_since.pop(e.backend, None)
                 else:
-                    self.barred_since.setdefault(e.backend, now)
+                    self.out_of_service_since.setdefault(e.backend, now)
 
-    def actions(self, now: float, acts: list[api.Action]) -> None:
-        """Raise AssertionError on the first broken rule."""
-        for act in acts:
-            if isinstance(act, api.StartAttempt):
-                self._send(now, act)
-            elif isinstance(act, (api.RejectRequest, api.FailRequest)):
-                self._answer(now, act)
+    def actions(self, now: float, actions: list[api.Action]) -> None:
+        """Check the actions of the node; raises AssertionError on the first violation of a rule."""
+        for action in actions:
+            if isinstance(action, api.StartAttempt):
+                self._send(now, action)
+            elif isinstance(action, (api.RejectRequest, api.FailRequest)):
+                self._answer(now, action)
 
     def overdue(self, now: float) -> list[str]:
-        """Requests that should have had their final answer by now."""
+        """Return the requests that should have had their final response by now."""
         return [
             name
-            for name, r in self.seen.items()
-            if not r.ended and now > r.deadline + self.cfg.answer_slack_ms
+            for name, request in self.requests.items()
+            if not request.ended and now > request.deadline + self.settings.answer_slack_ms
         ]
 
-    def _send(self, now: float, act: api.StartAttempt) -> None:
-        r = self.seen[act.request]
-        assert not r.ended, f"rule 1: {act.request} sent after its end"
-        since = self.barred_since.get(act.backend)
-        assert since is None or now - since <= self.cfg.drain_grace_ms, f"rule 3: {act.backend} is leaving"
-        assert len(r.attempts) < self.cfg.max_attempts, "more attempts than allowed"
-        out = [a for a in r.attempts if a[2] is None]
-        assert self.cfg.hedging_allowed or not out, "rule 2: two attempts out"
-        risky = [a for a in r.attempts if a[2] not in api.NOT_EXECUTED]
-        if risky and r.cls.idempotency is api.Idempotency.NOT_IDEMPOTENT:
-            raise AssertionError("rule 2: an unsafe request that may have run was sent again")
-        if risky and r.cls.idempotency is api.Idempotency.WITH_KEY:
-            assert now - min(a[1] for a in risky) <= r.cls.deduplication_window_ms, (
-                "rule 2: past the memory span"
+    def _send(self, now: float, action: api.StartAttempt) -> None:
+        request = self.requests[action.request]
+        assert not request.ended, f"rule 1: attempt of {action.request} after its final response"
+        since = self.out_of_service_since.get(action.backend)
+        assert since is None or now - since <= self.settings.drain_grace_ms, (
+            f"rule 3: attempt at {action.backend}, which left service"
+        )
+        assert len(request.attempts) < self.settings.max_attempts, "more attempts than the settings allow"
+        in_flight = [a for a in request.attempts if a[2] is None]
+        assert self.settings.hedging_allowed or not in_flight, (
+            "rule 2: two attempts in flight without hedging"
+        )
+        maybe_executed = [a for a in request.attempts if a[2] not in api.NOT_EXECUTED]
+        if maybe_executed and request.cls.idempotency is api.Idempotency.NOT_IDEMPOTENT:
+            raise AssertionError("rule 2: retry of a non-idempotent request that may have been executed")
+        if maybe_executed and request.cls.idempotency is api.Idempotency.WITH_KEY:
+            assert now - min(a[1] for a in maybe_executed) <= request.cls.deduplication_window_ms, (
+                "rule 2: retry after the deduplication window"
             )
-            here = self.entries[act.backend]
-            for name, _, _ in risky:
-                there = self.entries[name]
-                same = (
-                    r.cls.deduplication_scope is api.DeduplicationScope.ALL
-                    or (r.cls.deduplication_scope is api.DeduplicationScope.ZONE and there.zone == here.zone)
-                    or (r.cls.deduplication_scope is api.DeduplicationScope.CELL and there.cell == here.cell)
+            endpoint = self.entries[action.backend]
+            for name, _, _ in maybe_executed:
+                earlier_endpoint = self.entries[name]
+                in_scope = (
+                    request.cls.deduplication_scope is api.DeduplicationScope.ALL
+                    or (
+                        request.cls.deduplication_scope is api.DeduplicationScope.ZONE
+                        and earlier_endpoint.zone == endpoint.zone
+                    )
+                    or (
+                        request.cls.deduplication_scope is api.DeduplicationScope.CELL
+                        and earlier_endpoint.cell == endpoint.cell
+                    )
                 )
-                assert same, "rule 2: outside the group that drops repeats"
-        r.attempts.append((act.backend, now, None))
-
-    def _answer(self, now: float, act: api.RejectRequest | api.FailRequest) -> None:
-        r = self.seen[act.request]
-        assert not r.ended, f"rule 1: a second answer for {act.request}"
-        assert now <= r.deadline + self.cfg.answer_slack_ms, f"rule 1: answer for {act.request} is late"
-        if isinstance(act, api.RejectRequest) and r.cls.idempotency is not api.Idempotency.IDEMPOTENT:
-            risky = any(a[2] not in api.NOT_EXECUTED for a in r.attempts)
-            keyed_all = (
-                r.cls.idempotency is api.Idempotency.WITH_KEY
-                and r.cls.deduplication_scope is api.DeduplicationScope.ALL
+                assert in_scope, "rule 2: retry outside the deduplication scope"
+        request.attempts.append((action.backend, now, None))
+
+    def _answer(self, now: float, action: api.RejectRequest | api.FailRequest) -> None:
+        request = self.requests[action.request]
+        assert not request.ended, f"rule 1: a second final response for {action.request}"
+        assert now <= request.deadline + self.settings.answer_slack_ms, (
+            f"rule 1: response for {action.request} is late"
+        )
+        if (
+            isinstance(action, api.RejectRequest)
+            and request.cls.idempotency is not api.Idempotency.IDEMPOTENT
+        ):
+            maybe_executed = any(a[2] not in api.NOT_EXECUTED for a in request.attempts)
+            has_global_key = (
+                request.cls.idempotency is api.Idempotency.WITH_KEY
+                and request.cls.deduplication_scope is api.DeduplicationScope.ALL
+            )
+            assert not maybe_executed or has_global_key, (
+                f"rule 2: rejection of {action.request}, which may have been executed"
             )
-            assert not risky or keyed_all, f"rule 2: {act.request} refused though it may have run"
-        r.ended = True
+        request.ended = True
 
 
-class ColdBudget:
-    """Rule 4 over all nodes: what one cold backend is sent within any fall window.
+class OverloadBudgetChecker:
+    """Checks rule 4: all nodes together stay within a warming endpoint's overload budget in any window.
 
-    Its capacity is taken to grow evenly from the cold share over the whole ramp, as slow as the rule allows.
+    The capacity of the endpoint is assumed to grow linearly over the whole slow start time, from the cold
+    capacity fraction, which is as slow as the rule allows.
     """
 
     def __init__(self, settings: api.Settings, full_per_s: float) -> None:
-        self.cfg, self.full_per_s = settings, full_per_s
+        self.settings, self.full_per_s = settings, full_per_s
         self.sent: dict[str, list[float]] = {}
 
     def send(self, now: float, entry: api.Endpoint) -> None:
-        """Note one attempt to a backend; every attempt counts, also one that is turned away."""
-        if 0 < entry.started_at <= now < entry.started_at + self.cfg.slow_start_ms:
+        """Record an attempt at an endpoint; a rejected attempt counts as well."""
+        if 0 < entry.started_at <= now < entry.started_at + self.settings.slow_start_ms:
             self.sent.setdefault(f"{entry.backend}@{entry.started_at}", []).append(now)
 
     def worst(self) -> float:
-        """The largest part of a budget that was used; over 1.0 a backend fell over."""
+        """Return the largest fraction of a budget that was used; above 1.0 an endpoint was overloaded."""
         worst = 0.0
         for name, times in self.sent.items():
             start = float(name.rsplit("@", 1)[1])
             first = 0
             for last, now in enumerate(times):
-                while now - times[first] >= self.cfg.overload_window_ms:
+                while now - times[first] >= self.settings.overload_window_ms:
                     first += 1
-                grown = (1 - self.cfg.cold_capacity_fraction) * max(
-                    0.0, now - self.cfg.overload_window_ms - start
+                grown = (1 - self.settings.cold_capacity_fraction) * max(
+                    0.0, now - self.settings.overload_window_ms - start
                 )
-                warmth = self.cfg.cold_capacity_fraction + grown / self.cfg.slow_start_ms
-                room = (
-                    self.cfg.overload_multiple
+                warmth = self.settings.cold_capacity_fraction + grown / self.settings.slow_start_ms
+                budget = (
+                    self.settings.overload_multiple
                     * warmth
                     * self.full_per_s
-                    * self.cfg.overload_window_ms
+                    * self.settings.overload_window_ms
                     / 1000.0
                 )
-                worst = max(worst, (last - first + 1) / (room + 2.0 * room**0.5))  # some slack for chance
+                # Two standard deviations are added to the budget, as nodes draw at random.
+                worst = max(worst, (last - first + 1) / (budget + 2.0 * budget**0.5))
         return worst
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -24,10 +24,16 @@
 from balancer.policy.outlier_ejection import MIN_UNAVAILABLE_MS
 from balancer.policy.records import EndpointRecord
 from balancer.policy.subsetting import GOLDEN_RATIO_FRACTION
-from tests.helpers import BASE, LOOKING, SAFE, RuleChecker, answers, entry, sends
+from tests.helpers import BASE, SAFE, WITH_HEALTH_CHECKS, RuleChecker, answers, entry, sends
 
 PRICED = replace(BASE, charges=api.Charges(cross_zone=0.1), node_count=3, node_index=2)
-SETTINGS = (BASE, PRICED, LOOKING, replace(PRICED, zone="b", node_count=9), replace(PRICED, zone="nowhere"))
+SETTINGS = (
+    BASE,
+    PRICED,
+    WITH_HEALTH_CHECKS,
+    replace(PRICED, zone="b", node_count=9),
+    replace(PRICED, zone="nowhere"),
+)
 CHANGES, FULL = api.ListUpdateKind.DELTA, api.ListUpdateKind.SNAPSHOT
 
 
@@ -373,7 +379,7 @@
         for send in sends(acts):
             assert send.backend in b.index.order
             sent[zones[send.backend]] += 1
-            attempt = len(checker.seen[send.request].attempts) - 1
+            attempt = len(checker.requests[send.request].attempts) - 1
             done = api.AttemptEnded(send.request, attempt, send.backend, api.AttemptStatus.OK, 4.0, True)
             due.append((now + 4.0, done))
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""Join-Up-To(m): estimates, the pick, and looking before sending."""
+"""Tests of the balancing policy of one node: estimates, choice, health checks, limits, zones and shedding."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from balancer import interface as api
 from balancer.policy import Balancer, join_up_to_m
 from balancer.policy.ordered_names import OrderedNames
-from tests.helpers import BASE, KEYED, LOOKING, SAFE, answers, entry, node, sends
+from tests.helpers import BASE, KEYED, SAFE, WITH_HEALTH_CHECKS, answers, entry, node, sends
 
 NAMES = [f"b{i}" for i in range(8)]
 
@@ -22,14 +22,14 @@
     return b.handle(now, api.RequestArrived(rid, kind, now + 1000.0))
 
 
-def _done(
+def _attempt_ended(
     rid: str, backend: str, status: api.AttemptStatus = api.AttemptStatus.OK, **over: object
 ) -> api.AttemptEnded:
     closed = status is api.AttemptStatus.OK
     return api.AttemptEnded(rid, 0, backend, status, 50.0, closed, over.get("report"))  # type: ignore[arg-type]
 
 
-def test_an_attempt_adds_one_and_only_an_idle_report_resets_the_estimate() -> None:
+def test_attempts_raise_the_estimate_and_only_an_idle_report_resets_it() -> None:
     b = node(replace(BASE, max_attempts=1), ["x"])
     kept = (
         api.AttemptStatus.OK,
@@ -41,28 +41,28 @@
         b.shedding.success_rate = 1.0
         _arrive(b, f"r{i}")
         before = b.index.records["x"].estimate
-        b.handle(1001.0, _done(f"r{i}", "x", status))
+        b.handle(1001.0, _attempt_ended(f"r{i}", "x", status))
         assert b.index.records["x"].estimate >= before > 0
     b.shedding.success_rate = 1.0
     _arrive(b, "last", 9000.0)
-    b.handle(9002.0, _done("last", "x", report=api.LoadReport(3.0, 1.0)))
+    b.handle(9002.0, _attempt_ended("last", "x", report=api.LoadReport(3.0, 1.0)))
     assert b.index.records["x"].estimate > 0
     _arrive(b, "idle", 9002.0)
-    b.handle(9003.0, _done("idle", "x", report=api.LoadReport(0.0, 0.0)))
+    b.handle(9003.0, _attempt_ended("idle", "x", report=api.LoadReport(0.0, 0.0)))
     assert b.index.records["x"].estimate == b.index.records["x"].in_flight
 
 
-def test_an_empty_queue_counts_only_where_in_flight_is_not_reported() -> None:
+def test_an_empty_queue_means_idle_only_if_requests_in_flight_are_not_reported() -> None:
     b = node(BASE, ["x"])
     _arrive(b, "a")
-    b.handle(1001.0, _done("a", "x", report=api.LoadReport(4.0, 0.0)))
+    b.handle(1001.0, _attempt_ended("a", "x", report=api.LoadReport(4.0, 0.0)))
     assert b.index.records["x"].estimate == 1
     _arrive(b, "b")
-    b.handle(1002.0, _done("b", "x", report=api.LoadReport(None, 0.0)))
+    b.handle(1002.0, _attempt_ended("b", "x", report=api.LoadReport(None, 0.0)))
     assert b.index.records["x"].estimate == b.index.records["x"].in_flight
 
 
-def test_pick_takes_the_lowest_below_m_and_spreads_ties() -> None:
+def test_pick_returns_a_random_endpoint_of_the_lowest_estimate_below_m() -> None:
     b = node(BASE, NAMES)
     pool = [b.index.records[n] for n in NAMES]
     for x in pool[2:]:
@@ -71,7 +71,7 @@
     assert set(got) == {"b0", "b1"} and min(got.values()) > 100
 
 
-def test_pick_is_random_once_all_have_reached_m() -> None:
+def test_pick_is_random_once_all_estimates_have_reached_m() -> None:
     b = node(BASE, NAMES)
     pool = [b.index.records[n] for n in NAMES]
     for i, x in enumerate(pool):
@@ -81,31 +81,39 @@
 
 
 def test_a_request_goes_to_the_first_endpoint_that_reports_idle() -> None:
-    b = node(LOOKING, NAMES)
-    probes = [a.backend for a in _arrive(b, "r") if isinstance(a, api.CheckHealth)]
-    assert len(probes) >= 2 and not sends(_arrive(node(LOOKING, NAMES), "r"))
+    b = node(WITH_HEALTH_CHECKS, NAMES)
+    checked_names = [a.backend for a in _arrive(b, "r") if isinstance(a, api.CheckHealth)]
+    assert len(checked_names) >= 2 and not sends(_arrive(node(WITH_HEALTH_CHECKS, NAMES), "r"))
     assert not sends(
-        b.handle(1001.0, api.HealthCheckEnded(probes[0], api.AttemptStatus.OK, 1.0, api.LoadReport(2.0, 1.0)))
+        b.handle(
+            1001.0,
+            api.HealthCheckEnded(checked_names[0], api.AttemptStatus.OK, 1.0, api.LoadReport(2.0, 1.0)),
+        )
     )
     out = sends(
-        b.handle(1001.0, api.HealthCheckEnded(probes[1], api.AttemptStatus.OK, 1.0, api.LoadReport(0.0, 0.0)))
+        b.handle(
+            1001.0,
+            api.HealthCheckEnded(checked_names[1], api.AttemptStatus.OK, 1.0, api.LoadReport(0.0, 0.0)),
+        )
     )
-    assert [s.backend for s in out] == [probes[1]]
+    assert [s.backend for s in out] == [checked_names[1]]
 
 
 def test_an_endpoint_with_an_overdue_health_check_is_avoided() -> None:
-    """Guards against waiting for a stalled backend: silence counts, whatever its cause."""
-    b = node(LOOKING, NAMES)
+    """Guards against requests that wait for a stalled endpoint."""
+    b = node(WITH_HEALTH_CHECKS, NAMES)
     acts = _arrive(b, "r")
-    probes = [a.backend for a in acts if isinstance(a, api.CheckHealth)]
+    checked_names = [a.backend for a in acts if isinstance(a, api.CheckHealth)]
     timer = next(a for a in acts if isinstance(a, api.SetTimer))
-    b.handle(1001.0, api.HealthCheckEnded(probes[0], api.AttemptStatus.OK, 1.0, api.LoadReport(1.0, 0.0)))
+    b.handle(
+        1001.0, api.HealthCheckEnded(checked_names[0], api.AttemptStatus.OK, 1.0, api.LoadReport(1.0, 0.0))
+    )
     b.handle(timer.fires_at, api.TimerFired(timer.token))
-    assert all(b.index.records[p].ejected_until > timer.fires_at for p in probes[1:])
+    assert all(b.index.records[p].ejected_until > timer.fires_at for p in checked_names[1:])
 
 
-def test_the_time_of_first_attempts_is_learned_by_majority() -> None:
-    """Guards against refusing every first try once one retry came with more time than first tries have."""
+def test_the_initial_time_left_of_first_attempts_is_found_by_majority() -> None:
+    """Guards against rejecting all first attempts after a single retry with more time left than they have."""
     b = node(BASE, NAMES)
     for i in range(5):
         b.handle(1000.0, api.RequestArrived(f"a{i}", "read", 1700.0))
@@ -130,48 +138,48 @@
 
 
 def test_each_endpoint_is_in_few_subsets_without_health_checks() -> None:
-    """Guards against routing as good as random: with all nodes on all backends own counts say nothing."""
+    """If all nodes use all endpoints, a node's own counts say nothing and the choice is random."""
     names = [f"b{i:02d}" for i in range(60)]
-    fed: Counter[str] = Counter()
+    subset_counts: Counter[str] = Counter()
     for me in range(40):
         b = node(replace(BASE, node_index=me, node_count=40), names)
-        fed.update(b.index.order.window(0, b.subsetting.subset_size))
-    assert set(fed) == set(names) and max(fed.values()) <= 2 * min(fed.values())
-    assert max(fed.values()) < 40 / 3
+        subset_counts.update(b.index.order.window(0, b.subsetting.subset_size))
+    assert set(subset_counts) == set(names) and max(subset_counts.values()) <= 2 * min(subset_counts.values())
+    assert max(subset_counts.values()) < 40 / 3
 
 
 def test_nodes_with_health_checks_connect_to_few_endpoints() -> None:
-    """Guards against filling the backends' connection tables, whose size no setting tells."""
+    """Guards against filling the connection tables of endpoints, whose size is not in the settings."""
     names = [f"b{i:02d}" for i in range(60)]
-    b = node(replace(LOOKING, node_count=400), names)
-    looked = set()
+    b = node(replace(WITH_HEALTH_CHECKS, node_count=400), names)
+    checked = set()
     for i in range(300):
         now = 1000.0 + 10.0 * i
         for p in [a.backend for a in _arrive(b, f"r{i}", now) if isinstance(a, api.CheckHealth)]:
-            looked.add(p)
+            checked.add(p)
             for s in sends(
                 b.handle(now, api.HealthCheckEnded(p, api.AttemptStatus.OK, 1.0, api.LoadReport(0.0, 0.0)))
             ):
                 b.handle(now, api.AttemptEnded(s.request, 0, s.backend, api.AttemptStatus.OK, 5.0, True))
-    assert 3 <= len(looked) <= 12
+    assert 3 <= len(checked) <= 12
 
 
 def test_a_node_with_far_more_than_its_share_uses_more_endpoints() -> None:
-    """Guards against a hot node that crowds the few backends an even share would give it."""
+    """Guards against a node with high load that overloads the few endpoints of an equal share."""
     names = [f"b{i:02d}" for i in range(60)]
     b = node(replace(BASE, node_count=300), names)
     b.limit.limit = 30.0
     got = [s.backend for i in range(24) for s in sends(_arrive(b, f"r{i}"))]
     assert len(got) == 24 and max(Counter(got).values()) <= 3
-    quiet = node(replace(BASE, node_count=300), names)
+    low_load = node(replace(BASE, node_count=300), names)
     for i in range(24):
-        for s in sends(_arrive(quiet, f"r{i}")):
-            quiet.handle(1000.0, _done(f"r{i}", s.backend))
-    assert len([x for x in quiet.index.records.values() if x.estimate]) <= 3
+        for s in sends(_arrive(low_load, f"r{i}")):
+            low_load.handle(1000.0, _attempt_ended(f"r{i}", s.backend))
+    assert len([x for x in low_load.index.records.values() if x.estimate]) <= 3
 
 
-def test_a_node_out_of_proportion_to_a_small_fleet_sends_as_much_as_its_limit_allows() -> None:
-    """Guards against a share of the limit for each request out, where more are out than backends exist."""
+def test_a_node_with_more_requests_than_endpoints_sends_as_much_as_its_limit_allows() -> None:
+    """Guards against dividing the limit by the requests in flight when these outnumber the endpoints."""
     b = node(BASE, NAMES[:4])
     b.limit.limit = 20.0
     got = [s.backend for i in range(20) for s in sends(_arrive(b, f"r{i}"))]
@@ -179,10 +187,13 @@
 
 
 def _limit_after(
-    took: float, answers: int, b: Balancer, status: api.AttemptStatus = api.AttemptStatus.OK
+    took: float, responses: int, b: Balancer, status: api.AttemptStatus = api.AttemptStatus.OK
 ) -> float:
-    """The limit once so many answers took so long, with as much out at all times as it allows."""
-    for i in range(answers):
+    """Return the limit after `responses` rounds of responses of this duration.
+
+    In each round the node has as many attempts in flight as the limit allows.
+    """
+    for i in range(responses):
         now = b.now + 1.0
         fill = range(math.ceil(b.limit.limit) - b.limit.in_flight)
         for s in [s for j in fill for s in sends(_arrive(b, f"{took}-{i}-{j}", now))]:
@@ -191,15 +202,18 @@
 
 
 def test_network_latency_does_not_lower_the_limit_but_overload_does() -> None:
-    """Guards against far backends that look crowded: the way takes part of the aim, however idle."""
+    """Guards against distant endpoints that look overloaded because of the network round trip alone."""
     b = node(replace(BASE, classes=(SAFE,)), NAMES)
-    grown = _limit_after(120.0, 60, b)  # over NEAR of the aim, and all of it on the way
+    grown = _limit_after(120.0, 60, b)  # All of the 120 ms count as network latency.
     assert grown > 1.5 * b.limit.min_limit
     assert _limit_after(380.0, 60, b) < grown / 1.5
 
 
 def test_the_first_responses_of_overloaded_new_endpoints_do_not_raise_the_limit() -> None:
-    """Guards against quiet nodes in a release: nearly each answer is the least of its backend so far."""
+    """During a deployment, nearly every response to a node with little traffic is its endpoint's fastest.
+
+    Without the round trip of the zone, each response would count as network latency alone.
+    """
     b = node(replace(BASE, classes=(SAFE,), node_count=100), NAMES)
     _limit_after(20.0, 60, b)
     b.handle(b.now, api.ListUpdate(api.ListUpdateKind.DELTA, [entry(f"new{i}") for i in range(60)]))
@@ -213,23 +227,23 @@
 
 
 def test_a_new_node_raises_its_limit_from_its_first_responses_on() -> None:
-    """Guards against busy nodes that refuse in the seconds after a start, as their limit is slow to grow."""
+    """Guards against busy nodes that reject requests after a start because their limit grows too slowly."""
     b = node(replace(BASE, classes=(SAFE,), node_count=100), NAMES)
     assert _limit_after(20.0, 5, b) > 2.0 * 1.01**5
 
 
 def test_an_immediate_response_weighs_no_more_than_one_at_the_objective() -> None:
-    """Guards against a few lucky answers that hide a crowded fleet from the limit."""
+    """Guards against a few immediate responses that hide an overload of most endpoints from the limit."""
     b = node(replace(BASE, classes=(SAFE,)), NAMES)
     _limit_after(10.0, 5, b)
-    strain = b.classes.by_name["read"].overload
+    overload_before = b.classes.by_name["read"].overload
     for took in (410.0, 410.0, 10.0) * 20:
         _limit_after(took, 1, b)
-    assert b.classes.by_name["read"].overload > max(0.0, strain)
+    assert b.classes.by_name["read"].overload > max(0.0, overload_before)
 
 
 def test_resets_and_rejections_do_not_lower_the_limit_but_timeouts_do() -> None:
-    """Guards against a network that breaks one attempt in ten and is taken for a crowded fleet."""
+    """Guards against mistaking a network that resets one attempt in ten for overloaded endpoints."""
     for status in (
         api.AttemptStatus.RESET,
         api.AttemptStatus.ERROR,
@@ -244,36 +258,38 @@
     assert _limit_after(400.0, 60, b, api.AttemptStatus.TIMEOUT) < grown
 
 
-def test_the_timeout_of_a_hasty_client_does_not_count_against_the_endpoint() -> None:
-    """Guards against clients that wait for a tenth of the usual time and get the whole fleet ejected."""
-    for given, told in ((60.0, False), (900.0, True)):
+def test_a_timeout_due_to_a_short_client_deadline_does_not_count_against_the_endpoint() -> None:
+    """Guards against ejecting all endpoints because clients wait for a tenth of the usual time only."""
+    for given, counts_as_failure in ((60.0, False), (900.0, True)):
         b = node(replace(BASE, max_attempts=1), ["x"])
         b.classes.by_name["read"].expected_ms = 40.0
         (sent,) = sends(b.handle(1000.0, api.RequestArrived("r", "read", 1000.0 + given)))
         before, now = b.classes.by_name["read"].overload, 1000.0 + given
         b.handle(now, api.AttemptEnded("r", 0, sent.backend, api.AttemptStatus.TIMEOUT, given, False))
         x = b.index.records["x"]
-        strained = b.classes.by_name["read"].overload > before
-        assert (x.consecutive_failures > 0, x.ejected_until > now, x.slowness > 1.0, strained) == (told,) * 4
+        is_overloaded_more = b.classes.by_name["read"].overload > before
+        assert (x.consecutive_failures > 0, x.ejected_until > now, x.slowness > 1.0, is_overloaded_more) == (
+            counts_as_failure,
+        ) * 4
 
 
-def test_a_request_that_may_not_be_retried_fails_at_once_and_costs_no_retry() -> None:
-    """Guards against a broken order that is held behind the limit, and against others that miss its retry."""
+def test_a_request_that_must_not_be_retried_fails_at_once_and_keeps_the_retry_budget() -> None:
+    """Guards against queueing a failed request, and against charging a retry that never happens."""
     b = node(BASE, NAMES)
     (sent,) = sends(_arrive(b, "r", kind="once"))
     b.limit.limit, before = 0.0, b.router.retry_budget.balance
-    acts = b.handle(1001.0, _done("r", sent.backend, api.AttemptStatus.RESET))
+    acts = b.handle(1001.0, _attempt_ended("r", sent.backend, api.AttemptStatus.RESET))
     assert (
         [type(a) for a in answers(acts)] == [api.FailRequest]
         and b.router.retry_budget.balance == before
         and not b.router.queue
     )
     _arrive(b, "s", 1002.0, kind="once")
-    assert [req.id for req in b.router.queue] == ["s"]  # what was never sent may wait
+    assert [req.id for req in b.router.queue] == ["s"]  # A request without attempts may still be queued.
 
 
-def _fed(b: Balancer, count: int, now: float, bad: str = "") -> Counter[str]:
-    """Where requests go that are served at once, or turned away in the zone `bad`."""
+def _requests_by_zone(b: Balancer, count: int, now: float, bad: str = "") -> Counter[str]:
+    """Send requests and count them by zone; those in the zone `bad` time out, all others succeed."""
     got: Counter[str] = Counter()
     for i in range(count):
         for s in sends(_arrive(b, f"{now}-{i}", now + 100.0 * i)):
@@ -284,8 +300,8 @@
     return got
 
 
-def test_the_own_zone_comes_first_also_where_the_subset_is_the_whole_fleet() -> None:
-    """Guards against small fleets that cross zones at random, and against a home zone that is crowded."""
+def test_the_own_zone_comes_first_even_if_the_subset_contains_all_endpoints() -> None:
+    """Guards against random cross-zone traffic with few endpoints, and against overloading the own zone."""
     b = Balancer(replace(BASE, charges=api.Charges(cross_zone=0.015)), 1)
     listed = [entry(name, zone="ab"[i % 2]) for i, name in enumerate(NAMES)]
     b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, listed))
@@ -294,16 +310,16 @@
     assert zones[:8] == ["a"] * 8 and zones.count("b") >= 4 and len(zones) == 16
 
 
-def test_spill_has_no_effect_where_all_endpoints_are_local() -> None:
-    """Guards against a first draw over nothing, which alone may bring cold backends."""
+def test_spill_has_no_effect_if_all_endpoints_are_local() -> None:
+    """Guards against an empty first choice, as only the first choice may use warming endpoints."""
     b = Balancer(BASE, 1)
     b.handle(10_000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, [entry("x", started_at=5_000.0)]))
     b.zones.spill_fraction = 1.0
     assert any(sends(_arrive(b, f"r{i}", 10_000.0 + i)) for i in range(50))
 
 
-def test_the_own_zone_is_preferred_by_its_price_and_left_when_it_is_worse() -> None:
-    """Guards against paying for crossings, and against a hot or failing zone that is kept to."""
+def test_the_own_zone_is_preferred_by_the_cross_zone_charge_and_left_when_it_fails() -> None:
+    """Guards against avoidable cross-zone traffic, and against staying in an overloaded or failing zone."""
 
     def made(price: float) -> Balancer:
         cfg = replace(BASE, node_count=50, max_attempts=1, charges=api.Charges(cross_zone=price))
@@ -312,52 +328,53 @@
         b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, fleet))
         return b
 
-    dear, cheap = made(0.12), made(0.001)
-    _fed(dear, 200, 1000.0)
-    assert _fed(dear, 100, 50_000.0)["a"] > 90
-    assert _fed(cheap, 200, 1000.0)["a"] < 120
-    _fed(dear, 200, 100_000.0, bad="a")
-    late = _fed(dear, 100, 200_000.0, bad="a")
+    costly, cheap = made(0.12), made(0.001)
+    _requests_by_zone(costly, 200, 1000.0)
+    assert _requests_by_zone(costly, 100, 50_000.0)["a"] > 90
+    assert _requests_by_zone(cheap, 200, 1000.0)["a"] < 120
+    _requests_by_zone(costly, 200, 100_000.0, bad="a")
+    late = _requests_by_zone(costly, 100, 200_000.0, bad="a")
     assert late["a"] < sum(late.values()) / 2
 
 
-@pytest.mark.parametrize(("price", "cold", "least", "most"), [
-    (0.12, 30, 0, 0),  # all near ones
-    (1.0, 30, 100, 200),  # the way would cost all that it earns
-    (0.12, 3, 150, 190),  # as large a part goes there as is cold
-], ids=["all", "dear", "some"])  # fmt: skip
+@pytest.mark.parametrize(("charge", "warming", "least", "most"), [
+    (0.12, 30, 0, 0),  # All local endpoints are warming up.
+    (1.0, 30, 100, 200),  # A cross-zone request costs all that it earns.
+    (0.12, 3, 150, 190),  # The overflow fraction equals the fraction of warming endpoints.
+], ids=["all", "costly", "some"])  # fmt: skip
 def test_other_zones_take_the_overflow_of_warming_local_endpoints(
-    price: float, cold: int, least: int, most: int
+    charge: float, warming: int, least: int, most: int
 ) -> None:
-    """Guards against refusals while other zones have room, and against a flood of them where near ones fail.
+    """Guards against rejections while other zones have capacity, and against flooding other zones.
 
-    So many of 30 near ones are cold and the others busy; `least` to `most` of 200 requests are refused.
+    Of 30 local endpoints, `warming` are warming up and the others busy. Of 200 requests, `least` to `most`
+    must be rejected.
     """
     cfg = replace(
-        BASE, node_count=30, max_attempts=1, slow_start_ms=1e9, charges=api.Charges(cross_zone=price)
+        BASE, node_count=30, max_attempts=1, slow_start_ms=1e9, charges=api.Charges(cross_zone=charge)
     )
     b = Balancer(cfg, 3)
     listed = [entry(f"b{i:02d}", zone="abc"[i % 3]) for i in range(90)]
     b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, listed))
     for i, name in enumerate(b.index.order.local):
-        b.index.records[name].entry.started_at = 1000.0 * (i < cold)
-        b.index.records[name].busy_until = 1e9 * (i >= cold)
+        b.index.records[name].entry.started_at = 1000.0 * (i < warming)
+        b.index.records[name].busy_until = 1e9 * (i >= warming)
     b.selection.candidates.clear()
-    b.zones.spill_fraction, got, refused = 0.0, Counter[str](), 0
+    b.zones.spill_fraction, got, rejected = 0.0, Counter[str](), 0
     for i in range(200):
         acts = _arrive(b, f"r{i}", 1000.0 + 100.0 * i)
-        refused += len(answers(acts))
+        rejected += len(answers(acts))
         for s in sends(acts):
             got[b.index.records[s.backend].entry.zone] += 1
             b.handle(b.now, api.AttemptEnded(s.request, 0, s.backend, api.AttemptStatus.OK, 50.0, True))
             b.zones.spill_fraction = 0.0
-    assert least <= refused <= most
-    assert got.total() + refused == 200 and got["a"] < 60
-    assert (got["b"] + got["c"] > 0) == (price < 1.0)
+    assert least <= rejected <= most
+    assert got.total() + rejected == 200 and got["a"] < 60
+    assert (got["b"] + got["c"] > 0) == (charge < 1.0)
 
 
-def test_a_node_without_any_success_goes_on_trying() -> None:
-    """Guards against a node that throttles itself to nothing in an outage and never learns that it ended."""
+def test_a_node_without_any_success_keeps_sending_some_requests() -> None:
+    """Guards against a node that sheds all requests in an outage and never notices its end."""
     served = []
     for seed in range(10):
         b = node(replace(BASE, node_count=50, max_attempts=1), ["x", "y", "z"], seed)
@@ -365,12 +382,15 @@
             for s in sends(_arrive(b, f"r{i}", 1000.0 + 1000.0 * i)):
                 late = api.AttemptEnded(s.request, 0, s.backend, api.AttemptStatus.TIMEOUT, 99.0, False)
                 b.handle(1100.0 + 1000.0 * i, late)
-        served.append(sum(_fed(b, 40, 400_000.0).values()))
+        served.append(sum(_requests_by_zone(b, 40, 400_000.0).values()))
     assert min(served) > 0 and sum(served) > 60
 
 
 def test_late_responses_lower_the_success_rate() -> None:
-    """Guards against a jam in which all is served late, by hundreds of nodes too quiet for their limits."""
+    """Guards against a persistent overload in which all responses are late.
+
+    It arises with hundreds of nodes that each have too few requests to reach their concurrency limit.
+    """
     cfg = replace(BASE, node_count=50, classes=(replace(BASE.classes[0], late_weight_fraction=0.5),))
     b, sent = node(cfg, ["x", "y", "z"]), 0
     for i in range(100):
@@ -384,11 +404,14 @@
 
 
 def _lossy(late_weight_fraction: float, every: int, seed: int = 5) -> tuple[Balancer, int, int]:
-    """A node of a keyed class whose every so-manieth first answer is lost; how many it sent, and repeated."""
+    """Run a node that loses the response to every `every`-th request's first attempt.
+
+    Returns the node, the number of requests that were sent, and the number of retries.
+    """
     charges = api.Charges(cross_zone=0.02)
     cls = replace(KEYED, late_weight_fraction=late_weight_fraction)
     cfg = replace(BASE, node_count=50, classes=(cls,), max_attempts=4, charges=charges)
-    b, sent, repeats = Balancer(cfg, seed), 0, 0
+    b, sent, retries = Balancer(cfg, seed), 0, 0
     fleet = [entry(f"b{i}", zone="ab"[i % 2]) for i in range(12)]
     b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, fleet))
     for i in range(300):
@@ -396,20 +419,21 @@
         acts = b.handle(start, api.RequestArrived(f"r{i}", "pay", start + 1000.0))
         sent, now = sent + bool(sends(acts)), start
         while out := sends(acts):
-            repeats += n > 0
+            retries += n > 0
             lost = n == 0 and i % every == 0
             took = (out[0].timeout_ms or start + 1000.0 - now) if lost else 40.0
             now += took
             status = api.AttemptStatus.TIMEOUT if lost else api.AttemptStatus.OK
             acts = b.handle(now, api.AttemptEnded(f"r{i}", n, out[0].backend, status, took, not lost))
             n += 1
-    return b, sent, repeats
+    return b, sent, retries
 
 
 def test_lost_responses_are_retried_while_that_has_worth() -> None:
-    """Guards against waiting to the deadline for answers that get lost, and against cutting jobs short."""
-    b, sent, repeats = _lossy(0.5, 3)
-    assert sent == 300 and repeats >= 95  # all but the first few losses, none for want of budget or zone
+    """Guards against waiting to the deadline for lost responses, and against too short timeouts otherwise."""
+    b, sent, retries = _lossy(0.5, 3)
+    # Only the first few losses are not retried, and none for lack of budget or of an endpoint in the zone.
+    assert sent == 300 and retries >= 95
     assert 0 < sends(b.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms < 400
     calm, _, _ = _lossy(0.5, 1000)
     assert sends(calm.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms == 0.0
@@ -418,25 +442,25 @@
     assert sends(worthless.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms > 390
 
 
-def test_an_overload_is_shed_sharply_but_not_high_value_requests() -> None:
-    """Guards against hundreds of quiet nodes that keep a fleet overdriven; worth goes first."""
-    classes = (replace(SAFE, name="cheap"), replace(SAFE, name="dear", priority_weight=50.0))
+def test_an_overload_sheds_most_requests_but_none_of_high_value() -> None:
+    """Guards against hundreds of nodes with little traffic that together keep endpoints overloaded."""
+    classes = (replace(SAFE, name="low"), replace(SAFE, name="high", priority_weight=50.0))
     sent: Counter[str] = Counter()
     for seed in range(10):
         b = node(replace(BASE, node_count=500, classes=classes, max_attempts=1), NAMES, seed)
         for i in range(150):
-            kind = "dear" if i % 10 == 9 else "cheap"
+            kind = "high" if i % 10 == 9 else "low"
             for s in sends(_arrive(b, f"r{i}", 1000.0 + 1000.0 * i, kind)):
                 sent[kind] += i >= 50
                 bad = i % 2 == 0
                 status = api.AttemptStatus.TIMEOUT if bad else api.AttemptStatus.OK
                 now = 1400.0 + 1000.0 * i
                 b.handle(now, api.AttemptEnded(s.request, 0, s.backend, status, 100.0, not bad))
-    assert sent["dear"] == 100 and 0.15 * 900 < sent["cheap"] < 0.65 * 900
+    assert sent["high"] == 100 and 0.15 * 900 < sent["low"] < 0.65 * 900
 
 
 def test_one_bad_response_sheds_nothing() -> None:
-    """Guards against losing good requests on a quiet day to the noise of single answers."""
+    """Guards against shedding at low load because of a single failed response."""
     for seed in range(40):
         b = node(replace(BASE, node_count=50, max_attempts=1), NAMES, seed)
         for i in range(3):
@@ -446,7 +470,7 @@
 
 
 def test_slow_endpoints_get_less_once_all_are_at_the_cap() -> None:
-    """Guards against fleets whose speeds differ though nobody tells: the random pick follows answers."""
+    """Endpoints differ in speed without reporting it, so the random choice must follow response times."""
     b = node(replace(BASE, node_count=50), ["x", "y", "z"])
     got: Counter[str] = Counter()
     for i in range(300):
@@ -461,7 +485,7 @@
 
 
 def test_rejected_attempts_that_are_served_elsewhere_do_not_shed() -> None:
-    """Guards against shedding by the throttle where short waiting rooms turn many first attempts away."""
+    """Guards against shedding when endpoints with short queues reject many first attempts."""
     b, sent, rng = node(replace(BASE, node_count=50), NAMES), 0, random.Random(1)
     for i in range(300):
         now = 1000.0 + 2000.0 * i
@@ -476,7 +500,7 @@
 
 
 def test_panic_ignores_ejections_but_not_busy_endpoints() -> None:
-    """Guards against a node whose own trouble ejects all it feeds, and against storms of new connections."""
+    """Guards against ejecting all endpoints for faults of the node itself, and against connection storms."""
 
     def after(status: api.AttemptStatus) -> int:
         b, sent = node(replace(BASE, node_count=50, max_attempts=1), ["x", "y", "z"]), 0
@@ -491,18 +515,18 @@
     assert after(api.AttemptStatus.CONNECT_FAILED) == 3
 
 
-def test_limit_does_not_float_up_while_it_does_not_bind() -> None:
-    """Guards against quiet nodes that let their limit grow and flood the fleet when a burst comes."""
+def test_the_limit_does_not_rise_while_it_is_not_reached() -> None:
+    """Guards against nodes whose limit grows at low load, which would flood the endpoints in a burst."""
     b = node(replace(BASE, node_count=4), NAMES)
     first = max(b.limit.limit, b.limit.min_limit)
     for i in range(300):
         got = sends(_arrive(b, f"r{i}"))
-        b.handle(1001.0, _done(f"r{i}", got[0].backend))
+        b.handle(1001.0, _attempt_ended(f"r{i}", got[0].backend))
     assert b.limit.limit <= first * 1.01
 
 
-def test_names_and_zones_do_not_matter() -> None:
-    """A node acts on numbers, not on what things are called."""
+def test_decisions_do_not_depend_on_the_names_of_classes_zones_and_tenants() -> None:
+    """The decisions must follow from numbers alone."""
 
     def run(cls: str, zone: str, tenant: str) -> list[str]:
         settings = replace(
@@ -521,23 +545,23 @@
     assert run("read", "a", "t") == run("zzz", "north", "q")
 
 
-def test_a_restarted_endpoint_is_not_avoided_for_failures_of_its_former_process() -> None:
-    """Guards against a zone that is back and stands idle: ejections after lost connections had doubled."""
+def test_a_restarted_endpoint_is_not_avoided_for_failures_before_the_restart() -> None:
+    """Guards against a restored zone without traffic, as ejections doubled with each lost connection."""
     b = node(replace(BASE, max_attempts=1), ["x"])
     for i in range(5):
         (sent,) = sends(_arrive(b, f"r{i}", now := 1000.0 + 20_000.0 * i))
-        b.handle(now + 1.0, _done(sent.request, "x", api.AttemptStatus.CONNECT_FAILED))
+        b.handle(now + 1.0, _attempt_ended(sent.request, "x", api.AttemptStatus.CONNECT_FAILED))
     x = b.index.records["x"]
     assert x.busy_until > b.now + 1000.0
     b.handle(b.now, api.ListUpdate(api.ListUpdateKind.DELTA, [entry("x", started_at=b.now)]))
     assert max(x.busy_until, x.ejected_until) <= b.now and x.consecutive_failures == 0
 
 
-def test_idle_reports_are_doubted_once_attempts_on_them_fail() -> None:
-    """Guards against reports that freeze at nothing in flight and draw every node to the same backends."""
+def test_idle_reports_are_trusted_less_once_attempts_at_idle_endpoints_fail() -> None:
+    """Guards against outdated idle reports that attract the requests of all nodes to the same endpoints."""
 
     def sent_of(status: api.AttemptStatus) -> int:
-        b, sent = node(LOOKING, NAMES), 0
+        b, sent = node(WITH_HEALTH_CHECKS, NAMES), 0
         for i in range(80):
             now = 1000.0 + 2000.0 * i
             for act in _arrive(b, f"r{i}", now):
@@ -555,8 +579,8 @@
     assert sent_of(api.AttemptStatus.REJECTED) < 60
 
 
-def test_quiet_nodes_shed_in_fractions_when_their_attempts_fail() -> None:
-    """Guards against hundreds of nodes that each keep one request on a fleet that answers none."""
+def test_nodes_with_few_requests_shed_a_fraction_of_them_when_attempts_fail() -> None:
+    """Guards against hundreds of nodes that each keep sending one request to endpoints that never respond."""
     b, sent = node(BASE, NAMES), 0
     for i in range(200):
         now = 1000.0 + 3000.0 * i
@@ -568,35 +592,35 @@
     assert 0 < sent < 100
 
 
-def test_queued_requests_end_in_time_also_after_a_first_attempt() -> None:
-    """Guards against losing a request that is held again after a refused attempt."""
+def test_requests_queued_before_or_after_a_first_attempt_end_in_time() -> None:
+    """Guards against losing a request that is queued again after a rejected attempt."""
     b = node(replace(BASE, max_attempts=3), ["x"])
     b.limit.limit = 1.0
     first = sends(_arrive(b, "a"))[0]
     acts = _arrive(b, "b")
     assert first and not sends(acts)
-    b.limit.in_flight = 5  # other requests keep the node at its limit
+    b.limit.in_flight = 5  # Other requests keep the node at its concurrency limit.
     again = b.handle(1001.0, api.AttemptEnded("a", 0, "x", api.AttemptStatus.REJECTED, 1.0, False))
     timers = [a for a in [*acts, *again] if isinstance(a, api.SetTimer)]
     ended = [x.request for t in timers for x in answers(b.handle(t.fires_at, api.TimerFired(t.token)))]
     assert sorted(ended + [x.request for x in answers(again)]) == ["a", "b"]
 
 
-def test_each_endpoint_is_in_a_nodes_order_once() -> None:
-    """Guards against a home zone smaller than the subset, where one backend was laid into it often."""
+def test_a_nodes_order_contains_each_endpoint_once() -> None:
+    """Guards against duplicates in the subset when the own zone has fewer endpoints than the subset."""
     priced = replace(BASE, zone="a", charges=api.Charges(cross_zone=0.015))
-    for home in range(1, 8):
+    for local_count in range(1, 8):
         for me in range(3):
             b = Balancer(replace(priced, node_count=3, node_index=me), 1)
-            listed = [entry(name, zone="a" if i < home else "b") for i, name in enumerate(NAMES)]
+            listed = [entry(name, zone="a" if i < local_count else "b") for i, name in enumerate(NAMES)]
             b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, listed))
             assert (
                 sorted(b.index.order) == NAMES
-                and sorted(b.index.order.window(0, b.subsetting.local_count)) == NAMES[:home]
+                and sorted(b.index.order.window(0, b.subsetting.local_count)) == NAMES[:local_count]
             )
 
 
-def test_log_lines_named_on_the_on_call_page_are_emitted_rarely() -> None:
+def test_log_lines_that_the_on_call_page_documents_are_rate_limited() -> None:
     lines = []
     b = node(BASE, NAMES)
     for i in range(300):
@@ -617,21 +641,21 @@
     assert all(f"`{word}:" in page for word in ("panic", "list", "shedding"))
 
 
-def test_retry_after_is_drawn_within_its_limit() -> None:
-    """Guards against refused clients that come back in step: what they are told differs."""
-    told: list[float] = []
-    for longest in (0.0, 150.0, 1000.0):
-        b = node(replace(BASE, max_retry_after_ms=longest), ["b0"])
+def test_retry_after_is_random_within_its_limit() -> None:
+    """Guards against rejected clients that all retry at the same time."""
+    delays_ms: list[float] = []
+    for max_ms in (0.0, 150.0, 1000.0):
+        b = node(replace(BASE, max_retry_after_ms=max_ms), ["b0"])
         b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, []))
         got = [answers(_arrive(b, f"r{i}", 1000.0))[0] for i in range(20)]
-        told = [a.retry_after_ms for a in got if isinstance(a, api.RejectRequest)]
-        assert len(told) == 20 and all(0.0 <= t <= longest for t in told)
-        assert longest == 0.0 or min(told) > 0.0
-    assert len(set(told)) == 20
+        delays_ms = [a.retry_after_ms for a in got if isinstance(a, api.RejectRequest)]
+        assert len(delays_ms) == 20 and all(0.0 <= t <= max_ms for t in delays_ms)
+        assert max_ms == 0.0 or min(delays_ms) > 0.0
+    assert len(set(delays_ms)) == 20
 
 
 def test_the_lowest_limit_grows_with_the_endpoints_per_node() -> None:
-    """Guards against few busy nodes that starve a fleet where serving alone takes much of the aim."""
+    """Guards against idle endpoints if there are few nodes and service alone takes much of the objective."""
     many = [f"b{i}" for i in range(60)]
     b = node(replace(BASE, node_count=3), many)
     for i in range(2000):
@@ -642,7 +666,7 @@
 
 
 def test_expired_requests_leave_the_queue() -> None:
-    """Guards against a list of held requests that grows for as long as an overload lasts."""
+    """Guards against a queue that grows for as long as an overload lasts."""
     b = node(BASE, NAMES)
     b.limit.in_flight = 99
     for i in range(50):
@@ -656,7 +680,7 @@
     b = node(replace(BASE, max_attempts=1), ["x"])
     b.limit.limit = 1.0
     _arrive(b, "first")
-    b.handle(1001.0, _done("first", "x", api.AttemptStatus.ERROR))
+    b.handle(1001.0, _attempt_ended("first", "x", api.AttemptStatus.ERROR))
     b.handle(1001.0, api.RequestArrived("late", "read", 1002.0))
     b.handle(1001.0, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, []))
     b.shedding.success_rate = 1.0
@@ -665,7 +689,7 @@
     assert "given_up" not in b.gauge()
 
 
-def test_only_endpoints_avoided_for_a_while_count_as_unavailable() -> None:
+def test_endpoints_count_as_unavailable_only_after_being_avoided_for_500_ms() -> None:
     b = node(replace(BASE, max_attempts=1), ["x", "y"])
     x = b.index.records["x"]
     b.handle(2000.0, api.TimerFired(0))
@@ -673,7 +697,7 @@
     x.ejected_until = 2400.0
     assert (b.count_unavailable(2100.0), b.count_unavailable(2399.0)) == (0, 0)
     b.handle(2300.0, api.TimerFired(0))
-    b.ejection.eject(x, b.now)  # once more, before the first one is over
+    b.ejection.eject(x, b.now)  # The endpoint is ejected again before the first ejection ends.
     x.ejected_until = 3000.0
     assert (b.count_unavailable(2499.0), b.count_unavailable(2500.0), b.count_unavailable(3000.0)) == (
         0,
--- a/tests/test_policy_modules.py
+++ b/tests/test_policy_modules.py
@@ -1,4 +1,4 @@
-"""The modules of the decisions, each built and tested alone with a clock and a seeded generator."""
+"""Unit tests of the modules of the policy, each with a clock and a seeded random generator."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return [EndpointRecord(entry(f"b{number}")) for number in range(count)]
 
 
-def test_dependencies_run_one_way() -> None:
+def test_policy_modules_have_no_import_cycles() -> None:
     graph: dict[str, set[str]] = {}
     for path in MODULES:
         imports = [n for n in ast.walk(ast.parse(path.read_text("utf-8"))) if isinstance(n, ast.ImportFrom)]
@@ -54,13 +54,13 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=[path.name for path in MODULES])
-def test_no_module_reads_private_fields_of_another(path: Path) -> None:
+def test_policy_modules_access_no_private_attributes_of_each_other(path: Path) -> None:
     for node in ast.walk(ast.parse(path.read_text("utf-8"))):
         if isinstance(node, ast.Attribute) and node.attr.startswith("_"):
             assert isinstance(node.value, ast.Name) and node.value.id == "self", ast.unparse(node)
 
 
-def test_the_retry_budget_is_a_part_of_the_requests() -> None:
+def test_the_retry_budget_is_a_fraction_of_the_requests() -> None:
     budget = RetryBudget()
     while budget.allows(1.0):
         budget.spend(1.0)
@@ -84,7 +84,7 @@
     assert fired == [(NOW + 6.0, "x")]
 
 
-def test_the_log_has_one_line_in_an_interval() -> None:
+def test_the_operator_log_writes_one_line_per_interval() -> None:
     outbox = Outbox()
     log = OperatorLog(outbox)
     for now in (NOW, NOW + MIN_LOG_INTERVAL_MS - 1.0, NOW + MIN_LOG_INTERVAL_MS):
@@ -92,13 +92,13 @@
     assert outbox.actions == [api.WriteLog(f"at {NOW}"), api.WriteLog(f"at {NOW + MIN_LOG_INTERVAL_MS}")]
 
 
-def test_the_cap_is_what_can_stand_in_line_within_the_objective() -> None:
+def test_the_cap_m_is_the_number_of_requests_that_can_queue_within_the_objective() -> None:
     for expected_ms, m in ((400.0, 1), (100.0, 2), (20.0, 13), (0.0, 400 / 1.5 / 1e-9)):
         assert join_up_to_m.cap(ClassStatistics(SAFE, expected_ms)) == int(m)
 
 
 def test_rejection_sampling_falls_back_to_a_pick_among_all() -> None:
-    """One endpoint of a hundred is eligible: samples miss it, the pick finds it."""
+    """If one endpoint of a hundred is eligible, all samples may miss it; it must be chosen nevertheless."""
     endpoints = records(100)
     candidates = Candidates(endpoints, endpoints, [], math.inf)
     for seed in range(20):
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("config", "status", "places"),
+    ("config", "status", "domains"),
     [
         (SAFE, api.AttemptStatus.RESET, set()),
         (KEYED, api.AttemptStatus.RESET, {"a"}),
@@ -120,15 +120,15 @@
         (BASE.classes[2], api.AttemptStatus.CONNECT_FAILED, set()),
     ],
 )
-def test_places_that_a_retry_has_to_be_in(
-    config: api.RequestClass, status: api.AttemptStatus | None, places: set[str] | None
+def test_the_deduplication_domains_of_a_retry_follow_the_status_of_earlier_attempts(
+    config: api.RequestClass, status: api.AttemptStatus | None, domains: set[str] | None
 ) -> None:
     request = request_of(config)
     request.attempts.append(Attempt(records(1)[0], NOW, True, status))
-    assert idempotency.required_domains(request, NOW + 10.0, 1.0) == places
+    assert idempotency.required_domains(request, NOW + 10.0, 1.0) == domains
 
 
-def test_an_idempotency_key_bounds_a_retry_in_time() -> None:
+def test_a_retry_with_an_idempotency_key_must_start_within_the_deduplication_window() -> None:
     request = request_of(KEYED)
     request.attempts.append(Attempt(records(1)[0], NOW, True, api.AttemptStatus.RESET))
     latest = idempotency.latest_start(request, 1.0)
@@ -137,7 +137,7 @@
     assert idempotency.required_domains(request, latest + 0.1, 1.0) is None
 
 
-def test_ejections_double_up_to_a_bound() -> None:
+def test_the_ejection_time_doubles_up_to_a_maximum() -> None:
     ejection = OutlierEjection(random.Random(1), EndpointIndex())
     ejection.configure(BASE)
     (endpoint,) = records(1)
@@ -147,7 +147,7 @@
         assert 0.5 * mean_ms <= endpoint.ejected_until - NOW <= 1.5 * mean_ms
 
 
-def test_the_limit_falls_with_late_responses_and_rises_only_while_it_binds() -> None:
+def test_the_concurrency_limit_falls_with_timeouts_and_rises_only_while_it_is_reached() -> None:
     classes = ClassTable()
     classes.configure(BASE)
     index = EndpointIndex()
@@ -170,7 +170,7 @@
     assert limit.limit == MIN_LIMIT
 
 
-def test_spill_follows_the_failure_rates_and_its_price() -> None:
+def test_the_spill_fraction_follows_failure_rates_and_the_cross_zone_charge() -> None:
     zones = ZoneRouting()
     zones.configure(api.Settings(classes=(SAFE,), zone="a", charges=api.Charges(cross_zone=0.1)))
     local, remote = EndpointRecord(entry("b0", zone="a")), EndpointRecord(entry("b1", zone="b"))
@@ -186,20 +186,20 @@
     assert zones.spill_fraction == 1.0
 
 
-def test_a_lifted_ban_is_remembered_for_a_ramp() -> None:
+def test_a_lifted_ban_is_remembered_for_the_slow_start_time() -> None:
     maintenance = Maintenance()
     maintenance.configure(slow_start_ms=1_000.0)
     maintenance.ban("x", 3)
     assert maintenance.banned == {"x"} and maintenance.positions == {"x": 3}
     maintenance.forget("x")
-    assert maintenance.positions == {"x": 3}  # a ban outlives the record
+    assert maintenance.positions == {"x": 3}
     maintenance.lift("x", NOW, NOW)
     assert not maintenance.banned and maintenance.returned_at == {"x": NOW}
     maintenance.lift("y", NOW + 2_000.0, NOW + 2_000.0)
     assert maintenance.returned_at == {"y": NOW + 2_000.0}
 
 
-def test_calls_of_discovery_back_off_and_a_later_one_replaces_an_earlier() -> None:
+def test_discovery_calls_back_off_and_a_later_schedule_replaces_an_earlier_one() -> None:
     outbox = Outbox()
     polling = DiscoveryPolling(random.Random(1), outbox, OperatorLog(outbox))
     polling.configure(BASE)
@@ -213,27 +213,33 @@
     assert outbox.actions == [api.WatchEndpoints()]
 
 
-def test_attempts_are_cut_short_only_where_responses_get_lost() -> None:
+def test_timeouts_are_reduced_only_if_responses_get_lost() -> None:
     config = api.RequestClass("late", api.Idempotency.IDEMPOTENT, 400.0, 1000.0, late_weight_fraction=0.5)
     timeouts = AttemptTimeouts()
     timeouts.configure(BASE)
     request = request_of(config)
     request.useful_until = request.deadline
-    calm = Attempt(records(1)[0], NOW, True)
-    assert timeouts.set_timeout(request, calm, NOW) == 0.0 and not calm.has_reduced_timeout
+    without_losses = Attempt(records(1)[0], NOW, True)
+    assert (
+        timeouts.set_timeout(request, without_losses, NOW) == 0.0 and not without_losses.has_reduced_timeout
+    )
     for _ in range(10):
         timeouts.observe(True)
-    lossy = Attempt(records(1)[0], NOW, True)
-    assert timeouts.set_timeout(request, lossy, NOW) == 200.0 and lossy.has_reduced_timeout
+    with_losses = Attempt(records(1)[0], NOW, True)
+    assert timeouts.set_timeout(request, with_losses, NOW) == 200.0 and with_losses.has_reduced_timeout
 
 
-def test_first_layouts_of_all_nodes_feed_endpoints_about_equally() -> None:
-    fed = dict.fromkeys((f"b{number}" for number in range(40)), 0)
+def test_initial_orders_spread_the_subsets_of_all_nodes_evenly_over_endpoints() -> None:
+    subset_counts = dict.fromkeys((f"b{number}" for number in range(40)), 0)
     for node_index in range(40):
         subsetting = Subsetting(EndpointIndex())
         subsetting.configure(api.Settings(classes=(SAFE,), node_index=node_index, node_count=40))
-        layout = subsetting.initial_order(sorted(fed), set(fed), random.Random(node_index))
-        assert sorted(layout) == sorted(fed)
-        for name in layout[:5]:
-            fed[name] += 1
-    assert sum(fed.values()) == 200 and min(fed.values()) >= 3 and max(fed.values()) <= 7
+        order = subsetting.initial_order(sorted(subset_counts), set(subset_counts), random.Random(node_index))
+        assert sorted(order) == sorted(subset_counts)
+        for name in order[:5]:
+            subset_counts[name] += 1
+    assert (
+        sum(subset_counts.values()) == 200
+        and min(subset_counts.values()) >= 3
+        and max(subset_counts.values()) <= 7
+    )
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -23,7 +23,7 @@
 from balancer.net.stream import StreamMemory
 from balancer.policy import Balancer
 from balancer.sim.scheduler import EventScheduler
-from tests.helpers import BASE, ColdBudget, RuleChecker
+from tests.helpers import BASE, OverloadBudgetChecker, RuleChecker
 from tests.helpers import member as listed_at
 
 GAP_MS = 1000.0 * size.NODES / size.PEAK_PER_S  # between two requests: 193 a second
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         super().__init__(generated_inputs.START_MS)
         self.balancer, self.checker = Balancer(SETTINGS, 3), RuleChecker(SETTINGS)
-        self.budget = ColdBudget(SETTINGS, FULL_PER_S)
+        self.budget = OverloadBudgetChecker(SETTINGS, FULL_PER_S)
         self.seats: dict[str, int] = {}  # of backends sent to, by which they are taken together
         pool = ConnectionPool(SETTINGS, 1, RequestStatistics(), StreamMemory(192.0))
         self.listing = EndpointUpdater(pool, self.told, self.taken, cast(CooperativeScheduler, self))
@@ -131,7 +131,7 @@
         # stands for what five nodes send to one: the rule is on all of that, and chance has its slack there.
         seat = self.seats.setdefault(entry.backend, len(self.seats))
         self.budget.send(self.now, replace(entry, backend=f"{seat // size.FEEDERS}"))
-        attempt = len(self.checker.seen[send.request].attempts) - 1
+        attempt = len(self.checker.requests[send.request].attempts) - 1
         ok = api.AttemptEnded(send.request, attempt, send.backend, api.AttemptStatus.OK, ANSWER_MS, True)
         self.at(self.now + ANSWER_MS, partial(self.tell, ok))
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the host loop."""
+"""Tests of settings, of the simulator's wire protocol and of the process that runs the policy for it."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     return out.getvalue()
 
 
-def test_settings_read_and_unknown_keys_skipped() -> None:
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
     got = parse_settings_text(BOOT)
     assert got.classes[0].latency_objective_ms == 400.0 and got.max_attempts == 3
     assert got.load_report_fields == ("waiting", "active")
@@ -80,24 +80,24 @@
         ({"zone": 4}, "zone has an invalid value: 4"),
     ],
 )
-def test_invalid_settings_are_named(change: dict[str, object], named: str) -> None:
+def test_errors_of_invalid_settings_name_the_key_and_the_value(change: dict[str, object], named: str) -> None:
     with pytest.raises(api.SettingsError, match=named):
         parse_settings_text(json.dumps(INFO | change))
 
 
-def test_every_setting_of_the_wire_page_arrives() -> None:
-    told = INFO | {
+def test_all_settings_are_parsed() -> None:
+    raw = INFO | {
         "blend": {"nines": 0.2, "top-nines": 4.0, "slow-end": 0.3, "miss-allowed": 0.02, "whole": 0.5},
         "charges": {"peer": 0.01, "moves": 0.02, "origin": 0.03, "fleet": 0.04, "discovery": 0.05},
         "client-habits": {"marks-retry": True},
         "family-info": {"warm-keys": True, "passes-deadline": True},
         "kinds": ["k"], "failure-domains": ["a", "b"],
     }  # fmt: skip
-    told["limits"] = {
+    raw["limits"] = {
         "conn-idle": 5000.0, "streams-per-conn": 7, "max-open": 9, "cpu-us-per-s": 8000,
         "cpu-us-per-request": 2.5, "peers": True, "retry-after": True, "max-retry-after": 250.0,
     }  # fmt: skip
-    got = parse_settings_text(json.dumps(told))
+    got = parse_settings_text(json.dumps(raw))
     assert (
         got.score_weights.nines,
         got.score_weights.top_nines,
@@ -115,7 +115,7 @@
     assert (got.cpu_us_per_s, got.cpu_us_per_request, got.max_retry_after_ms) == (8000.0, 2.5, 250.0)
 
 
-def test_defaults_are_cautious() -> None:
+def test_default_settings_are_conservative() -> None:
     bare = parse_settings_text(json.dumps({"request-classes": INFO["request-classes"]}))
     assert bare.cold_capacity_fraction < 1 and bare.slow_start_ms > 0 and bare.overload_multiple <= 1
     assert (
@@ -131,7 +131,7 @@
     assert bare.max_attempts == 1 and bare.must_subscribe
 
 
-def test_every_report_value_and_the_entry_fields() -> None:
+def test_load_reports_list_entries_and_list_updates_are_parsed() -> None:
     names = ("active", "waiting", "cpu", "avg_ms")
     assert wire.parse_report("1,2,0.5,7.5", names) == api.LoadReport(1.0, 2.0, 0.5, 7.5)
     assert wire.parse_report("3,4", ("rps", "err_rps")) == api.LoadReport(
@@ -146,7 +146,7 @@
     )
 
 
-def test_every_event_line() -> None:
+def test_all_kinds_of_events_are_parsed() -> None:
     names = ("waiting", "active")
     assert wire.parse_event("WAKE 77", names) == api.TimerFired(77)
     assert wire.parse_event("CANCELLED_BY_CLIENT ab", names) == api.ClientDisconnected("ab")
@@ -167,7 +167,7 @@
         assert got == api.AttemptEnded("ab", 0, "h:1", status, 1.0, False, None)
 
 
-def test_every_action_line() -> None:
+def test_all_kinds_of_actions_are_formatted() -> None:
     assert wire.format_action(api.StartAttempt("ab", "h:1", 80.0)) == "PLACE ab 80.0 h:1"
     assert wire.format_action(api.RejectRequest("ab", 250.0)) == "PUSH_BACK ab 250.0"
     assert wire.format_action(api.FailRequest("ab")) == "SURRENDER ab"
@@ -203,12 +203,12 @@
         ("SYNC 1\nCONTEXT x\nGO\n", "malformed line"),
     ],
 )
-def test_bad_input_is_named(text: str, named: str) -> None:
+def test_invalid_input_raises_a_wire_error_that_names_the_fault(text: str, named: str) -> None:
     with pytest.raises(wire.WireError, match=named):
         run(text)
 
 
-def test_bad_input_ends_the_process_with_one_line() -> None:
+def test_invalid_input_ends_the_process_with_one_line_on_standard_error() -> None:
     got = subprocess.run(
         [sys.executable, "-m", "balancer.simhost"],
         input="HELLO\n",
@@ -219,8 +219,8 @@
     assert got.returncode == 2 and got.stderr.count("\n") == 1 and "Traceback" not in got.stderr
 
 
-def test_the_deploy_file_builds_and_starts_the_adapter(tmp_path: Path) -> None:
-    """As the operators do it: built once, then started by a shell from a tree that is not written to."""
+def test_the_deploy_file_builds_and_starts_the_simulator_host(tmp_path: Path) -> None:
+    """The platform builds once, then starts the program by a shell in a read-only tree."""
     root = Path(__file__).parents[1]
     for name in ("balancer", "deploy", "requirements.txt"):
         source = root / name
@@ -249,15 +249,15 @@
     subprocess.run(["chmod", "-R", "u+w", str(tmp_path)], check=True)
 
 
-def test_the_deploy_file_names_all_modules_of_the_decisions() -> None:
-    """The platform prints and keeps their text: a module that is left out would be missing there."""
+def test_the_deploy_file_lists_all_modules_of_the_policy() -> None:
+    """The platform prints and stores the text of the listed modules; one left out would be missing there."""
     root = Path(__file__).parents[1]
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     package = sorted(str(path.relative_to(root)) for path in (root / "balancer" / "policy").glob("**/*.py"))
     assert deploy["policy"] == ["balancer/interface.py", *package]
 
 
-def test_unusual_but_legal_batches_are_no_error() -> None:
+def test_unusual_but_valid_batches_are_handled_without_an_exception() -> None:
     head = START + "SYNC 1001\nCONTEXT 0\n"
     for body in (
         "RESOLVED ff 0 1.1.1.1:1 pass 1 1 -\nGO\n",
@@ -272,17 +272,17 @@
         assert out.count("FINISHED") == 2 and "EXCEPTION" not in out, body
 
 
-def test_stop_and_start_in_one_batch_begin_afresh() -> None:
+def test_stop_and_start_in_one_batch_create_a_new_instance() -> None:
     text = START + f"SYNC 1001\nCONTEXT 0\nORDER ab 0 - 2001 - - read 0\nSTOP\nSTART 8 {BOOT}\n{LIST}GO\n"
     out = run(text + "SYNC 1002\nCONTEXT 0\nRESOLVED ab 0 1.1.1.1:1 pass 1 1 -\nGO\n")
     assert out.count("FINISHED") == 3 and "EXCEPTION" not in out
 
 
-def test_an_exception_of_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    def boom(*_: object) -> None:
+def test_an_exception_in_the_policy_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_index_error(*_: object) -> None:
         raise IndexError("off the end")
 
-    monkeypatch.setattr(policy.Balancer, "handle", boom)
+    monkeypatch.setattr(policy.Balancer, "handle", raise_index_error)
     assert "EXCEPTION IndexError: off the end" in run(START)
 
 
@@ -290,14 +290,14 @@
     lines = []
     for i in range(60):
         lines.append(f"SYNC {1001 + i}")
-        for who in (0, 1):
-            lines += [f"CONTEXT {who}", f"ORDER {i:016x} 0 - {2001 + i} - - read 0"]
+        for instance in (0, 1):
+            lines += [f"CONTEXT {instance}", f"ORDER {i:016x} 0 - {2001 + i} - - read 0"]
         lines.append("GO")
-    starts = "".join(f"CONTEXT {who}\nSTART {who + 5} {BOOT}\n{LIST}" for who in (0, 1))
+    starts = "".join(f"CONTEXT {instance}\nSTART {instance + 5} {BOOT}\n{LIST}" for instance in (0, 1))
     return f"SYNC 1000\n{starts}GO\n" + "\n".join(lines) + "\n"
 
 
-def test_same_events_same_actions_under_any_hash_seed() -> None:
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
     outs = {
         subprocess.run(
             [sys.executable, "-m", "balancer.simhost"],
@@ -309,28 +309,28 @@
     assert len(outs) == 1
 
 
-def test_instances_act_alike_alone_and_together() -> None:
-    def only(text: str, who: int) -> str:
+def test_instances_act_the_same_alone_and_together() -> None:
+    def only(text: str, instance: int) -> str:
         keep, mine = [], True
         for line in text.splitlines():
             word = line.split(" ")[0]
             if word in ("SYNC", "GO"):
                 mine = True
             elif word == "CONTEXT":
-                mine = line == f"CONTEXT {who}"
+                mine = line == f"CONTEXT {instance}"
             if mine:
                 keep.append(line)
         return "\n".join(keep) + "\n"
 
-    def acts(text: str, who: int) -> list[str]:
-        out, speaking = [], -1
+    def acts(text: str, instance: int) -> list[str]:
+        out, section = [], -1
         for line in text.splitlines():
             if line.startswith("SPEAKING"):
-                speaking = int(line.split(" ")[1])
-            elif line != "FINISHED" and speaking == who:
+                section = int(line.split(" ")[1])
+            elif line != "FINISHED" and section == instance:
                 out.append(line)
         return out
 
     both = run(_script())
-    for who in (0, 1):
-        assert acts(run(only(_script(), who)), who) == acts(both, who)
+    for instance in (0, 1):
+        assert acts(run(only(_script(), instance)), instance) == acts(both, instance)
