--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -243,7 +243,7 @@
 
     A list that is too long for one event is split over several: all but the first are of kind `DELTA`,
     removals come first, and `more_follows` is set on all but the last. `failure` describes an update of kind
-    `FAILED`, which has no entries; it is None where the cause is unknown.
+    `FAILED`, which has no entries; it is None if the cause is unknown.
     """
 
     kind: ListUpdateKind
--- a/balancer/policy/attempt_timeouts.py
+++ b/balancer/policy/attempt_timeouts.py
@@ -11,9 +11,8 @@
 LOSSY_RATE_THRESHOLD = 0.05  # Responses are assumed to get lost if more than 5 % of attempts time out.
 REDUCED_TIMEOUT_DEVIATIONS = 4  # A response 4 mean deviations later than expected counts as lost.
 MIN_REDUCED_TIMEOUT_OBJECTIVE_FRACTION = 1 / 2
-TIMEOUT_MARGIN_TICKS = (
-    2  # Attempts time out two clock ticks early, so that a failure reaches the client in time.
-)
+# Attempts time out two clock ticks early, so that a failure reaches the client in time.
+TIMEOUT_MARGIN_TICKS = 2
 
 
 @dataclass(slots=True, eq=False)
--- a/balancer/policy/health_checks.py
+++ b/balancer/policy/health_checks.py
@@ -22,9 +22,8 @@
 from balancer.policy.selection import Selection
 from balancer.policy.subsetting import Subsetting
 
-HEALTH_CHECK_TIMEOUT_ROUND_TRIPS = (
-    3.0  # An endpoint that answers a check after 3 round trips counts as stalled.
-)
+# An endpoint that does not answer a health check within 3 round trips counts as stalled.
+HEALTH_CHECK_TIMEOUT_ROUND_TRIPS = 3.0
 INITIAL_ROUND_TRIP_TICKS = 2.0
 MEAN_RESIDUAL_REQUESTS = 0.5  # On average, half of the request that an endpoint executes remains.
 
--- a/balancer/policy/idempotency.py
+++ b/balancer/policy/idempotency.py
@@ -1,4 +1,4 @@
-"""Rules for retries: where and until when a request can be sent again without taking effect twice."""
+"""Rules for retries: to which endpoints and until when a request can be sent without taking effect twice."""
 
 from __future__ import annotations
 
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -14,9 +14,8 @@
 ADMISSION_FACTOR = 1.4  # Shedding starts once 1.4 times the cubed success rate is below 1.
 HIGH_VALUE_FACTOR = 3.0  # Requests worth 3 times the mean for their duration bypass the limits.
 INITIAL_DENSITY_FACTOR = 4
-MIN_ADMITTED_FRACTION = (
-    RETRIES_PER_REQUEST  # A few requests are always admitted to detect the end of an outage.
-)
+# A few requests are always admitted to detect the end of an outage.
+MIN_ADMITTED_FRACTION = RETRIES_PER_REQUEST
 
 
 class LoadShedding:
--- a/balancer/policy/maintenance.py
+++ b/balancer/policy/maintenance.py
@@ -10,7 +10,7 @@
     """Bans by endpoint id, and the state of endpoints whose ban was lifted.
 
     `returned_at` has the clock time in ms at which a ban was lifted. Endpoints in `awaiting_first_request`
-    have got no request lifted_at then. `positions` are those that banned endpoints had in the node's order.
+    have got no request since then. `positions` are those that banned endpoints had in the node's order.
     """
 
     banned: set[str] = field(default_factory=set)
--- a/balancer/policy/ordered_names.py
+++ b/balancer/policy/ordered_names.py
@@ -1,6 +1,6 @@
 """Lists of endpoint names that are stored in blocks.
 
-The cost of an insertion, a removal or a look-up is about the square root of the block_index of names.
+The cost of an insertion, a removal or a look-up is about the square root of the number of names.
 """
 
 from __future__ import annotations
@@ -14,9 +14,8 @@
 
 BLOCK_SIZE = 512  # A block of 512 to 1024 names is about the square root of the length of a long list.
 
-MAX_POSITION_LOOKUPS = (
-    64  # For more than 64 names, one pass over all names is cheaper than looking up each one.
-)
+# For more than 64 names, one pass over all names is cheaper than looking up the position of each.
+MAX_POSITION_LOOKUPS = 64
 
 Insertion = tuple[int, str]
 """A position and a new name that is inserted before the present name at that position."""
@@ -32,7 +31,7 @@
         self.blocks: list[list[str]] = []
 
     def __len__(self) -> int:
-        """Return the block_index of names."""
+        """Return the number of names."""
         return self.size
 
     def __iter__(self) -> Iterator[str]:
@@ -55,12 +54,12 @@
     def index(self, name: str) -> int:
         """Return the position of a name, which must be in the list."""
         target_block = self.records[name].order_block
-        begin = 0
+        block_start = 0
         for block in self.blocks:
             if block is target_block:
                 break
-            begin += len(block)
-        return begin + (target_block or []).index(name)
+            block_start += len(block)
+        return block_start + (target_block or []).index(name)
 
     def insert(self, insertions: Sequence[Insertion]) -> None:
         """Insert each name at its position, or at the end if that is beyond the last; positions must ascend.
@@ -103,22 +102,22 @@
                 self.records[name].order_block = new_block
         return len(added)
 
-    def _insert_into(self, block: list[str], begin: int, insertions: Sequence[Insertion]) -> None:
+    def _insert_into(self, block: list[str], block_start: int, insertions: Sequence[Insertion]) -> None:
         for _, name in insertions:
             self.records[name].order_block = block
         self.size += len(insertions)
         if (size := len(block)) > len(insertions):
             # Inserting in reverse order keeps the remaining positions valid.
             for position, name in reversed(insertions):
-                block.insert(min(position - begin, size), name)
+                block.insert(min(position - block_start, size), name)
             return
         merged = list[str]()
-        done = 0
+        copied = 0
         for position, name in insertions:
-            merged += block[done : position - begin]
+            merged += block[copied : position - block_start]
             merged.append(name)
-            done = position - begin
-        block[:] = merged + block[done:]
+            copied = position - block_start
+        block[:] = merged + block[copied:]
 
 
 class EndpointOrder:
@@ -131,7 +130,7 @@
         self.local = OrderedNames(records)
 
     def __len__(self) -> int:
-        """Return the block_index of endpoints."""
+        """Return the number of endpoints."""
         return len(self.local) + len(self.remote)
 
     def __iter__(self) -> Iterator[str]:
@@ -184,7 +183,7 @@
         return [name for name in self if name in wanted]
 
     def partition(self, is_local: Callable[[EndpointRecord], bool]) -> None:
-        """Divide all endpoints anew into local and remote ones without reordering them."""
+        """Reassign all endpoints to the local and remote ones without reordering them."""
         sides: dict[bool, list[Insertion]] = {True: [], False: []}
         for name in self:
             sides[is_local(self.records[name])].append((0, name))
--- a/balancer/policy/outbox.py
+++ b/balancer/policy/outbox.py
@@ -45,7 +45,7 @@
 
 
 class OperatorLog:
-    """Writes rate-limited log lines, and counts requests that arrived or were rejected since the last one."""
+    """Writes rate-limited log lines, and counts requests that arrived or were rejected since then."""
 
     __slots__ = ("_last_line_at", "_outbox", "arrivals", "rejections")
 
--- a/balancer/policy/polling.py
+++ b/balancer/policy/polling.py
@@ -13,13 +13,11 @@
 from balancer.policy.outbox import OperatorLog, Outbox
 
 MAX_CALL_INTERVAL_MS = 3_950.0
-WAIT_AFTER_LONG_CALL_MS = (
-    900.0  # A call of the maximum duration leaves 900 ms of the call interval for the wait.
-)
+# A call of the maximum duration leaves 900 ms of the call interval for the wait after it.
+WAIT_AFTER_LONG_CALL_MS = 900.0
 CHANGE_KNOWN_AFTER_MS = 6_000.0  # A node must know a change of the list within 6 s after discovery has it.
-MAX_WAIT_WHEN_OVERLOADED_MS = (
-    1_200.0  # Discovery that ends calls itself may be overloaded; it is called again soon.
-)
+# If discovery itself ends calls, it may only be overloaded, so the next call follows within 1.2 s.
+MAX_WAIT_WHEN_OVERLOADED_MS = 1_200.0
 MIN_CALLS_IN_TIME_LEFT = 4.0  # Four calls fit into the time left until a change must be known.
 MIN_WAIT_MS = 800.0
 MAX_CALL_INTERVAL_WHEN_REJECTED_MS = 2_800.0
@@ -46,7 +44,7 @@
     _scheduled_call: int = field(default=0, init=False)
 
     def configure(self, settings: api.Settings) -> None:
-        """Apply new settings; the backoff starts anew, as discovery may have another address."""
+        """Apply new settings and reset the backoff, as discovery may have another address."""
         self._max_age_ms = settings.list_max_age_ms
         self._failed_calls = 0
 
--- a/balancer/policy/recovery_admission.py
+++ b/balancer/policy/recovery_admission.py
@@ -87,5 +87,5 @@
         """
         if warmth < self.mean_warmth:
             return probability, sample_size
-        ease = max(0.0, (success_rate - MIN_SUCCESS_RATE_TO_RELAX) / (1 - MIN_SUCCESS_RATE_TO_RELAX))
-        return probability + (1 - probability) * ease, 1 + (sample_size - 1) * (1 - ease)
+        relaxation = max(0.0, (success_rate - MIN_SUCCESS_RATE_TO_RELAX) / (1 - MIN_SUCCESS_RATE_TO_RELAX))
+        return probability + (1 - probability) * relaxation, 1 + (sample_size - 1) * (1 - relaxation)
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -104,8 +104,8 @@
         time_left_ms = self.warm_at(entry) - now
         if time_left_ms <= 0:
             return 1.0
-        grown = max(0.0, 1.0 - time_left_ms / self.ramp_ms)
-        return self._cold_fraction + (1.0 - self._cold_fraction) * grown
+        growth = max(0.0, 1.0 - time_left_ms / self.ramp_ms)
+        return self._cold_fraction + (1.0 - self._cold_fraction) * growth
 
     def admits(
         self,
--- a/balancer/policy/subsetting.py
+++ b/balancer/policy/subsetting.py
@@ -35,7 +35,7 @@
 
     `local_count` is the number of endpoints in the node's own zone, or of all if that has none.
     `peak_endpoint_count` is the largest number of endpoints in service so far, by which the share of a warm
-    endpoint is computed. `endpoints_per_zone` is the mean.
+    endpoint is computed. `endpoints_per_zone` is the mean number of endpoints in a zone.
     """
 
     index: EndpointIndex
@@ -71,7 +71,7 @@
         """Return the insertions of new endpoints among the `side_size` local or remote ones of the order.
 
         An endpoint with an entry in `positions`, which is removed, returns to that position, so that the same
-        nodes as before send to it. A new endpoint comes into as many subsets as any other.
+        nodes as before send to it. A new endpoint becomes part of as many subsets as any other.
         """
         size = side_size + len(names)
         ring = {name: self.ring_position(name) for name in names}
--- a/balancer/policy/zone_routing.py
+++ b/balancer/policy/zone_routing.py
@@ -57,7 +57,7 @@
 
         It is the fraction of local candidates that are warming up, as after the loss of a whole zone. If
         local endpoints are overloaded or fail instead, other zones are not flooded with their load. The
-        fraction is 0 if cross-zone traffic costs more than a request is worth.
+        fraction is 0 if cross-zone traffic costs all that a request is worth.
         """
         if not has_remote or self._cross_zone_charge >= PROHIBITIVE_CHARGE or not candidates.endpoints:
             return 0.0
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -140,9 +140,9 @@
     classes = _class_sections(root)
     node_count = root.integer("group-size", 1, 1)
     node_index = root.integer("me", 0, 0)
-    retry_after_heeded = limits.flag("retry-after")
+    honors_retry_after = limits.flag("retry-after")
     settings = replace(
-        _node(root, rules, classes),
+        _base_settings(root, rules, classes),
         node_index=node_index,
         node_count=node_count,
         charges=_charges(charges),
@@ -153,12 +153,12 @@
         load_report_mode=load_info.choice("how", LOAD_REPORT_MODES, "off"),
         load_report_fields=load_info.texts("names"),
     )
-    settings = _with_rules(settings, limits, rules, retry_after_heeded)
+    settings = _with_rules(settings, limits, rules, honors_retry_after)
     settings = _with_environment(settings, root, limits, family)
     return _with_connection_limits(settings, limits)
 
 
-def _node(root: Section, rules: Section, classes: list[Section]) -> api.Settings:
+def _base_settings(root: Section, rules: Section, classes: list[Section]) -> api.Settings:
     """Parse the request classes, the tenants, the zone, the clock granularity and the slow start."""
     slow_start_ms = rules.number("ramp-time", 60_000.0)
     cold_capacity_fraction = rules.number("cold-share", 0.0)
@@ -235,7 +235,7 @@
 
 
 def _with_rules(
-    settings: api.Settings, limits: Section, rules: Section, retry_after_heeded: bool
+    settings: api.Settings, limits: Section, rules: Section, honors_retry_after: bool
 ) -> api.Settings:
     """Parse the rules for attempts, for the endpoint list and for the overload of endpoints."""
     return replace(
@@ -244,7 +244,7 @@
         cancellation_allowed=limits.flag("cancel"),
         hedging_allowed=limits.flag("second-copies"),
         max_attempts=limits.integer("most-tries", 1, 1),
-        max_retry_after_ms=limits.number("max-retry-after", 0.0) if retry_after_heeded else 0.0,
+        max_retry_after_ms=limits.number("max-retry-after", 0.0) if honors_retry_after else 0.0,
         answer_slack_ms=rules.number("answer-slack", 0.0),
         list_max_age_ms=rules.number("ask-within", 10_000.0),
         drain_grace_ms=rules.number("drain-grace", 0.0),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -81,9 +81,9 @@
 class _RequestState:
     cls: api.RequestClass
     deadline: float
-    ended: bool = False
-    told_ended: bool = False
-    answers: int = 0
+    is_ended: bool = False
+    is_end_reported: bool = False
+    response_count: int = 0
     attempts: list[tuple[str, float, api.AttemptStatus | None]] = field(default_factory=list)
 
 
@@ -109,9 +109,9 @@
             request = self.requests[event.request]
             backend, sent, _ = request.attempts[event.attempt]
             request.attempts[event.attempt] = (backend, sent, event.status)
-            request.ended = request.ended or event.is_answered
+            request.is_ended = request.is_ended or event.is_answered
         elif isinstance(event, api.ClientDisconnected) and event.request in self.requests:
-            self.requests[event.request].ended = True
+            self.requests[event.request].is_ended = True
         elif isinstance(event, api.ListUpdate) and event.kind is not api.ListUpdateKind.FAILED:
             named = {e.backend for e in event.entries}
             if event.kind is not api.ListUpdateKind.DELTA:
@@ -137,12 +137,12 @@
         return [
             name
             for name, request in self.requests.items()
-            if not request.ended and now > request.deadline + self.settings.answer_slack_ms
+            if not request.is_ended and now > request.deadline + self.settings.answer_slack_ms
         ]
 
     def _send(self, now: float, action: api.StartAttempt) -> None:
         request = self.requests[action.request]
-        assert not request.ended, f"rule 1: attempt of {action.request} after its final response"
+        assert not request.is_ended, f"rule 1: attempt of {action.request} after its final response"
         since = self.out_of_service_since.get(action.backend)
         assert since is None or now - since <= self.settings.drain_grace_ms, (
             f"rule 3: attempt at {action.backend}, which left service"
@@ -178,7 +178,7 @@
 
     def _answer(self, now: float, action: api.RejectRequest | api.FailRequest) -> None:
         request = self.requests[action.request]
-        assert not request.ended, f"rule 1: a second final response for {action.request}"
+        assert not request.is_ended, f"rule 1: a second final response for {action.request}"
         assert now <= request.deadline + self.settings.answer_slack_ms, (
             f"rule 1: response for {action.request} is late"
         )
@@ -194,7 +194,7 @@
             assert not maybe_executed or has_global_key, (
                 f"rule 2: rejection of {action.request}, which may have been executed"
             )
-        request.ended = True
+        request.is_ended = True
 
 
 class OverloadBudgetChecker:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -116,7 +116,7 @@
 
 
 def test_high_value_requests_are_the_last_to_be_rejected() -> None:
-    """They may overdraw the bucket that other requests have emptied, up to the maximum overdraft."""
+    """High-value requests may overdraw a bucket that others have emptied, up to the maximum overdraft."""
     admission = RecoveryAdmission(RECOVERING, 0.0)
     admission.fill(100.0, [0.2] * 8, 8, BASE)
     while admission.allows(False):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -143,7 +143,7 @@
         _warming_at_cap,
     ],
 )
-def test_each_endpoint_is_chosen_with_the_probability_of_the_plain_rule(
+def test_each_endpoint_is_chosen_with_the_probability_of_the_unoptimised_rule(
     state: Callable[[Balancer, list[EndpointRecord]], None], kind: str
 ) -> None:
     """The chi-square statistic of seeded draws stays near that of the exact probabilities.
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -86,7 +86,7 @@
     power_lost: bool = False
 
 
-class Fleet:
+class Simulation:
     """Simulates all nodes of a site, each with the real policy, their backends, clients and discovery."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
@@ -116,7 +116,7 @@
         self.event_count += 1
         heapq.heappush(self.schedule, (when, self.event_count, call))
 
-    def run(self) -> Fleet:
+    def run(self) -> Simulation:
         self.listed = {name: server.entry for name, server in self.servers.items()}
         for b in self.balancers:
             b.handle(
@@ -192,9 +192,9 @@
             new_entry = self.listed[new] = replace(old, backend=new, started_at=self.now)
             del self.listed[name]
             self.servers[new] = Server(new_entry)
-            gone = replace(old, phase=api.EndpointPhase.REMOVED)
+            removed = replace(old, phase=api.EndpointPhase.REMOVED)
             for b in self.balancers:
-                update = api.ListUpdate(api.ListUpdateKind.DELTA, [replace(gone), replace(new_entry)])
+                update = api.ListUpdate(api.ListUpdateKind.DELTA, [replace(removed), replace(new_entry)])
                 self.at(
                     self.now + self.rng.uniform(0, self.scenario.max_delay_ms),
                     partial(self.handle_event, b, update),
@@ -211,9 +211,15 @@
         )
 
     def arrive(self) -> None:
-        d = self.scenario
-        second = self.begin + 3000.0 + d.every_ms
-        rate = d.load * d.backends * d.per_s / 1000 * (d.burst if second <= self.now < second + 2000 else 1.0)
+        scenario = self.scenario
+        second = self.begin + 3000.0 + scenario.every_ms
+        rate = (
+            scenario.load
+            * scenario.backends
+            * scenario.per_s
+            / 1000
+            * (scenario.burst if second <= self.now < second + 2000 else 1.0)
+        )
         self.at(self.now + self.rng.expovariate(rate), self.arrive)
         self.send_request(0)
 
@@ -338,7 +344,7 @@
 
 def simulate(scenario: Scenario, seeds: Iterable[int]) -> tuple[float, float, int]:
     """Simulate with several seeds; return the largest relative load, the mean budget use and the starts."""
-    starts = [one for seed in seeds for one in Fleet(scenario, seed).run().starts()]
+    starts = [one for seed in seeds for one in Simulation(scenario, seed).run().starts()]
     return max(max_load for max_load, _ in starts), sum(used for _, used in starts) / len(starts), len(starts)
 
 
@@ -392,7 +398,7 @@
 def test_an_endpoint_whose_ban_was_lifted_gets_requests_within_2500_ms(nodes: int) -> None:
     for seed in range(5):
         scenario = replace(BAN_LIFTED, nodes=nodes, busy=0, max_delay_ms=100.0, duration_ms=6000.0)
-        backend_start = next(iter(Fleet(scenario, seed).run().backend_starts.values()))
+        backend_start = next(iter(Simulation(scenario, seed).run().backend_starts.values()))
         assert backend_start.sent and backend_start.sent[0] < backend_start.start + 2500.0
 
 
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -220,7 +220,7 @@
 @settings(max_examples=250, deadline=None, derandomize=True)
 @given(st.sampled_from(SETTINGS), LISTS, st.lists(STEPS, max_size=40))
 def test_the_index_agrees_with_a_full_rebuild_after_any_event(
-    cfg: api.Settings, begin: list[api.Endpoint], steps: list[tuple[str, object, object]]
+    cfg: api.Settings, start: list[api.Endpoint], steps: list[tuple[str, object, object]]
 ) -> None:
     b, model, now = Balancer(cfg, 7), RebuildModel(cfg, 7), 1000.0
     in_flight: dict[tuple[str, int], str] = {}
@@ -241,7 +241,7 @@
         model.apply_update(kind, entries)
         handle_event(api.ListUpdate(kind, [replace(e) for e in entries]))
 
-    apply_update(SNAPSHOT, begin)
+    apply_update(SNAPSHOT, start)
     check_agreement(b, model)
     for number, (what, one, two) in enumerate(steps):
         now += 37.0
@@ -416,16 +416,16 @@
     load(3000.0)
     assert sent["a"] > 0
     own = [x for x, z in zones.items() if z == "a"]
-    begin = now
+    start = now
     apply_update([entry(x, zone="a", phase=api.EndpointPhase.REMOVED) for x in own])
     before = sent["a"]
-    load(begin + 1000.0)
+    load(start + 1000.0)
     assert sent["a"] == before and len(b.index.order) == b.index.listed_count == size - len(own)
     assert sum(sent.values()) == number and not rejected  # The other zones serve all requests.
     apply_update([entry(x, zone="a", started_at=now) for x in own])
-    load(begin + 2000.0)
+    load(start + 2000.0)
     assert len(b.index.order) == size and b.subsetting.local_count == len(own)
-    load(begin + 4000.0)
+    load(start + 4000.0)
     now += 1000.0
     for _, outcome in due:
         handle_event(outcome)
@@ -450,7 +450,7 @@
 @pytest.mark.parametrize("charge", [0.0, 0.1])
 @pytest.mark.parametrize("piece", [270, 30])
 def test_endpoints_listed_later_are_in_as_many_subsets_as_others(charge: float, piece: int) -> None:
-    """With a cross-zone charge, most later endpoints stood behind all local ones and got few requests."""
+    """With a cross-zone charge, later endpoints were ordered after all local ones and got few requests."""
     subset_counts = Counter[str]()
     zones = {f"{'old' if old else 'new'}{i}": "abc"[i % 3] for old in (True, False) for i in range(270)}
     for me in range(60):
@@ -459,8 +459,8 @@
         for first in range(0, 540, piece):
             entries = [entry(x, zone=zones[x]) for x in list(zones)[first : first + piece]]
             b.handle(1000.0, api.ListUpdate(DELTA, entries, more_follows=first + piece < 540))
-        gone = [entry(x, phase=api.EndpointPhase.REMOVED) for x in zones if x.startswith("old")]
-        b.handle(1000.0, api.ListUpdate(DELTA, gone))
+        removed = [entry(x, phase=api.EndpointPhase.REMOVED) for x in zones if x.startswith("old")]
+        b.handle(1000.0, api.ListUpdate(DELTA, removed))
         subset_counts.update(b.index.order.window(0, b.subsetting.subset_size))
         assert b.zones.spill_fraction == pytest.approx(2 / 3 if charge else 0.0)
     counts = [subset_counts[x] for x in zones if x.startswith("new")]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -220,8 +220,8 @@
     balancer.handle(1002.0, BAN)
     assert backends_of_requests(balancer, 1003.0) == {"b1", "b2"}
     balancer.handle(5000.0, LIFT)
-    gone = entry("b0", zone="z", phase=api.EndpointPhase.REMOVED)
-    balancer.handle(5001.0, api.ListUpdate(api.ListUpdateKind.DELTA, [gone]))
+    removed = entry("b0", zone="z", phase=api.EndpointPhase.REMOVED)
+    balancer.handle(5001.0, api.ListUpdate(api.ListUpdateKind.DELTA, [removed]))
     assert backends_of_requests(balancer, 5002.0) == {"b1", "b2"}  # An unlisted backend gets no requests.
     balancer.handle(5003.0, api.ListUpdate(api.ListUpdateKind.DELTA, [entry("b0", zone="z")]))
     assert backends_of_requests(balancer, 5004.0, 1) == {"b0"}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -324,8 +324,8 @@
     def made(price: float) -> Balancer:
         cfg = replace(BASE, node_count=50, max_attempts=1, charges=api.Charges(cross_zone=price))
         b = Balancer(cfg, 3)
-        fleet = [entry(f"b{i:02d}", zone="abcd"[i % 4]) for i in range(40)]
-        b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, fleet))
+        listed = [entry(f"b{i:02d}", zone="abcd"[i % 4]) for i in range(40)]
+        b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, listed))
         return b
 
     costly, cheap = made(0.12), made(0.001)
@@ -412,8 +412,8 @@
     cls = replace(KEYED, late_weight_fraction=late_weight_fraction)
     cfg = replace(BASE, node_count=50, classes=(cls,), max_attempts=4, charges=charges)
     b, sent, retries = Balancer(cfg, seed), 0, 0
-    fleet = [entry(f"b{i}", zone="ab"[i % 2]) for i in range(12)]
-    b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, fleet))
+    listed = [entry(f"b{i}", zone="ab"[i % 2]) for i in range(12)]
+    b.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, listed))
     for i in range(300):
         b.zones.spill_fraction, start, n = 0.5, 1000.0 + 2000.0 * i, 0
         acts = b.handle(start, api.RequestArrived(f"r{i}", "pay", start + 1000.0))
@@ -526,7 +526,7 @@
 
 
 def test_decisions_do_not_depend_on_the_names_of_classes_zones_and_tenants() -> None:
-    """The decisions must follow from numbers alone."""
+    """Guards against decisions that depend on names instead of the numbers of settings and events."""
 
     def run(cls: str, zone: str, tenant: str) -> list[str]:
         settings = replace(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -71,7 +71,7 @@
 
     def resolve(index: int, status: api.AttemptStatus) -> None:
         rid, number, backend, _ = in_flight.pop(index)
-        closed = check.requests[rid].ended or status is api.AttemptStatus.OK
+        closed = check.requests[rid].is_ended or status is api.AttemptStatus.OK
         load = rng.choice([None, api.LoadReport(0.0, 0.0), api.LoadReport(float(rng.randint(0, 30)), 0.0)])
         handle_event(api.AttemptEnded(rid, number, backend, status, rng.uniform(0, 500), closed, load))
 
@@ -147,7 +147,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 10**9), st.sampled_from(VARIANTS))
-def test_rules_hold_on_hostile_event_orders(seed: int, cfg: api.Settings) -> None:
+def test_rules_hold_under_adverse_event_orders(seed: int, cfg: api.Settings) -> None:
     assert drive(cfg, seed).requests is not None
 
 
@@ -239,8 +239,8 @@
     backends, sent = 40, 0
     for me in range(nodes):
         b = Balancer(replace(cfg, node_index=me), me)
-        fleet = [entry(f"b{i:02d}", started_at=9_999.0 if i == 7 else 0.0) for i in range(backends)]
-        b.handle(10_000.0, api.ListUpdate(api.ListUpdateKind.CACHED, fleet))
+        endpoints = [entry(f"b{i:02d}", started_at=9_999.0 if i == 7 else 0.0) for i in range(backends)]
+        b.handle(10_000.0, api.ListUpdate(api.ListUpdateKind.CACHED, endpoints))
         for i in range(rate):
             now = 10_000.0 + 1000.0 * i / rate
             for s in sends(b.handle(now, api.RequestArrived(f"r{i}", "read", now + 1000.0))):
@@ -256,7 +256,7 @@
 def test_all_nodes_together_stay_under_a_warming_endpoints_budget(
     nodes: int, rate: int, cold_fraction: float
 ) -> None:
-    """Each node must scale its share of the budget, so that the sum does not grow with their number."""
+    """Each node must scale its share of the budget, so that the sum does not grow with the node count."""
     assert not exceeds_overload_budget(nodes, rate, cold_fraction)
 
 
@@ -271,12 +271,12 @@
     It includes a load burst, retries, and list updates that reach nodes at different times.
     """
     rng, size, capacity_per_s, now = random.Random(nodes), 20, 20.0, 50_000.0
-    fleet = {i: entry(f"b{i:02d}", zone="ab"[i % 2]) for i in range(size)}
+    endpoints = {i: entry(f"b{i:02d}", zone="ab"[i % 2]) for i in range(size)}
     balancers = [
         Balancer(replace(cfg, node_index=me, node_count=nodes, zone="ab"[me % 2]), me) for me in range(nodes)
     ]
     for b in balancers:
-        b.handle(now, api.ListUpdate(api.ListUpdateKind.CACHED, [replace(e) for e in fleet.values()]))
+        b.handle(now, api.ListUpdate(api.ListUpdateKind.CACHED, [replace(e) for e in endpoints.values()]))
     budget, request_count = OverloadBudgetChecker(cfg, capacity_per_s), 0
     pending_updates: list[tuple[float, Balancer, list[api.Endpoint]]] = []
     in_flight: list[tuple[float, Balancer, api.AttemptEnded]] = []
@@ -285,9 +285,11 @@
         now += 1000.0 / (0.6 * size * capacity_per_s * (1.6 if 8000.0 < end - now < 10_000.0 else 1.0))
         if now >= next_batch and replaced_count < size:
             for i in range(replaced_count, min(size, replaced_count + at_once)):
-                old, fleet[i] = fleet[i], entry(f"n{i:02d}", zone="ab"[i % 2], started_at=now)
-                gone = replace(old, phase=api.EndpointPhase.REMOVED)
-                pending_updates += [(now + rng.uniform(0, 1500), b, [gone, fleet[i]]) for b in balancers]
+                old, endpoints[i] = endpoints[i], entry(f"n{i:02d}", zone="ab"[i % 2], started_at=now)
+                removed = replace(old, phase=api.EndpointPhase.REMOVED)
+                pending_updates += [
+                    (now + rng.uniform(0, 1500), b, [removed, endpoints[i]]) for b in balancers
+                ]
             replaced_count, next_batch = replaced_count + at_once, now + 2500.0
         for item in [x for x in pending_updates if x[0] <= now]:
             pending_updates.remove(item)
