--- a/balancer/simhost.py
+++ b/balancer/simhost.py
@@ -73,7 +73,8 @@
         """Pass an event to its instance; the entries of a list update are read from `lines`."""
         if instance not in self.instances:
             raise wire.WireError(
-                f"event for instance {instance}, which was never started: {line[: wire.MAX_QUOTED_CHARS]!r}"
+                f"event for instance {instance}, which was never started by START: "
+                f"{line[: wire.MAX_QUOTED_CHARS]!r}"
             )
         balancer, settings = self.instances[instance]
         event = self._parse_event(line, settings, lines)
@@ -122,7 +123,9 @@
     for line in lines:
         word, _, clock = line.partition(" ")
         if word != "SYNC":
-            raise wire.WireError(f"expected SYNC, got {line[: wire.MAX_QUOTED_CHARS]!r}")
+            raise wire.WireError(
+                f"expected SYNC TIME_MS at the start of a batch, got {line[: wire.MAX_QUOTED_CHARS]!r}"
+            )
         try:
             now = wire.parse_time(clock)
         except ValueError:
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -131,7 +131,8 @@
     parts = line.split(" ")
     if (parse := _EVENTS.get(parts[0])) is None:
         raise WireError(
-            f"unknown message: the first word is no event of the protocol: {line[:MAX_QUOTED_CHARS]!r}"
+            "unknown message: expected a line that starts with an event of the protocol, "
+            f"got {line[:MAX_QUOTED_CHARS]!r}"
         )
     try:
         return parse(parts, report_names)
