--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,6 @@
-"""Whoever holds the descriptors: the list, a backend's connection and the console can still be had.
+"""Test descriptor limits: discovery, backends and the console stay reachable while clients use all the rest.
 
-The node may hold no more descriptors than its configuration names, as on the platform.
+The node process has a hard limit of as many descriptors as its configuration allows.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 )
 
 SOCKETS = 128
-HALF = b"GET /read HTTP/1.1\r\nHost:"
+INCOMPLETE_HEAD = b"GET /read HTTP/1.1\r\nHost:"
 
 
 async def never_respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """Answer nothing."""
+    """Receive a request and send no response."""
 
 
 class LateDiscovery(FakeDiscovery):
-    """Discovery that is down at first: its port is taken, and nobody listens."""
+    """Discovery that is down at first: its port is bound, but it does not listen."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,16 +54,16 @@
         self.port = self.sock.getsockname()[1]
 
     async def start(self) -> None:
-        """Listen: it is back."""
+        """Start listening."""
         self.server = await asyncio.start_server(self._serve, sock=self.sock)
 
 
 def write_node_config(tmp: Path, members: list[dict[str, Any]], discovery: int, **more: Any) -> Config:
-    """A configuration, left in a file as the node reads it."""
-    path, asking = tmp / "config.json", more.pop("asking", "automatic")
-    told = node_config(members, discovery, **more)
-    told["settings"]["discovery"] = asking
-    path.write_text(json.dumps(told))
+    """Write a node configuration to a file, and load it as a node does."""
+    path, discovery_mode = tmp / "config.json", more.pop("discovery_mode", "automatic")
+    table = node_config(members, discovery, **more)
+    table["settings"]["discovery"] = discovery_mode
+    path.write_text(json.dumps(table))
     return load({"PROXY_CONFIG": str(path)})
 
 
@@ -71,9 +71,9 @@
 async def limited_node(
     tmp: Path, discovery: FakeDiscovery, *backends: Backend, **more: Any
 ) -> AsyncIterator[Rig]:
-    """A node with a console that may hold `SOCKETS` descriptors and no more.
+    """Run a node with a console that may hold at most `SOCKETS` descriptors.
 
-    It knows these backends, each by many names: it limits what it sends to one.
+    Each backend is listed under many ids, because the node limits the requests in flight to one endpoint.
     """
     for backend in backends:
         await backend.start()
@@ -88,24 +88,24 @@
 
 
 def count_open_descriptors(rig: Rig) -> int:
-    """Descriptors of the node."""
+    """Return the number of open descriptors of the node process."""
     return len(list(Path(f"/proc/{rig.process.pid}/fd").iterdir()))
 
 
 def cpu_ticks(rig: Rig) -> int:
-    """Processor time of the node, in ticks of 10 ms."""
+    """Return the CPU time of the node process in ticks of 10 ms."""
     fields = Path(f"/proc/{rig.process.pid}/stat").read_text().rpartition(") ")[2].split()
     return int(fields[11]) + int(fields[12])
 
 
 class ConnectionFlood:
-    """Connections that are held, and may be closed by the node."""
+    """Many client connections that stay open unless the node closes them."""
 
     def __init__(self) -> None:
         self.socks: list[socket.socket] = []
 
     def connect(self, port: int, count: int, send: bytes = b"") -> None:
-        """So many more; none waits for the node to accept it."""
+        """Open `count` more connections without waiting for the node to accept them."""
         for _ in range(count):
             sock = socket.socket()
             sock.setblocking(False)
@@ -117,45 +117,45 @@
                     sock.send(send)
 
     def close(self) -> None:
-        """All go."""
+        """Close all connections."""
         for sock in self.socks:
             sock.close()
 
 
-def idle(rig: Rig, crowd: ConnectionFlood) -> None:
-    """Connections that send nothing."""
-    crowd.connect(rig.port, 2 * SOCKETS)
+def flood_idle(rig: Rig, flood: ConnectionFlood) -> None:
+    """Open connections that send nothing."""
+    flood.connect(rig.port, 2 * SOCKETS)
 
 
-def half(rig: Rig, crowd: ConnectionFlood) -> None:
-    """Connections that send half a head."""
-    crowd.connect(rig.port, 2 * SOCKETS, HALF)
+def flood_incomplete_heads(rig: Rig, flood: ConnectionFlood) -> None:
+    """Open connections that send an incomplete head."""
+    flood.connect(rig.port, 2 * SOCKETS, INCOMPLETE_HEAD)
 
 
-def burst(rig: Rig, crowd: ConnectionFlood) -> None:
-    """The whole backlog at once."""
+def flood_backlog(rig: Rig, flood: ConnectionFlood) -> None:
+    """Fill the whole accept queue while the node is stopped."""
     rig.process.send_signal(signal.SIGSTOP)
-    crowd.connect(rig.port, LISTEN_BACKLOG, HALF)
+    flood.connect(rig.port, LISTEN_BACKLOG, INCOMPLETE_HEAD)
     rig.process.send_signal(signal.SIGCONT)
 
 
-@pytest.mark.parametrize("attack", [idle, half, burst])
-@pytest.mark.parametrize("asking", ["automatic", "subscribe"])
-async def test_the_list_a_backend_and_the_console_can_be_had_from_a_full_node(
-    tmp_path: Path, attack: Callable[[Rig, ConnectionFlood], None], asking: str
+@pytest.mark.parametrize("attack", [flood_idle, flood_incomplete_heads, flood_backlog])
+@pytest.mark.parametrize("discovery_mode", ["automatic", "subscribe"])
+async def test_discovery_backends_and_console_are_reachable_from_a_full_node(
+    tmp_path: Path, attack: Callable[[Rig, ConnectionFlood], None], discovery_mode: str
 ) -> None:
-    """All that clients, backends and operators may hold is held when discovery returns."""
-    discovery, crowd = LateDiscovery(), ConnectionFlood()
+    """Clients, backends and operators use all their descriptors when discovery comes back."""
+    discovery, flood = LateDiscovery(), ConnectionFlood()
     old, new = Backend("b0", never_respond), Backend("b1")
     await new.start()
-    async with limited_node(tmp_path, discovery, old, asking=asking, **LONG_DEADLINES) as rig:
+    async with limited_node(tmp_path, discovery, old, discovery_mode=discovery_mode, **LONG_DEADLINES) as rig:
         upstream = load({"PROXY_CONFIG": str(rig.config)}).limits_per_process(1)[1]
-        for _ in range(upstream - 1):  # one is left for the backend that nobody knows yet
+        for _ in range(upstream - 1):  # One connection is left for the backend that is not listed yet.
             (await rig.connect()).send("/read")
             await old.requests.get()
-        crowd.connect(rig.console_port, 2 * MAX_CONNECTIONS)
-        attack(rig, crowd)
-        await rig.stats()  # the node has taken in what came before
+        flood.connect(rig.console_port, 2 * MAX_CONNECTIONS)
+        attack(rig, flood)
+        await rig.stats()  # The response shows that the node has processed the earlier connections.
         await discovery.start()
         await asyncio.wait_for(discovery.watch_targets.get(), 10)
         assert count_open_descriptors(rig) <= SOCKETS - 1
@@ -165,30 +165,29 @@
             client = await rig.connect()
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
                 return (await client.request("/read")).body.startswith(b"b1 ")
-            return False  # half heads are let go after their time
+            return False  # Connections with incomplete heads are closed after a timeout.
 
         assert await wait_until_async(served)
         assert (await rig.call_console("/healthcheck")).status == 200
-        crowd.close()
+        flood.close()
     new.stop()
     assert discovery.server is not None
     discovery.server.close()
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256, 1024, 4096])
-def test_all_that_may_be_held_is_within_the_limit(tmp_path: Path, sockets: int) -> None:
+def test_sum_of_all_limits_is_within_the_descriptors_of_the_node(tmp_path: Path, sockets: int) -> None:
     config = write_node_config(tmp_path, [], 1, sockets=sockets)
     clients, upstream = config.limits_per_process(1)
     assert clients + overflow_limit(clients) + CLOSING_FDS + upstream + RESERVED_FDS <= sockets
-    if sockets >= 4 * RESERVED_FDS:  # there is room for two
-        clients, upstream = config.limits_per_process(
-            2
-        )  # the clients' connections are to the one or the other
+    if sockets >= 4 * RESERVED_FDS:  # There is room for two processes.
+        # A client is connected to one of the two processes, so its descriptor counts once.
+        clients, upstream = config.limits_per_process(2)
         assert clients + 2 * (overflow_limit(clients) + CLOSING_FDS + upstream + RESERVED_FDS) <= sockets
 
 
-async def test_accepting_without_descriptors_neither_spins_nor_logs_nor_stops(tmp_path: Path) -> None:
-    """Ruled out: the loop closes what it cannot take and goes on."""
+async def test_accepting_without_free_descriptors_neither_spins_nor_logs_nor_stops(tmp_path: Path) -> None:
+    """Guards against a busy loop, log lines or an end of accepting when no descriptor is free."""
     discovery = FakeDiscovery()
     await discovery.start()
     async with limited_node(tmp_path, discovery, Backend("b0")) as rig:
@@ -200,7 +199,7 @@
             with contextlib.suppress(ConnectionResetError):
                 assert await client.read_until_closed() == b""
         ticks = cpu_ticks(rig)
-        await asyncio.sleep(0.5)  # the span that is measured
+        await asyncio.sleep(0.5)  # The CPU time is measured over this interval.
         assert cpu_ticks(rig) - ticks < 10 and count_open_descriptors(rig) == before
         resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
         assert (await (await rig.connect()).request("/read")).status == 200
@@ -211,17 +210,17 @@
     discovery.server.close()
 
 
-async def test_connections_that_take_the_places_of_others_need_no_more_descriptors(tmp_path: Path) -> None:
-    """A new list and requests are read in one turn, when the old backends' connections are not gone yet."""
+async def test_connections_that_replace_others_need_no_more_descriptors(tmp_path: Path) -> None:
+    """The node reads a new list and requests at once, before it has released the old connections."""
     go, discovery, new = asyncio.Event(), FakeDiscovery(), Backend("b1")
 
-    async def together(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_together(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         await go.wait()
         await echo(backend, message, writer)
 
     await discovery.start()
     await new.start()
-    old = Backend("b0", together)
+    old = Backend("b0", respond_together)
     async with limited_node(tmp_path, discovery, old, **LONG_DEADLINES) as rig:
         await discovery.watch_targets.get()
         clients = [
@@ -234,7 +233,7 @@
         go.set()
         for client in clients:
             assert (await client.read_response()).status == 200
-        most = count_open_descriptors(rig) + 2  # whoever looks for another process of the node opens a file
+        most = count_open_descriptors(rig) + 2  # The search for other processes opens files.
         resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (most, SOCKETS))
         rig.process.send_signal(signal.SIGSTOP)
         members = [new.list_entry(id=f"b1-{number}") for number in range(SOCKETS)]
@@ -252,11 +251,11 @@
     discovery.server.close()
 
 
-# --- whose connection goes
+# --- choice of the connection to close
 
 
-async def test_a_newcomer_is_served_while_the_idle_one_before_it_still_leaves(tmp_path: Path) -> None:
-    """The node reads its request before the connection that made room is gone."""
+async def test_new_client_is_served_while_the_evicted_connection_is_closing(tmp_path: Path) -> None:
+    """The node reads the request of the new client before the evicted connection is closed."""
     discovery = FakeDiscovery()
     await discovery.start()
     async with limited_node(tmp_path, discovery, Backend("b0")) as rig:
@@ -279,7 +278,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """A client's connection of which a test says what is unsent; `client` is its other end."""
+    """Transport of a client connection with a given number of unsent bytes; `client` is the other end."""
 
     def __init__(self, unsent: int = 0) -> None:
         super().__init__()
@@ -296,60 +295,58 @@
         return self.closed
 
     def write_eof(self) -> None:
-        self.closed = True  # for this side: it lingers
+        self.closed = True  # This side is half-closed, so the connection lingers.
 
     def abort(self) -> None:
         self.closed = self.aborted = True
 
 
-def listener_of(tmp: Path, limit: int) -> Listener:
-    """A listener's part for so many connections, without a listener."""
+def create_listener(tmp: Path, limit: int) -> Listener:
+    """Create a listener that does not listen and allows `limit` connections."""
     return Listener(Node(write_node_config(tmp, [], 1)), limit)
 
 
-def comes(listener: Listener, unsent: int = 0) -> FakeTransport:
-    """One more connection, just accepted."""
+def add_connection(listener: Listener, unsent: int = 0) -> FakeTransport:
+    """Add an accepted connection to the listener."""
     transport = FakeTransport(unsent)
     ClientConnection(listener).connection_made(transport)
     return transport
 
 
-async def test_a_request_that_has_come_unread_keeps_its_connection(tmp_path: Path) -> None:
-    """Guards against a reset that takes a request with it: the longest idle one without any goes."""
-    listener = listener_of(tmp_path, 3)
-    first, second, third = (comes(listener) for _ in range(3))
+async def test_connection_with_an_unread_request_is_not_evicted(tmp_path: Path) -> None:
+    """Guards against evicting a connection with an unread request: the next longest idle one is closed."""
+    listener = create_listener(tmp_path, 3)
+    first, second, third = (add_connection(listener) for _ in range(3))
     first.client.send(b"GET /read HTTP/1.1\r\n")
-    last = comes(listener)
+    last = add_connection(listener)
     assert [t.closed for t in (first, second, third, last)] == [False, True, False, False]
     assert not listener.is_over_limit
 
 
-async def test_those_that_read_no_answers_hold_neither_the_descriptors_nor_the_places(tmp_path: Path) -> None:
-    """Guards the descriptors: one that is ended before its client has read all lingers, as few may."""
-    listener = listener_of(tmp_path, 16)
-    slow = [comes(listener, unsent=1) for _ in range(16)]
-    late = [comes(listener, unsent=1) for _ in range(overflow_limit(16))]
+async def test_clients_that_read_nothing_do_not_exhaust_the_descriptors(tmp_path: Path) -> None:
+    """Guards against more descriptors than allowed for lingering connections of clients that read nothing."""
+    listener = create_listener(tmp_path, 16)
+    slow = [add_connection(listener, unsent=1) for _ in range(16)]
+    late = [add_connection(listener, unsent=1) for _ in range(overflow_limit(16))]
     assert [transport.closed for transport in slow] == [True] * overflow_limit(16) + [False] * (
         16 - overflow_limit(16)
     )
     assert not listener.is_over_limit and not any(transport.closed for transport in late)
-    assert not any(transport.aborted for transport in slow)  # for now
+    assert not any(transport.aborted for transport in slow)  # Lingering connections still fit the limit.
     for _ in range(64):
-        last = comes(listener, unsent=1)
+        last = add_connection(listener, unsent=1)
         slow.append(last)
-        count_open_descriptors = [transport for transport in slow + late if not transport.aborted]
+        open_transports = [transport for transport in slow + late if not transport.aborted]
         assert (
-            len(count_open_descriptors) == 16 + overflow_limit(16)
-            and not last.closed
-            and not listener.is_over_limit
+            len(open_transports) == 16 + overflow_limit(16) and not last.closed and not listener.is_over_limit
         )
 
 
-async def test_where_all_places_are_taken_the_longest_lingering_one_goes(tmp_path: Path) -> None:
-    listener = listener_of(tmp_path, 16)
-    slow = [comes(listener, unsent=1) for _ in range(15)]
-    rest = [comes(listener) for _ in range(overflow_limit(16) + 1)]
-    last = comes(listener)
+async def test_connection_lingering_longest_is_aborted_at_the_limit(tmp_path: Path) -> None:
+    listener = create_listener(tmp_path, 16)
+    slow = [add_connection(listener, unsent=1) for _ in range(15)]
+    rest = [add_connection(listener) for _ in range(overflow_limit(16) + 1)]
+    last = add_connection(listener)
     assert not any(transport.closed for transport in (*rest, last))
     assert [transport.closed for transport in slow] == [True] * (overflow_limit(16) + 1) + [False] * (
         14 - overflow_limit(16)
@@ -357,17 +354,17 @@
     assert [transport.aborted for transport in slow] == [True] + [False] * 14
 
 
-async def test_what_stays_open_beside_a_successor_does_not_lift_the_cap(tmp_path: Path) -> None:
-    """Guards the descriptors of a full process: those over the cap are no part of what may stay."""
+async def test_connections_over_the_limit_do_not_raise_the_limit_beside_a_successor(tmp_path: Path) -> None:
+    """Guards against counting connections over the limit as part of the lowered limit of a predecessor."""
     config = write_node_config(tmp_path, [], 1, sockets=256)
     clients, upstream = config.limits_per_process(1)
     listener = Listener(Node(config), clients)
     for _ in range(clients + overflow_limit(clients)):
-        comes(listener, unsent=1)
+        add_connection(listener, unsent=1)
     listener.node.pool.connection_count = upstream
     for _ in range(2):
         apply_limits(listener.node, listener, fallback_limits(listener.node, True))
-        comes(listener, unsent=1)
+        add_connection(listener, unsent=1)
         assert (
             listener.limit
             + overflow_limit(listener.limit)
@@ -380,22 +377,22 @@
     assert (listener.limit, listener.node.pool.limit) == (clients, upstream)
 
 
-async def test_two_processes_of_a_node_keep_to_one_limit_together(tmp_path: Path) -> None:
-    """An idle flood fills the first before the second comes, and then that one."""
+async def test_two_processes_of_a_node_stay_within_one_descriptor_limit(tmp_path: Path) -> None:
+    """Idle connections fill the first process before the second starts, and then that one."""
     config = write_node_config(tmp_path, [], 1, sockets=256)
     clients, upstream = config.limits_per_process(1)
     old, new = Listener(Node(config), clients), Listener(Node(config), clients)
     for _ in range(clients):
-        comes(old)
+        add_connection(old)
     old.node.pool.connection_count = upstream
-    count_open_descriptors = 0
+    total = 0
     for listener in (old, new):
         apply_limits(listener.node, listener, fallback_limits(listener.node, True))
-        count_open_descriptors += (
+        total += (
             listener.limit
             + overflow_limit(listener.limit)
             + CLOSING_FDS
             + listener.node.pool.limit
             + RESERVED_FDS
         )
-    assert count_open_descriptors <= 256, count_open_descriptors
+    assert total <= 256, total
--- a/tests/test_files_of_former_version.py
+++ b/tests/test_files_of_former_version.py
@@ -1,8 +1,8 @@
-"""Files written by an earlier version: today's code reads every value of them and writes the same bytes.
+"""Test compatibility with files of an earlier version: all values are read, and the same bytes written.
 
-The files under `fixtures/revision-6c5b4ec` were written by that revision; the values are those of
-`write_files` in `tests/equivalence/former.py`. They are never regenerated: an upgrade has to read what is on
-nodes' disks.
+The files under `fixtures/revision-6c5b4ec` were written by that revision; the expected values are those of
+`write_files` in `tests/equivalence/former.py`. The files must not be regenerated, because an upgrade has to
+read the files that are on the disks of nodes.
 """
 
 from __future__ import annotations
@@ -82,13 +82,13 @@
 
 @pytest.fixture
 def tmpdir(tmp_path: Path) -> Path:
-    """Return a copy of the files: reading takes some of them away."""
+    """Return a copy of the files, because reading removes some of them."""
     return Path(shutil.copytree(FIXTURES, tmp_path / "copy"))
 
 
 @pytest.fixture
 def stem(tmpdir: Path) -> Path:
-    """Return where today's processes of the node meet."""
+    """Return the path prefix that current processes of the node use for shared files."""
     return shared_path({"TMPDIR": str(tmpdir)}, NODE)
 
 
@@ -100,13 +100,13 @@
 
 @pytest.fixture
 def contents(directory: SystemDirectory) -> DirectoryContents:
-    """Return what today's code reads."""
+    """Return the contents as read by the current code."""
     return read_directory(directory, NODE)
 
 
 @pytest.fixture(params=["newest snapshot", "previous generation's log"])
 def state(request: pytest.FixtureRequest, directory: SystemDirectory) -> DurableState:
-    """Return the replayed state; the log holds each record by its keys, the snapshot by position."""
+    """Return the state replayed from a snapshot (positional fields) or from a log (fields by key)."""
     if request.param != "newest snapshot":
         directory.remove("snap-000000000002-00000001")
     contents = read_directory(directory, NODE)
@@ -123,7 +123,7 @@
     monkeypatch.setattr(time, "time", lambda: WRITTEN_AT_S)
 
 
-# --- state directory: its files
+# --- state directory: encoding of its files
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
     assert data.endswith(snapshot)
 
 
-# --- state directory: what is read
+# --- state directory: values read from it
 
 
 def test_the_state_directory_is_valid(contents: DirectoryContents) -> None:
@@ -214,7 +214,7 @@
     assert state.unknown_records == []
 
 
-def test_a_writer_takes_the_directory_over_without_loss(
+def test_new_writer_takes_over_the_directory_without_loss(
     directory: SystemDirectory, state: DurableState
 ) -> None:
     LogWriter(directory, NODE, "unused", lambda contents: state.encode_snapshot()).close()
@@ -223,10 +223,10 @@
     assert replay(after.snapshot, after.records) == state
 
 
-# --- files by which the processes of a node meet
+# --- files shared by the processes of a node
 
 
-def test_processes_of_both_versions_meet_under_the_same_name(stem: Path) -> None:
+def test_processes_of_both_versions_use_the_same_file_name(stem: Path) -> None:
     assert {path.stem for path in FIXTURES.iterdir() if path.is_file()} == {stem.name}
 
 
@@ -264,8 +264,8 @@
 
 
 @pytest.mark.usefixtures("_read_time")
-def test_the_recovery_state_of_a_predecessor_is_read_on_this_process_s_clock(stem: Path) -> None:
-    left = recovery_handover.read_handover(
+def test_recovery_state_of_a_predecessor_is_converted_to_the_clock_of_this_process(stem: Path) -> None:
+    handover = recovery_handover.read_handover(
         stem.with_suffix(recovery_handover.HANDOVER_SUFFIX), READ_AT_MONOTONIC_MS
     )
     shift_ms = READ_AT_MONOTONIC_MS - WRITTEN_AT_MONOTONIC_MS
@@ -273,7 +273,7 @@
         BanEntry("b2", 1, 7, 3, True, 900.0 + shift_ms),
         BanEntry("b2", 0, 6, 1, False, 800.0 + shift_ms),
     )
-    assert left == RecoveryHandover(Phase(3), RecoveryPath("power"), 77.0 + shift_ms, rows)
+    assert handover == RecoveryHandover(Phase(3), RecoveryPath("power"), 77.0 + shift_ms, rows)
 
 
 @pytest.mark.usefixtures("_write_time")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one node: who else runs, whose connections are new, how the old one ends."""
+"""Test an upgrade with two processes of one node: slots, connection steering, handover, shutdown."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 import pytest
 
 from balancer import interface as api
-from balancer.net import process_slots as slots_file
+from balancer.net import process_slots
 from balancer.net.config import load
 from balancer.net.connection_steering import steer_connections, stop_steering
 from balancer.net.endpoint_updater import MAX_SHORT_UPDATE
@@ -45,43 +45,45 @@
 
 @contextlib.contextmanager
 def reserved_port() -> Iterator[int]:
-    """A port that two processes can listen on and nobody else takes meanwhile."""
+    """Reserve a port on which two processes can listen."""
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(("127.0.0.1", 0))
         yield sock.getsockname()[1]
 
 
-async def test_processes_see_one_another_come_and_go(tmp_path: Path) -> None:
-    told: list[tuple[str, bool]] = []
-    old = ProcessSlots(tmp_path / "x", lambda beside: told.append(("old", beside)))
-    new = ProcessSlots(tmp_path / "x", lambda beside: told.append(("new", beside)))
+async def test_processes_detect_start_and_end_of_each_other(tmp_path: Path) -> None:
+    changes: list[tuple[str, bool]] = []
+    old = ProcessSlots(tmp_path / "x", lambda has_peer: changes.append(("old", has_peer)))
+    new = ProcessSlots(tmp_path / "x", lambda has_peer: changes.append(("new", has_peer)))
     assert not old.acquire() and new.acquire()
     old.refresh_periodically()
-    assert told == [("old", True)] and not old.peer_started_first and new.peer_started_first
+    assert changes == [("old", True)] and not old.peer_started_first and new.peer_started_first
     old.stop()
     new.stop()
     old.release()
     new.refresh_periodically()
-    assert told[1:] == [("new", False)] and not new.peer_started_first
+    assert changes[1:] == [("new", False)] and not new.peer_started_first
     new.stop()
-    third = ProcessSlots(tmp_path / "x", lambda beside: None)
+    third = ProcessSlots(tmp_path / "x", lambda has_peer: None)
     assert third.acquire() and third.peer_started_first
     third.stop()
 
 
-async def test_there_are_only_so_many_processes_of_one_node(tmp_path: Path) -> None:
-    pairs = [ProcessSlots(tmp_path / "x", lambda beside: None) for _ in range(slots_file.SLOT_COUNT + 1)]
-    for pair in pairs[:-1]:
-        pair.acquire()
+async def test_process_without_a_free_slot_raises(tmp_path: Path) -> None:
+    processes = [
+        ProcessSlots(tmp_path / "x", lambda has_peer: None) for _ in range(process_slots.SLOT_COUNT + 1)
+    ]
+    for slots in processes[:-1]:
+        slots.acquire()
     with pytest.raises(SlotError):
-        pairs[-1].acquire()
-    for pair in pairs:
-        pair.stop()
-        pair.release()
+        processes[-1].acquire()
+    for slots in processes:
+        slots.stop()
+        slots.release()
 
 
-def _accepted(listener: socket.socket) -> int:
+def _accept_all(listener: socket.socket) -> int:
     count = 0
     with contextlib.suppress(BlockingIOError):
         while True:
@@ -101,29 +103,31 @@
             listener.setblocking(False)
             listeners.append(listener)
 
-        def split() -> list[int]:
+        def connections_per_listener() -> list[int]:
             for _ in range(32):
                 socket.create_connection(("127.0.0.1", port)).close()
-            return [_accepted(listener) for listener in listeners]
+            return [_accept_all(listener) for listener in listeners]
 
-        assert steer_connections(listeners[0], 1) and split() == [0, 32]
-        assert steer_connections(listeners[1], 0) and split() == [32, 0]
+        assert steer_connections(listeners[0], 1) and connections_per_listener() == [0, 32]
+        assert steer_connections(listeners[1], 0) and connections_per_listener() == [32, 0]
         stop_steering(listeners[1])
-        assert min(split()) > 0  # 2 to the power of -31 to fail where the system deals them out at random
+        # With random distribution by the kernel this fails with a probability of 2 to the power of -31.
+        assert min(connections_per_listener()) > 0
 
 
-def test_each_of_two_processes_keeps_to_its_part_of_the_descriptors(tmp_path: Path) -> None:
+def test_limits_of_two_processes_add_up_to_the_descriptors_of_the_node(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(node_config([], 1, sockets=384)))
     config = load({"PROXY_CONFIG": str(path)})
     clients, upstream = config.limits_per_process(2)
-    own = 32 + 16 + 2  # the process's, and clients that are turned away or leave
+    # A process has 32 reserved descriptors, up to 16 clients over the limit, and 2 closing connections.
+    own = 32 + 16 + 2
     assert sum(config.limits_per_process(1)) == 384 - own
-    # Both may be full at once: nothing is counted once for the two.
+    # Both processes may use their whole share at once, so no descriptor counts for both.
     assert clients == 96 and 2 * (clients + upstream + 32 + 12 + 2) == 384
 
 
-def test_a_process_that_takes_over_asks_for_the_list_at_once() -> None:
+def test_takeover_starts_watching_the_endpoint_list_at_once() -> None:
     balancer = Balancer(replace(BASE, must_subscribe=True), 1)
     saved = balancer.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, [entry("b0")]))
     assert not any(isinstance(a, api.WatchEndpoints) for a in saved)
@@ -131,12 +135,12 @@
 
 
 @pytest.mark.parametrize(("deadline", "seconds"), [(400.0, 1.1), (1200.0, 1.9), (9000.0, 3.7)])
-def test_the_time_to_the_kill_follows_from_the_longest_deadline(deadline: float, seconds: float) -> None:
+def test_time_until_sigkill_follows_from_the_longest_deadline(deadline: float, seconds: float) -> None:
     classes = (replace(SAFE, deadline_ms=100.0), replace(SAFE, name="long", deadline_ms=deadline))
     assert seconds_until_kill(replace(BASE, classes=classes)) == pytest.approx(seconds)
 
 
-async def test_a_new_version_takes_over_and_no_connection_is_lost(tmp_path: Path) -> None:
+async def test_upgrade_loses_no_connection_or_request(tmp_path: Path) -> None:
     go = asyncio.Event()
 
     async def slow(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -162,7 +166,7 @@
                 old.terminate()
                 while (await old.call_console("/healthcheck")).status == 200:
                     pass
-                for _ in range(40):  # a process that is about to end would say `Connection: close`
+                for _ in range(40):  # A process that shuts down would send `Connection: close`.
                     got = await (await new.connect()).request("/read")
                     assert got.status == 200 and "connection" not in got.headers
                 up = await kept.request("/up")
@@ -175,8 +179,8 @@
                 assert (await new.call_console("/backends/b1/ready", "POST")).status == 200
 
 
-async def test_a_new_version_takes_over_while_a_long_list_comes_in(tmp_path: Path) -> None:
-    """The new process takes its own in odd pieces; the old one is told to end in the middle of its own."""
+async def test_upgrade_while_a_long_endpoint_list_is_received(tmp_path: Path) -> None:
+    """The new process receives a list in odd pieces; the old one gets SIGTERM halfway through it."""
     keeps, gone, comes = Backend("b0"), Backend("b1"), Backend("b2")
     await comes.start()
     with reserved_port() as port:
@@ -216,7 +220,7 @@
                     return bool((await new.stats())["members"] == len(rows))
 
                 assert await wait_until_async(all_listed)
-                assert (await old.stats())["members"] == 2  # half of a list is none
+                assert (await old.stats())["members"] == 2  # An incomplete list is not applied.
                 assert (await kept.request("/read")).status == 200
 
                 old.terminate()
@@ -224,10 +228,10 @@
                     pass
                 discovery.writer = to_old
                 discovery.send_chunk(line[len(line) // 2 : -1000])
-                asked = set[str]()
-                for _ in range(40):  # a process that is about to end would say `Connection: close`
+                request_ids = set[str]()
+                for _ in range(40):  # A process that shuts down would send `Connection: close`.
                     client = await new.connect()
-                    asked.add(client.send("/read"))
+                    request_ids.add(client.send("/read"))
                     got = await client.read_response()
                     assert got.status == 200 and "connection" not in got.headers
                 last = await kept.request("/read")
@@ -238,7 +242,7 @@
                 sent = {
                     gone.requests.get_nowait().headers["request-id"] for _ in range(gone.requests.qsize())
                 }
-                assert not sent & asked  # the new one never knew that backend but as gone
+                assert not sent & request_ids  # The new process never had the removed endpoint in its list.
                 new.terminate()
                 assert await new.wait_for_exit() == 0
             finally:
@@ -250,8 +254,8 @@
     comes.stop()
 
 
-async def test_a_long_answer_under_way_at_the_end_is_broken_in_time_not_closed_early(tmp_path: Path) -> None:
-    """Guards against closing a connection whose last head let the client send another request."""
+async def test_long_response_at_shutdown_is_completed_or_aborted_in_time(tmp_path: Path) -> None:
+    """Guards against closing a connection whose last response head announced keep-alive."""
 
     go = asyncio.Event()
 
@@ -276,7 +280,9 @@
         assert await asyncio.wait_for(long.reader.readexactly(100_000), WAIT_TIMEOUT_S)
         got = await long.request("/read")
         assert got.status == 200 and got.headers["connection"] == "close"
-        with pytest.raises(asyncio.IncompleteReadError) as short:  # what was written of it came: no reset
+        with pytest.raises(
+            asyncio.IncompleteReadError
+        ) as short:  # All bytes written have arrived, so there was no reset.
             await asyncio.wait_for(ever.reader.readexactly(100_000), WAIT_TIMEOUT_S)
         assert len(short.value.partial) == 50_000
         assert await rig.wait_for_exit() == 0
@@ -285,20 +291,20 @@
 LEARNED = api.LearnedState(21.5, 0.9, 0.0, {"read": (30.0, 4.0, 0.1)}, {"b0": (0.0, 1.0, math.inf, 1, 90.0)})
 
 
-def test_what_was_learned_is_handed_over_once(tmp_path: Path) -> None:
+def test_learned_state_is_handed_over_once(tmp_path: Path) -> None:
     path = tmp_path / "x.learned"
     write_learned(path, LEARNED)
-    left = consume_learned(path)
-    assert left is not None and left.learned == LEARNED and 0 <= left.age_ms < 10_000
+    restored = consume_learned(path)
+    assert restored is not None and restored.learned == LEARNED and 0 <= restored.age_ms < 10_000
     assert consume_learned(path) is None
-    write_learned(tmp_path / "no" / "x.learned", LEARNED)  # nowhere to write: no exception
+    write_learned(tmp_path / "no" / "x.learned", LEARNED)  # A missing directory raises no exception.
 
 
 @pytest.mark.parametrize(
     "change",
     [{"at": 0.0}, {"at": 1e15}, {"learned": 1}, {"learned": {"limit": "x"}}, {"learned": {"lost": math.nan}}],
 )
-def test_what_makes_no_sense_is_not_taken_over(tmp_path: Path, change: dict[str, Any]) -> None:
+def test_invalid_learned_state_is_not_taken_over(tmp_path: Path, change: dict[str, Any]) -> None:
     path = tmp_path / "x.learned"
     write_learned(path, LEARNED)
     table = json.loads(path.read_text())
@@ -309,12 +315,12 @@
 
 
 async def _send_endpoint_update(discovery: FakeDiscovery) -> None:
-    """Tell the second watch that nothing has changed."""
+    """Wait for the next watch and send it an update without changes."""
     await discovery.watch_targets.get()
     discovery.send_update(42)
 
 
-async def test_a_second_process_that_cannot_listen_leaves_the_first_untouched(tmp_path: Path) -> None:
+async def test_second_process_that_cannot_listen_does_not_affect_the_first(tmp_path: Path) -> None:
     backend = Backend("b0")
     async with running_node(tmp_path, backend, **LONG_DEADLINES) as rig:
         path = tmp_path / "second.json"
