--- a/balancer/net/backend_connection.py
+++ b/balancer/net/backend_connection.py
@@ -213,7 +213,7 @@
             self._fail(AttemptStatus.NOT_STARTED)
             return
         if not self._is_request_started:
-            self._warn("response before its request")
+            self._warn("bytes received before the request was sent: the attempt fails")
             self._fail(AttemptStatus.CONNECT_FAILED)
             return
         response = self.response
@@ -223,7 +223,10 @@
         if response.is_complete:
             self._finish(is_clean=not fault and not response.has_excess)
         elif fault or response.has_excessive_headers:
-            self._warn("malformed response" if fault else "headers too long", fault)
+            self._warn(
+                "malformed response" if fault else "headers too long: more than 16 KiB, the attempt fails",
+                fault,
+            )
             self._fail(AttemptStatus.RESET)
         elif response.body and response.length is None and self.streaming_timer is None:
             self.streaming_timer = self.pool.loop.call_later(STREAMING_DELAY_S, self._begin_streaming)
@@ -299,7 +302,7 @@
         is_receiving = self.response.sink is not None and not self._is_reading_paused
         remaining = self._last_progress + STALL_TIMEOUT_S - self.pool.loop.time()
         if (self.is_write_blocked or is_receiving) and remaining <= 0:
-            self._warn("connection stalled")
+            self._warn("connection stalled: no byte sent or received for 10 s, the attempt fails")
             self._fail(self._break_status)
             return
         delay = max(remaining, STALL_CHECK_MIN_S)
@@ -371,7 +374,7 @@
         try:
             report = self.response.parse_load_report()
         except LoadReportError as err:
-            self._warn("bad report", str(err))
+            self._warn("invalid load report", str(err))
         if self._is_reading_paused:
             self.resume_reading()
         result = self.response.result(report)
--- a/balancer/net/connection_pool.py
+++ b/balancer/net/connection_pool.py
@@ -110,15 +110,15 @@
                     self.close_idle(name)
                 endpoint.address = address
 
-    def set_maintenance(self, name: str, is_out: bool) -> None:
+    def set_maintenance(self, name: str, is_in_maintenance: bool) -> None:
         """Start or end maintenance of an endpoint."""
-        if is_out:
+        if is_in_maintenance:
             self.in_maintenance.add(name)
         else:
             self.in_maintenance.discard(name)
         if name in self.endpoints:
-            self.endpoints[name].is_in_maintenance = is_out
-            if is_out:
+            self.endpoints[name].is_in_maintenance = is_in_maintenance
+            if is_in_maintenance:
                 self.close_idle(name)
 
     def _remove_endpoint(self, name: str) -> None:
--- a/balancer/net/counts_log.py
+++ b/balancer/net/counts_log.py
@@ -18,7 +18,7 @@
     """Periodic task that writes the counts line of a node, unless nothing was counted."""
 
     def __init__(self, node: Node) -> None:
-        """Create the task of a node."""
+        """Create the task for a node; it runs once started."""
         self._node = node
         self._max_lag_s = 0.0  # Longest event loop lag since the last counts line.
         self._sample_count = 0  # Number of lag samples since the last counts line.
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -62,7 +62,7 @@
         )  # Set once discovery has sent or confirmed the endpoint list.
         self.endpoint_revision = config.initial_list.revision
         self.last_discovery_at = -math.inf  # Loop time in seconds of discovery's last response.
-        # True if the balancer was told of a discovery failure and discovery has not answered since.
+        # True if a discovery failure was reported to the balancer since the endpoint list was last confirmed.
         self._is_failure_reported = False
         self._events: deque[api.Event] = deque()
         self._is_handling = False
@@ -167,35 +167,35 @@
             return "" if self.is_up else "no backends are known"
         return (self.fleet.startup_status() if self.fleet is not None else "") or "starting"
 
-    async def set_maintenance(self, backend: str, is_out: bool) -> bool:
+    async def set_maintenance(self, backend: str, is_banned: bool) -> bool:
         """Start or end maintenance of a backend; return False for an unknown one. Raises BalancerError."""
         if not self.balancer.is_listed(backend) and not self.maintenance.is_known(backend):
             return False
         now = self.now()
-        is_change = is_out != (backend in self.maintenance.record.banned)
+        is_change = is_banned != (backend in self.maintenance.record.banned)
         if self.fleet is not None:
-            await self.fleet.record_maintenance(backend, is_out, now, is_change)
+            await self.fleet.record_maintenance(backend, is_banned, now, is_change)
         try:
             await self.maintenance.set_ban(
                 backend,
-                is_out,
+                is_banned,
                 now,
                 self.settings.slow_start_ms,
-                lambda: self.fleet is None or self.fleet.confirms(backend, is_out),
+                lambda: self.fleet is None or self.fleet.confirms(backend, is_banned),
             )
         except BalancerError:
             # The change failed, so its record must be undone before a later process reads it.
             if self.fleet is not None and is_change:
                 with contextlib.suppress(BalancerError):
-                    await self.fleet.record_maintenance(backend, not is_out, now, is_change)
+                    await self.fleet.record_maintenance(backend, not is_banned, now, is_change)
             raise
         return True
 
-    def apply_maintenance(self, backend: str, is_out: bool, since: float) -> None:
-        """Apply the start of a backend's maintenance, or its end at `since` (ms)."""
-        log.info("maintenance: %s %s", backend, "is out" if is_out else "is back")
-        self.pool.set_maintenance(backend, is_out)
-        self.handle_event(api.MaintenanceChanged(backend, is_out, since))
+    def apply_maintenance(self, backend: str, is_banned: bool, since_ms: float) -> None:
+        """Apply the start of a backend's maintenance, or its end at `since_ms`."""
+        log.info("maintenance: %s %s", backend, "is out" if is_banned else "is back")
+        self.pool.set_maintenance(backend, is_banned)
+        self.handle_event(api.MaintenanceChanged(backend, is_banned, since_ms))
 
     def stats(self) -> dict[str, object]:
         """Return the statistics in the format of `GET /stats`."""
--- a/balancer/net/node_ports.py
+++ b/balancer/net/node_ports.py
@@ -51,13 +51,13 @@
     def save_learned(self, export: Callable[[float], api.LearnedState], now: float) -> None:
         """Save the learned state returned by `export` if a save is due at `now` (ms)."""
 
-    async def record_maintenance(self, backend: str, is_out: bool, at: float, is_change: bool) -> None:
+    async def record_maintenance(self, backend: str, is_banned: bool, at_ms: float, is_change: bool) -> None:
         """Record a maintenance change, durably if that is configured.
 
         `is_change` is False if the backend is in that state already. Raises BalancerError.
         """
 
-    def confirms(self, backend: str, is_out: bool) -> bool:
+    def confirms(self, backend: str, is_banned: bool) -> bool:
         """Return whether a recorded maintenance change is still the newest one known in the tier."""
 
     def list_request_failed(self) -> None:
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -44,7 +44,7 @@
     """The components of one node process."""
 
     def __init__(self, config: Config) -> None:
-        """Create the components. Raises ConfigError."""
+        """Create the components of the process. Raises ConfigError."""
         self.config = config
         self.node = Node(config)
         self.fleet = create_fleet(config)
--- a/balancer/net/open_request.py
+++ b/balancer/net/open_request.py
@@ -39,7 +39,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.timeout_ms = 0.0  # With 0 the attempt may run until the client's deadline.
         self.is_over = False
-        self.status: AttemptStatus | None = None  # None until the attempt is over.
+        self.status: AttemptStatus | None = None  # Final status, None while the attempt is in progress.
 
     @property
     def is_sent(self) -> bool:
--- a/balancer/net/process_slots.py
+++ b/balancer/net/process_slots.py
@@ -35,7 +35,7 @@
     """The slot of this process, and the lines in the slots of its peers."""
 
     def __init__(self, path: Path, on_peer_change: Callable[[bool], None]) -> None:
-        """Create it without a slot; `on_peer_change` is called when a first peer appears or the last ends."""
+        """Create an object without a slot; `on_peer_change` is called at the first and the last peer."""
         self.paths = [path.with_suffix(f".slot{number}") for number in range(SLOT_COUNT)]
         self.on_refresh: Callable[[], None] = lambda: None
         self.peer_lines: dict[int, str] = {}  # The peers' lines as of the last successful read, by slot.
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -48,7 +48,7 @@
         self._handle_event = handle_event
         self._loop = pool.loop
         self._log = RequestLog(pool.loop.time)
-        self._drained: asyncio.Event | None = None  # Exists during shutdown; set when no request is open.
+        self._drained: asyncio.Event | None = None  # Created by `finish`, and set when no request is open.
 
     @property
     def pending_count(self) -> int:
@@ -248,7 +248,7 @@
     def _begin_stream(
         self, attempt: RequestAttempt, backend: BackendConnection, size: int | None, content_type: bytes
     ) -> ResponseSink | None:
-        """Begin a streamed response, which has no attempt timeout."""
+        """Begin a streamed response, which ends the timeout of its attempt."""
         request = self.open.get(attempt.request_id)
         if request is None or request.is_answered:
             return None
--- a/balancer/net/request_log.py
+++ b/balancer/net/request_log.py
@@ -18,7 +18,7 @@
     """Log of single requests as examples of each kind of failure."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Create a log; `clock` returns seconds."""
+        """Create a request log; `clock` returns seconds."""
         self._lines = RateLimitedLog(log, clock, level=logging.INFO)
 
     def attempt_failed(
--- a/balancer/net/response_parser.py
+++ b/balancer/net/response_parser.py
@@ -21,7 +21,7 @@
     """A response body is longer than `MAX_BODY_BYTES`."""
 
     def __init__(self) -> None:
-        """Create the error."""
+        """Create the error with its fixed message."""
         super().__init__("response body is longer than MAX_BODY_BYTES (32 MiB)")
 
 
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # Longer bodies are streamed.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # Longer request and response bodies are streamed instead of buffered.
 MAX_BODY_BYTES = 32 * 1024 * 1024  # Longer request or response bodies are rejected.
 # A streamed request body can be sent again in a retry until more than this much of it has been sent.
 MAX_REPLAY_BYTES = 2 * MAX_BUFFERED_BODY_BYTES
@@ -15,7 +15,9 @@
 # A process uses this much memory without any bodies, including endpoint lists and small requests.
 BASE_MEMORY_MB = 22
 UPGRADE_PROCESS_COUNT = 2  # Two processes share the memory limit of the node during an upgrade.
-USABLE_FRACTION = 1 / 2  # Half of the body memory is left unplanned: allocators do not return all of it.
+USABLE_FRACTION = (
+    1 / 2
+)  # Allocators do not return all freed memory, so only half of it is planned for bodies.
 
 # All reads share this buffer, because each read is copied out before the next one.
 _read_buffer = memoryview(bytearray(MAX_WINDOW_BYTES))
@@ -70,7 +72,7 @@
         self._pending = bytearray()  # Received bytes that no attempt has sent yet.
         self._paused = False
         self._discarded = False
-        self._on_data: Callable[[], None] | None = None  # Set while an attempt is attached.
+        self._on_data: Callable[[], None] | None = None  # Callback of the attached attempt, None without one.
         memory.stream_count += 1
 
     def feed(self, data: bytes | bytearray) -> None:
@@ -98,7 +100,7 @@
         self._on_data = on_data
 
     def detach(self) -> None:
-        """Detach the current attempt."""
+        """Detach the current attempt from the upload."""
         self._on_data = None
 
     def take(self) -> bytes:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,6 @@
 """Test descriptor limits: discovery, backends and the console stay reachable while clients use all the rest.
 
-The node process has a hard limit of as many descriptors as its configuration allows.
+As in production, the node process may open only as many descriptors as its configuration allows.
 """
 
 from __future__ import annotations
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -124,20 +124,20 @@
 
 
 async def test_connect_timeout_counts_as_not_executed(tmp_path: Path) -> None:
-    mute = socket.socket()  # With a full accept queue, further connections are not established.
-    mute.bind(("127.0.0.1", 0))
-    mute.listen(0)
-    fill = [socket.socket() for _ in range(4)]
-    for sock in fill:
+    full_listener = socket.socket()  # With a full accept queue, further connections are not established.
+    full_listener.bind(("127.0.0.1", 0))
+    full_listener.listen(0)
+    queued_sockets = [socket.socket() for _ in range(4)]
+    for sock in queued_sockets:
         sock.setblocking(False)
-        sock.connect_ex(mute.getsockname())
+        sock.connect_ex(full_listener.getsockname())
     pool = ConnectionPool(
         Settings(classes=(READ_CLASS,), connect_timeout_ms=100.0), 10, RequestStatistics(), StreamMemory(64.0)
     )
-    pool.update(_endpoint_update("b0", mute.getsockname()[1]), True)
+    pool.update(_endpoint_update("b0", full_listener.getsockname()[1]), True)
     assert (await _start_attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
     assert pool.connection_count == 0
-    for sock in [mute, *fill]:
+    for sock in [full_listener, *queued_sockets]:
         sock.close()
 
 
@@ -159,12 +159,12 @@
 
 
 async def test_connection_lost_before_the_last_byte_was_sent_counts_as_not_executed() -> None:
-    met = asyncio.Event()
+    was_aborted = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(1)  # The request has begun, and most of it is still unsent.
         writer.transport.abort()
-        met.set()
+        was_aborted.set()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     pool = ConnectionPool(
@@ -175,7 +175,7 @@
     )
     pool.update(_endpoint_update("b0", server.sockets[0].getsockname()[1]), True)
     assert (await _start_attempt(pool, b"x" * 64_000_000)).status is AttemptStatus.CONNECT_FAILED
-    await met.wait()
+    await was_aborted.wait()
     assert (await _start_attempt(pool, b"x")).status is AttemptStatus.RESET
     server.close()
 
@@ -494,7 +494,7 @@
 
 
 async def test_indented_list_is_accepted_in_one_chunk_and_in_many(tmp_path: Path) -> None:
-    """Guards against parsing each line as an object: no list was ever accepted, and the node reconnected."""
+    """Guards against parsing each line as an object: no list was accepted, and reconnects never ended."""
 
     old, new = Backend("b0"), Backend("b1")
     await new.start()
@@ -711,7 +711,7 @@
 
 
 async def test_peers_without_a_complete_request_are_closed_in_time(tmp_path: Path) -> None:
-    """Guards against silent peers that keep a connection: each gets an error or a close in time."""
+    """Guards against silent peers that keep a connection: each must get an error or a close within 3 s."""
 
     async with running_node(tmp_path, Backend("b0")) as rig:
         kept = await rig.connect()
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -508,7 +508,7 @@
 
 
 @ON_BOTH_LOOPS
-def test_a_complete_request_is_never_reported_as_not_executed(run: Run) -> None:
+def test_complete_request_is_never_reported_as_not_executed(run: Run) -> None:
     """A reset directly after the last byte arrives while the event loop may not know that it was sent."""
     size = 4_000_000
 
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -354,7 +354,7 @@
 def test_unread_event_on_an_idle_connection_prevents_its_reuse(
     run_in_loop: RunInLoop, text: bytes, end: Close
 ) -> None:
-    """Bytes, a close or a reset that the event loop has not read when the next attempt starts."""
+    """The event loop has not read the bytes, close or reset when the next attempt starts."""
 
     async def body(harness: PoolHarness) -> None:
         harness.start()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -181,15 +181,15 @@
 
 async def test_upgrade_while_a_long_endpoint_list_is_received(tmp_path: Path) -> None:
     """The new process receives a list in odd pieces; the old one gets SIGTERM halfway through it."""
-    keeps, gone, comes = Backend("b0"), Backend("b1"), Backend("b2")
-    await comes.start()
+    remaining, removed, added = Backend("b0"), Backend("b1"), Backend("b2")
+    await added.start()
     with reserved_port() as port:
         listen = f"127.0.0.1:{port}"
         async with running_node(
-            tmp_path, keeps, gone, console=CONSOLE, listen=listen, **LONG_DEADLINES
+            tmp_path, remaining, removed, console=CONSOLE, listen=listen, **LONG_DEADLINES
         ) as old:
             discovery = old.discovery
-            rows = [keeps.list_entry(), *(comes.list_entry(id=f"c{i}") for i in range(3000))]
+            rows = [remaining.list_entry(), *(added.list_entry(id=f"c{i}") for i in range(3000))]
             line = json.dumps({"revision": 42, "complete": True, "members": rows}).encode() + b"\n"
             assert len(line) > 4 * LONG_OBJECT_BYTES and len(rows) > 4 * MAX_SHORT_UPDATE
             await discovery.watch_targets.get()
@@ -240,7 +240,8 @@
                 assert not any("bad list" in line or "Traceback" in line for line in (*old.log, *new.log))
                 assert (await (await new.connect()).request("/read")).status == 200
                 sent = {
-                    gone.requests.get_nowait().headers["request-id"] for _ in range(gone.requests.qsize())
+                    removed.requests.get_nowait().headers["request-id"]
+                    for _ in range(removed.requests.qsize())
                 }
                 assert not sent & request_ids  # The new process never had the removed endpoint in its list.
                 new.terminate()
@@ -251,7 +252,7 @@
                     await process.wait()
                 for client in new.clients:
                     client.writer.transport.abort()
-    comes.stop()
+    added.stop()
 
 
 async def test_long_response_at_shutdown_is_completed_or_aborted_in_time(tmp_path: Path) -> None:
