--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -1,4 +1,4 @@
-"""A configuration that would not fit the node's memory is rejected, at the start and at SIGHUP."""
+"""Test that a configuration that exceeds the memory limit is rejected, at startup and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def write_config(path: Path, memory_mb: float = 64, **counts: int) -> dict[str, str]:
-    """Write a file with so many tenants, classes and known members; returns the environment that names it."""
+    """Write a configuration file with these numbers of entries, and return the environment that names it."""
     raw = node_config([], 1, rules={"drain-grace": 2000})
     table = raw["settings"]
     first = table["request-classes"][0]
@@ -49,10 +49,10 @@
     ({"members": 42_000}, "known.members: 42000 entries take 10 of 10 MB"),
     ({"tenants": 40_000, "members": 15_000}, "settings: projects: 40000 entries take 7 of 11 MB"),
 ])  # fmt: skip
-def test_tables_that_do_not_fit_are_rejected_and_the_longest_is_named(
+def test_tables_that_exceed_the_limit_are_rejected_and_the_largest_is_named(
     tmp_path: Path, counts: dict[str, int], line: str
 ) -> None:
-    """Of 64 MB, 10 are for tables."""
+    """A memory limit of 64 MB leaves 10 MB for tables."""
     with pytest.raises(ConfigSizeError) as err:
         load(write_config(tmp_path, **counts))
     assert str(err.value) == f"{line} of tables, but limits.memory_mb 64 leaves 10"
@@ -63,25 +63,25 @@
     assert len(config.settings.tenants) == 20_000 and len(config.initial_list.members) == 5000
 
 
-def test_the_planned_size_fits_the_default_memory(tmp_path: Path) -> None:
-    """350,000 tenants and 14,000 classes; not loaded here, as that takes some seconds."""
+def test_the_planned_size_fits_the_default_memory_limit(tmp_path: Path) -> None:
+    """The planned size is 350,000 tenants and 14,000 classes; loading them would take some seconds."""
     sizes = list(ENTRY_BYTES.values())
     assert 350_000 * sizes[0] + 14_000 * sizes[1] < (192 / 2 - 22) * 2**20
     assert load(write_config(tmp_path, memory_mb=16, tenants=1000)).memory_mb == 16
 
 
-def test_a_reload_that_does_not_fit_changes_nothing(tmp_path: Path) -> None:
+def test_a_reload_that_exceeds_the_limit_is_rejected(tmp_path: Path) -> None:
     config: Config = load(write_config(tmp_path, tenants=10))
     with pytest.raises(ConfigSizeError):
         reload(write_config(tmp_path, tenants=60_000), config)
     assert len(reload(write_config(tmp_path, tenants=20), config).settings.tenants) == 20
 
 
-def test_the_program_ends_with_one_line_on_standard_error(tmp_path: Path) -> None:
+def test_the_program_exits_with_one_line_on_standard_error(tmp_path: Path) -> None:
     env = os.environ | write_config(tmp_path, tenants=60_000)
-    got = subprocess.run([sys.executable, "-m", "balancer"], env=env, capture_output=True, text=True)
-    assert got.returncode == 2 and got.stderr.count("\n") == 1
-    assert got.stderr.startswith("balancer: CFG05: settings: projects: 60000 entries take 10 of 10 MB")
+    result = subprocess.run([sys.executable, "-m", "balancer"], env=env, capture_output=True, text=True)
+    assert result.returncode == 2 and result.stderr.count("\n") == 1
+    assert result.stderr.startswith("balancer: CFG05: settings: projects: 60000 entries take 10 of 10 MB")
 
 
 @pytest.mark.parametrize(("field", "counts"), [
@@ -89,12 +89,12 @@
     ("settings: request-classes", {"classes": 500}),
     ("known.members", {"members": 3000}),
 ])  # fmt: skip
-def test_an_entry_takes_the_memory_that_is_counted_for_it(
+def test_an_entry_takes_the_memory_that_the_check_assumes(
     tmp_path: Path, field: str, counts: dict[str, int]
 ) -> None:
-    """Measured by the allocator, the decision module's part included."""
+    """The memory is measured with tracemalloc and includes the decision module's part."""
 
-    def taken(**some: int) -> int:
+    def traced_bytes(**some: int) -> int:
         env = write_config(tmp_path, **some)
         gc.collect()
         tracemalloc.start()
@@ -105,7 +105,7 @@
         tracemalloc.stop()
         return size
 
-    taken()  # what is made once
-    (number,) = counts.values()
-    each = (taken(**counts) - taken()) / number
-    assert 0.8 * ENTRY_BYTES[field] < each <= 1.05 * ENTRY_BYTES[field]
+    traced_bytes()  # objects that are created only once must not count
+    (entry_count,) = counts.values()
+    bytes_per_entry = (traced_bytes(**counts) - traced_bytes()) / entry_count
+    assert 0.8 * ENTRY_BYTES[field] < bytes_per_entry <= 1.05 * ENTRY_BYTES[field]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' console over loopback sockets: its calls, its figures, callers that go wrong."""
+"""Test the operator console over loopback sockets: its calls, its statistics, and faulty callers."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from tests.test_node import never_respond, respond_with
 
 CONSOLE = "127.0.0.1:0"
-HEAD = "HTTP/1.1\r\nHost: node\r\n"
+REQUEST_HEAD = "HTTP/1.1\r\nHost: node\r\n"
 
 
-async def test_figures_tell_what_clients_and_backends_saw(tmp_path: Path) -> None:
+async def test_statistics_count_the_responses_of_clients_and_backends(tmp_path: Path) -> None:
     broken = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
     backend = Backend("b0", respond_with(broken))
     async with running_node(tmp_path, backend, console=CONSOLE) as rig:
         client = await rig.connect()
-        got = await client.request("/once", method="POST", body=b"{}")
-        assert got.status == 502
+        response = await client.request("/once", method="POST", body=b"{}")
+        assert response.status == 502
         for _ in range(3):
             assert (await client.request("/read")).status == 200
         assert (await client.request("/nonsense")).status == 404
@@ -34,7 +34,7 @@
         }  # fmt: skip
 
 
-async def test_refusals_and_open_requests_are_counted_as_they_are(tmp_path: Path) -> None:
+async def test_statistics_count_rejected_and_pending_requests(tmp_path: Path) -> None:
     backend = Backend("b0", never_respond)
     limits = {"max-open": 1}
     async with running_node(tmp_path, backend, console=CONSOLE, **LONG_DEADLINES, limits=limits) as rig:
@@ -42,14 +42,16 @@
         first.send("/read")
         await backend.requests.get()
         assert (await second.request("/read")).status == 503
-        got = await rig.stats()
-        assert (got["pending"], got["rejected"]["read"], got["upstream_requests"]) == (1, 1, 1)
+        response = await rig.stats()
+        assert (response["pending"], response["rejected"]["read"], response["upstream_requests"]) == (1, 1, 1)
         first.writer.transport.abort()
         await backend.closed_connections.get()
         assert (await rig.stats())["pending"] == 0
 
 
-async def test_health_is_yes_once_backends_are_known_and_no_while_the_node_ends(tmp_path: Path) -> None:
+async def test_healthcheck_succeeds_once_backends_are_known_and_fails_while_the_node_stops(
+    tmp_path: Path,
+) -> None:
     backend = Backend("b0", never_respond)
     async with running_node(tmp_path, console=CONSOLE) as rig:
         assert (await rig.call_console("/healthcheck")).status == 503
@@ -58,39 +60,39 @@
         (await rig.connect()).send("/read")
         await backend.requests.get()
         rig.terminate()
-        while (got := await rig.call_console("/healthcheck")).status == 200:
+        while (response := await rig.call_console("/healthcheck")).status == 200:
             pass
-        assert got.status == 503 and got.body == b"stopping\n"
+        assert response.status == 503 and response.body == b"stopping\n"
 
 
-NO_CALLS = (
-    ("POST /stats " + HEAD + "Content-Length: 0\r\n\r\n", 405),
-    ("GET /nothing " + HEAD + "\r\n", 404),
-    ("GET /healthcheck/fail " + HEAD + "\r\n", 404),
+INVALID_CALLS = (
+    ("POST /stats " + REQUEST_HEAD + "Content-Length: 0\r\n\r\n", 405),
+    ("GET /nothing " + REQUEST_HEAD + "\r\n", 404),
+    ("GET /healthcheck/fail " + REQUEST_HEAD + "\r\n", 404),
     ("nonsense\r\n\r\n", 400),
-    ("GET /stats " + HEAD + "X: " + "x" * 9000, 431),
-    ("POST /stats " + HEAD + "Content-Length: 70000\r\n\r\n" + "x" * 70000, 413),
+    ("GET /stats " + REQUEST_HEAD + "X: " + "x" * 9000, 431),
+    ("POST /stats " + REQUEST_HEAD + "Content-Length: 70000\r\n\r\n" + "x" * 70000, 413),
     ("GET /stats HT", 408),
     ("", 408),
 )
 
 
-async def test_calls_that_make_no_sense_get_a_no(tmp_path: Path) -> None:
+async def test_invalid_calls_get_an_error_with_code_and_remedy(tmp_path: Path) -> None:
     async with running_node(tmp_path, Backend("b0"), console=CONSOLE) as rig:
-        callers = [await asyncio.open_connection("127.0.0.1", rig.console_port) for _ in NO_CALLS]
-        for (_, writer), (text, _) in zip(callers, NO_CALLS, strict=True):
+        callers = [await asyncio.open_connection("127.0.0.1", rig.console_port) for _ in INVALID_CALLS]
+        for (_, writer), (text, _) in zip(callers, INVALID_CALLS, strict=True):
             writer.write(text.encode())
-        for (reader, writer), (text, code) in zip(callers, NO_CALLS, strict=True):
-            got = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
-            assert got.status == code, text
-            happened, remedy = got.body.decode().splitlines()
-            assert happened.startswith("CON01: ") and remedy.startswith("what to do: "), text
+        for (reader, writer), (text, code) in zip(callers, INVALID_CALLS, strict=True):
+            response = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
+            assert response.status == code, text
+            error, remedy = response.body.decode().splitlines()
+            assert error.startswith("CON01: ") and remedy.startswith("what to do: "), text
             assert (await rig.call_console("/stats")).status == 200, text
             writer.close()
 
 
-async def test_callers_that_finish_no_call_are_in_nobodys_way(tmp_path: Path) -> None:
-    """Guards against callers that hold connections: over the cap the longest waiting one goes."""
+async def test_stalled_callers_do_not_block_other_calls(tmp_path: Path) -> None:
+    """Guards against callers that hold connections open: beyond the limit the oldest connection is closed."""
 
     async with running_node(tmp_path, Backend("b0"), console=CONSOLE) as rig:
         stalled = [await asyncio.open_connection("127.0.0.1", rig.console_port) for _ in range(33)]
@@ -104,7 +106,7 @@
             writer.close()
 
 
-async def test_without_the_setting_there_is_no_console(tmp_path: Path) -> None:
+async def test_a_node_without_the_console_setting_has_no_console(tmp_path: Path) -> None:
     async with running_node(tmp_path, Backend("b0")) as rig:
         assert (await (await rig.connect()).request("/stats")).status == 404
         assert json.loads(rig.config.read_text()).get("console") is None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Membership in nodes of their own, with a kill, a restart and an upgrade. And what is refused."""
+"""Test membership of real nodes across a kill, a restart and an upgrade, and invalid fleet configurations."""
 
 from __future__ import annotations
 
@@ -64,80 +64,90 @@
 """
 
 
-PLAYS = 3  # at most, until one is not void
+MAX_RUNS = 3  # a void run is repeated up to this many runs in total
 
 
-class EndpointWatcher:
-    """Looks at node 0's console as the command does, once it has heard of the kill."""
+class MembershipReader:
+    """Reads the membership from node 0's console once, after the kill, like the `fleet` command."""
 
     def __init__(self) -> None:
-        self.looks: list[command.Membership] = []
+        self.memberships: list[command.Membership] = []
         self.thread: threading.Thread | None = None
 
     def __call__(self, run: Run) -> None:
         if run.fleet.now() > 8000 and self.thread is None:
             console = format_address(run.fleet.places.console(0, 0))
-            self.thread = threading.Thread(target=lambda: self.looks.append(command.read_membership(console)))
+            self.thread = threading.Thread(
+                target=lambda: self.memberships.append(command.read_membership(console))
+            )
             self.thread.start()
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> tuple[records.RunRecords, command.Membership]:
-    """A run with membership on, and what node 0 told in its midst."""
+def run_result(tmp_path_factory: pytest.TempPathFactory) -> tuple[records.RunRecords, command.Membership]:
+    """Run an experiment with membership, and return its records and the membership read from node 0."""
     folder = tmp_path_factory.mktemp("fleet")
     (folder / "spec.toml").write_text(SPEC)
-    for number in range(PLAYS):
-        watcher = EndpointWatcher()
-        seen = uvloop.run(
-            play(load_experiment(folder / "spec.toml"), 1, NODE, folder / f"{number}", False, watcher)
+    for number in range(MAX_RUNS):
+        reader = MembershipReader()
+        run_records = uvloop.run(
+            play(load_experiment(folder / "spec.toml"), 1, NODE, folder / f"{number}", False, reader)
         )
-        if not void(seen):
+        if not is_void(run_records):
             break
-    assert watcher.thread is not None
-    watcher.thread.join()
-    return seen, watcher.looks[0]
+    assert reader.thread is not None
+    reader.thread.join()
+    return run_records, reader.memberships[0]
 
 
 @pytest.fixture(scope="module")
-def seen(played: tuple[records.RunRecords, command.Membership]) -> records.RunRecords:
-    """What the run saw."""
-    return played[0]
+def run_records(run_result: tuple[records.RunRecords, command.Membership]) -> records.RunRecords:
+    """Return the records of the run."""
+    return run_result[0]
 
 
-def void(seen: records.RunRecords) -> bool:
-    """Whether a process that was to end had no processor until SIGKILL came: of it nobody could be told."""
-    return any(life.term and life.killed for life in seen.processes)
+def is_void(run_records: records.RunRecords) -> bool:
+    """Return whether a process had no CPU time between SIGTERM and SIGKILL to announce its end."""
+    return any(life.term and life.killed for life in run_records.processes)
 
 
-def states(seen: records.RunRecords, node: int, member: int) -> list[str]:
-    """What one process after another of `node` came to think of a member, in order of time.
+def states(run_records: records.RunRecords, node: int, member: int) -> list[str]:
+    """Return the successive states of a member in the view of `node`, over all its processes.
 
-    Suspicions are left out: they come to nothing where the member was only late.
+    Suspicions are left out, because they are withdrawn if the member was only late.
     """
-    rows = sorted((v for v in seen.member_views if (v.node, v.member) == (node, member)), key=lambda v: v.at)
+    rows = sorted(
+        (v for v in run_records.member_views if (v.node, v.member) == (node, member)), key=lambda v: v.at
+    )
     return [state for state, _ in groupby(row.state for row in rows if row.state != "suspected")]
 
 
 @pytest.mark.parametrize("node", [0, 4])
-def test_a_killed_node_is_dead_to_all_that_live(seen: records.RunRecords, node: int) -> None:
-    assert states(seen, node, 1)[-1] == "dead"
+def test_a_killed_node_is_dead_in_the_view_of_live_nodes(run_records: records.RunRecords, node: int) -> None:
+    assert states(run_records, node, 1)[-1] == "dead"
 
 
 @pytest.mark.parametrize("node", [0, 4])
-def test_a_planned_restart_is_said_and_is_no_death(seen: records.RunRecords, node: int) -> None:
-    found = states(seen, node, 3)
+def test_a_planned_restart_is_announced_and_not_seen_as_a_death(
+    run_records: records.RunRecords, node: int
+) -> None:
+    found = states(run_records, node, 3)
     assert found == ["present", "left", "present", "left"] or found == ["present", "left", "present"]
 
 
 @pytest.mark.parametrize("node", [0, 4])
-def test_an_upgraded_node_never_leaves_its_place(seen: records.RunRecords, node: int) -> None:
-    until = min(life.term for life in seen.processes if life.node == 0)  # from then on all leave
-    found = [v.state for v in seen.member_views if (v.node, v.member) == (node, 2) and v.at < until]
+def test_an_upgraded_node_neither_leaves_nor_dies_in_the_view_of_others(
+    run_records: records.RunRecords, node: int
+) -> None:
+    until = min(
+        life.term for life in run_records.processes if life.node == 0
+    )  # after this time all nodes are terminated
+    found = [v.state for v in run_records.member_views if (v.node, v.member) == (node, 2) and v.at < until]
     assert "dead" not in found and "left" not in found
 
 
 def run_node(tmp_path: Path, fleet: str, **over: Any) -> str:
-    """What a node says that cannot start."""
+    """Start a node that must fail, and return its error message without code and remedy."""
     spec = load_text(tmp_path)
     table = node_configuration(spec, AddressPlan(16, 3), 0, 1, 4) | over
     (tmp_path / "config.json").write_text(json.dumps({k: v for k, v in table.items() if v is not None}))
@@ -156,7 +166,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fleet", "over", "line"),
+    ("fleet", "over", "message"),
     [
         ("[membership]\n", {"peers": None}, "peers is missing or empty, but [membership] requires it"),
         (
@@ -175,44 +185,51 @@
         ("membership = 1\n", {}, "PROXY_FLEET: membership: Expected `object | null`, got `int`"),
     ],
 )  # fmt: skip
-def test_what_makes_no_sense_is_one_line(tmp_path: Path, fleet: str, over: dict[str, Any], line: str) -> None:
-    assert run_node(tmp_path, fleet, **over) == line
+def test_an_invalid_fleet_configuration_fails_with_one_line(
+    tmp_path: Path, fleet: str, over: dict[str, Any], message: str
+) -> None:
+    assert run_node(tmp_path, fleet, **over) == message
 
 
-def test_a_fleet_file_that_is_not_there_is_said(tmp_path: Path) -> None:
+def test_a_missing_fleet_file_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="PROXY_FLEET cannot be read"):
         read_fleet_file(tmp_path / "none")
 
 
-def test_the_console_tells_who_is_present(played: tuple[records.RunRecords, command.Membership]) -> None:
-    told = played[1]
-    rows = told.rows()
+def test_the_console_reports_the_state_of_each_member(
+    run_result: tuple[records.RunRecords, command.Membership],
+) -> None:
+    membership = run_result[1]
+    rows = membership.rows()
     assert [r["node"] for r in rows] == [0, 1, 2, 3, 4] and rows[1]["state"] == "dead"
-    assert not command.all_members_alive(told) and told.quorum
-    assert command.summary(told)["states"].get("dead") == 1 and told.view_reason
+    assert not command.all_members_alive(membership) and membership.quorum
+    assert command.summary(membership)["states"].get("dead") == 1 and membership.view_reason
 
 
-def test_a_console_that_gives_no_view_is_said() -> None:
+def test_the_command_reports_an_unreachable_or_invalid_console() -> None:
     runner = CliRunner()
-    for argument, line in (("127.0.0.1:1", "CLI03: 127.0.0.1:1 does not"), ("nowhere", "CLI02: --console")):
+    for argument, message in (
+        ("127.0.0.1:1", "CLI03: 127.0.0.1:1 does not"),
+        ("nowhere", "CLI02: --console"),
+    ):
         done = runner.invoke(app, ["fleet", "view", "--console", argument])
-        assert done.exit_code == 2 and line in done.stderr and done.stderr.count("\n") == 2
+        assert done.exit_code == 2 and message in done.stderr and done.stderr.count("\n") == 2
 
 
-async def reach(shells: list[MembershipShell], members: list[int]) -> None:
-    """Wait until some nodes hold just these for present."""
+async def wait_for_members(shells: list[MembershipShell], members: list[int]) -> None:
+    """Wait until exactly these members are present in the view of all given nodes."""
 
-    async def same() -> bool:
+    async def all_agree() -> bool:
         return all(s.core is not None and s.core.present_members() == members for s in shells)
 
-    await wait_until_async(same)
+    await wait_until_async(all_agree)
 
 
-Present = tuple[PeerSocket, MembershipShell]
+RunningMember = tuple[PeerSocket, MembershipShell]
 
 
-async def present(node: int, listen: Address, peers: list[Address], seed: int) -> Present:
-    """A node that is present, with quick times."""
+async def start_member(node: int, listen: Address, peers: list[Address], seed: int) -> RunningMember:
+    """Start the membership of a node with a short probe interval."""
     quick = Config.with_probe_interval(70.0)
     port = PeerSocket(listen, peers, listen)
     shell = MembershipShell(quick, node, port, seed)
@@ -221,43 +238,43 @@
     return port, shell
 
 
-def move(one: Present, peers: list[Address]) -> None:
-    """Give it another list."""
-    moved = one[0].change_peers(peers, one[0].broadcast_address)
-    assert moved is not None
-    one[1].change_peers(moved)
+def change_peers(member: RunningMember, peers: list[Address]) -> None:
+    """Apply another list of peers."""
+    peer_change = member[0].change_peers(peers, member[0].broadcast_address)
+    assert peer_change is not None
+    member[1].change_peers(peer_change)
 
 
-def close(one: Present) -> None:
-    one[1].close()
-    one[0].close()
+def close(member: RunningMember) -> None:
+    member[1].close()
+    member[0].close()
 
 
-def test_another_list_of_peers_is_taken_over_by_nodes_that_run() -> None:
+def test_running_nodes_apply_a_changed_list_of_peers() -> None:
     async def body() -> None:
         block = AddressBlock(4, 1)
         peers = [block.places.peer(node) for node in range(4)]
-        nodes = [await present(n, peers[n], peers[:3], n) for n in range(3)]
+        nodes = [await start_member(n, peers[n], peers[:3], n) for n in range(3)]
         shells = [shell for _, shell in nodes]
         try:
-            await reach(shells, [0, 1, 2])
-            for one in nodes[:2]:
-                move(one, peers[:2])
+            await wait_for_members(shells, [0, 1, 2])
+            for member in nodes[:2]:
+                change_peers(member, peers[:2])
             close(nodes[2])
-            await reach(shells[:2], [0, 1])
-            nodes[2] = await present(2, peers[3], [*peers[:2], peers[3]], 9)
-            for one in nodes[:2]:  # number two is at home elsewhere now
-                move(one, [*peers[:2], peers[3]])
-            await reach([*shells[:2], nodes[2][1]], [0, 1, 2])
+            await wait_for_members(shells[:2], [0, 1])
+            nodes[2] = await start_member(2, peers[3], [*peers[:2], peers[3]], 9)
+            for member in nodes[:2]:  # node 2 has another address now
+                change_peers(member, [*peers[:2], peers[3]])
+            await wait_for_members([*shells[:2], nodes[2][1]], [0, 1, 2])
         finally:
-            for one in nodes:
-                close(one)
+            for member in nodes:
+                close(member)
             block.close()
 
     uvloop.run(body())
 
 
-def test_the_port_gives_each_room_its_kinds_and_leaves_half_of_the_budget_to_membership() -> None:
+def test_the_peer_socket_routes_by_kind_and_reserves_half_of_the_budget_for_membership() -> None:
     async def body() -> None:
         block = AddressBlock(2, 1)
         peers = [block.places.peer(node) for node in range(2)]
@@ -297,7 +314,7 @@
     uvloop.run(body())
 
 
-def test_peers_that_make_no_sense_at_sighup_change_nothing(tmp_path: Path) -> None:
+def test_invalid_peers_on_sighup_change_nothing(tmp_path: Path) -> None:
     table = node_configuration(load_text(tmp_path), AddressPlan(16, 3), 0, 1, 4)
     path, fleet = tmp_path / "config.json", tmp_path / "fleet.toml"
     fleet.write_text("[membership]\n")
@@ -305,19 +322,19 @@
     env = {"PROXY_CONFIG": str(path), "PROXY_FLEET": str(fleet)}
 
     async def body() -> None:
-        held = config.load(env)
-        rooms = Fleet(env, held)
-        assert rooms.peer_socket is not None
-        for over, line in (
+        current = config.load(env)
+        subsystems = Fleet(env, current)
+        assert subsystems.peer_socket is not None
+        for over, message in (
             ({"peer_listen": "127.0.0.1:9"}, "peer_listen cannot change"),
             ({"peers": []}, "peers is missing"),
             ({"settings": table["settings"] | {"me": 1}}, "me cannot change from 0 to 1"),
         ):
             path.write_text(json.dumps(table | over))
-            with pytest.raises(ConfigError, match=line):
-                rooms.prepare_reload(env, config.load(env))
+            with pytest.raises(ConfigError, match=message):
+                subsystems.prepare_reload(env, config.load(env))
         path.write_text(json.dumps(table | {"peers": table["peers"][:3]}))
-        rooms.prepare_reload(env, config.load(env))()
-        assert len(rooms.peer_socket.peers) == 3
+        subsystems.prepare_reload(env, config.load(env))()
+        assert len(subsystems.peer_socket.peers) == 3
 
     uvloop.run(body())
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""The liveness timeout of a call of discovery, and the timer that checks it."""
+"""Test the liveness timeout of a discovery call and the timer that checks it."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @pytest.fixture
 def timeout() -> LivenessTimeout:
-    """Return the timeout of a call that is dialled at 10 s."""
+    """Return the timeout of a call dialled at 10 s."""
     return LivenessTimeout(10.0, MESSAGE_TIMEOUT_S, SILENCE_TIMEOUT_S)
 
 
-def test_the_first_message_is_due_from_dialling(timeout: LivenessTimeout) -> None:
+def test_the_timeout_of_the_first_message_starts_when_the_call_is_dialled(timeout: LivenessTimeout) -> None:
     assert timeout.expires_at(is_patient=False) == 11.5
     assert timeout.expires_at(is_patient=True) == 11.5
 
@@ -35,7 +35,7 @@
     assert timeout.expires_at(is_patient=False) == 23.0
 
 
-def test_bytes_alone_extend_only_a_patient_timeout(timeout: LivenessTimeout) -> None:
+def test_bytes_of_an_incomplete_object_extend_only_a_patient_timeout(timeout: LivenessTimeout) -> None:
     timeout.bytes_received(11.0)
     assert timeout.expires_at(is_patient=False) == 11.5
     assert timeout.expires_at(is_patient=True) == 14.0
@@ -43,13 +43,13 @@
     assert not timeout.is_receiving_bytes(14.0)
 
 
-def test_a_patient_timeout_has_a_limit(timeout: LivenessTimeout) -> None:
+def test_a_patient_timeout_is_extended_up_to_a_limit(timeout: LivenessTimeout) -> None:
     timeout.bytes_received(1000.0)
     assert timeout.expires_at(is_patient=True) == 11.5 + MAX_OBJECT_DURATION_S
 
 
 class TimedCall:
-    """A call whose timeout expires at `due_at`; records when the timer says that it has."""
+    """A fake call whose timeout expires at `due_at`, and which records when its timer expires."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -66,7 +66,7 @@
 
 
 def run(begin: Callable[[TimedCall], None]) -> list[float]:
-    """Run a timer for 10 s; returns when it expired."""
+    """Run a timer for 10 s of virtual time and return the times at which it expired."""
 
     async def dial(*_: object) -> None:
         raise AssertionError
@@ -84,7 +84,7 @@
     assert run(lambda call: None) == [2.0 + RECHECK_DELAY_S]
 
 
-def test_a_timeout_that_is_extended_expires_later() -> None:
+def test_the_timer_follows_an_extended_timeout() -> None:
     def extend(call: TimedCall) -> None:
         call.due_at = 5.0
 
@@ -94,7 +94,7 @@
     assert run(schedule) == [5.0 + RECHECK_DELAY_S]
 
 
-def test_a_message_between_the_two_checks_counts() -> None:
+def test_a_message_before_the_second_check_keeps_the_timer_from_expiring() -> None:
     def extend(call: TimedCall) -> None:
         call.due_at = 6.0
 
@@ -104,7 +104,7 @@
     assert run(schedule) == [6.0 + RECHECK_DELAY_S]
 
 
-def test_the_timer_waits_until_all_that_came_is_processed() -> None:
+def test_the_timer_waits_until_all_received_data_is_processed() -> None:
     def set_backlog(call: TimedCall) -> None:
         call.backlogged_until = 3.01
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines for on call: when a call was made, what the list changed, why a request was not served."""
+"""Test the log lines for discovery calls, changes of the endpoint list, and failed requests."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 from tests.helpers import entry, member
 from tests.virtual_discovery import DiscoverySimulation
 
-HERE = "127.0.0.1:9"
+ADDRESS = "127.0.0.1:9"
 
 
-def test_the_changes_of_a_list_are_told_by_kind_and_the_rest_is_counted() -> None:
+def test_a_change_summary_names_backends_by_kind_of_change_and_counts_the_rest() -> None:
     changes = ChangeSummary()
-    up = member(entry("b0"), HERE)
+    up = member(entry("b0"), ADDRESS)
     changes.add_update(up, up)
     assert changes.text() == ""
     for number in range(MAX_NAMES_PER_CHANGE + 2):
         one = replace(up, backend=f"b{number}")
         changes.add_update(replace(one, phase=EndpointPhase.DRAINING), one)
     changes.add_update(replace(up, backend="new"), None)
-    changes.add_update(replace(up, backend="old", phase=EndpointPhase.REMOVED), None)  # it was never listed
+    # Removing a backend that was never listed must not be reported as a change.
+    changes.add_update(replace(up, backend="old", phase=EndpointPhase.REMOVED), None)
     changes.add_update(replace(up, started_at=up.started_at + 1.0), up)
     left_out = replace(up, backend="left-out")
     changes.add_update(replace(left_out, phase=EndpointPhase.REMOVED), left_out)
@@ -35,8 +36,8 @@
     assert changes.text() == f"draining {named} and 2 more, removed left-out, in service new, restarted b0"
 
 
-def test_pieces_of_a_long_list_add_up() -> None:
-    changes, up = ChangeSummary(), member(entry("b"), HERE)
+def test_a_change_summary_adds_up_the_batches_of_a_long_list() -> None:
+    changes, up = ChangeSummary(), member(entry("b"), ADDRESS)
     changes.add_changed([replace(up, backend=f"b{number}") for number in range(MAX_NAMES_PER_CHANGE)])
     changes.add_changed(
         [replace(up, backend="more"), replace(up, backend="old", phase=EndpointPhase.REMOVED)]
@@ -45,7 +46,7 @@
     assert changes.text() == f"removed old, in service {named} and 1 more"
 
 
-def test_lines_of_a_kind_are_limited_and_what_is_left_out_is_counted(
+def test_lines_of_a_kind_are_limited_and_suppressed_lines_are_counted(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     now = 0.0
@@ -58,7 +59,7 @@
     assert caplog.messages == ["a", "b", "e", "f (2 more since such a line)"]
 
 
-def test_a_request_is_named_once_for_each_kind_of_trouble(caplog: pytest.LogCaptureFixture) -> None:
+def test_each_kind_of_failure_is_logged_for_one_request_per_period(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     requests = RequestLog(lambda: 0.0)
     for name in ("r1", "r2"):
@@ -74,7 +75,7 @@
     ]
 
 
-def test_each_call_of_discovery_is_logged_with_its_reason_and_its_end(
+def test_each_discovery_call_is_logged_with_its_reason_and_its_end(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: all or nothing, and requests under way keep what they came with."""
+"""Test that SIGHUP applies new settings completely or not at all, and not to requests in progress."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def fails(balancer: Balancer, request: str, attempt: int, backend: str) -> list[api.Action]:
-    """An attempt ends with an error, which it may have run into after it took effect."""
+    """End an attempt with an error that leaves open whether the request took effect."""
     ended = api.AttemptEnded(request, attempt, backend, api.AttemptStatus.ERROR, 10.0, False)
     return balancer.handle(1020.0 + attempt, ended)
 
 
-def test_requests_under_way_keep_their_class_and_later_ones_get_the_new_one() -> None:
+def test_requests_in_progress_keep_their_class_and_later_ones_get_the_new_class() -> None:
     balancer = node(BASE, ["b0", "b1", "b2"])
     first = sends(balancer.handle(1001.0, api.RequestArrived("old", "pay", deadline=2001.0)))
     stricter = replace(KEYED, idempotency=api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=300.0)
@@ -38,17 +38,21 @@
         balancer.handle(1040.0, api.RequestArrived("gone", UNSAFE.name, deadline=2040.0))
 
 
-@pytest.mark.parametrize(("came", "now", "most"), [(3, 1, 3), (1, 3, 1), (2, 3, 2), (3, 2, 3)])
-def test_allowed_attempts_are_those_at_arrival(came: int, now: int, most: int) -> None:
-    balancer = node(replace(BASE, max_attempts=came), ["b0", "b1", "b2", "b3"])
+@pytest.mark.parametrize(
+    ("limit_at_arrival", "new_limit", "attempt_count"), [(3, 1, 3), (1, 3, 1), (2, 3, 2), (3, 2, 3)]
+)
+def test_the_attempt_limit_is_the_one_at_arrival(
+    limit_at_arrival: int, new_limit: int, attempt_count: int
+) -> None:
+    balancer = node(replace(BASE, max_attempts=limit_at_arrival), ["b0", "b1", "b2", "b3"])
     sent = sends(balancer.handle(1001.0, api.RequestArrived("r", "read", deadline=2001.0)))
-    balancer.handle(1010.0, api.Reconfigured(replace(BASE, max_attempts=now)))
+    balancer.handle(1010.0, api.Reconfigured(replace(BASE, max_attempts=new_limit)))
     while len(sent) < 5 and (more := sends(fails(balancer, "r", len(sent) - 1, sent[-1].backend))):
         sent += more
-    assert len(sent) == most
+    assert len(sent) == attempt_count
 
 
-def test_statistics_of_a_class_outlive_new_settings() -> None:
+def test_statistics_of_a_class_survive_new_settings() -> None:
     balancer = node(BASE, ["b0"])
     balancer.classes.by_name["read"].expected_ms = 77.0
     balancer.handle(
@@ -62,7 +66,7 @@
 
 
 def without(*path: str | int) -> Callable[[dict[str, Any]], object]:
-    """Take one key out of a file."""
+    """Return a function that removes one key from a configuration."""
 
     def change(raw: dict[str, Any]) -> None:
         table: Any = raw
@@ -74,12 +78,12 @@
 
 
 def row(name: str, value: object) -> Callable[[dict[str, Any]], object]:
-    """Change one value of the first class."""
+    """Return a function that changes one value of the first request class."""
     return lambda raw: raw["settings"]["request-classes"][0].update({name: value})
 
 
 def limit(name: str, value: object) -> Callable[[dict[str, Any]], object]:
-    """Change one value of the settings' limits."""
+    """Return a function that changes one value of the limits in the settings."""
     return lambda raw: raw["settings"]["limits"].update({name: value})
 
 
@@ -108,16 +112,16 @@
 ) -> None:
     path, raw = tmp_path / "config.json", json.loads(json.dumps(node_config([], 1)))
     path.write_text(json.dumps(raw))
-    held = load({"PROXY_CONFIG": str(path)})
-    assert reload({"PROXY_CONFIG": str(path)}, held) == held
+    current = load({"PROXY_CONFIG": str(path)})
+    assert reload({"PROXY_CONFIG": str(path)}, current) == current
     change(raw)
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError) as err:
-        reload({"PROXY_CONFIG": str(path)}, held)
+        reload({"PROXY_CONFIG": str(path)}, current)
     assert field in str(err.value)
 
 
-async def test_classes_come_and_go_with_their_counts_and_a_broken_file_changes_nothing(
+async def test_a_reload_adds_and_removes_classes_and_an_invalid_file_changes_nothing(
     tmp_path: Path,
 ) -> None:
     go = asyncio.Event()
@@ -152,8 +156,8 @@
 
 
 @pytest.mark.parametrize("late_weight_fraction", [0.0, 0.5])
-def test_a_class_with_shorter_objectives_is_still_sent(late_weight_fraction: float) -> None:
-    """Guards against a class that is shed whole, and so never learns that its new aim can be met."""
+def test_a_class_with_a_shorter_objective_is_not_shed(late_weight_fraction: float) -> None:
+    """Guards against shedding a whole class, which then never learns that its new objective can be met."""
     read = replace(SAFE, late_weight_fraction=late_weight_fraction)
     shorter = replace(
         read, latency_objective_ms=read.latency_objective_ms / 8, deadline_ms=read.deadline_ms / 16
@@ -161,7 +165,7 @@
     balancer = node(replace(BASE, classes=(read,)), ["b0"])
     learned = balancer.learned_state(1005.0)
     balancer.handle(1010.0, api.Reconfigured(replace(BASE, classes=(shorter,))))
-    heir = node(replace(BASE, classes=(shorter,)), ["b0"])
-    heir.handle(1010.0, api.LearnedStateRestored(learned, 0.0))
-    for one in (balancer, heir):
+    successor = node(replace(BASE, classes=(shorter,)), ["b0"])
+    successor.handle(1010.0, api.LearnedStateRestored(learned, 0.0))
+    for one in (balancer, successor):
         assert sends(one.handle(1020.0, api.RequestArrived("r", "read", 1020.0 + shorter.deadline_ms)))
--- a/tests/test_sharded_dict.py
+++ b/tests/test_sharded_dict.py
@@ -1,4 +1,4 @@
-"""A table in parts: a dict in all but its order, which is the same in each process."""
+"""Test that a sharded dict behaves like a dict, with an order that is the same in each process."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 
 
 @given(st.lists(st.tuples(NAMES, st.sampled_from(["set", "pop", "get"])), max_size=60))
-def test_it_holds_what_a_dict_holds(steps: list[tuple[str, str]]) -> None:
-    table, plain = ShardedDict[int](), dict[str, int]()
-    for number, (name, what) in enumerate(steps):
-        if what == "set":
-            table[name] = plain[name] = number
-        elif what == "pop":
-            assert table.pop(name, None) == plain.pop(name, None)
-        assert table.get(name) == plain.get(name) and (name in table) == (name in plain)
-    assert dict(table) == plain and len(table) == len(plain) and set(table) == plain.keys()
+def test_a_sharded_dict_has_the_same_items_as_a_dict(operations: list[tuple[str, str]]) -> None:
+    sharded, plain = ShardedDict[int](), dict[str, int]()
+    for number, (name, operation) in enumerate(operations):
+        if operation == "set":
+            sharded[name] = plain[name] = number
+        elif operation == "pop":
+            assert sharded.pop(name, None) == plain.pop(name, None)
+        assert sharded.get(name) == plain.get(name) and (name in sharded) == (name in plain)
+    assert dict(sharded) == plain and len(sharded) == len(plain) and set(sharded) == plain.keys()
     with pytest.raises(KeyError):
-        table["none of these"]
+        sharded["none of these"]
 
 
-def test_no_part_holds_much_more_than_its_share() -> None:
-    """Guards against a long turn: a dict that grows moves all that it holds."""
-    table = ShardedDict((f"s-{i:08x}", i) for i in range(70_000))
-    assert max(map(len, table.shards)) < 1.2 * 70_000 / SHARD_COUNT
+def test_names_are_spread_evenly_over_the_shards() -> None:
+    """Guards against blocking the event loop when one large shard grows and rehashes all its entries."""
+    sharded = ShardedDict((f"s-{i:08x}", i) for i in range(70_000))
+    assert max(map(len, sharded.shards)) < 1.2 * 70_000 / SHARD_COUNT
 
 
-def test_names_may_go_while_others_are_gone_through() -> None:
-    table, seen = ShardedDict((f"b{i}", i) for i in range(500)), list[str]()
-    for name in table:
+def test_names_may_be_removed_during_iteration() -> None:
+    sharded, seen = ShardedDict((f"b{i}", i) for i in range(500)), list[str]()
+    for name in sharded:
         seen.append(name)
-        table.pop("b7", None)
-        del table[name]
-    assert len(seen) in (499, 500) and not table
+        sharded.pop("b7", None)
+        del sharded[name]
+    assert len(seen) in (499, 500) and not sharded
 
 
 def test_the_order_is_the_same_in_each_process() -> None:
-    text = (
+    program = (
         "from balancer.net.sharded_dict import ShardedDict; "
         "print(*ShardedDict((f'b{i}', i) for i in range(300)))"
     )
-    said = {
-        subprocess.run([sys.executable, "-c", text], env={"PYTHONHASHSEED": seed}, check=True,
+    outputs = {
+        subprocess.run([sys.executable, "-c", program], env={"PYTHONHASHSEED": seed}, check=True,
                        capture_output=True).stdout
         for seed in ("1", "2")
     }  # fmt: skip
-    assert said == {" ".join(ShardedDict((f"b{i}", i) for i in range(300))).encode() + b"\n"}
+    assert outputs == {" ".join(ShardedDict((f"b{i}", i) for i in range(300))).encode() + b"\n"}
