--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -92,12 +92,17 @@
     """
     raw = read_config_file(env)
     if missing_keys := sorted(current.file_keys - set(dotted_keys(raw))):
-        raise ConfigError(f"{missing_keys[0]} is missing")
+        raise ConfigError(
+            f"{missing_keys[0]} is missing; a reloaded file must have all keys of the previous file"
+        )
     # The environment is fixed at process start, so only the file has the current address of discovery.
     config = _validated_config(raw, {k: v for k, v in env.items() if k != ENV_PREFIX + "DISCOVERY"})
     for index, row in enumerate(raw["settings"]["request-classes"]):
         if missing_keys := sorted(current.request_class_keys - row.keys()):
-            raise ConfigError(f"settings: request-classes[{index}].{missing_keys[0]} is missing")
+            raise ConfigError(
+                f"settings: request-classes[{index}].{missing_keys[0]} is missing; all classes of the previous "
+                "file had it"
+            )
     return config
 
 
--- a/balancer/net/config_file.py
+++ b/balancer/net/config_file.py
@@ -65,7 +65,7 @@
     """Return an address from the environment or, failing that, from the file. Raises ConfigError."""
     value = env.get(ENV_PREFIX + name.upper()) or raw.get(name)
     if value is None:
-        raise ConfigError(f"{name} is missing")
+        raise ConfigError(f"{name} is missing; it must be IP:PORT")
     try:
         return parse_address(value)
     except AddressError:
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -180,7 +180,7 @@
         decision module's first delay could exceed the time after which missed events count as received.
         """
         if is_silent:
-            self._log.warn("discovery is silent")
+            self._log.warn("discovery is silent: a call received no complete message in time")
         self._backoff.call_failed(call)
         was_established = call.is_established(self._loop.time())
         is_repeat_due = call.request.is_urgent and call.first_message_at is None
--- a/balancer/net/json_stream.py
+++ b/balancer/net/json_stream.py
@@ -211,7 +211,7 @@
         elif data[at] == BACKSLASH and at + 1 == len(data):
             self._after_backslash = True
         else:
-            raise JsonStreamError(f"string ends without a closing quote: {_quoted(data, at)}")
+            raise JsonStreamError(f"string has an invalid character or escape: {_quoted(data, at)}")
         return at + 1
 
 
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -267,5 +267,5 @@
 
     def _report(self, name: str, is_banned: bool, since: float) -> None:
         """Report a change; an exception in the callback does not prevent reports about other backends."""
-        with self._defects.contain("a change of a ban"):
+        with self._defects.contain("reporting a changed ban"):
             self._on_change(name, is_banned, since)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -80,7 +80,7 @@
 def test_a_change_is_received_by_the_deadline_after_any_failed_call(
     tmp_path: Path, all_longest_draws: None, must_subscribe: bool, list_max_age_ms: float, failure: str
 ) -> None:
-    """In the worst case discovery recovers, or has a change, right after a call was dialled that fails."""
+    """Guards against late receipt in the worst case: a change right after dialling a call that fails."""
     failing = DiscoverySimulation(tmp_path, must_subscribe, failure, list_max_age_ms=list_max_age_ms)
     failing.run(60)
     healthy_s = 0.0
@@ -209,7 +209,7 @@
 def test_recovery_is_not_notified_of_a_failure_while_a_slow_list_arrives(
     tmp_path: Path, must_subscribe: bool
 ) -> None:
-    """Recovery would stop all calls, including the slow one."""
+    """Guards against stopping a slow call, as recovery stops all calls when it is notified of a failure."""
     sim = DiscoverySimulation(tmp_path, must_subscribe, "slow_list")
     recovery = FakeRecovery(sim)
     sim.run(30, recovery.control)
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -130,7 +130,7 @@
 def test_an_urgent_call_stays_queued_in_parallel_with_the_next_call(
     tmp_path: Path, must_subscribe: bool
 ) -> None:
-    """Guards against cancelling the call after 1.5 s, which is 0.9 s before its turn in the queue."""
+    """Guards against cancelling an urgent call after 1.5 s, 0.9 s before its turn in discovery's queue."""
     sim = DiscoverySimulation(tmp_path, must_subscribe, "list_only", "no_response")
 
     # The states of all connections before and after the response.
@@ -153,7 +153,7 @@
 
 
 def test_an_overtaken_complete_list_is_requested_again(tmp_path: Path) -> None:
-    """The list may be outdated, unless the next call receives it as well because discovery has restarted."""
+    """Guards against an outdated list; if the next call receives it as well, discovery has restarted."""
     sim = DiscoverySimulation(tmp_path, False, "healthy", "no_response")
 
     def change_address(discovery: DiscoveryClient) -> None:
--- a/tests/test_endpoint_decoder.py
+++ b/tests/test_endpoint_decoder.py
@@ -91,7 +91,7 @@
     members: Any, odd: dict[str, Any] | None, top: dict[str, Any], indent: int | None, ascii_only: bool,
     seed: int, min_run_bytes: int, runs_per_slice: int,
 ) -> None:  # fmt: skip
-    """At most one entry is invalid, because of several the two decoders may name different ones."""
+    """At most one entry is invalid, because the two decoders may name different ones of several."""
     draw = random.Random(seed)
 
     def shuffled(entries: dict[str, Any]) -> dict[str, Any]:
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -308,7 +308,7 @@
 def test_updates_at_any_slice_have_the_same_result_as_if_applied_at_once(
     tmp_path: Path, updates: list[tuple[tuple[bool, dict[str, EndpointPhase]], int, int]]
 ) -> None:
-    """Guards also against a backend that is put into service after the last update has removed it."""
+    """Guards against a backend that is put into service after the last update has removed it."""
     sim, expected = LongListSimulation(tmp_path), dict[str, EndpointPhase]()
 
     async def run_node() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -139,9 +139,8 @@
 def test_an_upgraded_node_neither_leaves_nor_dies_in_the_view_of_others(
     run_records: records.RunRecords, node: int
 ) -> None:
-    until = min(
-        life.term for life in run_records.processes if life.node == 0
-    )  # after this time all nodes are terminated
+    # All nodes are terminated from the time at which node 0 is.
+    until = min(life.term for life in run_records.processes if life.node == 0)
     found = [v.state for v in run_records.member_views if (v.node, v.member) == (node, 2) and v.at < until]
     assert "dead" not in found and "left" not in found
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,7 +20,7 @@
 from tests.test_console import CONSOLE
 
 
-def fails(balancer: Balancer, request: str, attempt: int, backend: str) -> list[api.Action]:
+def fail_attempt(balancer: Balancer, request: str, attempt: int, backend: str) -> list[api.Action]:
     """End an attempt with an error that leaves open whether the request took effect."""
     ended = api.AttemptEnded(request, attempt, backend, api.AttemptStatus.ERROR, 10.0, False)
     return balancer.handle(1020.0 + attempt, ended)
@@ -31,9 +31,9 @@
     first = sends(balancer.handle(1001.0, api.RequestArrived("old", "pay", deadline=2001.0)))
     stricter = replace(KEYED, idempotency=api.Idempotency.NOT_IDEMPOTENT, latency_objective_ms=300.0)
     balancer.handle(1010.0, api.Reconfigured(replace(BASE, classes=(SAFE, stricter))))
-    assert len(sends(fails(balancer, "old", 0, first[0].backend))) == 1
+    assert len(sends(fail_attempt(balancer, "old", 0, first[0].backend))) == 1
     later = sends(balancer.handle(1030.0, api.RequestArrived("new", "pay", deadline=2030.0)))
-    assert isinstance(answers(fails(balancer, "new", 0, later[0].backend))[0], api.FailRequest)
+    assert isinstance(answers(fail_attempt(balancer, "new", 0, later[0].backend))[0], api.FailRequest)
     with pytest.raises(api.CallError):
         balancer.handle(1040.0, api.RequestArrived("gone", UNSAFE.name, deadline=2040.0))
 
@@ -47,7 +47,7 @@
     balancer = node(replace(BASE, max_attempts=limit_at_arrival), ["b0", "b1", "b2", "b3"])
     sent = sends(balancer.handle(1001.0, api.RequestArrived("r", "read", deadline=2001.0)))
     balancer.handle(1010.0, api.Reconfigured(replace(BASE, max_attempts=new_limit)))
-    while len(sent) < 5 and (more := sends(fails(balancer, "r", len(sent) - 1, sent[-1].backend))):
+    while len(sent) < 5 and (more := sends(fail_attempt(balancer, "r", len(sent) - 1, sent[-1].backend))):
         sent += more
     assert len(sent) == attempt_count
 
@@ -65,7 +65,7 @@
     assert balancer.ejection.longest_objective_ms == UNSAFE.latency_objective_ms
 
 
-def without(*path: str | int) -> Callable[[dict[str, Any]], object]:
+def without_key(*path: str | int) -> Callable[[dict[str, Any]], object]:
     """Return a function that removes one key from a configuration."""
 
     def change(raw: dict[str, Any]) -> None:
@@ -77,12 +77,12 @@
     return change
 
 
-def row(name: str, value: object) -> Callable[[dict[str, Any]], object]:
+def with_class_value(name: str, value: object) -> Callable[[dict[str, Any]], object]:
     """Return a function that changes one value of the first request class."""
     return lambda raw: raw["settings"]["request-classes"][0].update({name: value})
 
 
-def limit(name: str, value: object) -> Callable[[dict[str, Any]], object]:
+def with_limit(name: str, value: object) -> Callable[[dict[str, Any]], object]:
     """Return a function that changes one value of the limits in the settings."""
     return lambda raw: raw["settings"]["limits"].update({name: value})
 
@@ -90,21 +90,21 @@
 @pytest.mark.parametrize(
     ("change", "field"),
     [
-        (without("settings"), "settings"),
-        (without("discovery"), "discovery"),
-        (without("settings", "limits", "most-tries"), "settings.limits.most-tries"),
-        (without("settings", "request-classes"), "settings.request-classes"),
-        (without("settings", "request-classes", 0, "give-up"), "request-classes[0].give-up"),
-        (without("settings", "request-classes", 1, "objective"), "request-classes[1].objective"),
-        (row("give-up", 0), "request-classes[0].give-up"),
-        (row("give-up", -5), "request-classes[0].give-up"),
-        (row("give-up", True), "request-classes[0].give-up"),
-        (row("give-up", "400"), "request-classes[0].give-up"),
-        (row("give-up", float("nan")), "request-classes[0].give-up"),
-        (row("name", "pay"), "request-classes[1].name"),
-        (limit("most-tries", 0), "limits.most-tries"),
-        (limit("most-tries", 1.5), "limits.most-tries"),
-        (limit("most-tries", False), "limits.most-tries"),
+        (without_key("settings"), "settings"),
+        (without_key("discovery"), "discovery"),
+        (without_key("settings", "limits", "most-tries"), "settings.limits.most-tries"),
+        (without_key("settings", "request-classes"), "settings.request-classes"),
+        (without_key("settings", "request-classes", 0, "give-up"), "request-classes[0].give-up"),
+        (without_key("settings", "request-classes", 1, "objective"), "request-classes[1].objective"),
+        (with_class_value("give-up", 0), "request-classes[0].give-up"),
+        (with_class_value("give-up", -5), "request-classes[0].give-up"),
+        (with_class_value("give-up", True), "request-classes[0].give-up"),
+        (with_class_value("give-up", "400"), "request-classes[0].give-up"),
+        (with_class_value("give-up", float("nan")), "request-classes[0].give-up"),
+        (with_class_value("name", "pay"), "request-classes[1].name"),
+        (with_limit("most-tries", 0), "limits.most-tries"),
+        (with_limit("most-tries", 1.5), "limits.most-tries"),
+        (with_limit("most-tries", False), "limits.most-tries"),
     ],
 )
 def test_an_incomplete_or_invalid_file_is_rejected(
