--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -100,8 +100,8 @@
     for index, row in enumerate(raw["settings"]["request-classes"]):
         if missing_keys := sorted(current.request_class_keys - row.keys()):
             raise ConfigError(
-                f"settings: request-classes[{index}].{missing_keys[0]} is missing; all classes of the previous "
-                "file had it"
+                f"settings: request-classes[{index}].{missing_keys[0]} is missing; "
+                "all classes of the previous file had it"
             )
     return config
 
