--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -85,7 +85,7 @@
     def stats(self) -> dict[str, object]:
         """Return the statistics."""
 
-    async def set_maintenance(self, backend: str, is_out: bool) -> bool:
+    async def set_maintenance(self, backend: str, is_banned: bool) -> bool:
         """Set or lift a maintenance ban; return False for a backend never listed. Raises BalancerError."""
 
 
@@ -269,15 +269,15 @@
                 return await self._set_maintenance(backend, state == "maint")
         raise CallError(404, "the console has no such call")
 
-    async def _set_maintenance(self, backend: str, is_out: bool) -> CallResponse:
+    async def _set_maintenance(self, backend: str, is_banned: bool) -> CallResponse:
         try:
-            is_known = await self._target.set_maintenance(backend, is_out)
+            is_known = await self._target.set_maintenance(backend, is_banned)
         except BalancerError as err:
             happened, remedy = err.report_lines
             return CallResponse(503, _lines(f"{happened}; the maintenance ban is unchanged", remedy))
         if not is_known:
             raise UnknownBackendError(404, "backend was never in the endpoint list of this node")
-        return CallResponse(200, f"{backend} is {'out' if is_out else 'back'}\n")
+        return CallResponse(200, f"{backend} is {'out' if is_banned else 'back'}\n")
 
     def close(self) -> None:
         """Stop listening and close all connections."""
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -153,7 +153,7 @@
         if self.durable is not None:
             self.durable.save_learned(export, now, rate)
 
-    async def record_maintenance(self, backend: str, is_out: bool, at: float, is_change: bool) -> None:
+    async def record_maintenance(self, backend: str, is_banned: bool, at_ms: float, is_change: bool) -> None:
         """Record a maintenance ban or its lift, so that it survives a crash if that is configured.
 
         Raises:
@@ -161,13 +161,13 @@
         """
         # Recovery records a call without a change as well, so that the register has an entry of this node.
         if self.recovery is not None:
-            await self.recovery.request_ban(backend, is_out)
+            await self.recovery.request_ban(backend, is_banned)
         elif self.durable is not None and is_change:
-            await self.durable.save_ban(backend, is_out, at)
+            await self.durable.save_ban(backend, is_banned, at_ms)
 
-    def confirms(self, backend: str, is_out: bool) -> bool:
+    def confirms(self, backend: str, is_banned: bool) -> bool:
         """Return whether a recorded maintenance change is still the newest one known in the tier."""
-        return self.recovery is None or self.recovery.shell.is_banned(backend) is is_out
+        return self.recovery is None or self.recovery.shell.is_banned(backend) is is_banned
 
     def start(self) -> None:
         """Join the tier, unless already done. A successor calls this when its predecessor has ended."""
