--- a/balancer/policy/outbox.py
+++ b/balancer/policy/outbox.py
@@ -73,6 +73,5 @@
         ):
             self.write(
                 now,
-                f"shedding: {self.rejections} of {self.arrivals} requests were rejected or failed since the "
-                "last log line",
+                f"shedding: {self.rejections} of {self.arrivals} requests refused or failed",
             )
--- a/balancer/policy/polling.py
+++ b/balancer/policy/polling.py
@@ -70,8 +70,7 @@
         self._schedule_call(wait_ms, now)
         self.log.write(
             now,
-            f"list: discovery call failed {self._failed_calls} times, last list stays in use, next call in "
-            f"{wait_ms / MS_PER_S:.1f} s",
+            f"list: call failed {self._failed_calls} times, asking again in {wait_ms / MS_PER_S:.1f} s",
         )
 
     def on_cached_list(self, has_endpoint_in_service: bool, now: float) -> None:
--- a/balancer/policy/selection.py
+++ b/balancer/policy/selection.py
@@ -106,7 +106,7 @@
         max_in_flight: float = math.inf,
     ) -> list[EndpointRecord]:
         """Sample a pool without regard to ejections, which may be wrong, as no endpoint is eligible."""
-        self.log.write(now, f"panic: none of {len(pool)} backends is eligible, sending to ejected ones too")
+        self.log.write(now, f"panic: {len(pool)} backends in view, none eligible, ignoring ejections")
         return self.sample(request, count, pool, now, max_in_flight, ignore_ejection=True)
 
     def apply_report(self, endpoint: EndpointRecord, report: api.LoadReport | None, is_fresh: bool) -> None:
