--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -12,7 +12,7 @@
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import Kill
-from balancer.experiments.tables import Expect, Load
+from balancer.experiments.tables import Expectation, Load
 from balancer.lab.figures import percentiles
 from balancer.lab.run import Run
 from balancer.lab.timeline import Step, timeline
@@ -32,7 +32,7 @@
             Kill(at=round(0.25 * seconds, 2), targets="backends:4", restart_after=back),
             Kill(at=round(0.5 * seconds, 2), targets="nodes:1", restart_after=back),
         ),
-        expect=(Expect(figure="broken_rules", max=0.0),),
+        expect=(Expectation(figure="broken_rules", max=0.0),),
     )
 
 
--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -166,7 +166,7 @@
     return all(row["state"] == "alive" for row in seen.rows())
 
 
-def summary(seen: Membership) -> dict[str, Any]:
+def view_summary(seen: Membership) -> dict[str, Any]:
     """Return the view in few fields."""
     states = Counter(row["state"] for row in seen.rows())
     others = [r["node"] for r in seen.rows()
@@ -182,7 +182,7 @@
 
 def view_of(seen: Membership) -> RenderableType:
     """Return the view for people."""
-    row = summary(seen)
+    row = view_summary(seen)
     quorum = "more than half" if seen.quorum else "[red]a minority[/red]"
     agree = f"{seen.agreement:.0%}" if seen.agreement == 1 else f"[yellow]{seen.agreement:.0%}[/yellow]"
     states = ", ".join(f"{count} {state}" for state, count in sorted(row["states"].items()))
@@ -240,4 +240,4 @@
 @app.command()
 def view(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
     """Whether the tier agrees. Exit code 0: a majority that agrees; 1: not; 2: no answer."""
-    raise show(console, as_json, watch, read_membership, summary, view_of, is_agreed_majority)
+    raise show(console, as_json, watch, read_membership, view_summary, view_of, is_agreed_majority)
--- a/balancer/experiments/experiment.py
+++ b/balancer/experiments/experiment.py
@@ -7,7 +7,7 @@
     Backends,
     Clients,
     Discovery,
-    Expect,
+    Expectation,
     Fleet,
     Load,
     Network,
@@ -33,7 +33,7 @@
     clients: Clients = Clients()
     rules: Rules = Rules()
     faults: tuple[AnyFault, ...] = ()
-    expect: tuple[Expect, ...] = ()
+    expect: tuple[Expectation, ...] = ()
 
     @property
     def node_names(self) -> list[str]:
--- a/balancer/experiments/tables.py
+++ b/balancer/experiments/tables.py
@@ -144,7 +144,7 @@
     max_attempts: int = 4
 
 
-class Expect(Table, frozen=True):
+class Expectation(Table, frozen=True):
     """An expectation: a figure of the summary within its bounds."""
 
     figure: str
--- a/balancer/lab/backend_stubs.py
+++ b/balancer/lab/backend_stubs.py
@@ -10,7 +10,7 @@
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import SlowConnects
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan
 from balancer.lab.impaired_sockets import ImpairedConnection, ImpairedListener, RunClock
@@ -66,7 +66,7 @@
         """Schedule the intervals in which new connections of each node come up late."""
         loop, now = asyncio.get_running_loop(), self.group.clock.now() / 1000
         for node in range(self.group.spec.fleet.nodes):
-            random = stream(self.group.seed, "late", str(fault.at), self.number, node)
+            random = random_stream(self.group.seed, "late", str(fault.at), self.number, node)
             for begin, end in connect_delays(random, fault.share, fault.at, fault.ends_at):
                 loop.call_later(begin - now, self._set_unresponsive, node, True)
                 loop.call_later(end - now, self._set_unresponsive, node, False)
@@ -321,10 +321,10 @@
         cells: dict[int, Cell] = {}
         self.hosts: dict[str, BackendStub] = {}
         for number in numbers:
-            speed = float(stream(seed, "speed", number).uniform(*spec.backends.speed))
+            speed = float(random_stream(seed, "speed", number).uniform(*spec.backends.speed))
             core = Backend(
                 spec.backends, spec.rules, speed, cells.setdefault(spec.cell_of(number), {}),
-                stream(seed, "backend", number), 0.0 if spec.backends.start_cold else -1e12,
+                random_stream(seed, "backend", number), 0.0 if spec.backends.start_cold else -1e12,
             )  # fmt: skip
             self.hosts[f"s{number}"] = BackendStub(self, number, core)
         network.watchers.append(self._network_changed)
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -14,7 +14,7 @@
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import Terminate
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.tables import RequestClass
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan
@@ -196,7 +196,7 @@
         self.clock, self.seen = clock, seen
         self.front_end = FrontEndProxy(spec, zone, places, network)
         self.arrivals = _part(draw_arrivals(spec, seed, zone), part, of)
-        self.random = stream(seed, "connections", zone, part)
+        self.random = random_stream(seed, "connections", zone, part)
         self.idle: list[ClientConnection] = []
         self.connections: set[ClientConnection] = set()
         self.next = 0
--- a/balancer/lab/compare.py
+++ b/balancer/lab/compare.py
@@ -17,7 +17,7 @@
 from matplotlib.figure import Figure
 from numpy.typing import NDArray
 
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.lab.figures import JUDGED
 from balancer.lab.report import BAD, GOOD, INK, QUIET, page, png, table_html
 
@@ -44,7 +44,7 @@
 
 def interval(values: Floats) -> tuple[float, float]:
     """Return the 95% bootstrap interval of the median."""
-    picks = stream(0, "bootstrap").integers(0, len(values), (RESAMPLES, len(values)))
+    picks = random_stream(0, "bootstrap").integers(0, len(values), (RESAMPLES, len(values)))
     medians = np.median(values[picks], axis=1)
     return float(np.quantile(medians, 0.025)), float(np.quantile(medians, 0.975))
 
@@ -54,7 +54,7 @@
     if len(values) <= MAX_EXACT_SEEDS:
         signs = np.array(list(product((-1.0, 1.0), repeat=len(values))))
     else:
-        signs = stream(0, "signs").choice((-1.0, 1.0), (RESAMPLES, len(values)))
+        signs = random_stream(0, "signs").choice((-1.0, 1.0), (RESAMPLES, len(values)))
     # What rounds to the same counts as the same: the observed signs must be among the flips.
     return float(np.mean(np.abs(signs @ values) >= abs(values.sum()) * (1 - 1e-12)))
 
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -14,7 +14,7 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import LinkFault, PowerLoss, Stall
 from balancer.experiments.selectors import select_parties
-from balancer.experiments.tables import Expect
+from balancer.experiments.tables import Expectation
 from balancer.lab import records
 from balancer.lab.judge import RULES, Judgement
 from balancer.lab.power_recovery import count_forgotten_bans, power_recovery_figures
@@ -401,7 +401,7 @@
     return max(0.0, max((at for at, _ in pairs.values()), default=0.0) / 1000 - last_step_at(spec))
 
 
-def expectation_holds(expect: Expect, values: dict[str, float]) -> bool:
+def expectation_holds(expect: Expectation, values: dict[str, float]) -> bool:
     """Whether an expectation holds; a figure that the run does not have does not."""
     value = values.get(expect.figure)
     if value is None:
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -16,7 +16,7 @@
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import DiscoveryDelay, DiscoveryOutage, LinkFault, PowerLoss, Stall
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.experiments.tables import RequestClass
 from balancer.lab import records
@@ -98,7 +98,7 @@
         self.process_records: dict[int, list[records.ProcessRecord]] = defaultdict(list)
         for process_record in sorted(seen.processes, key=lambda x: x.started):
             self.process_records[process_record.node].append(process_record)
-        self.network = NetworkConditions(spec, stream(0, "judge"))
+        self.network = NetworkConditions(spec, random_stream(0, "judge"))
         self.stalls = [
             (name, f.at * 1000, f.ends_at * 1000)
             for f in spec.faults if isinstance(f, Stall) for name in select_parties(spec, f.targets)
--- a/balancer/lab/power_loss.py
+++ b/balancer/lab/power_loss.py
@@ -30,7 +30,7 @@
 from balancer.durable.layout import DRAFT_PREFIX, FENCE_NAME, FILE_NAME, MAGIC, FileKind, FileName, draft_name
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import PowerLoss
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.sim.disk import DiskImage, Inode, NameChange, SimulatedDisk
 
@@ -46,7 +46,7 @@
     names = [name for name in fault_targets(spec, fault) if name not in away]
     first = fault.at + fault.restart_after
     order_names = [name for name in names if name != "d"]
-    order = stream(seed, "power", round(fault.at * 1000)).permutation(len(order_names))
+    order = random_stream(seed, "power", round(fault.at * 1000)).permutation(len(order_names))
     gap = fault.return_over / max(1, len(order_names) - 1)
     out = {order_names[int(which)]: first + place * gap for place, which in enumerate(order)}
     if "d" in names:
--- a/balancer/lab/power_recovery.py
+++ b/balancer/lab/power_recovery.py
@@ -19,7 +19,7 @@
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import LinkFault, PowerLoss
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.lab import records
 from balancer.lab.power_loss import disk_state_of, return_times
 from balancer.models.network import NetworkConditions
@@ -215,7 +215,7 @@
 
     def __init__(self, spec: Experiment, seen: records.RunRecords) -> None:
         self.spec = spec
-        self.network = NetworkConditions(spec, stream(0, "bans"))
+        self.network = NetworkConditions(spec, random_stream(0, "bans"))
         self.cuts = sorted((f for f in spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
         self.links = [f for f in spec.faults if isinstance(f, LinkFault) and f.cut]
         self.process_records: dict[int, list[records.ProcessRecord]] = defaultdict(list)
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -35,7 +35,7 @@
     Slowdown,
     Stall,
 )
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan
 from balancer.lab.backend_stubs import BackendGroup, BackendStub
@@ -80,7 +80,7 @@
         self.clock = RunClock(read)
         places = AddressPlan(plan.block, self.spec.backends.count)
         self.network = NetworkConditions(
-            self.spec, stream(plan.seed, "weather", STREAM_NAMES[plan.role], plan.part)
+            self.spec, random_stream(plan.seed, "weather", STREAM_NAMES[plan.role], plan.part)
         )
         world = (places, self.network, self.clock, self.seen)
         self.group: BackendGroup | None = None
--- a/balancer/models/load.py
+++ b/balancer/models/load.py
@@ -10,7 +10,7 @@
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import Surge
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.tables import Load
 
 BURST_SHARE = 0.25  # of the time
@@ -56,7 +56,7 @@
 
 def draw_arrivals(spec: Experiment, seed: int, zone: str) -> Arrivals:
     """Draw all arrivals of a zone: a Poisson process of changing rate, by thinning; work is log-normal."""
-    times, sizes = stream(seed, "arrivals", zone), stream(seed, "sizes", zone)
+    times, sizes = random_stream(seed, "arrivals", zone), random_stream(seed, "sizes", zone)
     mean = spec.rate * zone_factor(spec, zone) / len(spec.fleet.zones) / 1000  # a ms
     length = spec.seconds * 1000
     peak = 1 + 2 * spec.load.amplitude
@@ -66,14 +66,14 @@
     count = times.poisson(mean * peak * length)
     at = np.sort(times.uniform(0, length, count))
     accepted = times.random(count) * peak < intensity(
-        spec.load, spec.faults, zone, at, stream(seed, "bursts", zone), spec.seconds
+        spec.load, spec.faults, zone, at, random_stream(seed, "bursts", zone), spec.seconds
     )
     at = at[accepted]
     shares = np.array([c.share for c in spec.load.classes])
     sigma2 = math.log(1 + spec.load.work_cv**2)
     work = sizes.lognormal(math.log(spec.load.work_ms) - sigma2 / 2, math.sqrt(sigma2), len(at))
-    kind = stream(seed, "classes", zone).choice(len(shares), size=len(at), p=shares / shares.sum())
+    kind = random_stream(seed, "classes", zone).choice(len(shares), size=len(at), p=shares / shares.sum())
     return Arrivals(
-        zone, at, kind.astype(np.int64), work, stream(seed, "whims", zone).random((len(at), 4)),
-        stream(seed, "ids", zone).integers(1, 2**63, len(at), dtype=np.uint64),
+        zone, at, kind.astype(np.int64), work, random_stream(seed, "whims", zone).random((len(at), 4)),
+        random_stream(seed, "ids", zone).integers(1, 2**63, len(at), dtype=np.uint64),
     )  # fmt: skip
--- a/balancer/sim/request_path.py
+++ b/balancer/sim/request_path.py
@@ -15,7 +15,7 @@
 
 from balancer import interface as api
 from balancer.experiments.experiment import Experiment
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.models.backend import Backend, Job, Verdict
 from balancer.models.client import Operation, Outcome
 from balancer.policy import Balancer
@@ -125,10 +125,10 @@
         self.spec, self.seed = spec, seed
         self.random = random.Random(f"service {seed}")
         self.figures = Figures()
-        speeds = stream(seed, "speeds").uniform(*spec.backends.speed, spec.backends.count).tolist()
+        speeds = random_stream(seed, "speeds").uniform(*spec.backends.speed, spec.backends.count).tolist()
         self.hosts = {
             name: BackendHost(
-                Backend(spec.backends, spec.rules, speeds[i], {}, stream(seed, "backend", i)), name
+                Backend(spec.backends, spec.rules, speeds[i], {}, random_stream(seed, "backend", i)), name
             )
             for i, name in enumerate(spec.backend_names)
         }
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -181,7 +181,7 @@
     rows = told.rows()
     assert [r["node"] for r in rows] == [0, 1, 2, 3, 4] and rows[1]["state"] == "dead"
     assert not command.all_members_alive(told) and told.quorum
-    assert command.summary(told)["states"].get("dead") == 1 and told.view_reason
+    assert command.view_summary(told)["states"].get("dead") == 1 and told.view_reason
 
 
 def test_a_console_that_gives_no_view_is_said() -> None:
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -15,9 +15,9 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import LinkFault, Surge
 from balancer.experiments.loading import load_experiment
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.selectors import select_parties, split_into_batches
-from balancer.experiments.tables import DEFAULT_CLASSES, Backends, Clients, Expect, Fleet, Load, Rules
+from balancer.experiments.tables import DEFAULT_CLASSES, Backends, Clients, Expectation, Fleet, Load, Rules
 from balancer.lab import records
 from balancer.lab.figures import MAX_CPU_WAIT_S, expectation_holds, max_cpu_wait_s
 from balancer.lab.processes import CpuWait, Usage
@@ -37,7 +37,7 @@
 
 
 def backend(started: float = -1e12, spec: Backends = BACKENDS, **over: object) -> Backend:
-    return Backend(spec, Rules(fall_ms=1000.0, **over), 1.0, {}, stream(1, "b"), started)  # type: ignore[arg-type]
+    return Backend(spec, Rules(fall_ms=1000.0, **over), 1.0, {}, random_stream(1, "b"), started)  # type: ignore[arg-type]
 
 
 def job(name: str, work: float = 10.0, **over: object) -> Job:
@@ -198,8 +198,8 @@
 @pytest.mark.parametrize("share", [0.05, 0.2, 0.45])
 def test_connections_are_delayed_in_the_stated_share_and_never_twice(share: float) -> None:
     """A second try, a second after the first, finds the way open."""
-    drawn = [connect_delays(stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
-    assert drawn[0] == connect_delays(stream(0, "late"), share, 10.0, 110.0) != drawn[1]
+    drawn = [connect_delays(random_stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
+    assert drawn[0] == connect_delays(random_stream(0, "late"), share, 10.0, 110.0) != drawn[1]
     for row in drawn:
         assert all(a >= 10.0 and b <= 110.0 and b - a == pytest.approx(CONNECT_DELAY_S) for a, b in row)
         assert all(later[0] - earlier[1] >= MIN_REST_S - 1e-9 for earlier, later in pairwise(row))
@@ -236,7 +236,7 @@
         cut=True,
         loss=0.5,
     )
-    network = NetworkConditions(Experiment(name="x", faults=(fault,)), stream(1, "w"))
+    network = NetworkConditions(Experiment(name="x", faults=(fault,)), random_stream(1, "w"))
     network.change(fault, True)
     assert network.conditions("n0", "s1").cut and not network.conditions("s1", "n0").cut
     assert (
@@ -251,7 +251,9 @@
     fault = LinkFault(
         at=0.0, duration_s=1.0, source="nodes", destination="nodes", loss=0.3, duplicate=0.2, reorder=0.1
     )
-    network = NetworkConditions(Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), stream(1, "w"))
+    network = NetworkConditions(
+        Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), random_stream(1, "w")
+    )
     network.change(fault, True)
     held_ = network.conditions("n0", "n1")
     copies = [network.datagram_delays_ms(held_, 100) for _ in range(4000)]
@@ -304,9 +306,9 @@
 
 
 def test_an_expectation_on_a_figure_that_is_not_there_falls_short() -> None:
-    assert not expectation_holds(Expect(figure="recovery_s", max=3.0), {})
-    assert expectation_holds(Expect(figure="x", min=1.0, max=2.0), {"x": 1.5})
-    assert not expectation_holds(Expect(figure="x", min=1.0), {"x": 0.5})
+    assert not expectation_holds(Expectation(figure="recovery_s", max=3.0), {})
+    assert expectation_holds(Expectation(figure="x", min=1.0, max=2.0), {"x": 1.5})
+    assert not expectation_holds(Expectation(figure="x", min=1.0), {"x": 0.5})
 
 
 def test_a_wait_for_a_core_that_never_ends_is_seen_and_one_that_ends_counts_once() -> None:
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -19,7 +19,7 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import LinkFault
 from balancer.experiments.loading import load_experiment
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.tables import Fleet, Network
 from balancer.lab import records
 from balancer.lab.addresses import AddressBlock
@@ -278,7 +278,7 @@
 
 def test_a_cut_link_is_silent_and_lets_no_connection_come_up(block: AddressBlock) -> None:
     async def whole() -> None:
-        network = NetworkConditions(Experiment(name="x"), stream(1, "w"))
+        network = NetworkConditions(Experiment(name="x"), random_stream(1, "w"))
         address = block.places.backend(0, 0)
         listener = ImpairedListener(address, lambda: Echo(network, RunClock(), "s0", "n0"))
         listener.open()
@@ -311,7 +311,7 @@
 def test_bytes_keep_their_order_under_delay_and_jitter(block: AddressBlock) -> None:
     async def whole() -> None:
         spec = Experiment(name="x", network=Network(same_zone_ms=2.0, jitter=3.0))
-        network = NetworkConditions(spec, stream(1, "w"))
+        network = NetworkConditions(spec, random_stream(1, "w"))
         listener = ImpairedListener(block.places.backend(0, 0), lambda: Echo(network, RunClock(), "s0", "n0"))
         listener.open()
         reader, writer = await asyncio.open_connection(*block.places.backend(0, 0))
@@ -331,7 +331,7 @@
 def test_datagrams_come_from_the_senders_address_in_peers(block: AddressBlock) -> None:
     async def whole() -> None:
         spec = Experiment(name="x", fleet=Fleet(nodes=3), network=Network(peer_datagrams=True, peer_ms=1.0))
-        network = NetworkConditions(spec, stream(1, "w"))
+        network = NetworkConditions(spec, random_stream(1, "w"))
         relay = DatagramRelay(spec, block.places, network)
         await relay.open()
         sockets = []
