--- a/balancer/experiments/__init__.py
+++ b/balancer/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: the tables of an experiment file, their checks, and what is derived from them."""
+"""Experiment files: their tables, validation, selectors and the settings derived from them."""
--- a/balancer/experiments/checks.py
+++ b/balancer/experiments/checks.py
@@ -1,4 +1,4 @@
-"""The checks of an experiment that the types of its tables cannot express."""
+"""Validation of an experiment beyond the types of its fields."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
 MAX_UTILISATION = 10
 MAX_RATE_PER_S = 50_000
 MAX_CLIENT_RETRIES = 10
-MAX_SLOW_CONNECT_SHARE = 0.45  # delays of 0.9 s with 1.1 s between them, see `models/connect_delay.py`
+# Slow connects last 0.9 s with at least 1.1 s between two, so 0.45 of the time (`models/connect_delay.py`).
+MAX_SLOW_CONNECT_SHARE = 0.45
 
 NODE = "n"
 BACKEND = "s"
@@ -42,35 +43,38 @@
 
 
 class Bound(NamedTuple):
-    """A condition on a field, by the field's dotted name in the file."""
+    """A condition on a field, which has its dotted name in the file."""
 
     field: str
     holds: bool
 
 
 class Selection(NamedTuple):
-    """A selector of a fault, and the first letters of the parties that it may name."""
+    """A selector in a field of a fault, and the initial letters of the parties that it may select.
 
-    field: str  # dotted, in the fault
+    `field` is the dotted name within the fault.
+    """
+
+    field: str
     selector: str
-    kinds: str
+    allowed_initials: str
 
 
 def check_experiment(spec: Experiment) -> None:
-    """Check an experiment.
+    """Check that all values of an experiment are valid.
 
     Raises:
-        ExperimentError: A field makes no sense; the text begins with its dotted name.
+        ExperimentError: A value is invalid; the message begins with the dotted name of its field.
     """
     for bound in _bounds(spec):
         if not bound.holds:
             value = _value_of(spec, bound.field)
-            raise ExperimentError(f"{bound.field} makes no sense: {value!r:.80}")
+            raise ExperimentError(f"{bound.field}: invalid value {value!r:.80}")
     for index, fault in enumerate(spec.faults):
         _check_fault(spec, fault, f"faults[{index}]")
     for index, expect in enumerate(spec.expect):
         if expect.min is None and expect.max is None:
-            raise ExperimentError(f"expect[{index}].min and max are both missing")
+            raise ExperimentError(f"expect[{index}]: either `min` or `max` is required")
 
 
 def _bounds(spec: Experiment) -> Iterator[Bound]:
@@ -122,45 +126,48 @@
 
 def _check_fault(spec: Experiment, fault: AnyFault, name: str) -> None:
     if not (0 <= fault.at < spec.seconds and fault.ends_at <= spec.seconds):
-        raise ExperimentError(f"{name}.at is not within the run's {spec.seconds:g} s")
+        raise ExperimentError(
+            f"{name}.at: the fault must begin and end within the {spec.seconds:g} s of the run"
+        )
     if isinstance(fault, SlowConnects) and not 0 < fault.share <= MAX_SLOW_CONNECT_SHARE:
-        raise ExperimentError(f"{name}.share makes no sense: {fault.share!r:.80}")
+        raise ExperimentError(f"{name}.share is out of range: {fault.share!r:.80}")
     if isinstance(fault, PowerLoss):
         for key in ("restart_after", "return_over", "discovery_after"):
             if getattr(fault, key) < 0:
-                raise ExperimentError(f"{name}.{key.replace('_', '-')} is below 0")
+                raise ExperimentError(f"{name}.{key.replace('_', '-')} must not be negative")
     for selection in _selections(fault):
         try:
             chosen = select_parties(spec, selection.selector)
         except ExperimentError as err:
             raise ExperimentError(f"{name}.{selection.field}: {err}") from None
-        if not all(party[0] in selection.kinds for party in chosen):
+        if not all(party[0] in selection.allowed_initials for party in chosen):
             raise ExperimentError(
-                f"{name}.{selection.field}: {selection.selector!r} cannot have a {fault_kind(fault)}"
+                f"{name}.{selection.field}: {selection.selector!r} selects parties that cannot be targets of "
+                f"the fault {fault_kind(fault)}"
             )
 
 
 def _selections(fault: AnyFault) -> Iterable[Selection]:
     if isinstance(fault, LinkFault):
-        everybody = NODE + BACKEND + CLIENT + DISCOVERY
-        yield Selection("from", fault.source, everybody)
-        yield Selection("to", fault.destination, everybody)
+        any_party = NODE + BACKEND + CLIENT + DISCOVERY
+        yield Selection("from", fault.source, any_party)
+        yield Selection("to", fault.destination, any_party)
     elif isinstance(fault, PowerLoss):
         for name, selectors in (("what", fault.targets), ("never", fault.never)):
             for selector in selectors:
-                yield Selection(name, selector, _target_kinds(fault))
+                yield Selection(name, selector, _target_initials(fault))
         for index, disk in enumerate(fault.disks):
             yield Selection(f"disks.{index}.nodes", disk.nodes, NODE)
         for index, step in enumerate(fault.clocks):
             yield Selection(f"clocks.{index}.nodes", step.nodes, NODE)
     elif (targets := getattr(fault, "targets", None)) is not None:
-        yield Selection("what", targets, _target_kinds(fault))
+        yield Selection("what", targets, _target_initials(fault))
     if isinstance(fault, Maintenance):
         yield Selection("nodes", fault.nodes, NODE)
 
 
-def _target_kinds(fault: Fault) -> str:
-    """Return the first letters of the parties that a fault can affect."""
+def _target_initials(fault: Fault) -> str:
+    """Return the initial letters of the parties that a fault can affect."""
     if isinstance(fault, (Kill, Stall)):
         return NODE + BACKEND
     if isinstance(fault, PowerLoss):
--- a/balancer/experiments/errors.py
+++ b/balancer/experiments/errors.py
@@ -1,4 +1,4 @@
-"""The error of an experiment file."""
+"""The error for an invalid experiment."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExperimentError(BalancerError):
-    """An experiment makes no sense; the text names the dotted field."""
+    """An experiment is invalid; the message names the field in dotted form."""
 
     code = "LAB01"
-    remedy = "correct the field that is named, in the file or after --set; lab list has the names there are"
+    remedy = "correct the named field in the file or in --set; lab list prints the names of the experiments"
--- a/balancer/experiments/experiment.py
+++ b/balancer/experiments/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment with all its tables, and the names of its parties."""
+"""An experiment with all its tables, and the names and zones of its parties."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 
 
 class Experiment(Table, frozen=True):
-    """One experiment file."""
+    """The content of an experiment file."""
 
     name: str
     about: str = ""
     seconds: float = 10.0
-    warmup: float = 1.0  # s at the start that no figure counts
+    # Figures leave out this number of seconds at the beginning of the run.
+    warmup: float = 1.0
     fleet: Fleet = Fleet()
     backends: Backends = Backends()
     discovery: Discovery = Discovery()
@@ -37,16 +38,16 @@
 
     @property
     def node_names(self) -> list[str]:
-        """The names of the nodes: n0, n1, ..."""
+        """The node names: n0, n1, ..."""
         return [f"n{i}" for i in range(self.fleet.nodes)]
 
     @property
     def backend_names(self) -> list[str]:
-        """The names of the backends: s0, s1, ..."""
+        """The backend names: s0, s1, ..."""
         return [f"s{i}" for i in range(self.backends.count)]
 
     def zone_of(self, party: str) -> str:
-        """Return the zone of a node (n3), a backend (s7) or a client (c-b); empty for discovery."""
+        """Return the zone of a node (n3), a backend (s7) or clients (c-b); empty for discovery (d)."""
         if party.startswith(CLIENT_PREFIX):
             return party.removeprefix(CLIENT_PREFIX)
         if party[0] in "ns":
@@ -54,13 +55,13 @@
         return ""
 
     def cell_of(self, backend: int) -> int:
-        """Return the cell of a backend by its number; no two zones share a cell."""
+        """Return the cell of a backend, given its number; a cell lies within one zone."""
         zones = len(self.fleet.zones)
         return backend % zones + zones * (backend // zones // self.backends.cell_size)
 
     @property
     def rate(self) -> float:
-        """First attempts a second over all zones."""
+        """The number of first attempts per second over all zones."""
         speed = sum(self.backends.speed) / 2
         capacity = self.backends.count * self.backends.cores * speed * 1000 / self.load.work_ms
         return self.load.rate or self.load.utilisation * capacity
--- a/balancer/experiments/former_keys.py
+++ b/balancer/experiments/former_keys.py
@@ -1,6 +1,6 @@
-"""Former names of keys in experiment files, which are read as their present names.
+"""Former names of keys in experiment files, which are replaced with the current names on reading.
 
-Files of experiments and the `experiment.json` of earlier runs have them.
+Older experiment files and the `experiment.json` of earlier runs use the former names.
 """
 
 from __future__ import annotations
@@ -48,42 +48,42 @@
 Raw = dict[str, Any]
 
 
-def with_present_keys(raw: Raw) -> Raw:
-    """Return the tables of an experiment file with former keys replaced by their present names.
+def with_current_keys(raw: Raw) -> Raw:
+    """Return the tables of an experiment file with former keys replaced by their current names.
 
-    Where a table has both names of a key, the later one counts. Whatever is no table is left to the check of
-    the types.
+    If a table has both names of a key, the later one wins. Values of a wrong type are returned unchanged, as
+    the conversion to structs rejects them.
     """
     out = dict(raw)
     for table, keys in TABLE_KEYS.items():
         if isinstance(out.get(table), dict):
-            out[table] = _renamed(out[table], keys)
+            out[table] = _rename_keys(out[table], keys)
     discovery = out.get("discovery")
     if isinstance(discovery, dict) and isinstance(mode := discovery.get("mode"), str):
         discovery["mode"] = DISCOVERY_MODES.get(mode, mode)
     load = out.get("load")
     if isinstance(load, dict) and "classes" in load:
-        load["classes"] = _each_renamed(load["classes"], CLASS_KEYS)
+        load["classes"] = _rename_keys_of_each(load["classes"], CLASS_KEYS)
     if isinstance(out.get("faults"), list):
-        out["faults"] = [_present_fault(fault) for fault in out["faults"]]
+        out["faults"] = [_with_current_fault_keys(fault) for fault in out["faults"]]
     return out
 
 
-def _present_fault(fault: Any) -> Any:
+def _with_current_fault_keys(fault: Any) -> Any:
     if not isinstance(fault, dict):
         return fault
     kind = fault.get("kind")
-    out = _renamed(fault, FAULT_KEYS.get(kind, {}) if isinstance(kind, str) else {})
+    out = _rename_keys(fault, FAULT_KEYS.get(kind, {}) if isinstance(kind, str) else {})
     if "clocks" in out:
-        out["clocks"] = _each_renamed(out["clocks"], CLOCK_KEYS)
+        out["clocks"] = _rename_keys_of_each(out["clocks"], CLOCK_KEYS)
     return out
 
 
-def _each_renamed(tables: Any, keys: dict[str, str]) -> Any:
+def _rename_keys_of_each(tables: Any, keys: dict[str, str]) -> Any:
     if not isinstance(tables, list):
         return tables
-    return [_renamed(table, keys) if isinstance(table, dict) else table for table in tables]
+    return [_rename_keys(table, keys) if isinstance(table, dict) else table for table in tables]
 
 
-def _renamed(table: Raw, keys: dict[str, str]) -> Raw:
+def _rename_keys(table: Raw, keys: dict[str, str]) -> Raw:
     return {keys.get(key, key): value for key, value in table.items()}
--- a/balancer/experiments/platform_settings.py
+++ b/balancer/experiments/platform_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the platform would give to a node of an experiment."""
+"""The settings that the platform gives to a node of an experiment."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def platform_settings(spec: Experiment, node: int, attempts: int) -> dict[str, Any]:
-    """Return the settings of one node in the form in which the platform writes them."""
+    """Return the settings of one node, keyed as in its configuration file."""
     rules = spec.rules
     return {
         "me": node, "group-size": spec.fleet.nodes, "zone": spec.zone_of(f"n{node}"),
--- a/balancer/experiments/selectors.py
+++ b/balancer/experiments/selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: the parties that a fault of an experiment affects."""
+"""Selectors, which name the parties that a fault of an experiment affects."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 def select_parties(spec: Experiment, selector: str) -> list[str]:
     """Return the parties that a selector names, in a fixed order.
 
-    `KIND` or `KIND:WHICH`; kinds: nodes, backends, clients, discovery; WHICH: `3`, `0-2`, `70%`, `zone=a` or
-    `zone!=a`. A share is spread evenly over the numbers.
+    A selector is `KIND` or `KIND:WHICH`. KIND is nodes, backends, clients or discovery. WHICH is a number
+    (`3`), a range (`0-2`), a percentage (`70%`), `zone=a` or `zone!=a`. A percentage selects parties evenly
+    over all numbers.
 
     Raises:
-        ExperimentError: The selector names nothing.
+        ExperimentError: The selector is invalid or selects no party.
     """
     kind, _, which = selector.partition(":")
-    everyone = {
+    parties_by_kind = {
         "nodes": spec.node_names, "backends": spec.backend_names, "discovery": ["d"],
         "clients": [f"c-{zone}" for zone in spec.fleet.zones],
     }  # fmt: skip
-    if kind not in everyone:
-        raise ExperimentError(f"{selector!r} names none of {', '.join(everyone)}")
-    names = everyone[kind]
+    if kind not in parties_by_kind:
+        raise ExperimentError(f"{selector!r} must begin with one of {', '.join(parties_by_kind)}")
+    names = parties_by_kind[kind]
     if not which:
         return names
     if "zone" in which:
@@ -36,7 +37,7 @@
     first, _, last = which.partition("-")
     if first.isdecimal() and (last or first).isdecimal() and int(first) <= int(last or first) < len(names):
         return names[int(first) : int(last or first) + 1]
-    raise ExperimentError(f"{selector!r} names nothing here: there are {len(names)} {kind}")
+    raise ExperimentError(f"{selector!r} selects nothing: there are {len(names)} {kind}")
 
 
 def _select_zone(spec: Experiment, selector: str, names: list[str]) -> list[str]:
@@ -47,10 +48,10 @@
 
 
 def fault_targets(spec: Experiment, fault: Fault) -> list[str]:
-    """Return the parties that a fault affects; none for a fault of a link or of a service.
+    """Return the parties that a fault affects; none for a fault of a link, of discovery or of the load.
 
     Raises:
-        ExperimentError: A selector names nothing.
+        ExperimentError: A selector is invalid or selects no party.
     """
     targets = getattr(fault, "targets", ())
     selectors = (targets,) if isinstance(targets, str) else targets
@@ -58,6 +59,6 @@
 
 
 def split_into_batches(names: list[str], count: int) -> list[list[str]]:
-    """Split names into `count` parts of about the same size, in order; none is empty."""
+    """Split names, in order, into at most `count` batches of similar size, none of them empty."""
     count = min(count, len(names))
     return [names[i * len(names) // count : (i + 1) * len(names) // count] for i in range(count)]
--- a/balancer/experiments/tables.py
+++ b/balancer/experiments/tables.py
@@ -1,7 +1,7 @@
 """The tables of an experiment file, apart from its faults, as frozen structs.
 
-Names have hyphens in the file. Times within a run are seconds (`at`, `for`, `seconds`), and milliseconds
-where the name says `_ms`.
+The keys in the file are the field names in kebab case. The suffix of a name gives its unit (`_s`, `_ms`);
+the times `at`, `for`, `seconds`, `warmup` and `every` have none and are in seconds.
 """
 
 from __future__ import annotations
@@ -18,37 +18,50 @@
 
 
 class Fleet(Table, frozen=True):
-    """The nodes and their limits, as the platform states them."""
+    """The nodes, their resource limits and the tables of their fleet file.
+
+    `cores` is the processor time that a node may use, as a share of one core.
+    """
 
     nodes: int = 3
     zones: tuple[str, ...] = DEFAULT_ZONES
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1024
-    membership: bool = False  # nodes get a fleet file with `[membership]`
-    durable: bool = False  # and with `[durable]` and a directory that outlasts a node's processes
-    recovery: bool = False  # and with `[recovery]`, which needs membership
-    ready_within: float = 30.0  # s
+    # Each node gets a fleet file with the table [membership].
+    membership: bool = False
+    # The fleet file has the table [durable], with a directory that outlives the processes of a node.
+    durable: bool = False
+    # The fleet file has the table [recovery], which requires `membership`.
+    recovery: bool = False
+    # A run waits at most this number of seconds for its nodes to become ready.
+    ready_within: float = 30.0
 
 
 class Backends(Table, frozen=True):
-    """The capacity of the backends and their failures without a fault."""
+    """The capacity of the backends and the errors that they return without a fault."""
 
     count: int = 9
     cell_size: int = 3
     cores: int = 2
-    speed: tuple[float, float] = (0.9, 1.1)  # of a standard core, drawn per backend
+    # The speed of a backend, relative to a standard core, is drawn from this range.
+    speed: tuple[float, float] = (0.9, 1.1)
     slots_per_core: float = 1.0
     queue_per_core: int = 250
-    thrash: float = 0.1  # added to each service time per request over `thrash-at` per core
+    # Contention: each request per core beyond `thrash_at` in progress lengthens service times by this share.
+    thrash: float = 0.1
     thrash_at: float = 5.0
-    cold_capacity_share: float = 0.45  # of its capacity just after a start
-    warm_up_s: float = 5.0  # warm by then at the latest, by work done if sooner
-    start_cold: bool = False  # all of them are cold when the run begins
+    # A backend has this share of its capacity directly after a cold start.
+    cold_capacity_share: float = 0.45
+    # A backend reaches its full capacity after this time at the latest, or earlier through completed work.
+    warm_up_s: float = 5.0
+    # All backends are cold at the beginning of the run.
+    start_cold: bool = False
     error_rate: float = 0.0
     drops_expired: bool = True
     connections_per_core: int = 200
-    handshake_ms: float = 0.5  # work of a new connection
+    # A new connection costs its backend this much processor time.
+    handshake_ms: float = 0.5
     handshake_rtts: int = 1
 
 
@@ -56,28 +69,36 @@
     """The service that lists the backends."""
 
     mode: Literal["poll", "push"] = "poll"
-    removal_delay_s: float = 1.5  # until it learns that a backend drains or is gone
-    addition_delay_s: float = 0.8  # until it lists a backend that came
-    watch_spread_ms: float = 50.0  # over which the events of one change are sent to all watches
-    call_service_ms: float = 4.0  # service time of one call; calls are handled in turn
-    timeout_ms: float = 1000.0  # a call that has to wait longer fails
-    multi_line: bool = False  # lists are written over many lines
-    watch_ends_on_change: bool = False  # a watch ends at a change instead of sending an event
+    # Discovery learns that a backend is draining or gone with this delay.
+    removal_delay_s: float = 1.5
+    # Discovery lists a newly started backend with this delay.
+    addition_delay_s: float = 0.8
+    # The events of one change are sent to the watches one after the other within this time.
+    watch_spread_ms: float = 50.0
+    # Discovery handles calls one at a time, and each takes this long.
+    call_service_ms: float = 4.0
+    # A call that has waited longer than this fails.
+    timeout_ms: float = 1000.0
+    # Endpoint lists are written as indented JSON over many lines.
+    multi_line: bool = False
+    # A change ends a watch instead of being sent as an event.
+    watch_ends_on_change: bool = False
 
 
 class Network(Table, frozen=True):
-    """One-way delays without faults."""
+    """One-way delays without faults; `jitter` is a share of the delay."""
 
     same_zone_ms: float = 0.2
     cross_zone_ms: float = 4.0
     client_ms: float = 0.3
-    jitter: float = 0.1  # of the delay
-    peer_datagrams: bool = False  # whether nodes may send one another datagrams
+    jitter: float = 0.1
+    # Nodes may send datagrams to one another.
+    peer_datagrams: bool = False
     peer_ms: float = 4.0
 
 
 class RequestClass(Table, frozen=True):
-    """A class of request, in the names of the settings."""
+    """A request class, in the terms of the node's settings."""
 
     name: str
     effect: Literal["retryable", "dedup", "fragile"]
@@ -85,7 +106,8 @@
     value: float = 1.0
     objective_ms: float = 150.0
     deadline_ms: float = 800.0
-    late_value: float = 0.25  # share of the value of an answer after the objective
+    # A response after the latency objective has this share of the full value.
+    late_value: float = 0.25
     group: Literal["all", "zone", "cell"] = "all"
     memory_span_ms: float = 2500.0
 
@@ -108,32 +130,43 @@
 
 
 class Load(Table, frozen=True):
-    """The clients' demand. `rate` is first attempts a second over all zones; 0: from `utilisation`."""
+    """The request load from clients.
+
+    `rate` is the number of first attempts per second over all zones; 0 derives it from `utilisation`.
+    """
 
     rate: float = 0.0
-    utilisation: float = 0.5  # of the capacity of all backends together
-    work_ms: float = 20.0  # mean work of a request on a standard core
+    # The offered work is this share of the capacity of all backends together.
+    utilisation: float = 0.5
+    # A request takes this many milliseconds of work on a standard core on average.
+    work_ms: float = 20.0
     work_cv: float = 0.5
     shape: Literal["steady", "wave", "bursty"] = "steady"
     amplitude: float = 0.3
-    zone_skew: float = 0.0  # the first zone has this much more than the mean, the last as much less
+    # The request rate of the first zone is above the mean by this share, that of the last zone below it.
+    zone_skew: float = 0.0
     classes: tuple[RequestClass, ...] = DEFAULT_CLASSES
 
 
 class Clients(Table, frozen=True):
-    """The behaviour of clients and of the front-end proxies before them."""
+    """The behaviour of the clients and of the front-end proxies that pass their requests to nodes."""
 
     retries: int = 2
-    attempt_time_share: float = 0.5  # of the deadline that an attempt gets while a retry may follow
+    # An attempt may take this share of the request's deadline while a retry can still follow.
+    attempt_time_share: float = 0.5
     backoff_ms: float = 40.0
-    retry_after_share: float = 0.3  # share of clients that follow `Retry-After`
-    impatient_share: float = 0.0  # share of attempts whose client leaves before its time
-    requests_per_connection: int = 60  # mean
-    failure_detection_s: float = 1.5  # until a front-end proxy sees that a node is dead
+    # This share of the clients honours the response header Retry-After.
+    retry_after_share: float = 0.3
+    # In this share of the attempts the client disconnects before its time limit.
+    impatient_share: float = 0.0
+    # A client sends this many requests over one connection on average.
+    requests_per_connection: int = 60
+    # A front-end proxy detects within this time that a node is dead.
+    failure_detection_s: float = 1.5
 
 
 class Rules(Table, frozen=True):
-    """The limits of the platform's rules, in the names of the settings."""
+    """The limits of the platform's rules, in the terms of the node's settings."""
 
     answer_slack_ms: float = 20.0
     drain_grace_ms: float = 1000.0
@@ -145,7 +178,7 @@
 
 
 class Expectation(Table, frozen=True):
-    """An expectation: a figure of the summary within its bounds."""
+    """The bounds within which a figure of the summary must lie."""
 
     figure: str
     min: float | None = None
