--- a/balancer/cli/__main__.py
+++ b/balancer/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m balancer.cli`."""
+"""Entry point of `python -m balancer.cli`."""
 
 from balancer.cli.app import main
 
--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -1,4 +1,4 @@
-"""The `balancer` command: parsing, exit codes, output."""
+"""The `balancer` command: its options, exit codes and output."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from rich.table import Table
 
 from balancer.cli import fleet, recovery, state
-from balancer.cli.output import Exit, stop
+from balancer.cli.output import ExitCode, error_exit
 from balancer.errors import BalancerError
 from balancer.experiments.errors import ExperimentError
 from balancer.experiments.experiment import Experiment
@@ -34,10 +34,10 @@
 EXPERIMENTS = ROOT / "lab" / "experiments"
 MAX_SHOWN_VIOLATIONS = 5
 
-app = typer.Typer(help="A fleet of load-balancing nodes: try it, measure it, break it.", no_args_is_help=True,
+app = typer.Typer(help="Run, measure and inspect a fleet of load-balancing nodes.", no_args_is_help=True,
                   add_completion=False, pretty_exceptions_enable=False)  # fmt: skip
 lab = typer.Typer(
-    help="Experiments: real nodes, stubs round them, faults between them.", no_args_is_help=True
+    help="Run experiments: real nodes, stubs of all other parties, and injected faults.", no_args_is_help=True
 )
 app.add_typer(lab, name="lab")
 fleet.app.command()(recovery.recovery)
@@ -46,222 +46,243 @@
 console = Console(stderr=True)
 
 
-Values = dict[str, float]  # figures of a run by name
-Out = Annotated[Path, typer.Option("--out", help="Folder for the results; made if it is missing.")]
-Sets = Annotated[
-    list[str] | None, typer.Option("--set", help="KEY=VALUE overrides a field, dotted. Repeatable.")
+# The figures of one run, keyed by name.
+Figures = dict[str, float]
+OutOption = Annotated[Path, typer.Option("--out", help="Directory for the results; created if missing.")]
+SetOption = Annotated[
+    list[str] | None, typer.Option("--set", help="Override a field: KEY=VALUE with a dotted key. Repeatable.")
 ]
-AsJson = Annotated[bool, typer.Option("--json", help="Print the result as JSON on standard output.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print the result as JSON on standard output.")]
 
 
 class InterruptError(BalancerError):
-    """A command was ended by SIGINT or SIGTERM before it was done."""
+    """A command was interrupted by SIGINT or SIGTERM."""
 
     code = "CLI01"
-    remedy = "start it again; what stands in --out is not whole"
+    remedy = "run the command again; the results in --out are incomplete"
 
 
 class RunFolderError(BalancerError):
-    """The folder of a run does not hold what a run leaves."""
+    """A directory does not contain the complete results of a run."""
 
     code = "LAB07"
-    remedy = "name the --out folder of a lab run that has ended, or play it again with this version"
+    remedy = "name the --out directory of a completed lab run, or run the experiment again with this version"
 
 
-class LateError(BalancerError):
-    """The harness of a comparison was late itself, so it cannot tell."""
+class HarnessLateError(BalancerError):
+    """The harness sent requests too late in a run of a comparison, so the figures cannot be compared."""
 
     code = "LAB08"
-    remedy = "compare again on a machine at rest, or with a lower rate and fewer nodes"
+    remedy = "compare again on an idle machine, or with a lower rate and fewer nodes"
 
 
-class FigureError(BalancerError):
-    """A comparison is to judge a figure that not all of its runs have."""
+class MissingFigureError(BalancerError):
+    """A figure that is to be compared is missing from some of the runs."""
 
     code = "LAB09"
-    remedy = "take a figure that is in the summary.json of every run under --out"
+    remedy = "name a figure that the summary.json of every run under --out contains"
 
 
 @contextlib.contextmanager
-def stopping() -> Iterator[None]:
-    """End the command with two lines where a run cannot be played to its end."""
+def reporting_errors() -> Iterator[None]:
+    """Turn errors in the body into two lines on standard error and exit code 2."""
     try:
         yield
     except BalancerError as err:
-        raise stop(err) from None
+        raise error_exit(err) from None
     except OSError as err:
-        raise stop(ResultsError(str(err))) from None
+        raise error_exit(ResultsError(str(err))) from None
     except (asyncio.CancelledError, KeyboardInterrupt):
-        raise stop(InterruptError("interrupted")) from None
+        raise error_exit(InterruptError("interrupted")) from None
 
 
-def experiment_of(name: str, sets: list[str] | None) -> Experiment:
-    """Read an experiment by its path, or by its name in the repository, with fields overridden."""
+def read_experiment(name: str, sets: list[str] | None) -> Experiment:
+    """Read an experiment, given its path or its name in the repository, and apply overrides."""
     path = Path(name)
     try:
         return load_experiment(path if path.suffix == ".toml" else EXPERIMENTS / f"{name}.toml", sets or ())
     except ExperimentError as err:
-        raise stop(err) from None
+        raise error_exit(err) from None
 
 
-def program(what: str) -> Program:
-    """Return the program of a run, built if need be."""
+def build_program(revision: str) -> Program:
+    """Return the program of a revision, building it if necessary."""
     try:
-        with console.status(f"building {what}" if what != WORKING_TREE else "building the node"):
-            return obtain(what)
+        with console.status(f"building {revision}" if revision != WORKING_TREE else "building the node"):
+            return obtain(revision)
     except ProgramError as err:
-        raise stop(err) from None
+        raise error_exit(err) from None
     except OSError as err:
-        raise stop(ProgramError(str(err))) from None
+        raise error_exit(ProgramError(str(err))) from None
 
 
-def run_once(spec: Experiment, seed: int, what: Program, out: Path, human: bool = False,
+def play_and_judge(spec: Experiment, seed: int, program: Program, out: Path, verbose: bool = False,
              live: Live | None = None) -> tuple[records.RunRecords, Summary]:  # fmt: skip
-    """Play, judge and write `summary.json` and `experiment.json`; raises what `play` does, and OSError."""
-    seen = uvloop.run(play(spec, seed, what, out, human, live))
+    """Play an experiment, judge it and write `summary.json` and `experiment.json`.
+
+    Raises the errors of `play`, and OSError.
+    """
+    run_records = uvloop.run(play(spec, seed, program, out, verbose, live))
     (out / "experiment.json").write_bytes(msgspec.json.encode(spec))
-    return seen, judged(spec, seed, what.label, seen, out)
+    return run_records, judge_records(spec, seed, program.label, run_records, out)
 
 
-def judged(spec: Experiment, seed: int, label: str, seen: records.RunRecords, out: Path) -> Summary:
-    """Judge the records and write `summary.json`; raises OSError."""
-    summary = summarize(spec, seed, label, seen, Judge(spec, seen).judge())
+def judge_records(
+    spec: Experiment, seed: int, label: str, run_records: records.RunRecords, out: Path
+) -> Summary:
+    """Judge the records of a run and write `summary.json`; raises OSError."""
+    summary = summarize(spec, seed, label, run_records, Judge(spec, run_records).judge())
     (out / "summary.json").write_text(summary.encode(indent=1) + "\n", "utf-8")
     return summary
 
 
-def verdict(summary: Summary) -> Exit:
-    """Return the exit code of a run."""
+def exit_code_of(summary: Summary) -> ExitCode:
+    """Return the exit code for the outcome of a run."""
     if summary.void:
-        return Exit.NOT_RUN
-    good = all(each.held for each in summary.expectations) and not summary.figures["broken_rules"]
-    return Exit.HELD if good else Exit.SHORT
+        return ExitCode.ERROR
+    passed = all(each.held for each in summary.expectations) and not summary.figures["broken_rules"]
+    return ExitCode.OK if passed else ExitCode.CHECK_FAILED
 
 
-def finish(summary: Summary, as_json: bool, *lines: str) -> typer.Exit:
-    """Print a run's outcome, with further lines for people."""
+def print_result(summary: Summary, as_json: bool, *lines: str) -> typer.Exit:
+    """Print the summary of a run, followed by `lines` unless the output is JSON; return the exit code."""
     if as_json:
         print(summary.encode())
     else:
-        show(summary)
+        print_summary(summary)
         for line in lines:
             print(line)
-    return typer.Exit(verdict(summary))
+    return typer.Exit(exit_code_of(summary))
 
 
-def show(summary: Summary) -> None:
-    """Show the outcome of a run to people."""
-    screen = Console()
+def print_summary(summary: Summary) -> None:
+    """Print the summary of a run as a table."""
+    output = Console()
     values = summary.figures
-    rows = Table(title=f"{summary.experiment}, seed {summary.seed}, {summary.program}", title_justify="left")
+    table = Table(title=f"{summary.experiment}, seed {summary.seed}, {summary.program}", title_justify="left")
     for name in ("figure", "measured", "bound", ""):
-        rows.add_column(name, justify="right" if name == "measured" else "left")
+        table.add_column(name, justify="right" if name == "measured" else "left")
     for each in summary.expectations:
         bounds = ((each.min, ">="), (each.max, "<="))
         parts = [f"{sign} {bound:g}" for bound, sign in bounds if bound is not None]
         shown = "-" if each.measured is None else f"{each.measured:.4g}"
-        rows.add_row(each.figure, shown, " ".join(parts), "held" if each.held else "[red]short[/red]")
-    named = {each.figure for each in summary.expectations}
+        table.add_row(each.figure, shown, " ".join(parts), "met" if each.held else "[red]not met[/red]")
+    expected = {each.figure for each in summary.expectations}
     for name in ("goodput", "latency_p50_ms", "latency_p99_ms", "refused", "failed", "broken_rules",
                  "rig_late_p99_ms"):  # fmt: skip
-        if name not in named:
-            rows.add_row(name, f"{values[name]:.4g}", "", "")
-    screen.print(rows)
+        if name not in expected:
+            table.add_row(name, f"{values[name]:.4g}", "", "")
+    output.print(table)
     for rule, text in RULES.items():
         if count := values[f"broken_{rule}"]:
-            screen.print(f"[red]broken {count:.0f} times[/red]: {text}")
+            output.print(f"[red]violated {count:.0f} times[/red]: {text}")
     for item in summary.breaks[:MAX_SHOWN_VIOLATIONS]:
-        screen.print(f"  {item.rule} at {item.at_ms / 1000:.2f} s, n{item.node}: {item.text}")
+        output.print(f"  {item.rule} at {item.at_ms / 1000:.2f} s, n{item.node}: {item.text}")
     if summary.void:
-        screen.print(
-            f"[red]void[/red]: the harness's own lateness is {values['rig_late_p99_ms']:.1f} ms at p99"
+        output.print(
+            f"[red]void[/red]: the harness sent requests {values['rig_late_p99_ms']:.1f} ms late at p99"
         )
 
 
 @app.command()
 def demo(
-    seconds: Annotated[float, typer.Option(min=4.0, max=600.0, help="How long clients come.")] = 20.0,
+    seconds: Annotated[
+        float, typer.Option(min=4.0, max=600.0, help="Duration of the load in seconds.")
+    ] = 20.0,
     seed: Annotated[int, typer.Option(min=0)] = 1,
-    out: Annotated[Path | None, typer.Option(help="Keep records and report there.")] = None,
-    as_json: AsJson = False,
+    out: Annotated[
+        Path | None, typer.Option(help="Directory in which the records and the report are kept.")
+    ] = None,
+    as_json: JsonOption = False,
 ) -> None:
-    """Three nodes, nine backends, clients; a backend and a node are killed. Exit code 0: no rule broke."""
-    from balancer.cli.demo import Screen, experiment
+    """Run three nodes and nine backends under load; kill one of each. Exit code 0: no rule was violated."""
+    from balancer.cli.demo import DemoScreen, demo_experiment
 
-    spec = experiment(seconds)
-    what = program(WORKING_TREE)
+    spec = demo_experiment(seconds)
+    program = build_program(WORKING_TREE)
     with tempfile.TemporaryDirectory(prefix="balancer-demo-") as temporary:
         folder = out or Path(temporary)
-        with stopping():
-            with rich.live.Live(console=console, transient=True, refresh_per_second=4) as picture:
-                picture.update("starting three nodes")
-                seen, summary = run_once(spec, seed, what, folder, False, Screen(picture))
+        with reporting_errors():
+            with rich.live.Live(console=console, transient=True, refresh_per_second=4) as live_display:
+                live_display.update("starting three nodes")
+                run_records, summary = play_and_judge(
+                    spec, seed, program, folder, False, DemoScreen(live_display)
+                )
             if out is not None:
-                write_report(spec, seen, summary, out)
-    ends = summary.figures
-    served = f"{ends['served']:.2%} of {ends['offered_per_s']:.0f} requests a second were served"
-    raise finish(summary, as_json, f"{served}; {'RULES BROKE' if ends['broken_rules'] else 'no rule broke'}")
+                write_report(spec, run_records, summary, out)
+    figures = summary.figures
+    served = f"{figures['served']:.2%} of {figures['offered_per_s']:.0f} requests per second were served"
+    raise print_result(
+        summary,
+        as_json,
+        f"{served}; {'RULES WERE VIOLATED' if figures['broken_rules'] else 'no rule was violated'}",
+    )
 
 
 @lab.command("run")
 def lab_run(
-    experiment: Annotated[str, typer.Argument(help="A TOML file, or the name of one in lab/experiments.")],
-    out: Out,
-    seed: Annotated[int, typer.Option(min=0, help="Draws arrivals, sizes, speeds and faults.")] = 1,
-    sets: Sets = None,
+    experiment: Annotated[
+        str, typer.Argument(help="Path of a TOML file, or name of an experiment in lab/experiments.")
+    ],
+    out: OutOption,
+    seed: Annotated[int, typer.Option(min=0, help="Seed of arrivals, work, speeds and faults.")] = 1,
+    sets: SetOption = None,
     revision: Annotated[
-        str, typer.Option(help="Plays REVISION[+VARIANT] of this repository.")
+        str, typer.Option(help="REVISION[+VARIANT] of this repository to run.")
     ] = WORKING_TREE,
-    as_json: AsJson = False,
-    verbose: Annotated[bool, typer.Option("--verbose", "-v", help="Show the lab's log as it goes.")] = False,
+    as_json: JsonOption = False,
+    verbose: Annotated[
+        bool, typer.Option("--verbose", "-v", help="Print the log of the lab during the run.")
+    ] = False,
 ) -> None:
-    """Play an experiment. Exit code 0: expectations held; 1: one fell short; 2: not run, or rig too late."""
-    spec = experiment_of(experiment, sets)
-    what = program(revision)
+    """Run an experiment. Exit code 0: expectations met; 1: some not met; 2: not run, or harness too late."""
+    spec = read_experiment(experiment, sets)
+    program = build_program(revision)
     title = f"{spec.name}: {spec.seconds:g} s with {spec.fleet.nodes} nodes"
-    with stopping(), console.status(title) as status:
+    with reporting_errors(), console.status(title) as status:
 
         def live(run: Run) -> None:
-            at = max(0.0, run.fleet.now() / 1000)
-            status.update(f"{spec.name}: {at:.0f} of {spec.seconds:g} s")
+            elapsed_s = max(0.0, run.fleet.now() / 1000)
+            status.update(f"{spec.name}: {elapsed_s:.0f} of {spec.seconds:g} s")
 
-        seen, summary = run_once(spec, seed, what, out, verbose, None if verbose else live)
-        write_report(spec, seen, summary, out)
-    raise finish(summary, as_json, str(out / "report.html"))
+        run_records, summary = play_and_judge(spec, seed, program, out, verbose, None if verbose else live)
+        write_report(spec, run_records, summary, out)
+    raise print_result(summary, as_json, str(out / "report.html"))
 
 
-def write_report(spec: Experiment, seen: records.RunRecords, summary: Summary, out: Path) -> None:
-    """Write `report.html` beside the records."""
-    from balancer.lab.report import run_page  # draws with matplotlib, which is slow to import
+def write_report(spec: Experiment, run_records: records.RunRecords, summary: Summary, out: Path) -> None:
+    """Write `report.html` next to the records of a run."""
+    # Imported here because the report needs matplotlib, which is slow to import.
+    from balancer.lab.report import run_page
 
-    (out / "report.html").write_text(run_page(spec, seen, summary), "utf-8")
+    (out / "report.html").write_text(run_page(spec, run_records, summary), "utf-8")
 
 
 @lab.command("report")
 def lab_report(
-    folder: Annotated[Path, typer.Argument(help="The folder of a run.")], as_json: AsJson = False
+    folder: Annotated[Path, typer.Argument(help="Directory of a run.")], as_json: JsonOption = False
 ) -> None:
-    """Judge a run's records anew and write its summary and report once more."""
+    """Judge the records of a run again and rewrite its summary and report."""
     try:
         spec = decode_experiment((folder / "experiment.json").read_bytes())
-        seen = records.read(folder / "records.msgpack")
-        old = json.loads((folder / "summary.json").read_text("utf-8"))
-        summary = judged(spec, old["seed"], old["program"], seen, folder)
-        write_report(spec, seen, summary, folder)
+        run_records = records.read(folder / "records.msgpack")
+        former_summary = json.loads((folder / "summary.json").read_text("utf-8"))
+        summary = judge_records(spec, former_summary["seed"], former_summary["program"], run_records, folder)
+        write_report(spec, run_records, summary, folder)
     except (OSError, ValueError, KeyError, msgspec.MsgspecError) as err:
-        raise stop(RunFolderError(f"{folder} holds no whole run: {err}")) from None
-    raise finish(summary, as_json)
+        raise error_exit(RunFolderError(f"{folder} does not contain a complete run: {err}")) from None
+    raise print_result(summary, as_json)
 
 
 @lab.command("list")
-def lab_list(as_json: AsJson = False) -> None:
+def lab_list(as_json: JsonOption = False) -> None:
     """List the experiments of the repository."""
     rows = []
     for path in sorted(EXPERIMENTS.glob("*.toml")):
         try:
             spec = load_experiment(path)
         except ExperimentError as err:
-            raise stop(ExperimentError(f"{path.name}: {err}")) from None
+            raise error_exit(ExperimentError(f"{path.name}: {err}")) from None
         rows.append(
             {
                 "name": spec.name,
@@ -288,127 +309,141 @@
 @lab.command("compare")
 def lab_compare(
     a: Annotated[str, typer.Argument(help="REVISION[+VARIANT]; `.` is the working tree.")],
-    b: Annotated[str, typer.Argument(help="The other one. Variants: alone, random, delay-MS, burn-US.")],
-    out: Out,
-    experiment: Annotated[str, typer.Option("--experiment", "-e", help="File or name.")] = "calm",
-    seeds: Annotated[int, typer.Option(min=2, max=100, help="Each is played by both.")] = MIN_SEEDS,
+    b: Annotated[
+        str, typer.Argument(help="The program to compare with A. Variants: alone, random, delay-MS, burn-US.")
+    ],
+    out: OutOption,
+    experiment: Annotated[
+        str, typer.Option("--experiment", "-e", help="Path or name of an experiment.")
+    ] = "calm",
+    seeds: Annotated[
+        int, typer.Option(min=2, max=100, help="Number of seeds, each run with both programs.")
+    ] = MIN_SEEDS,
     first_seed: Annotated[int, typer.Option(min=0)] = 1,
-    sets: Sets = None,
+    sets: SetOption = None,
     sets_b: Annotated[
-        list[str] | None, typer.Option("--set-b", help="KEY=VALUE for B alone, as --set. Repeatable.")
+        list[str] | None, typer.Option("--set-b", help="Like --set, but for B only. Repeatable.")
+    ] = None,
+    extra_figures: Annotated[
+        list[str] | None, typer.Option("--figure", help="Also compare this figure. Repeatable.")
     ] = None,
-    more: Annotated[list[str] | None, typer.Option("--figure", help="Judge this, too. Repeatable.")] = None,
-    as_json: AsJson = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Play two programs on the same seeds. Exit code 0: no difference; 1: some figure differs; 2: not run."""
+    """Compare two programs on the same seeds. Exit code 0: no difference; 1: a figure differs; 2: not run."""
     from balancer.lab.compare import compare, compare_page
     from balancer.lab.compare import table as rows_of
 
-    specs = (experiment_of(experiment, sets), experiment_of(experiment, [*(sets or ()), *(sets_b or ())]))
+    specs = (read_experiment(experiment, sets), read_experiment(experiment, [*(sets or ()), *(sets_b or ())]))
     spec = specs[0]
-    programs = (program(a), program(b))
-    judged = tuple(dict.fromkeys([*JUDGED, *(more or ())]))
-    with stopping():
+    programs = (build_program(a), build_program(b))
+    figure_names = tuple(dict.fromkeys([*JUDGED, *(extra_figures or ())]))
+    with reporting_errors():
         values = _paired_figures(specs, programs, range(first_seed, first_seed + seeds), out)
-        for name in judged:
+        for name in figure_names:
             if not all(name in figures for side in values for figures in side):
-                raise FigureError(f"--figure {name}: not all runs have that figure; see {out}")
-        found = compare(*values, judged)
-        names = (programs[0].label, " ".join([programs[1].label, *(sets_b or ())]))
-        result = {"experiment": spec.name, "a": names[0], "b": names[1], "seeds": seeds,
-                  "differences": rows_of(found)}  # fmt: skip
+                raise MissingFigureError(f"--figure {name}: some runs have no such figure; see {out}")
+        differences = compare(*values, figure_names)
+        labels = (programs[0].label, " ".join([programs[1].label, *(sets_b or ())]))
+        result = {"experiment": spec.name, "a": labels[0], "b": labels[1], "seeds": seeds,
+                  "differences": rows_of(differences)}  # fmt: skip
         (out / "compare.json").write_text(json.dumps(result, indent=1) + "\n", "utf-8")
-        (out / "compare.html").write_text(compare_page(spec.name, names, *values, found), "utf-8")
+        (out / "compare.html").write_text(compare_page(spec.name, labels, *values, differences), "utf-8")
     if as_json:
         print(json.dumps(result))
     else:
-        _show_differences(result, len(judged), out)
-    raise typer.Exit(Exit.SHORT if any(d.differs for d in found) else Exit.HELD)
+        _print_differences(result, len(figure_names), out)
+    raise typer.Exit(ExitCode.CHECK_FAILED if any(d.differs for d in differences) else ExitCode.OK)
 
 
 def _paired_figures(
     specs: tuple[Experiment, Experiment], programs: tuple[Program, Program], seeds: range, out: Path
-) -> tuple[list[Values], list[Values]]:
-    """Play both programs on each seed and return the figures of each; raises LateError."""
-    values: tuple[list[Values], list[Values]] = ([], [])
+) -> tuple[list[Figures], list[Figures]]:
+    """Run both programs on each seed and return the figures of all runs; raises HarnessLateError."""
+    values: tuple[list[Figures], list[Figures]] = ([], [])
     with Progress(console=console, transient=True) as progress:
         bar = progress.add_task(specs[0].name, total=2 * len(seeds))
         for seed in seeds:
-            # Who plays first changes from seed to seed: a machine that drifts favours neither.
+            # The two programs take turns in running first, so that a drift of the machine favours neither.
             for side in ((0, 1), (1, 0))[seed % 2]:
                 folder = out / f"{'ab'[side]}-{seed}"
-                _, done = run_once(specs[side], seed, programs[side], folder)
-                if done.void:
-                    raise LateError(
-                        f"seed {seed}, {programs[side].label}: the harness was late; see {folder}"
+                _, summary = play_and_judge(specs[side], seed, programs[side], folder)
+                if summary.void:
+                    raise HarnessLateError(
+                        f"seed {seed}, {programs[side].label}: the harness sent requests late; see {folder}"
                     )
-                values[side].append(done.figures)
+                values[side].append(summary.figures)
                 progress.advance(bar)
     return values
 
 
 @lab.command("scale")
 def lab_scale(
-    out: Out,
-    quick: Annotated[bool, typer.Option("--quick", help="Small sizes, within 2 minutes.")] = False,
-    seed: Annotated[int, typer.Option(min=0, help="Draws what is drawn; counted figures go by it.")] = 1,
-    as_json: AsJson = False,
+    out: OutOption,
+    quick: Annotated[
+        bool, typer.Option("--quick", help="Measure small sizes only, within 2 minutes.")
+    ] = False,
+    seed: Annotated[
+        int, typer.Option(min=0, help="Seed of all random draws; counted figures depend on it.")
+    ] = 1,
+    as_json: JsonOption = False,
 ) -> None:
-    """Measure the cost of each role at growing sizes, and its slope up to two years. Within 15 minutes."""
-    from balancer.cli.scale import play_all, show_slopes
+    """Measure the cost of each role at growing sizes and extrapolate two years ahead, within 15 minutes."""
+    from balancer.cli.scale import play_all, print_slopes
     from balancer.lab.scale.runner import encode, write
 
-    with stopping():
+    with reporting_errors():
         result = play_all(quick, seed, console)
         write(result, out)
     if as_json:
         print(encode(result).decode(), end="")
     else:
-        show_slopes(result)
+        print_slopes(result)
         print(out / "scale.html")
 
 
 @lab.command("soak")
 def lab_soak(
-    seeds: Annotated[str, typer.Option(help="One seed, or the first and the last: 1-50.")],
-    out: Out,
-    as_json: AsJson = False,
+    seeds: Annotated[str, typer.Option(help="One seed, or a range such as 1-50.")],
+    out: OutOption,
+    as_json: JsonOption = False,
 ) -> None:
-    """Play experiments drawn from seeds. Exit code 0: nothing found; 1: a finding; 2: too many void."""
-    from balancer.cli.soak import seeds_of, show_seed, show_soak
+    """Run randomly drawn experiments. Exit code 0: no findings; 1: findings; 2: too many void runs."""
+    from balancer.cli.soak import parse_seeds, print_seed, print_soak
     from balancer.lab.soak.runner import play_seeds
 
-    chosen = seeds_of(seeds)
-    what = program(WORKING_TREE)
-    with stopping():
+    seed_range = parse_seeds(seeds)
+    program = build_program(WORKING_TREE)
+    with reporting_errors():
         out.mkdir(parents=True, exist_ok=True)
-        result = play_seeds(chosen, what, out, show_seed)
+        result = play_seeds(seed_range, program, out, print_seed)
     if as_json:
         print(json.dumps(msgspec.to_builtins(result)))
     else:
-        show_soak(result)
+        print_soak(result)
     if result.broken:
-        raise typer.Exit(Exit.SHORT)
-    raise typer.Exit(Exit.HELD if result.is_telling else Exit.NOT_RUN)
+        raise typer.Exit(ExitCode.CHECK_FAILED)
+    raise typer.Exit(ExitCode.OK if result.is_telling else ExitCode.ERROR)
 
 
-def _show_differences(result: dict[str, Any], judged: int, out: Path) -> None:
-    rows = Table(title=f"{result['experiment']}: A {result['a']}, B {result['b']}, {result['seeds']} seeds",
+def _print_differences(result: dict[str, Any], figure_count: int, out: Path) -> None:
+    table = Table(title=f"{result['experiment']}: A {result['a']}, B {result['b']}, {result['seeds']} seeds",
                  title_justify="left")  # fmt: skip
-    for name in ("figure", "A", "B", "B less A", "95%", "p", "differs"):
-        rows.add_column(name, justify="left" if name in ("figure", "differs") else "right", no_wrap=True)
+    for name in ("figure", "A", "B", "B minus A", "95%", "p", "differs"):
+        table.add_column(name, justify="left" if name in ("figure", "differs") else "right", no_wrap=True)
     for d in result["differences"]:
-        rows.add_row(
+        table.add_row(
             d["figure"], f"{d['median_a']:.4g}", f"{d['median_b']:.4g}", f"{d['median']:+.3g}",
             f"{d['low']:+.3g} to {d['high']:+.3g}", f"{d['p']:.3f}",
             "[red]yes[/red]" if d["differs"] else "no",
         )  # fmt: skip
-    Console().print(rows)
+    Console().print(table)
     if result["seeds"] < MIN_SEEDS:
-        print(f"fewer than {MIN_SEEDS} seeds: {judged} figures cannot differ at this level")
+        print(
+            f"fewer than {MIN_SEEDS} seeds: a comparison of {figure_count} figures cannot reach significance"
+        )
     print(out / "compare.html")
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the `balancer` command."""
     app()
--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -1,7 +1,8 @@
-"""`balancer fleet`: what one node's console says of the tier. Exit code 0: all is well; 1: it is not.
+"""`balancer fleet`: the state of the tier as one node reports it on its console.
 
-Well is: every member present and none suspected (`members`); more than half of the tier present, and all
-peers heard lately hold the same for present (`view`).
+Exit code 0 means that every member is alive (`members`), or that more than half of the tier is present and
+all recently heard peers have the same view (`view`). Otherwise the exit code is 1, or 2 without a valid
+response.
 """
 
 from __future__ import annotations
@@ -20,30 +21,30 @@
 from rich.table import Table
 from rich.text import Text
 
-from balancer.cli.output import Exit, stop
+from balancer.cli.output import ExitCode, error_exit
 from balancer.errors import BalancerError
 from balancer.net.endpoints import parse_address
 
 
-class ArgumentError(BalancerError):
-    """`--console` names no address."""
+class ConsoleAddressError(BalancerError):
+    """The value of `--console` is not a valid address."""
 
     code = "CLI02"
-    remedy = "write HOST:PORT with a literal address, as PROXY_CONSOLE has it"
+    remedy = "write HOST:PORT with a literal IP address, as in PROXY_CONSOLE"
 
 
-class SilentError(BalancerError):
-    """A console does not answer, or it is no node's."""
+class ConsoleError(BalancerError):
+    """A console does not answer, or its answer is not that of a node."""
 
     code = "CLI03"
-    remedy = "compare --console with the node's line console on HOST:PORT; look whether the node runs"
+    remedy = "check that the node runs; compare --console with the line console on HOST:PORT in its log"
 
 
-class AbsentError(BalancerError):
-    """The node that was asked takes no part in the tier."""
+class NotInTierError(BalancerError):
+    """The node does not take part in membership or recovery, so it has nothing to report about it."""
 
     code = "CLI04"
-    remedy = "give it a PROXY_FLEET file with [membership]; where it has one, its log says MEM01 and why"
+    remedy = "give the node a PROXY_FLEET file with [membership]; if it has one, look for MEM01 in its log"
 
 
 CONSOLE_TIMEOUT_S = 2.0
@@ -52,20 +53,20 @@
 DAY_MS = 86_400_000
 COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim", "unknown": "dim"}
 
-Shown = TypeVar("Shown")
+Snapshot = TypeVar("Snapshot")
 
 app = typer.Typer(
-    help="The tier as one node sees it: who is present, whether the others agree, how far its return is.",
+    help="Show the tier as one node sees it: its members, their agreement, and the recovery of the node.",
     no_args_is_help=True,
 )
 
-At = Annotated[str, typer.Option("--console", help="HOST:PORT of a node's console.")]
-AsJson = Annotated[bool, typer.Option("--json", help="Print JSON, with --watch a line for each look.")]
-Watch = Annotated[bool, typer.Option("--watch", help="Look every second until Ctrl-C.")]
+ConsoleOption = Annotated[str, typer.Option("--console", help="HOST:PORT of the console of a node.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON; with --watch, one line per update.")]
+WatchOption = Annotated[bool, typer.Option("--watch", help="Update every second until Ctrl-C.")]
 
 
 class Membership(msgspec.Struct):
-    """`fleet.membership` of `/stats`, as far as it is shown; what is unknown is skipped."""
+    """The object `fleet.membership` of `/stats`; unknown keys are ignored."""
 
     present: bool
     me: int = 0
@@ -84,160 +85,185 @@
     counts: dict[str, int] = {}
 
     def rows(self) -> list[dict[str, Any]]:
-        """Return the members, each with its number and named fields."""
+        """Return a row for each member, with its node index and the fields named by `columns`."""
         return [{"node": n} | dict(zip(self.columns, m, strict=False)) for n, m in enumerate(self.members)]
 
 
 class FleetStats(msgspec.Struct):
-    """The `fleet` object."""
+    """The object `fleet` of `/stats`."""
 
     membership: Membership | None = None
     recovery: dict[str, Any] | None = None
 
 
 class Stats(msgspec.Struct):
-    """`GET /stats`, as far as it is read here."""
+    """The response to `GET /stats`, of which only `fleet` is read."""
 
     fleet: FleetStats | None = None
 
 
 def read_fleet_stats(console: str) -> FleetStats:
-    """Read the `fleet` object of a console; raises typer.Exit where there is none."""
-    import httpx  # some 50 ms that the other commands need not wait
+    """Read the object `fleet` of `/stats` from a console; raises typer.Exit without a valid response."""
+    # Imported here because httpx takes some 50 ms to import, which other commands need not wait for.
+    import httpx
 
     try:
         host, port = parse_address(console)
     except ValueError as err:
-        raise stop(ArgumentError(f"--console makes no sense: {err}")) from None
+        raise error_exit(ConsoleAddressError(f"--console is not HOST:PORT: {err}")) from None
     url = httpx.URL(scheme="http", host=host, port=port, path="/stats")
     try:
-        answer = httpx.get(url, timeout=CONSOLE_TIMEOUT_S, trust_env=False)  # no proxy of the shell
+        # The proxy variables of the environment are ignored by trust_env=False.
+        answer = httpx.get(url, timeout=CONSOLE_TIMEOUT_S, trust_env=False)
     except httpx.HTTPError as err:
-        raise stop(SilentError(f"{console} does not answer: {err}")) from None
+        raise error_exit(ConsoleError(f"{console} does not answer: {err}")) from None
     if answer.status_code != HTTPStatus.OK:
-        raise stop(SilentError(f"{console} answers {answer.status_code} to GET /stats"))
+        raise error_exit(
+            ConsoleError(f"{console} returned status {answer.status_code} for GET /stats, expected 200")
+        )
     try:
         stats = msgspec.json.decode(answer.content, type=Stats)
     except msgspec.MsgspecError as err:
-        raise stop(SilentError(f"{console} gives no figures of a node: {err}")) from None
+        raise error_exit(ConsoleError(f"{console} returned no valid statistics of a node: {err}")) from None
     return stats.fleet or FleetStats()
 
 
 def read_membership(console: str) -> Membership:
-    """Read the membership of a console; raises typer.Exit where there is none."""
-    found = read_fleet_stats(console).membership
-    if found is None:
-        raise stop(AbsentError(
-            f"{console}: membership is off there (PROXY_FLEET names no file with [membership])"
+    """Read the membership from a console; raises typer.Exit if the node does not take part in it."""
+    membership = read_fleet_stats(console).membership
+    if membership is None:
+        raise error_exit(NotInTierError(
+            f"{console}: membership is disabled on the node (PROXY_FLEET names no file with [membership])"
         ))  # fmt: skip
-    if not found.present:
-        raise stop(AbsentError(
-            f"{console}: the node takes no part: its socket could not be had, or it has ended"
+    if not membership.present:
+        raise error_exit(NotInTierError(
+            f"{console}: membership does not run on the node: its socket failed to open, or it has stopped"
         ))  # fmt: skip
-    return found
+    return membership
 
 
-def ago(ms: float) -> str:
-    """Return a time span for people."""
+def format_duration(ms: float) -> str:
+    """Return a duration in the largest fitting unit, rounded to a whole number."""
     for unit, size in (("d", DAY_MS), ("h", 3_600_000), ("min", 60_000), ("s", 1000)):
         if ms >= size:
             return f"{ms / size:.0f} {unit}"
     return f"{ms:.0f} ms"
 
 
-def table_of(seen: Membership) -> RenderableType:
-    """Return the members for people."""
-    table = Table(title=f"{seen.present_nodes} of {seen.nodes} present, as node {seen.me} sees it",
-                  title_justify="left")  # fmt: skip
-    for name in ("node", "state", "for", "life", "incarnation", "its view"):
-        table.add_column(name, justify="right" if name in ("node", "for", "life", "incarnation") else "left")
-    for row in seen.rows():
-        state, own = row["state"], row["node"] == seen.me
-        view = seen.view if own else row["view"]
-        note = "" if view is None else view if view == seen.view else f"[yellow]{view}[/yellow]"
+def members_table(membership: Membership) -> RenderableType:
+    """Return the members as a table."""
+    table = Table(
+        title=f"{membership.present_nodes} of {membership.nodes} present, as node {membership.me} sees it",
+        title_justify="left",
+    )
+    for name in ("node", "state", "for", "generation", "incarnation", "its view"):
+        table.add_column(
+            name, justify="right" if name in ("node", "for", "generation", "incarnation") else "left"
+        )
+    for row in membership.rows():
+        state, is_local = row["state"], row["node"] == membership.me
+        view = membership.view if is_local else row["view"]
+        shown_view = "" if view is None else view if view == membership.view else f"[yellow]{view}[/yellow]"
         colour = COLOURS.get(state, "")
-        table.add_row(f"{row['node']}{'*' if own else ''}", f"[{colour}]{state}[/{colour}]",
-                      ago(row["changed_ms"]), str(row["life"]), str(row["incarnation"]), note)  # fmt: skip
+        table.add_row(
+            f"{row['node']}{'*' if is_local else ''}", f"[{colour}]{state}[/{colour}]",
+            format_duration(row["changed_ms"]), str(row["life"]), str(row["incarnation"]), shown_view,
+        )  # fmt: skip
     return table
 
 
-def all_members_alive(seen: Membership) -> bool:
-    """Return whether every member is present and none is suspected."""
-    return all(row["state"] == "alive" for row in seen.rows())
+def all_members_alive(membership: Membership) -> bool:
+    """Return whether every member is alive, none of them suspected."""
+    return all(row["state"] == "alive" for row in membership.rows())
 
 
-def view_summary(seen: Membership) -> dict[str, Any]:
-    """Return the view in few fields."""
-    states = Counter(row["state"] for row in seen.rows())
-    others = [r["node"] for r in seen.rows()
-              if r["state"] in ("alive", "suspect") and r["view"] not in (None, seen.view)
-              and r["node"] != seen.me]  # fmt: skip
+def view_summary(membership: Membership) -> dict[str, Any]:
+    """Return the view of the node as an object for JSON output."""
+    states = Counter(row["state"] for row in membership.rows())
+    differing = [
+        row["node"]
+        for row in membership.rows()
+        if row["state"] in ("alive", "suspect")
+        and row["view"] not in (None, membership.view)
+        and row["node"] != membership.me
+    ]
     return {
-        "node": seen.me, "view": seen.view, "for_ms": seen.view_for_ms, "reason": seen.view_reason,
-        "nodes": seen.nodes, "present": seen.present_nodes, "states": dict(states), "quorum": seen.quorum,
-        "agreement": seen.agreement, "last_said_otherwise": others, "health": seen.health,
-        "life": seen.generation, "incarnation": seen.incarnation, "counts": seen.counts,
+        "node": membership.me, "view": membership.view, "for_ms": membership.view_for_ms,
+        "reason": membership.view_reason, "nodes": membership.nodes, "present": membership.present_nodes,
+        "states": dict(states), "quorum": membership.quorum, "agreement": membership.agreement,
+        "last_said_otherwise": differing, "health": membership.health, "life": membership.generation,
+        "incarnation": membership.incarnation, "counts": membership.counts,
     }  # fmt: skip
 
 
-def view_of(seen: Membership) -> RenderableType:
-    """Return the view for people."""
-    row = view_summary(seen)
-    quorum = "more than half" if seen.quorum else "[red]a minority[/red]"
-    agree = f"{seen.agreement:.0%}" if seen.agreement == 1 else f"[yellow]{seen.agreement:.0%}[/yellow]"
+def render_view(membership: Membership) -> RenderableType:
+    """Return the view of the node as lines of text."""
+    row = view_summary(membership)
+    quorum = "more than half" if membership.quorum else "[red]a minority[/red]"
+    agreement = (
+        f"{membership.agreement:.0%}"
+        if membership.agreement == 1
+        else f"[yellow]{membership.agreement:.0%}[/yellow]"
+    )
     states = ", ".join(f"{count} {state}" for state, count in sorted(row["states"].items()))
-    named = row["last_said_otherwise"]
-    more = f" and {len(named) - MAX_LISTED_NODES} more" if len(named) > MAX_LISTED_NODES else ""
-    others = ", ".join(map(str, named[:MAX_LISTED_NODES])) + more if named else "none"
-    counts = ", ".join(f"{name} {count}" for name, count in sorted(seen.counts.items()))
+    differing = row["last_said_otherwise"]
+    more = f" and {len(differing) - MAX_LISTED_NODES} more" if len(differing) > MAX_LISTED_NODES else ""
+    listed = ", ".join(map(str, differing[:MAX_LISTED_NODES])) + more if differing else "none"
+    counts = ", ".join(f"{name} {count}" for name, count in sorted(membership.counts.items()))
     lines = [
-        f"node {seen.me}, life {seen.generation}, incarnation {seen.incarnation}, late by {seen.health} of 8",
-        f"view {seen.view} for {ago(seen.view_for_ms)} ({seen.view_reason})",
-        f"{seen.present_nodes} of {seen.nodes} present, {quorum}: {states}",
-        f"{agree} of the peers heard lately agree; last said otherwise: {others}",
+        f"node {membership.me}, generation {membership.generation}, incarnation {membership.incarnation}, "
+        f"local health score {membership.health} of 8 (0: healthy)",
+        f"view {membership.view} for {format_duration(membership.view_for_ms)} ({membership.view_reason})",
+        f"{membership.present_nodes} of {membership.nodes} present, {quorum}: {states}",
+        f"{agreement} of the recently heard peers agree; last reported another view: {listed}",
         f"counts: {counts}",
     ]
     return Group(*(Text.from_markup(line) for line in lines))
 
 
-def is_agreed_majority(seen: Membership) -> bool:
-    """Whether this node is of a majority whose views agree."""
-    return seen.quorum and seen.agreement == 1.0
+def is_agreed_majority(membership: Membership) -> bool:
+    """Return whether more than half of the tier is present and all recently heard peers agree."""
+    return membership.quorum and membership.agreement == 1.0
 
 
-def show(
-    at: str, as_json: bool, watch: bool, read: Callable[[str], Shown], data: Callable[[Shown], Any],
-    draw: Callable[[Shown], RenderableType], is_well: Callable[[Shown], bool],
+def print_snapshots(
+    console: str, as_json: bool, watch: bool, read: Callable[[str], Snapshot],
+    to_json: Callable[[Snapshot], Any], render: Callable[[Snapshot], RenderableType],
+    is_ok: Callable[[Snapshot], bool],
 ) -> typer.Exit:  # fmt: skip
-    """Look once, or again and again; the exit code is that of the last look."""
-    seen = read(at)
+    """Print a snapshot, or one per second until Ctrl-C; return the exit code for the last one."""
+    snapshot = read(console)
     try:
         if watch and not as_json:
-            with rich.live.Live(draw(seen), console=Console(), refresh_per_second=2) as picture:
+            with rich.live.Live(render(snapshot), console=Console(), refresh_per_second=2) as live_display:
                 while True:
                     time.sleep(WATCH_INTERVAL_S)
-                    seen = read(at)
-                    picture.update(draw(seen))
+                    snapshot = read(console)
+                    live_display.update(render(snapshot))
         while watch:
-            print(json.dumps(data(seen)), flush=True)
+            print(json.dumps(to_json(snapshot)), flush=True)
             time.sleep(WATCH_INTERVAL_S)
-            seen = read(at)
+            snapshot = read(console)
     except KeyboardInterrupt:
-        return typer.Exit(Exit.HELD if is_well(seen) else Exit.SHORT)
+        return typer.Exit(ExitCode.OK if is_ok(snapshot) else ExitCode.CHECK_FAILED)
     if as_json:
-        print(json.dumps(data(seen)))
+        print(json.dumps(to_json(snapshot)))
     else:
-        Console().print(draw(seen))
-    return typer.Exit(Exit.HELD if is_well(seen) else Exit.SHORT)
+        Console().print(render(snapshot))
+    return typer.Exit(ExitCode.OK if is_ok(snapshot) else ExitCode.CHECK_FAILED)
 
 
 @app.command()
-def members(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
-    """Every member, its state and life. Exit code 0: all present; 1: some are not; 2: no answer."""
-    raise show(console, as_json, watch, read_membership, Membership.rows, table_of, all_members_alive)
+def members(console: ConsoleOption, as_json: JsonOption = False, watch: WatchOption = False) -> None:
+    """Show every member and its state. Exit code 0: all alive; 1: some are not; 2: no valid response."""
+    raise print_snapshots(
+        console, as_json, watch, read_membership, Membership.rows, members_table, all_members_alive
+    )
 
 
 @app.command()
-def view(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
-    """Whether the tier agrees. Exit code 0: a majority that agrees; 1: not; 2: no answer."""
-    raise show(console, as_json, watch, read_membership, view_summary, view_of, is_agreed_majority)
+def view(console: ConsoleOption, as_json: JsonOption = False, watch: WatchOption = False) -> None:
+    """Show whether the tier agrees. Exit code 0: a majority agrees; 1: it does not; 2: no valid response."""
+    raise print_snapshots(
+        console, as_json, watch, read_membership, view_summary, render_view, is_agreed_majority
+    )
--- a/balancer/cli/output.py
+++ b/balancer/cli/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, and the two lines of an error."""
+"""Exit codes and error output of all commands."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from balancer.errors import BalancerError
 
 
-class Exit(IntEnum):
-    """The exit codes."""
+class ExitCode(IntEnum):
+    """The exit codes of the commands."""
 
-    HELD = 0
-    SHORT = 1
-    NOT_RUN = 2
+    OK = 0
+    CHECK_FAILED = 1
+    ERROR = 2
 
 
-def stop(err: BalancerError) -> typer.Exit:
-    """Print the code and the error, then the remedy, on standard error; return exit code 2."""
-    happened, remedy = err.report_lines
-    print(f"balancer: {happened}\n{remedy}", file=sys.stderr)
-    return typer.Exit(Exit.NOT_RUN)
+def error_exit(err: BalancerError) -> typer.Exit:
+    """Print an error and its remedy, one line each, to standard error; return exit code 2."""
+    message, remedy = err.report_lines
+    print(f"balancer: {message}\n{remedy}", file=sys.stderr)
+    return typer.Exit(ExitCode.ERROR)
--- a/balancer/cli/recovery.py
+++ b/balancer/cli/recovery.py
@@ -1,4 +1,4 @@
-"""`balancer fleet recovery`: progress of a node's recovery. Exit code 0: it is over; 1: not yet."""
+"""`balancer fleet recovery`: progress of the recovery of a node."""
 
 from __future__ import annotations
 
@@ -6,53 +6,67 @@
 from rich.console import Group, RenderableType
 from rich.text import Text
 
-from balancer.cli.fleet import AbsentError, AsJson, At, SilentError, Watch, ago, read_fleet_stats, show
-from balancer.cli.output import stop
+from balancer.cli.fleet import (
+    ConsoleError,
+    ConsoleOption,
+    JsonOption,
+    NotInTierError,
+    WatchOption,
+    format_duration,
+    print_snapshots,
+    read_fleet_stats,
+)
+from balancer.cli.output import error_exit
 from balancer.recovery.stats import NOT_TRUSTED, RecoveryStats
 
 MAX_SHOWN_NODES = 20
 COLOURS = {"verify": "red", "ask": "red", "listed": "yellow", "warming": "yellow", "full": "green"}
 
 
-def read_console(console: str) -> RecoveryStats:
-    """Return what the console says now.
+def read_recovery(console: str) -> RecoveryStats:
+    """Read the recovery statistics from a console.
 
     Raises:
-        typer.Exit: With one line if there is no valid answer.
+        typer.Exit: There is no valid response, or recovery is disabled on the node.
     """
-    found = read_fleet_stats(console).recovery
-    if found is None:
-        why = f"{console}: recovery is off there (PROXY_FLEET names no file with [recovery])"
-        raise stop(AbsentError(why))
+    table = read_fleet_stats(console).recovery
+    if table is None:
+        message = f"{console}: recovery is disabled on the node (PROXY_FLEET names no file with [recovery])"
+        raise error_exit(NotInTierError(message))
     try:
-        return msgspec.convert(found, RecoveryStats)
+        return msgspec.convert(table, RecoveryStats)
     except msgspec.ValidationError as err:
-        raise stop(SilentError(f"{console} gives no figures of recovery: {err}")) from None
+        raise error_exit(ConsoleError(f"{console} returned no valid recovery statistics: {err}")) from None
 
 
-def table(seen: RecoveryStats) -> RenderableType:
-    """Return the table for people."""
+def render_recovery(stats: RecoveryStats) -> RenderableType:
+    """Return the progress of a recovery as lines of text."""
     lines = [
-        _phase_line(seen),
-        f"heard {seen.reported_peers} of {seen.peers} peers; waits for {_awaited(seen.awaited_peers)}",
-        _trust_line(seen.trusted),
-        f"{seen.bans} bans in {seen.entries} entries, register {seen.register_hash}",
-        _list_line(seen),
-        f"counts: {', '.join(f'{name} {count}' for name, count in sorted(seen.counts.items())) or 'none'}",
+        _phase_line(stats),
+        f"reports from {stats.reported_peers} of {stats.peers} peers; "
+        f"waiting for {_awaited(stats.awaited_peers)}",
+        _trust_line(stats.trusted),
+        f"{stats.bans} bans in {stats.entries} register rows, register hash {stats.register_hash}",
+        _list_line(stats),
+        f"counts: {', '.join(f'{name} {count}' for name, count in sorted(stats.counts.items())) or 'none'}",
     ]
-    if seen.failed:
-        lines.append("[red]recovery has failed by a defect, see the log: the node continues alone[/]")
+    if stats.failed:
+        lines.append(
+            "[red]recovery has failed because of a defect (see the log); the node continues without it[/]"
+        )
     return Group(*(Text.from_markup(line) for line in lines))
 
 
-def _phase_line(seen: RecoveryStats) -> str:
-    colour = COLOURS.get(seen.phase, "")
-    until = f", {ago(seen.remaining_ms)} more at most" if seen.remaining_ms is not None else ""
-    return f"phase [{colour}]{seen.phase}[/] for {ago(seen.since_ms)}{until}, path {seen.path}"
+def _phase_line(stats: RecoveryStats) -> str:
+    colour = COLOURS.get(stats.phase, "")
+    until = (
+        f", {format_duration(stats.remaining_ms)} remaining at most" if stats.remaining_ms is not None else ""
+    )
+    return f"phase [{colour}]{stats.phase}[/] for {format_duration(stats.since_ms)}{until}, path {stats.path}"
 
 
 def _awaited(nodes: list[int]) -> str:
-    shown = ", ".join(map(str, nodes[:MAX_SHOWN_NODES])) or "nobody"
+    shown = ", ".join(map(str, nodes[:MAX_SHOWN_NODES])) or "none"
     hidden = len(nodes) - MAX_SHOWN_NODES
     return f"{shown} and {hidden} more" if hidden > 0 else shown
 
@@ -63,20 +77,22 @@
     return f"saved state: used {', '.join(used) or 'nothing'}; not used {', '.join(unused) or 'nothing'}"
 
 
-def _list_line(seen: RecoveryStats) -> str:
-    source = "sent by discovery" if seen.endpoint_list.fresh else "as it was saved"
+def _list_line(stats: RecoveryStats) -> str:
+    source = "from discovery" if stats.endpoint_list.fresh else "from saved state"
     return (
-        f"list of revision {seen.endpoint_list.revision} {source}, "
-        f"{seen.endpoint_list.restricted} avoided; "
-        f"share of the capacity of cold backends {seen.share:.1%}"
+        f"endpoint list: revision {stats.endpoint_list.revision} {source}, "
+        f"{stats.endpoint_list.restricted} backends avoided; "
+        f"usable share of the capacity of cold backends {stats.share:.1%}"
     )
 
 
-def is_over(seen: RecoveryStats) -> bool:
-    """Return whether the recovery is over."""
-    return seen.phase == "full"
+def is_complete(stats: RecoveryStats) -> bool:
+    """Return whether the recovery is complete."""
+    return stats.phase == "full"
 
 
-def recovery(console: At, as_json: AsJson = False, watch: Watch = False) -> None:
-    """Show the progress of recovery from a power loss. Exit code 0: it is over; 1: not yet; 2: no answer."""
-    raise show(console, as_json, watch, read_console, msgspec.to_builtins, table, is_over)
+def recovery(console: ConsoleOption, as_json: JsonOption = False, watch: WatchOption = False) -> None:
+    """Show the recovery from a power loss. Exit code 0: complete; 1: not yet; 2: no valid response."""
+    raise print_snapshots(
+        console, as_json, watch, read_recovery, msgspec.to_builtins, render_recovery, is_complete
+    )
--- a/balancer/cli/scale.py
+++ b/balancer/cli/scale.py
@@ -1,4 +1,4 @@
-"""`balancer lab scale`: progress while it plays, and its slopes for people."""
+"""Output of `balancer lab scale`: progress, and a table of the slopes."""
 
 from __future__ import annotations
 
@@ -11,31 +11,33 @@
 
 
 def play_all(quick: bool, seed: int, console: Console) -> Result:
-    """Run all plays, one after the other."""
+    """Run all measurements one after the other and show their progress."""
     plays = all_plays(quick)
     columns = (SpinnerColumn(), TextColumn("{task.description}"), TimeElapsedColumn())
     with Progress(*columns, console=console, transient=True) as progress:
         bar = progress.add_task("scale", total=None)
 
         def observe(play: str, point: Point | None) -> None:
-            what = f"{point.figure} at {point.size:,}: {point.value:.4g} {point.unit}" if point else "begins"
-            progress.update(bar, description=f"{play}: {what}")
+            status = (
+                f"{point.figure} at {point.size:,}: {point.value:.4g} {point.unit}" if point else "starting"
+            )
+            progress.update(bar, description=f"{play}: {status}")
 
         return run(plays, seed, quick, observe)
 
 
-def show_slopes(result: Result) -> None:
-    """Show a row for each slope, then what was not played."""
-    screen = Console()
+def print_slopes(result: Result) -> None:
+    """Print a table with a row per slope, then the measurements that were not run."""
+    output = Console()
     table = Table(title=f"scale, seed {result.seed}, {result.program}, {result.seconds:g} s",
                   title_justify="left")  # fmt: skip
-    for name in ("role", "figure", "measured", "fit", "residual", "at", "there", "beyond"):
+    for name in ("role", "figure", "measured", "fit", "residual", "target", "at target", "extrapolation"):
         table.add_column(name, justify="left" if name in ("role", "figure", "fit") else "right")
-    for s in result.slopes:
-        ends = f"{s.values[0]:.3g} to {s.values[-1]:.3g} {s.unit}"
-        there = f"{s.at_target:.3g} {s.unit}"
-        table.add_row(s.role, s.figure, ends, s.fit, f"{s.residual:.1%}", f"{s.target:,}", there,
-                      f"{s.beyond:.3g}")  # fmt: skip
-    screen.print(table)
+    for slope in result.slopes:
+        measured = f"{slope.values[0]:.3g} to {slope.values[-1]:.3g} {slope.unit}"
+        at_target = f"{slope.at_target:.3g} {slope.unit}"
+        table.add_row(slope.role, slope.figure, measured, slope.fit, f"{slope.residual:.1%}",
+                      f"{slope.target:,}", at_target, f"{slope.beyond:.3g}")  # fmt: skip
+    output.print(table)
     for item in result.not_played:
-        screen.print(f"not played: {item.what}: {item.why}", markup=False)
+        output.print(f"not run: {item.what}: {item.why}", markup=False)
--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -1,6 +1,7 @@
-"""`balancer state`: verify, show or compact a node's state directory.
+"""`balancer state`: verify, show or compact the directory of a node's durable state.
 
-Exit code 0: valid; 1: something in it is not as it was written; 2: it cannot be read, or must not be changed.
+Exit code 0: the directory is valid; 1: some of its data is damaged or missing; 2: it cannot be read, or must
+not be changed.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from balancer.cli.output import Exit, stop
+from balancer.cli.output import ExitCode, error_exit
 from balancer.durable.filesystem import SystemDirectory
 from balancer.durable.reader import DirectoryContents, read_directory
 from balancer.durable.state import DurableState, replay
@@ -23,32 +24,34 @@
 from balancer.durable.writer import LogWriter
 from balancer.errors import BalancerError
 
-app = typer.Typer(help="A node's durable state: verify, show, compact.", no_args_is_help=True)
+app = typer.Typer(help="Verify, show or compact the durable state of a node.", no_args_is_help=True)
 
 MS_PER_S = 1000
 
 
 class StateDirectoryError(BalancerError):
-    """A directory of durable state cannot be read, or there is none."""
+    """A directory of durable state is missing or cannot be read."""
 
     code = "CLI05"
-    remedy = "name the directory that durable.directory has, as a user who may read it"
+    remedy = "name the directory in durable.directory, as a user with permission to read it"
 
 
 class DirectoryInUseError(BalancerError):
-    """A directory must not be changed while a process of its node lives."""
+    """A directory of durable state must not be changed while a process of its node uses it."""
 
     code = "CLI06"
-    remedy = "end the node first; its own start makes the directory small as well"
+    remedy = "stop the node first; the node also compacts the directory when it starts"
 
 
-PathArgument = Annotated[Path, typer.Argument(metavar="FOLDER", help="What durable.directory names.")]
+DirectoryArgument = Annotated[
+    Path, typer.Argument(metavar="FOLDER", help="The directory in durable.directory.")
+]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print the result as JSON on standard output.")]
 
 
 @dataclass(frozen=True)
 class Verification:
-    """The result of checking a directory; the fields are the keys of the JSON output."""
+    """The result of verifying a directory; its fields are the keys of the JSON output."""
 
     sound: bool
     lost: bool
@@ -61,7 +64,7 @@
 
     @classmethod
     def of(cls, contents: DirectoryContents) -> Verification:
-        """Summarise what a directory holds."""
+        """Summarise the contents of a directory."""
         return cls(
             sound=not contents.problems,
             lost=contents.has_lost_records,
@@ -75,35 +78,35 @@
 
 
 def _read(path: Path) -> DirectoryContents:
-    """Read a directory; raise typer.Exit, with the reason on standard error, if that is not possible."""
+    """Read a directory of durable state; raises typer.Exit and prints the reason if that fails."""
     try:
         if not path.is_dir():
-            raise stop(StateDirectoryError(f"{path} is no directory"))
+            raise error_exit(StateDirectoryError(f"{path} is not a directory"))
         return read_directory(SystemDirectory(path))
     except (BalancerError, OSError) as err:
-        raise _stopped_by(path, err) from None
+        raise _error_exit_for(path, err) from None
 
 
 def _replay(path: Path, contents: DirectoryContents) -> DurableState:
-    """Replay what was read; raise typer.Exit, with the reason on standard error, if that is not possible."""
+    """Restore the state from the records; raises typer.Exit and prints the reason if that fails."""
     try:
         return replay(contents.snapshot, contents.records)
     except BalancerError as err:
-        raise _stopped_by(path, err) from None
+        raise _error_exit_for(path, err) from None
 
 
-def _stopped_by(path: Path, err: BalancerError | OSError) -> typer.Exit:
+def _error_exit_for(path: Path, err: BalancerError | OSError) -> typer.Exit:
     kind = type(err) if isinstance(err, BalancerError) else StateDirectoryError
-    return stop(kind(f"{path}: {err}"))
+    return error_exit(kind(f"{path}: {err}"))
 
 
 def _exit_for(contents: DirectoryContents) -> typer.Exit:
-    return typer.Exit(Exit.SHORT if contents.problems else Exit.HELD)
+    return typer.Exit(ExitCode.CHECK_FAILED if contents.problems else ExitCode.OK)
 
 
 @app.command()
-def verify(path: PathArgument, as_json: JsonOption = False) -> None:
-    """Check every record. Nothing is changed; the node may run."""
+def verify(path: DirectoryArgument, as_json: JsonOption = False) -> None:
+    """Verify every record without changing anything; the node may be running."""
     contents = _read(path)
     _replay(path, contents)
     if as_json:
@@ -111,7 +114,7 @@
     else:
         print(
             f"{contents.last_number} records in {contents.file_count} files of {contents.size_bytes} bytes, "
-            f"generation {contents.generation}, writer {contents.fence}"
+            f"generation {contents.generation}, fence {contents.fence}"
         )
         for problem in contents.problems:
             print(problem)
@@ -132,8 +135,8 @@
 
 
 @app.command()
-def show(path: PathArgument, as_json: JsonOption = False) -> None:
-    """Show what the node would recover if it started now."""
+def show(path: DirectoryArgument, as_json: JsonOption = False) -> None:
+    """Show the state that the node would restore if it started now."""
     contents = _read(path)
     state = _replay(path, contents)
     sample = state.learned_sample
@@ -163,9 +166,9 @@
 def _as_table(state: DurableState, learned_age_ms: float | None) -> Table:
     table = Table(show_header=False)
     for backend, since_ms in sorted(state.banned.items()):
-        table.add_row("in maintenance", f"{backend} since {_format_time(since_ms)}")
+        table.add_row("banned", f"{backend} since {_format_time(since_ms)}")
     for backend, at_ms in sorted(state.lifted.items()):
-        table.add_row("returned", f"{backend} at {_format_time(at_ms)}")
+        table.add_row("ban lifted", f"{backend} at {_format_time(at_ms)}")
     received = f"received {_format_time(state.list_received_at_ms)}"
     endpoints = f"revision {state.list_revision}, {len(state.endpoints)} backends, {received}"
     table.add_row("endpoint list", endpoints if state.endpoints else "none")
@@ -173,32 +176,32 @@
     if state.learned_sample is not None and learned_age_ms is not None:
         learned = state.learned_sample.learned
         age = f"at least {learned_age_ms / MS_PER_S:.1f} s ago"
-        table.add_row("learned", f"{age}: limit {learned.limit:.1f}, {len(learned.backends)} backends")
+        table.add_row("learned state", f"{age}: limit {learned.limit:.1f}, {len(learned.backends)} backends")
     return table
 
 
 @app.command()
-def compact(path: PathArgument, as_json: JsonOption = False) -> None:
-    """Begin a new generation, as a start of the node does. Not while a process of the node lives."""
+def compact(path: DirectoryArgument, as_json: JsonOption = False) -> None:
+    """Start a new generation, as a start of the node does; no process of the node may be running."""
     before = _read(path)
     _replay(path, before)
     if not before.node:
-        raise stop(StateDirectoryError(f"{path}: there is no state in it"))
+        raise error_exit(StateDirectoryError(f"{path}: the directory contains no durable state"))
     directory = SystemDirectory(path)
     try:
         with directory.exclusive_use():
             LogWriter(directory, before.node, before.directory_id, _snapshot_of).close()
     except BlockingIOError:
-        raise stop(DirectoryInUseError(f"{path}: a process of the node uses it")) from None
+        raise error_exit(DirectoryInUseError(f"{path}: a process of the node uses it")) from None
     except (BalancerError, OSError) as err:
-        raise _stopped_by(path, err) from None
+        raise _error_exit_for(path, err) from None
     after = _read(path)
     _replay(path, after)
     if as_json:
         comparison = {"before": asdict(Verification.of(before)), "after": asdict(Verification.of(after))}
         print(json.dumps(comparison))
     else:
-        print(f"{before.size_bytes} bytes before, {after.size_bytes} now")
+        print(f"{before.size_bytes} bytes before, {after.size_bytes} bytes after")
     raise _exit_for(after)
 
 
