--- a/balancer/models/load.py
+++ b/balancer/models/load.py
@@ -10,7 +10,7 @@
 
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import Surge
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.tables import Load
 
 BURST_SHARE_OF_TIME = 0.25
@@ -61,7 +61,7 @@
 
 def draw_arrivals(spec: Experiment, seed: int, zone: str) -> Arrivals:
     """Draw a zone's arrivals: a Poisson process of variable rate, drawn by thinning, with log-normal work."""
-    times, sizes = stream(seed, "arrivals", zone), stream(seed, "sizes", zone)
+    times, sizes = random_stream(seed, "arrivals", zone), random_stream(seed, "sizes", zone)
     mean_per_ms = spec.rate * zone_factor(spec, zone) / len(spec.fleet.zones) / 1000
     length = spec.seconds * 1000
     peak = 1 + 2 * spec.load.amplitude
@@ -71,14 +71,14 @@
     count = times.poisson(mean_per_ms * peak * length)
     at = np.sort(times.uniform(0, length, count))
     accepted = times.random(count) * peak < relative_rate(
-        spec.load, spec.faults, zone, at, stream(seed, "bursts", zone), spec.seconds
+        spec.load, spec.faults, zone, at, random_stream(seed, "bursts", zone), spec.seconds
     )
     at = at[accepted]
     shares = np.array([c.share for c in spec.load.classes])
     sigma2 = math.log(1 + spec.load.work_cv**2)
     work = sizes.lognormal(math.log(spec.load.work_ms) - sigma2 / 2, math.sqrt(sigma2), len(at))
-    kind = stream(seed, "classes", zone).choice(len(shares), size=len(at), p=shares / shares.sum())
+    kind = random_stream(seed, "classes", zone).choice(len(shares), size=len(at), p=shares / shares.sum())
     return Arrivals(
-        zone, at, kind.astype(np.int64), work, stream(seed, "whims", zone).random((len(at), 4)),
-        stream(seed, "ids", zone).integers(1, 2**63, len(at), dtype=np.uint64),
+        zone, at, kind.astype(np.int64), work, random_stream(seed, "whims", zone).random((len(at), 4)),
+        random_stream(seed, "ids", zone).integers(1, 2**63, len(at), dtype=np.uint64),
     )  # fmt: skip
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -15,9 +15,9 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import LinkFault, Surge
 from balancer.experiments.loading import load_experiment
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.experiments.selectors import select_parties, split_into_batches
-from balancer.experiments.tables import DEFAULT_CLASSES, Backends, Clients, Expect, Fleet, Load, Rules
+from balancer.experiments.tables import DEFAULT_CLASSES, Backends, Clients, Expectation, Fleet, Load, Rules
 from balancer.lab import records
 from balancer.lab.figures import MAX_CPU_WAIT_S, expectation_holds, max_cpu_wait_s
 from balancer.lab.processes import CpuWait, Usage
@@ -37,7 +37,7 @@
 
 
 def make_backend(started_at: float = -1e12, spec: Backends = BACKENDS, **overrides: object) -> Backend:
-    return Backend(spec, Rules(fall_ms=1000.0, **overrides), 1.0, {}, stream(1, "b"), started_at)  # type: ignore[arg-type]
+    return Backend(spec, Rules(fall_ms=1000.0, **overrides), 1.0, {}, random_stream(1, "b"), started_at)  # type: ignore[arg-type]
 
 
 def make_job(name: str, work: float = 10.0, **overrides: object) -> Job:
@@ -199,8 +199,8 @@
 @pytest.mark.parametrize("share", [0.05, 0.2, 0.45])
 def test_connect_delays_cover_the_configured_share_and_spare_the_retransmitted_syn(share: float) -> None:
     """Guards against connections that never succeed: a SYN sent again after a second must get through."""
-    drawn = [connect_delays(stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
-    assert drawn[0] == connect_delays(stream(0, "late"), share, 10.0, 110.0) != drawn[1]
+    drawn = [connect_delays(random_stream(seed, "late"), share, 10.0, 110.0) for seed in range(40)]
+    assert drawn[0] == connect_delays(random_stream(0, "late"), share, 10.0, 110.0) != drawn[1]
     for row in drawn:
         assert all(a >= 10.0 and b <= 110.0 and b - a == pytest.approx(CONNECT_DELAY_S) for a, b in row)
         assert all(later[0] - earlier[1] >= MIN_REST_S - 1e-9 for earlier, later in pairwise(row))
@@ -235,7 +235,7 @@
         cut=True,
         loss=0.5,
     )
-    network = NetworkConditions(Experiment(name="x", faults=(fault,)), stream(1, "w"))
+    network = NetworkConditions(Experiment(name="x", faults=(fault,)), random_stream(1, "w"))
     network.change(fault, True)
     assert network.conditions("n0", "s1").cut and not network.conditions("s1", "n0").cut
     assert (
@@ -250,7 +250,9 @@
     fault = LinkFault(
         at=0.0, duration_s=1.0, source="nodes", destination="nodes", loss=0.3, duplicate=0.2, reorder=0.1
     )
-    network = NetworkConditions(Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), stream(1, "w"))
+    network = NetworkConditions(
+        Experiment(name="x", fleet=Fleet(nodes=2), faults=(fault,)), random_stream(1, "w")
+    )
     network.change(fault, True)
     link = network.conditions("n0", "n1")
     copies = [network.datagram_delays_ms(link, 100) for _ in range(4000)]
@@ -303,9 +305,9 @@
 
 
 def test_expectation_on_a_missing_figure_does_not_hold() -> None:
-    assert not expectation_holds(Expect(figure="recovery_s", max=3.0), {})
-    assert expectation_holds(Expect(figure="x", min=1.0, max=2.0), {"x": 1.5})
-    assert not expectation_holds(Expect(figure="x", min=1.0), {"x": 0.5})
+    assert not expectation_holds(Expectation(figure="recovery_s", max=3.0), {})
+    assert expectation_holds(Expectation(figure="x", min=1.0, max=2.0), {"x": 1.5})
+    assert not expectation_holds(Expectation(figure="x", min=1.0), {"x": 0.5})
 
 
 def test_unfinished_wait_for_a_core_is_measured_and_a_finished_one_counts_once() -> None:
