--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -69,8 +69,8 @@
     remedy = "name the --out directory of a completed lab run, or run the experiment again with this version"
 
 
-class HarnessLateError(BalancerError):
-    """The harness sent requests too late in a run of a comparison, so the figures cannot be compared."""
+class VoidRunError(BalancerError):
+    """A run of a comparison is void, because the harness or a node got too little processor time."""
 
     code = "LAB08"
     remedy = "compare again on an idle machine, or with a lower rate and fewer nodes"
@@ -180,7 +180,8 @@
         output.print(f"  {item.rule} at {item.at_ms / 1000:.2f} s, n{item.node}: {item.text}")
     if summary.void:
         output.print(
-            f"[red]void[/red]: the harness sent requests {values['rig_late_p99_ms']:.1f} ms late at p99"
+            "[red]void[/red]: the machine was too slow; the harness sent requests "
+            f"{values['rig_late_p99_ms']:.1f} ms late at p99"
         )
 
 
@@ -235,7 +236,7 @@
         bool, typer.Option("--verbose", "-v", help="Print the log of the lab during the run.")
     ] = False,
 ) -> None:
-    """Run an experiment. Exit code 0: expectations met; 1: some not met; 2: not run, or harness too late."""
+    """Run an experiment. Exit code 0: expectations met; 1: some not met; 2: not run, or void."""
     spec = read_experiment(experiment, sets)
     program = build_program(revision)
     title = f"{spec.name}: {spec.seconds:g} s with {spec.fleet.nodes} nodes"
@@ -358,7 +359,7 @@
 def _paired_figures(
     specs: tuple[Experiment, Experiment], programs: tuple[Program, Program], seeds: range, out: Path
 ) -> tuple[list[Figures], list[Figures]]:
-    """Run both programs on each seed and return the figures of all runs; raises HarnessLateError."""
+    """Run both programs on each seed and return the figures of all runs; raises VoidRunError."""
     values: tuple[list[Figures], list[Figures]] = ([], [])
     with Progress(console=console, transient=True) as progress:
         bar = progress.add_task(specs[0].name, total=2 * len(seeds))
@@ -368,8 +369,9 @@
                 folder = out / f"{'ab'[side]}-{seed}"
                 _, summary = play_and_judge(specs[side], seed, programs[side], folder)
                 if summary.void:
-                    raise HarnessLateError(
-                        f"seed {seed}, {programs[side].label}: the harness sent requests late; see {folder}"
+                    raise VoidRunError(
+                        f"seed {seed}, {programs[side].label}: the run is void because the machine "
+                        f"was too slow; see {folder}"
                     )
                 values[side].append(summary.figures)
                 progress.advance(bar)
