--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -46,8 +46,7 @@
 console = Console(stderr=True)
 
 
-# The figures of one run, keyed by name.
-Figures = dict[str, float]
+RunFigures = dict[str, float]
 OutOption = Annotated[Path, typer.Option("--out", help="Directory for the results; created if missing.")]
 SetOption = Annotated[
     list[str] | None, typer.Option("--set", help="Override a field: KEY=VALUE with a dotted key. Repeatable.")
@@ -358,9 +357,9 @@
 
 def _paired_figures(
     specs: tuple[Experiment, Experiment], programs: tuple[Program, Program], seeds: range, out: Path
-) -> tuple[list[Figures], list[Figures]]:
+) -> tuple[list[RunFigures], list[RunFigures]]:
     """Run both programs on each seed and return the figures of all runs; raises VoidRunError."""
-    values: tuple[list[Figures], list[Figures]] = ([], [])
+    values: tuple[list[RunFigures], list[RunFigures]] = ([], [])
     with Progress(console=console, transient=True) as progress:
         bar = progress.add_task(specs[0].name, total=2 * len(seeds))
         for seed in seeds:
--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -25,7 +25,7 @@
     downtime_s = 0.2 * seconds
     return Experiment(
         name="demo",
-        about="Three nodes, nine backends in three zones; a backend and a node are killed and come back.",
+        about="Three nodes, nine backends in three zones; a backend and a node are killed and restarted.",
         seconds=seconds,
         load=Load(utilisation=0.45),
         faults=(
--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -215,7 +215,7 @@
         f"local health score {membership.health} of 8 (0: healthy)",
         f"view {membership.view} for {format_duration(membership.view_for_ms)} ({membership.view_reason})",
         f"{membership.present_nodes} of {membership.nodes} present, {quorum}: {states}",
-        f"{agreement} of the recently heard peers agree; last reported another view: {listed}",
+        f"{agreement} of the recently heard peers agree; nodes that last reported another view: {listed}",
         f"counts: {counts}",
     ]
     return Group(*(Text.from_markup(line) for line in lines))
--- a/balancer/cli/scale.py
+++ b/balancer/cli/scale.py
@@ -31,7 +31,7 @@
     output = Console()
     table = Table(title=f"scale, seed {result.seed}, {result.program}, {result.seconds:g} s",
                   title_justify="left")  # fmt: skip
-    for name in ("role", "figure", "measured", "fit", "residual", "target", "at target", "extrapolation"):
+    for name in ("role", "figure", "measured", "fit", "residual", "target", "at target", "target / largest"):
         table.add_column(name, justify="left" if name in ("role", "figure", "fit") else "right")
     for slope in result.slopes:
         measured = f"{slope.values[0]:.3g} to {slope.values[-1]:.3g} {slope.unit}"
--- a/balancer/experiments/faults.py
+++ b/balancer/experiments/faults.py
@@ -1,7 +1,8 @@
 """The faults that an experiment injects.
 
-`at` is in seconds after the earliest possible arrival of a client request, and so are all times without a
-unit in their name. `targets` (`what` in the file) selects the parties that a fault affects, see `selectors`.
+`at` is in seconds after the earliest possible arrival of a client request. Other times without a unit in
+their name are in seconds, too. `targets` (`what` in the file) selects the parties that a fault affects, see
+`selectors`.
 """
 
 from __future__ import annotations
