--- a/balancer/experiments/checks.py
+++ b/balancer/experiments/checks.py
@@ -33,8 +33,8 @@
 MAX_UTILISATION = 10
 MAX_RATE_PER_S = 50_000
 MAX_CLIENT_RETRIES = 10
-# `models/connect_delay.py` delays connects for 0.9 s at a time and at least 1.1 s apart, so for at most 0.45 of
-# the time.
+# `models/connect_delay.py` delays connects for 0.9 s at a time and at least 1.1 s apart, so for at most
+# 0.45 of the time.
 MAX_SLOW_CONNECT_SHARE = 0.45
 
 NODE = "n"
