--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -45,71 +45,80 @@
     table: Table
     path: str = ""
 
-    def invalid_value(self, name: str, value: object) -> api.SettingsError:
-        """Return the error for an invalid value."""
-        return api.SettingsError(f"{self.path}{name} has an invalid value: {value!r}")
+    def invalid_value(self, name: str, expected: str, value: object) -> api.SettingsError:
+        """Return the error for a value that is not `expected`, which completes "must be"."""
+        return api.SettingsError(f"{self.path}{name} must be {expected}, got {value!r}")
 
-    def number(self, name: str, default: float | None, low: float = 0.0) -> float:
-        """Return a finite number of at least `low`; the key is required if `default` is None."""
+    def number(
+        self, name: str, default: float | None, low: float = 0.0, kind: str = "a finite number"
+    ) -> float:
+        """Return a finite number of at least `low`; the key is required if `default` is None.
+
+        The error for an invalid value says that a `kind` of at least `low` was expected.
+        """
         value = self.table.get(name, default)
         if value is None:
             raise api.SettingsError(f"{self.path}{name} is missing")
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value < math.inf:
-            raise self.invalid_value(name, value)
+            raise self.invalid_value(name, f"{kind} of at least {low:g}", value)
         return float(value)
 
     def integer(self, name: str, default: int, low: int) -> int:
         """Return an integer of at least `low`."""
-        value = self.number(name, default, low)
+        value = self.number(name, default, low, "an integer")
         if value != int(value):
-            raise self.invalid_value(name, self.table[name])
+            raise self.invalid_value(name, f"an integer of at least {low}", self.table[name])
         return int(value)
 
     def flag(self, name: str, default: bool = False) -> bool:
         """Return a boolean."""
         value = self.table.get(name, default)
         if not isinstance(value, bool):
-            raise self.invalid_value(name, value)
+            raise self.invalid_value(name, "true or false", value)
         return value
 
-    def text(self, name: str, default: str | None) -> str:
-        """Return a string; if `default` is None, the key is required and must not be empty."""
+    def text(self, name: str, default: str | None, expected: str = "a string") -> str:
+        """Return a string; if `default` is None, the key is required and must not be empty.
+
+        The error for a value that is not a string says that `expected` was expected.
+        """
         value = self.table.get(name, default)
         if value is None or (value == "" and default is None):
             raise api.SettingsError(f"{self.path}{name} is missing")
         if not isinstance(value, str):
-            raise self.invalid_value(name, value)
+            raise self.invalid_value(name, expected, value)
         return value
 
     def texts(self, name: str) -> tuple[str, ...]:
         """Return a list of strings; a missing key means an empty list."""
         value = self.table.get(name, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            raise self.invalid_value(name, value)
+            raise self.invalid_value(name, "a list of strings", value)
         return tuple(value)
 
     def choice(self, name: str, among: dict[str, Any], default: str | None) -> Any:
         """Return the value that `among` maps the string to."""
-        value = self.text(name, default)
+        expected = f"one of {', '.join(among)}"
+        value = self.text(name, default, expected)
         if value not in among:
-            raise self.invalid_value(name, value)
+            raise self.invalid_value(name, expected, value)
         return among[value]
 
     def section(self, name: str) -> Section:
         """Return a nested table; a missing key means an empty table."""
         value = self.table.get(name, {})
         if not isinstance(value, dict):
-            raise self.invalid_value(name, value)
+            raise self.invalid_value(name, "a table", value)
         return Section(value, f"{self.path}{name}.")
 
     def sections(self, name: str) -> list[Section]:
         """Return a list of nested tables; a missing key means an empty list."""
         value = self.table.get(name, [])
         if not isinstance(value, list):
-            raise self.invalid_value(name, value)
+            raise self.invalid_value(name, "a list of tables", value)
         for index, row in enumerate(value):
             if not isinstance(row, dict):
-                raise self.invalid_value(f"{name}[{index}]", row)
+                raise self.invalid_value(f"{name}[{index}]", "a table", row)
         return [Section(row, f"{self.path}{name}[{index}].") for index, row in enumerate(value)]
 
 
@@ -163,7 +172,7 @@
     slow_start_ms = rules.number("ramp-time", 60_000.0)
     cold_capacity_fraction = rules.number("cold-share", 0.0)
     if cold_capacity_fraction > 1:
-        raise rules.invalid_value("cold-share", cold_capacity_fraction)
+        raise rules.invalid_value("cold-share", "a number from 0 to 1", cold_capacity_fraction)
     return api.Settings(
         classes=tuple(_request_class(section) for section in classes),
         slow_start_ms=slow_start_ms,
@@ -183,7 +192,7 @@
     for section in sections:
         name = section.table.get("name")
         if repr(name) in names:
-            raise section.invalid_value("name", name)
+            raise section.invalid_value("name", "unique among the request classes", name)
         names.add(repr(name))
     return sections
 
@@ -205,7 +214,7 @@
     )
     for name, value in (("give-up", parsed.deadline_ms), ("objective", parsed.latency_objective_ms)):
         if value <= 0:
-            raise section.invalid_value(name, value)
+            raise section.invalid_value(name, "a number greater than 0", value)
     return parsed
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -50,37 +50,45 @@
     ("change", "named"),
     [
         ({"request-classes": []}, "request-classes is missing"),
-        ({"request-classes": [{"name": "x", "effect": "odd", "give-up": 1}]}, r"effect.*'odd'"),
+        (
+            {"request-classes": [{"name": "x", "effect": "odd", "give-up": 1}]},
+            r"\.effect must be one of retryable, dedup, fragile, got 'odd'$",
+        ),
         ({"request-classes": [{"name": "x", "effect": "dedup"}]}, r"request-classes\[0\].give-up is missing"),
-        ({"rules": {"ramp-time": -1}}, "rules.ramp-time has an invalid value: -1"),
-        ({"group-size": 0}, "group-size has an invalid value: 0"),
-        ({"group-size": 2.5}, "group-size has an invalid value: 2.5"),
-        ({"me": "x"}, "me has an invalid value: 'x'"),
-        ({"request-classes": 5}, "request-classes has an invalid value: 5"),
-        ({"request-classes": [7]}, r"request-classes\[0\] has an invalid value: 7"),
-        ({"request-classes": [{"name": "x", "effect": 3, "give-up": 1}]}, r"effect has an invalid value: 3"),
+        ({"rules": {"ramp-time": -1}}, "^rules.ramp-time must be a finite number of at least 0, got -1$"),
+        ({"group-size": 0}, "^group-size must be an integer of at least 1, got 0$"),
+        ({"group-size": 2.5}, "^group-size must be an integer of at least 1, got 2.5$"),
+        ({"me": "x"}, "^me must be an integer of at least 0, got 'x'$"),
+        ({"request-classes": 5}, "^request-classes must be a list of tables, got 5$"),
+        ({"request-classes": [7]}, r"^request-classes\[0\] must be a table, got 7$"),
+        (
+            {"request-classes": [{"name": "x", "effect": 3, "give-up": 1}]},
+            r"\.effect must be one of retryable, dedup, fragile, got 3$",
+        ),
         (
             {"request-classes": [{"name": "x", "effect": "dedup", "give-up": 0}]},
-            "give-up has an invalid value: 0",
+            r"^request-classes\[0\]\.give-up must be a number greater than 0, got 0\.0$",
         ),
-        ({"limits": [1]}, r"limits has an invalid value: \[1\]"),
-        ({"limits": {"cancel": "yes"}}, "limits.cancel has an invalid value: 'yes'"),
-        ({"rules": {"cold-share": 1.5}}, "rules.cold-share has an invalid value: 1.5"),
-        ({"granularity": float("nan")}, "granularity has an invalid value: nan"),
-        ({"rules": {"fall": float("inf")}}, "rules.fall has an invalid value: inf"),
-        ({"charges": {"probe": True}}, "charges.probe has an invalid value: True"),
+        ({"limits": [1]}, r"^limits must be a table, got \[1\]$"),
+        ({"limits": {"cancel": "yes"}}, "^limits.cancel must be true or false, got 'yes'$"),
+        ({"rules": {"cold-share": 1.5}}, "^rules.cold-share must be a number from 0 to 1, got 1.5$"),
+        ({"granularity": float("nan")}, "^granularity must be a finite number of at least 0, got nan$"),
+        ({"rules": {"fall": float("inf")}}, "^rules.fall must be a finite number of at least 0, got inf$"),
+        ({"charges": {"probe": True}}, "^charges.probe must be a finite number of at least 0, got True$"),
         ({"projects": [{"quota-per-s": 3}]}, r"projects\[0\].name is missing"),
-        ({"projects": ["t"]}, r"projects\[0\] has an invalid value: 't'"),
+        ({"projects": ["t"]}, r"^projects\[0\] must be a table, got 't'$"),
         (
             {"load-info": {"how": "inline", "names": "active"}},
-            "load-info.names has an invalid value: 'active'",
+            "^load-info.names must be a list of strings, got 'active'$",
         ),
-        ({"discovery": "guess"}, "discovery has an invalid value: 'guess'"),
-        ({"weight-source": "odd"}, "weight-source has an invalid value: 'odd'"),
-        ({"zone": 4}, "zone has an invalid value: 4"),
+        ({"discovery": "guess"}, "^discovery must be one of automatic, subscribe, got 'guess'$"),
+        ({"weight-source": "odd"}, "^weight-source must be one of off, nominal, rough, live, got 'odd'$"),
+        ({"zone": 4}, "^zone must be a string, got 4$"),
     ],
 )
-def test_errors_of_invalid_settings_name_the_key_and_the_value(change: dict[str, object], named: str) -> None:
+def test_errors_of_invalid_settings_name_the_key_the_expectation_and_the_value(
+    change: dict[str, object], named: str
+) -> None:
     with pytest.raises(api.SettingsError, match=named):
         parse_settings_text(json.dumps(INFO | change))
 
