--- a/tests/equivalence/__init__.py
+++ b/tests/equivalence/__init__.py
@@ -1,1 +1,1 @@
-"""Comparison of this tree's behaviour with an earlier revision's, at boundaries whose bytes are fixed."""
+"""Check that this tree and an earlier revision have equal wire output, datagrams and stored files."""
--- a/tests/equivalence/__main__.py
+++ b/tests/equivalence/__main__.py
@@ -1,8 +1,9 @@
 """Compare the behaviour of this tree with that of an earlier revision: `python -m tests.equivalence REV`.
 
-Compared are the decisions on generated input of the simulator's wire (extended by the events of a real node),
-the datagrams of membership and recovery under seeded schedules, and the files that one version leaves to the
-other. Exit code 0: all equal; 1: not; 2: the revision cannot be had.
+The comparison covers the decisions on generated input in the simulator's wire protocol, which is extended by
+events that only a real node sees; the datagrams of membership and recovery under seeded schedules; and the
+files that one version leaves to the other. The exit code is 0 if all outputs are equal, 1 if any differ, and
+2 if the revision cannot be checked out.
 """
 
 from __future__ import annotations
@@ -29,40 +30,42 @@
 HERE = Path(__file__).resolve().parent
 ROOT = HERE.parents[1]
 WIRE_SEEDS, MEMBERSHIP_SEEDS, RECOVERY_SEEDS = 40, 10, 30
-WORKERS = 4  # plays at a time, each of two processes
-SHOWN_LINES = 30  # of a difference
+# Number of comparisons that run at the same time; each starts subprocesses for both trees.
+WORKERS = 4
+# Maximum number of diff lines that are printed for one comparison.
+SHOWN_LINES = 30
 
 
 @dataclass(frozen=True)
 class Tree:
-    """A checkout and the adapter to its names."""
+    """A checkout of the repository and the adapter that maps the comparison to its identifiers."""
 
     root: Path
     adapter: Path
 
     @classmethod
     def at(cls, root: Path) -> Tree:
-        """Return the tree at `root`, with its own adapter if it has one."""
+        """Return the tree at `root`, with its own adapter if it has one and with `former.py` otherwise."""
         own = root / "tests" / "equivalence" / "adapter.py"
         return cls(root, own if own.exists() else HERE / "former.py")
 
     def command(self, job: str, *args: str) -> list[str]:
-        """Return the command that runs a job in this tree."""
+        """Return the command line that runs a job of `probe.py` in this tree."""
         return [sys.executable, "-B", str(HERE / "probe.py"), str(self.root), str(self.adapter), job, *args]
 
     def run(self, job: str, *args: str) -> str:
-        """Return what a job writes."""
+        """Run a job of `probe.py` in this tree and return its standard output."""
         return run(self.command(job, *args), "")
 
     def simulate(self, text: str) -> str:
-        """Return what the deploy file's `sim` answers to this input."""
+        """Run the `sim` command of the deploy file on this input and return its standard output."""
         deploy = tomllib.loads((self.root / "deploy" / "balancer.toml").read_text("utf-8"))
         module = str(deploy["sim"]).rpartition(" -m ")[2]
         return run([sys.executable, "-B", "-m", module], text, self.root)
 
 
 def run(command: list[str], text: str, folder: Path = ROOT) -> str:
-    """Return a command's output; raises CalledProcessError."""
+    """Run a command on the standard input `text` and return its output; raises CalledProcessError."""
     env = os.environ | {"PYTHONPATH": str(folder), "PYTHONHASHSEED": "0"}
     done = subprocess.run(
         command, input=text, stdout=subprocess.PIPE, text=True, check=True, cwd=folder, env=env
@@ -71,14 +74,14 @@
 
 
 def cache() -> Path:
-    """Return the folder for checkouts and recorded plays, one for all work trees of the repository."""
+    """Return the cache folder for checkouts and recorded plays, which all work trees share."""
     command = ["git", "-C", str(ROOT), "rev-parse", "--path-format=absolute", "--git-common-dir"]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     return Path(done.stdout.strip()).parent / ".lab" / "equivalence"
 
 
 def checkout(revision: str) -> Path:
-    """Return a folder with the files of a revision; raises CalledProcessError."""
+    """Extract a revision into the cache and return its folder; raises CalledProcessError."""
     git = ["git", "-C", str(ROOT)]
     done = subprocess.run(
         [*git, "rev-parse", f"{revision}^{{commit}}"], capture_output=True, text=True, check=True
@@ -97,12 +100,13 @@
             with tarfile.open(fileobj=io.BytesIO(data)) as tar:
                 tar.extractall(draft, filter="data")
             Path(draft).rename(folder)
-            Path(draft).mkdir()  # for the context manager to remove
+            # The renamed draft folder is created again so that the context manager has one to remove.
+            Path(draft).mkdir()
     return folder
 
 
 def converse(tree: Tree, seed: int) -> World:
-    """Play a seed against a tree's decisions, event by event."""
+    """Play the generated environment of a seed against a tree's decision module, batch by batch."""
     command = tree.command("wire")
     with subprocess.Popen(
         command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True, cwd=tree.root
@@ -125,7 +129,7 @@
 
 
 def difference(name: str, before: str, after: str) -> str:
-    """Return the begin of the difference between two outputs; empty if there is none."""
+    """Return the first lines of the diff of two outputs, or an empty string if they are equal."""
     if before == after:
         return ""
     rows = unified_diff(before.split("\n"), after.split("\n"), "before", "after", lineterm="", n=4)
@@ -136,15 +140,17 @@
 
 @dataclass(frozen=True)
 class Recorded:
-    """What an earlier revision did with one seed."""
+    """The input that was generated for a seed against an earlier revision, and its outputs."""
 
-    source: str  # lines of the wire
+    # Input lines of the simulator's wire protocol and its extension.
+    source: str
     reply: str
-    simulated: str  # reply of its `sim` command; empty where the input holds events that no simulator plays
+    # Output of the `sim` command; empty if the input has events that the simulator does not send.
+    simulated: str
 
 
 def recorded(tree: Tree, seed: int) -> Recorded:
-    """Return the play of a seed against an earlier revision, cached if it was played before."""
+    """Return the play of a seed against an earlier revision, from the cache if it was recorded before."""
     maker = hashlib.sha256(
         b"".join(p.read_bytes() for p in (HERE / "stream.py", HERE / "probe.py", tree.adapter))
     )
@@ -163,7 +169,7 @@
 
 
 def compare_wire(before: Tree, after: Tree, seed: int) -> str:
-    """Give this tree the input that a play of the earlier revision has made."""
+    """Compare the replies of both trees to the input that was recorded against the earlier revision."""
     play = recorded(before, seed)
     found = difference(f"wire, seed {seed}", play.reply, run(after.command("wire"), play.source, after.root))
     if play.simulated and not found:
@@ -172,12 +178,12 @@
 
 
 def compare_job(before: Tree, after: Tree, job: str, seed: int) -> str:
-    """Compare what a job of both trees writes."""
+    """Compare the standard outputs of a job that runs in both trees with the same seed."""
     return difference(f"{job}, seed {seed}", before.run(job, str(seed)), after.run(job, str(seed)))
 
 
 def compare_files(before: Tree, after: Tree) -> str:
-    """Compare the files that each writes, byte by byte, and what each makes of the other's."""
+    """Compare the bytes of the files that each tree writes, and the values that each tree reads from them."""
     readings, contents = [], []
     for writer in (before, after):
         for reader in (before, after):
@@ -192,7 +198,7 @@
 
 
 def outcome(job: Callable[[], str]) -> str:
-    """Return what a comparison finds; a program that fails on what the other one bears is a difference."""
+    """Return the difference that a comparison finds; a failed subprocess counts as a difference."""
     try:
         return job()
     except subprocess.CalledProcessError as err:
@@ -200,18 +206,20 @@
 
 
 def main() -> int:
-    """Run all comparisons and print the differences."""
+    """Run all comparisons, print the differences and return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
     parser.add_argument("revision")
-    parser.add_argument("--first", type=int, default=1, help="the first seed of each kind")
-    parser.add_argument("--wire", type=int, default=WIRE_SEEDS, help="seeds of the simulator's wire")
+    parser.add_argument("--first", type=int, default=1, help="first seed of each kind of comparison")
+    parser.add_argument(
+        "--wire", type=int, default=WIRE_SEEDS, help="number of seeds for the simulator's wire protocol"
+    )
     parser.add_argument("--membership", type=int, default=MEMBERSHIP_SEEDS)
     parser.add_argument("--recovery", type=int, default=RECOVERY_SEEDS)
     args = parser.parse_args()
     try:
         before, after = Tree.at(checkout(args.revision)), Tree.at(ROOT)
     except subprocess.CalledProcessError as err:
-        print(f"revision {args.revision!r} cannot be had: {err}", file=sys.stderr)
+        print(f"cannot check out revision {args.revision!r}, so nothing was compared: {err}", file=sys.stderr)
         return 2
     jobs: list[Callable[[], str]] = [partial(compare_files, before, after)]
     for job, count in (("recovery", args.recovery), ("membership", args.membership)):
--- a/tests/equivalence/adapter.py
+++ b/tests/equivalence/adapter.py
@@ -1,6 +1,7 @@
-"""What the comparison asks of a revision, in the names of that revision: this file is changed with them.
+"""Run the jobs of the comparison with the identifiers of this revision; renames must be followed here.
 
-Each function has the same meaning in all revisions; what it returns is text or bytes that have to be equal.
+Each function does the same in all revisions. The text and the files that it produces must be equal in all of
+them.
 """
 
 from __future__ import annotations
@@ -37,19 +38,21 @@
 from balancer.sim import members, recovery_play, recovery_schedule
 
 PACKAGE = "balancer"
-NOW_S = 1_700_000_000.0  # Unix time of every file
-REASONS: dict[str, str] = {}  # today's word for why a request got no attempt, and the one it once had
+# Unix time at which all files are written.
+NOW_S = 1_700_000_000.0
+# Maps each reworded reason for a rejected or failed request to its former text.
+REASONS: dict[str, str] = {}
 
 
 class Instance:
-    """One instance of the decision module, driven by lines of the simulator's wire and their extension."""
+    """An instance of the decision module, driven by lines of the extended wire protocol."""
 
     def __init__(self, seed: int, settings: str) -> None:
         self.settings = self.before = parse_settings_text(settings)
         self.balancer = Balancer(self.settings, seed)
 
     def handle(self, now: float, line: str, following: Iterator[str]) -> list[str]:
-        """Handle one event at the clock time `now` (ms); `following` gives the lines of a list's entries."""
+        """Handle an event at the time `now` (ms); `following` yields the ENTRY lines after a list update."""
         word, _, rest = line.partition(" ")
         if word == "X_LEARNED":
             return [f"X_LEARNED {json.dumps(_learned_table(self.balancer.learned_state(now)))}"]
@@ -105,7 +108,7 @@
 
 
 def _extended(action: api.Action) -> str:
-    """Return an action's line on the wire and what the wire leaves out."""
+    """Return the wire line of an action, followed by the fields that the simulator's wire omits."""
     text = wire.format_action(action)
     if isinstance(action, api.StartAttempt):
         return f"{text} before={action.latest_start!r}"
@@ -125,7 +128,7 @@
 
 
 def membership(seed: int) -> Iterator[str]:
-    """Yield each datagram of a tier whose nodes die, stall, leave and come back, in order."""
+    """Yield the datagrams of a tier whose nodes crash, stall, leave and restart, then the observed states."""
     lossy = members.Network(loss_rate=0.1, duplicate_rate=0.05, late_rate=0.02, corrupt_rate=0.01)
     count = 120 if seed % 10 == 0 else 5 + 4 * (seed % 5)
     network = members.Network() if seed % 2 else lossy
@@ -156,7 +159,7 @@
 
 
 def recovery(seed: int) -> Iterator[str]:
-    """Yield each datagram of a tier under a drawn schedule of power cuts, in order, and what came of it."""
+    """Yield the datagrams of a tier under a random schedule of power cuts, then the result of the play."""
     original = members.World._send
     sent: list[str] = []
 
@@ -172,7 +175,7 @@
 
 
 def write_files(folder: Path) -> None:
-    """Write a state directory, a file of bans, and what a process leaves to its successor."""
+    """Write a state directory, a bans file, and the files that a process leaves for its successor."""
     learned = api.LearnedState(7.5, 0.75, 0.125, {"c0": (20.0, 3.0, -0.5)}, {"b1": (5.0, 1.5, 2.0, 3, 250.0)})
     moment = Timestamp(NOW_S * 1000, "boot", 4_000.0)
     flags = [
@@ -224,7 +227,7 @@
 
 
 def read_files(folder: Path) -> Iterator[str]:
-    """Yield what this revision makes of files that a revision has written; some go as they are read."""
+    """Yield the values that this revision reads from files of any revision; reading removes some of them."""
     with mock.patch.object(time, "time", lambda: NOW_S + 1.0):
         loaded = read_directory(SystemDirectory(folder / "state"), "n0")
         kept = replay(loaded.snapshot, loaded.records)
--- a/tests/equivalence/probe.py
+++ b/tests/equivalence/probe.py
@@ -1,6 +1,7 @@
-"""Runs one job in one revision's tree: `probe.py TREE ADAPTER JOB [ARGUMENT...]`, text on standard output.
+"""Run a comparison job in the tree of one revision: `probe.py TREE ADAPTER JOB [ARGUMENT...]`.
 
-It runs on its own, not as a module of the tests, so that the tree's package is the only one in reach.
+The job writes text to standard output. This file is run by its path and not as a module of the tests, so that
+only the package of that tree can be imported.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def serve(adapter: Any) -> None:
-    """Answer batches of the extended wire until the input ends."""
+    """Reply to batches of the extended wire protocol until standard input ends."""
     instances: dict[int, Any] = {}
     lines = (line.rstrip("\n") for line in sys.stdin)
     for line in lines:
@@ -34,7 +35,7 @@
 
 
 def batch(adapter: Any, instances: dict[int, Any], now: float, lines: Iterator[str]) -> list[str]:
-    """Return the reply to one batch, whose first line has been read."""
+    """Return the reply to one batch, whose SYNC line the caller has already read."""
     reply: list[str] = []
     who = -1
     for line in lines:
@@ -52,7 +53,7 @@
 
 
 def main() -> None:
-    """Run the job that the arguments name."""
+    """Run the job that the command-line arguments name."""
     tree, path, job, *rest = sys.argv[1:]
     sys.path[0] = tree
     adapter = load_adapter(Path(path))
--- a/tests/equivalence/stream.py
+++ b/tests/equivalence/stream.py
@@ -1,8 +1,8 @@
-"""Seeded input for the simulator's wire: a small world that reacts to what the program asks for.
+"""Generate seeded input of the simulator's wire protocol: an environment that reacts to the program.
 
-The words of the wire are those of its page. Words that begin with `X_` stand for events that a real node sees
-and the simulator does not play: bans, new settings, recovery, requests whose body still arrives. The adapter
-of each revision translates them.
+Lines that start with `X_` extend the documented wire protocol by events that a real node sees and the
+simulator does not send: bans, new settings, recovery, and requests whose body is still being received. The
+adapter of each revision translates them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass
 class Backend:
-    """A backend of the world."""
+    """A simulated backend, as it is listed and as it behaves."""
 
     name: str
     zone: str
@@ -37,29 +37,31 @@
     hangs: bool = False
 
     def entry(self) -> str:
-        """Return its line in a list."""
+        """Return the ENTRY line of this backend in an endpoint list."""
         started = "-" if self.started_at == 0 else f"{self.started_at:.3f}"
         return f"ENTRY {self.cell} kind {self.name} {self.weight:g} {self.phase} {started} {self.zone}"
 
 
 @dataclass
 class Request:
-    """A request that an instance holds."""
+    """A request that was sent to an instance, and the attempts that the instance has started for it."""
 
     instance: int
     name: str
     deadline: float
     class_name: str
-    attempts: list[bool] = field(default_factory=list)  # whether each is over
-    backends: list[str] = field(default_factory=list)  # of the attempts
+    # For each attempt, whether it has ended.
+    attempts: list[bool] = field(default_factory=list)
+    # For each attempt, the name of its backend.
+    backends: list[str] = field(default_factory=list)
     closed: bool = False
 
 
 class World:
-    """One play of a seed against a program, whose input it records."""
+    """The simulated environment of a program, which records the input and output of the program."""
 
     def __init__(self, seed: int, exchange: Exchange, extended: bool) -> None:
-        """`extended`: with events that the simulator does not play."""
+        """Draw the environment of `seed`; `extended` adds events that the simulator does not send."""
         self.extended = extended
         self.random = random.Random(f"equivalence {seed}")
         self.exchange = exchange
@@ -78,7 +80,7 @@
         self.backends = {b.name: b for b in (self._backend(i) for i in range(count))}
         self.rate = self.random.choice((0.02, 0.08, 0.2)) * (1 if count > 3 else 0.5)
 
-    # --- what is drawn
+    # --- Random settings and backends.
 
     def _settings(self, number: int) -> dict[str, Any]:
         dice = self.random
@@ -146,14 +148,14 @@
         made.hangs = dice.random() < 0.04
         return made
 
-    # --- time
+    # --- The schedule of events.
 
     def _at(self, when: float, instance: int, make: Callable[[], list[str]]) -> None:
         when = max(self.now, round(when / GRANULARITY_MS) * GRANULARITY_MS)
         heapq.heappush(self.queue, (when, next(self.numbers), make, instance))
 
     def play(self) -> None:
-        """Play from the start of all instances to the last outcome."""
+        """Start all instances and process events until none is scheduled."""
         lines = []
         for number, settings in enumerate(self.settings):
             lines += [f"CONTEXT {number}", f"START {self.random.getrandbits(63)} {json.dumps(settings)}"]
@@ -194,10 +196,10 @@
 
     @property
     def over(self) -> bool:
-        """Whether nothing new begins any more."""
+        """Whether the play is past the time after which no new events are generated."""
         return self.now > self.begin + SPAN_MS
 
-    # --- what happens by itself
+    # --- Events that occur without an action of the program.
 
     def _arrive(self, number: int) -> Callable[[], list[str]]:
         def make() -> list[str]:
@@ -248,7 +250,7 @@
         return lines
 
     def _trouble(self) -> list[str]:
-        """Change the world; tell those that listen."""
+        """Change random backends, and schedule the update for the instances that watch the endpoint list."""
         if self.over:
             return []
         dice = self.random
@@ -276,7 +278,7 @@
             new.started_at = self.now
             self.backends[new.name] = new
             changed.append(new)
-        if dice.random() < 0.08:  # a whole zone starts anew
+        if dice.random() < 0.08:  # All backends of one zone restart.
             zone = dice.choice(self.common["failure-domains"])
             changed = [b for b in self.backends.values() if b.zone == zone]
             for backend in changed:
@@ -293,7 +295,7 @@
         return []
 
     def _extra(self, number: int) -> list[str]:
-        """Return an event that the simulator does not play, or none."""
+        """Return the lines of an event that the simulator does not send, or no lines."""
         dice = self.random
         name = dice.choice(list(self.backends))
         phase, share = dice.choice(("listed", "warming", "full")), dice.choice((0.0, 0.02, 0.3, 1.0))
@@ -363,7 +365,7 @@
     def _changes(self, changed: list[Backend]) -> list[str]:
         return [f"DIRECTORY_UPDATE diff {self.revision} {len(changed)}", *(b.entry() for b in changed)]
 
-    # --- what the program asks for
+    # --- Reactions to the actions of the program.
 
     def _on_place(self, who: int, name: str, timeout: str, backend: str, *rest: str) -> None:
         request, dice = self.requests[name], self.random
@@ -448,11 +450,11 @@
 
     @property
     def is_outage(self) -> bool:
-        """Whether no call of discovery succeeds now: long enough for several failures in a row."""
+        """Whether discovery calls fail now; an outage of 5 s is long enough for several failures in a row."""
         return int((self.now - self.begin) / 5_000) % 3 == 1
 
     def _failure(self) -> list[str]:
-        """Return a failed call of discovery, with what a real node knows of it where that is played."""
+        """Return the line of a failed discovery call, with the details that a real node has if extended."""
         if not self.extended:
             return ["DIRECTORY_UPDATE error - -"]
         silent = self.random.choice((100.0, 2_000.0, 5_500.0, 9_000.0))
--- a/tests/hunt.sh
+++ b/tests/hunt.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# By hand: all property tests with fresh draws and 20 times the examples. A failure prints its blob for
-# @reproduce_failure; Hypothesis's seed is the first argument, or drawn and printed.
+# Run all property tests with fresh random examples, 20 times as many as in the test suite. This script is run by
+# hand only. A failed test prints the blob for @reproduce_failure. The first argument is the seed of Hypothesis; if
+# it is missing, a random seed is chosen. The seed is printed.
 #
 #     tests/hunt.sh [SEED [PYTEST ARGUMENT...]]
 set -euo pipefail
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Which part of the program may import which: the table of docs/architecture.md, held by a test."""
+"""Test that the imports between parts of the program follow the table in docs/architecture.md."""
 
 from __future__ import annotations
 
@@ -19,11 +19,14 @@
     "recovery_adapter",
     "recovery_handover",
 }
-"""Modules of `net` that are imported only where a fleet file is given."""
+"""The only modules of `net` that may import membership, durable or recovery.
+
+The node loads them only if a fleet file is configured.
+"""
 
 
 def allowed() -> dict[str, set[str]]:
-    """Return the parts that each part may import, as the page says it."""
+    """Return the parts that each part may import according to docs/architecture.md."""
     lines = PAGE.read_text("utf-8").split("\n")
     rows = lines[lines.index(TABLE_HEAD) + 2 :]
     found = {}
@@ -36,13 +39,13 @@
 
 
 def part_of(module: str) -> str:
-    """Return the part that a dotted module of the program belongs to."""
+    """Return the part of the program that a module belongs to, given its dotted name."""
     names = module.split(".")
     return names[1] if len(names) > 1 else "__main__"
 
 
 def modules() -> Iterator[tuple[str, Path]]:
-    """Yield each module of the program and its file."""
+    """Yield the dotted name and the file of each module of the program."""
     for path in sorted(PACKAGE.rglob("*.py")):
         names = path.relative_to(ROOT).with_suffix("").parts
         if names != ("balancer", "__init__"):
@@ -50,7 +53,7 @@
 
 
 def imports(path: Path) -> Iterator[tuple[str, int]]:
-    """Yield the program's own modules that a file imports, anywhere in it, and the line."""
+    """Yield each module of the program that a file imports at any level, and the line of the import."""
     for node in ast.walk(ast.parse(path.read_text("utf-8"))):
         if isinstance(node, ast.ImportFrom) and node.module == "balancer":
             for alias in node.names:
@@ -79,21 +82,21 @@
     assert set(allowed()) == {part_of(module) for module, _ in modules()}
 
 
-def test_imports_between_parts_run_one_way() -> None:
+def test_imports_between_parts_have_no_cycle() -> None:
     rules = allowed()
     while leaves := {part for part, others in rules.items() if not others & rules.keys()}:
         rules = {part: others for part, others in rules.items() if part not in leaves}
-    assert not rules, f"a circle among {sorted(rules)}"
+    assert not rules, f"import cycle among the parts {sorted(rules)}"
 
 
-def test_the_files_that_the_page_names_are_there() -> None:
+def test_the_files_that_the_page_names_exist() -> None:
     names = set(re.findall(r"`((?:[a-z0-9_]+/)+[a-z0-9_]+\.py)", PAGE.read_text("utf-8")))
     missing = [name for name in sorted(names) if not (PACKAGE / name).exists() and not (ROOT / name).exists()]
     assert names and not missing
 
 
 @pytest.mark.parametrize("subsystem", ["membership", "durable", "recovery"])
-def test_the_node_knows_a_subsystem_only_through_its_adapters(subsystem: str) -> None:
+def test_only_the_adapters_of_the_node_import_a_subsystem(subsystem: str) -> None:
     users = {
         path.stem
         for module, path in modules()
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Test that the Python example in README.md runs and prints the output shown there."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 
-def test_readme_example() -> None:
+def test_the_readme_example_prints_the_output_shown_in_the_readme() -> None:
     text = (Path(__file__).parents[1] / "README.md").read_text(encoding="utf-8")
     code = re.findall(r"```python\n(.*?)```", text, re.S)
     out = io.StringIO()
