--- a/tests/virtual_run.py
+++ b/tests/virtual_run.py
@@ -1,7 +1,8 @@
-"""A play of the lab in one process under a virtual clock: the same at every speed of the machine.
+"""Play an experiment of the lab in one process under a virtual clock, so that the result is deterministic.
 
-The lab's own clients, backends, discovery and faults, and a stand-in node, on an event loop whose clock moves
-only when all wait; connections are in memory. No time passes while anything runs, so nobody is ever late.
+The lab's clients, backends, discovery and faults run with a simple node on one event loop. Its clock advances
+only when all tasks wait, and its connections are in memory. No time passes while code runs, so no deadline is
+missed because the machine is slow.
 """
 
 from __future__ import annotations
@@ -24,113 +25,124 @@
 
 Address = tuple[str, int]
 ROLES: tuple[Role, ...] = ("backends", "clients", "discovery")
-CRASHED = 3  # the code with which a stand-in's process ends by itself
+# Exit code of the node process if the node has the defect `crash`.
+CRASH_EXIT_CODE = 3
 
 
-class Stopped(selectors.SelectSelector):
-    """Waits by moving the clock."""
+class VirtualSelector(selectors.SelectSelector):
+    """A selector that advances the virtual clock by the timeout instead of waiting."""
 
-    now = 0.0  # s
+    now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("all wait, and nothing is planned")
-        self.now += timeout
+            raise RuntimeError(
+                "deadlock: all tasks wait and no timer is scheduled, so the virtual clock cannot advance"
+            )
+        self.now_s += timeout
         return []
 
 
-class NoSocket:
-    """What a party may ask of the socket under its connection."""
+class FakeSocket:
+    """The socket of an in-memory connection, as far as the lab uses it."""
 
     def setsockopt(self, *_: Any) -> None:
-        """No options here: to abort is to reset."""
+        """Ignore the option: `abort` of an in-memory transport always resets the connection."""
 
 
-class Pipe(asyncio.Transport):
-    """One end of a connection in memory."""
+class InMemoryTransport(asyncio.Transport):
+    """One end of an in-memory connection; `peer` is the other end."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, protocol: asyncio.Protocol) -> None:
-        super().__init__({"socket": NoSocket()})
+        super().__init__({"socket": FakeSocket()})
         self.loop, self.protocol = loop, protocol
-        self.peer: Pipe
-        self.closing = self.over = False
+        self.peer: InMemoryTransport
+        self.closing = self.is_disconnected = False
 
     def is_closing(self) -> bool:
         return self.closing
 
     def write(self, data: bytes | bytearray | memoryview[Any]) -> None:
         if not self.closing:
-            self.loop.call_soon(self.peer.came, bytes(data))
+            self.loop.call_soon(self.peer.receive, bytes(data))
 
     def close(self) -> None:
         if not self.closing:
             self.closing = True
-            self.loop.call_soon(self.peer.ended)
-            self.loop.call_soon(self.lost, None)
+            self.loop.call_soon(self.peer.receive_eof)
+            self.loop.call_soon(self.disconnect, None)
 
     def abort(self) -> None:
-        if not self.over:
+        if not self.is_disconnected:
             self.closing = True
-            self.loop.call_soon(self.lost, None)
-            self.loop.call_soon(self.peer.lost, ConnectionResetError())
+            self.loop.call_soon(self.disconnect, None)
+            self.loop.call_soon(self.peer.disconnect, ConnectionResetError())
 
-    def came(self, data: bytes) -> None:
-        """Bytes of the peer; where this end has closed, the peer's breaks."""
+    def receive(self, data: bytes) -> None:
+        """Receive bytes from the peer; if this end is closing, reset the peer's end instead."""
         if self.closing:
-            self.peer.lost(ConnectionResetError())
+            self.peer.disconnect(ConnectionResetError())
         else:
             self.protocol.data_received(data)
 
-    def ended(self) -> None:
-        """The peer has closed."""
+    def receive_eof(self) -> None:
+        """Receive the end of the stream, because the peer has closed its end."""
         if not self.closing and not self.protocol.eof_received():
             self.close()
 
-    def lost(self, why: Exception | None) -> None:
-        """This end is gone."""
-        if not self.over:
-            self.closing = self.over = True
-            self.protocol.connection_lost(why)
+    def disconnect(self, error: Exception | None) -> None:
+        """Notify the protocol of this end that the connection is lost, unless that has happened before."""
+        if not self.is_disconnected:
+            self.closing = self.is_disconnected = True
+            self.protocol.connection_lost(error)
 
 
-Make = Callable[[], asyncio.Protocol]
+ProtocolFactory = Callable[[], asyncio.Protocol]
 
 
 class Server:
-    """What listens at an address; `dark`: connections to it never come up."""
-
-    def __init__(self, places: dict[Address, Server], address: Address, make: Make) -> None:
-        self.places, self.address, self.make, self.unresponsive = places, address, make, False
+    """A listener at a virtual address; connections to it never open while it is unresponsive."""
+
+    def __init__(
+        self, servers: dict[Address, Server], address: Address, protocol_factory: ProtocolFactory
+    ) -> None:
+        self.servers, self.address, self.protocol_factory, self.unresponsive = (
+            servers,
+            address,
+            protocol_factory,
+            False,
+        )
 
     def open(self) -> None:
-        """Listen."""
-        self.places[self.address] = self
+        """Accept connections from now on."""
+        self.servers[self.address] = self
 
     def close(self) -> None:
         """Refuse connections from now on."""
-        self.places.pop(self.address, None)
+        self.servers.pop(self.address, None)
 
     def set_unresponsive(self, unresponsive: bool) -> None:
-        """As the lab's own."""
+        """Choose whether new connections stay pending forever, as with `ImpairedListener`."""
         self.unresponsive = unresponsive
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Its clock moves when all wait; its connections are in memory."""
+    """An event loop with in-memory connections and a clock that advances only when all tasks wait."""
 
     def __init__(self) -> None:
-        self.stopped = Stopped()
-        self.places: dict[Address, Server] = {}
-        self.errors: list[dict[str, Any]] = []  # of callbacks, and of handlers of a server's connections
-        super().__init__(self.stopped)
-        self.set_exception_handler(lambda _, what: self.errors.append(what))
+        self.virtual_selector = VirtualSelector()
+        self.servers: dict[Address, Server] = {}
+        # Contexts of the exceptions that callbacks and connection handlers have raised.
+        self.errors: list[dict[str, Any]] = []
+        super().__init__(self.virtual_selector)
+        self.set_exception_handler(lambda _, context: self.errors.append(context))
 
     def time(self) -> float:
-        return self.stopped.now
+        return self.virtual_selector.now_s
 
-    def listener(self, address: Address, make: Make) -> Server:
-        """Stands for the lab's `Listener`."""
-        return Server(self.places, address, make)
+    def listener(self, address: Address, protocol_factory: ProtocolFactory) -> Server:
+        """Return a virtual listener, which replaces the lab's `ImpairedListener`."""
+        return Server(self.servers, address, protocol_factory)
 
     async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:
         server = self.listener((host, port), protocol_factory)
@@ -140,12 +152,15 @@
     async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None,
                                 **_: Any) -> Any:  # fmt: skip
         await asyncio.sleep(0)
-        server = self.places.get((host, port))
+        server = self.servers.get((host, port))
         if server is None:
-            raise ConnectionRefusedError(f"nobody listens at {host}:{port}")
+            raise ConnectionRefusedError(f"connection refused: no listener at {host}:{port}")
         if server.unresponsive:
             await asyncio.Event().wait()
-        near, far = Pipe(self, protocol_factory()), Pipe(self, server.make())
+        near, far = (
+            InMemoryTransport(self, protocol_factory()),
+            InMemoryTransport(self, server.protocol_factory()),
+        )
         near.peer, far.peer = far, near
         far.protocol.connection_made(far)
         near.protocol.connection_made(near)
@@ -153,7 +168,7 @@
 
 
 class VirtualPlay:
-    """One play of an experiment with one stand-in node; `seen` holds the records afterwards."""
+    """A play of an experiment with one `DefectiveNode`; `seen` contains its records at the end."""
 
     def __init__(self, spec: Experiment, seed: int, defect: str, loop: VirtualLoop) -> None:
         self.spec, self.seed, self.loop, self.seen = spec, seed, loop, records.RunRecords()
@@ -166,45 +181,45 @@
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def end_node(self) -> None:
-        """All that the node's process held is gone."""
+        """Close the listeners and reset the connections of the node, as at the end of its process."""
         for server in self.node.servers:
             server.close()
         for writer in self.node.writers:
             writer.transport.abort()
 
     def crash(self) -> None:
-        """The node's process ends by itself."""
+        """End the node and record that its process has crashed."""
         self.end_node()
         self.process_record.ended, self.process_record.code, self.process_record.failure = (
             self.clock.now(),
-            CRASHED,
+            CRASH_EXIT_CODE,
             "ended by itself",
         )
 
     def maintain(self, moment: Moment) -> None:
-        """The operators take backends out, or put them back."""
+        """Set the maintenance bans of a fault when it begins, and lift them when it ends."""
         for name in moment.names:
-            self.task(self.operate(name, moment.step is Step.BEGIN))
+            self.start_task(self.call_console(name, moment.step is Step.BEGIN))
 
-    async def operate(self, backend: str, out: bool) -> None:
-        """An operator's call at the console, and what the judge is to know of it."""
+    async def call_console(self, backend: str, is_ban: bool) -> None:
+        """Set or lift a ban by a call to the node's console, and record its times for the judge."""
         called = self.clock.now()
         bans = [b for b in self.seen.maintenance if f"s{b.backend}" == backend and not b.ended]
-        if not out and bans:
+        if not is_ban and bans:
             bans[0].ended = called
-        path = f"/backends/{backend}/{'maint' if out else 'ready'}"
+        path = f"/backends/{backend}/{'maint' if is_ban else 'ready'}"
         status, _ = await call(self.places.console(0, 0), "POST", path)
-        if out and status == 200:
+        if is_ban and status == 200:
             self.seen.maintenance.append(
                 records.MaintenanceRecord(0, int(backend[1:]), self.clock.now(), 0.0)
             )
 
-    def task(self, work: Any) -> None:
-        """Run it in the background."""
+    def start_task(self, work: Any) -> None:
+        """Run a coroutine as a background task and keep a reference to the task."""
         self.tasks.add(self.loop.create_task(work))
 
     def start(self) -> None:
-        """Clients come `LEAD` from now; the faults go by the same zero."""
+        """Start the workers and schedule the maintenance faults; time 0 of the play is `LEAD_S` from now."""
         zero = self.loop.time() + LEAD_S
         for worker in self.workers:
             worker.start(zero)
@@ -212,11 +227,11 @@
             if isinstance(moment.fault, Maintenance):
                 self.loop.call_at(zero + moment.at, self.maintain, moment)
 
-    async def whole(self) -> records.RunRecords:
-        """Everything, to the last late answer."""
+    async def run_to_end(self) -> records.RunRecords:
+        """Play the experiment until late responses have arrived, and return the records of all parties."""
         for worker in self.workers:
             await worker.open()
-        self.task(self.node.run(self.places.node(0), self.places.console(0, 0)))
+        self.start_task(self.node.run(self.places.node(0), self.places.console(0, 0)))
         self.start()
         await self.workers[ROLES.index("clients")].finished()
         await asyncio.sleep(max(TAIL_S, self.spec.seconds + TAIL_S - self.clock.now() / 1000))
@@ -230,7 +245,7 @@
 
 
 def play(spec: Experiment, seed: int, defect: str) -> records.RunRecords:
-    """Play an experiment once, its one node a stand-in with a defect."""
+    """Play an experiment once with a single `DefectiveNode` and return the records."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, VirtualLoop)
@@ -238,4 +253,4 @@
             mock.patch("balancer.lab.backend_stubs.ImpairedListener", loop.listener),
             mock.patch("balancer.lab.discovery_stub.ImpairedListener", loop.listener),
         ):
-            return runner.run(VirtualPlay(spec, seed, defect, loop).whole())
+            return runner.run(VirtualPlay(spec, seed, defect, loop).run_to_end())
