--- a/tests/broken_node.py
+++ b/tests/broken_node.py
@@ -15,7 +15,8 @@
 from collections.abc import Callable
 from typing import Any
 
-CRASH_AFTER_S = 3.0  # A node with the defect `crash` exits this long after its start.
+# A node with the defect `crash` exits CRASH_AFTER_S after its start.
+CRASH_AFTER_S = 3.0
 Headers = dict[str, str]
 Address = tuple[str, int]
 
--- a/tests/contended_discovery.py
+++ b/tests/contended_discovery.py
@@ -23,15 +23,22 @@
     DiscoverySimulation,
 )
 
-MAX_WAIT_S = 1.0  # a call that waits longer in discovery's queue fails
-DRAIN_GRACE_S = 1.0  # after this time no request may go to a draining backend
-OLD_ADDRESS_CLOSES_AFTER_S = 1.5  # an earlier address closes its connections this long after a reload
+# Discovery fails a call that waits in its queue for longer than MAX_WAIT_S.
+MAX_WAIT_S = 1.0
+# No request may go to a backend later than DRAIN_GRACE_S after the backend started to drain.
+DRAIN_GRACE_S = 1.0
+# The former address of discovery closes its connections OLD_ADDRESS_CLOSES_AFTER_S after a reload.
+OLD_ADDRESS_CLOSES_AFTER_S = 1.5
 NODE_COUNT = 6
-RELOADS_AT_S = (0.0, 0.35, 0.7, 1.6)  # times of a node's reloads, counted from its first one
-NEXT_NODE_RELOADS_AFTER_S = 0.4  # time between the first reloads of two successive nodes
-CHANGES_AT_S = (0.0, 0.6, 1.1, 6.2, 6.5, 6.8, 7.6, 12.2)  # the times at which the list gets revision 1 and up
+# Times at which each node reloads, relative to the first reload of the node.
+RELOADS_AT_S = (0.0, 0.35, 0.7, 1.6)
+# Time between the first reloads of two successive nodes.
+NEXT_NODE_RELOADS_AFTER_S = 0.4
+# Times at which the endpoint list changes; the first change makes revision 1.
+CHANGES_AT_S = (0.0, 0.6, 1.1, 6.2, 6.5, 6.8, 7.6, 12.2)
 OUTAGE_S = 8.0
-SETTLE_S = 30.0  # time without changes before and after the simulated events
+# Time without changes before and after the simulated events.
+SETTLE_S = 30.0
 
 
 class QueuedConnection(DiscoveryConnection):
--- a/tests/long_lists.py
+++ b/tests/long_lists.py
@@ -28,7 +28,8 @@
 DRAINING = EndpointPhase.DRAINING
 REMOVED = EndpointPhase.REMOVED
 PHASE_NAMES = {phase: name for name, phase in PHASES.items()}
-MAX_SHORT_ENTRIES = 4  # updates of up to this many entries are applied at once
+# Updates of up to MAX_SHORT_ENTRIES entries are applied at once; longer ones are applied in batches.
+MAX_SHORT_ENTRIES = 4
 BATCH_ENTRIES = 2
 
 
--- a/tests/recovery_tier.py
+++ b/tests/recovery_tier.py
@@ -59,7 +59,7 @@
         self.nodes: dict[int, Recovery] = {}
         self.disks: dict[int, tuple[BanEntry, ...]] = {}
         self.actions: dict[int, list[tuple[float, Action]]] = {node: [] for node in range(count)}
-        self.partition_by_node: dict[int, int] = {}  # nodes in different partitions exchange no datagrams
+        self.partition_by_node: dict[int, int] = {}  # Nodes in different partitions exchange no datagrams.
         self._in_flight: list[Datagram] = []
         self._sent_count = 0
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -27,8 +27,10 @@
 from balancer.net.backend_connection import REUSE_DELAY_S
 
 ROOT = Path(__file__).parents[1]
-WAIT_TIMEOUT_S = 30.0  # A test fails if an expected event has not happened after this time.
-HOUR_MS = 3_600_000  # Timeouts this long cannot expire during a test and hide a missing event.
+# A test fails if an expected event does not happen within WAIT_TIMEOUT_S.
+WAIT_TIMEOUT_S = 30.0
+# Timeouts of an hour cannot expire during a test and hide a missing event.
+HOUR_MS = 3_600_000
 REQUEST_NUMBERS = itertools.count(1)
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "retryable", "give-up": 4000, "objective": 3000},
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -29,7 +29,7 @@
     listed = [entry(f"b{i:02d}", zone="ab"[i % 2], weight=1.0 + i % 3) for i in range(SIZE)]
     b.handle(NOW, api.ListUpdate(api.ListUpdateKind.SNAPSHOT, listed))
     for cls in b.classes.by_name.values():
-        cls.expected_ms = 100.0  # With an objective of 900 ms, the cap m is 6.
+        cls.expected_ms = 100.0  # An estimate of 100 ms and an objective of 900 ms give a cap m of 6.
     return b
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -257,7 +257,8 @@
             connection = await peer.connect(listener)
             peer.sock.send(UP)
             assert await peer.read(len(UP_RESPONSE)) == UP_RESPONSE
-            peer.sock.send(READ % 1)  # The request is in the kernel: the event loop has not run since.
+            # The request stays in the kernel until the event loop runs again.
+            peer.sock.send(READ % 1)
             end(connection)
             assert await peer.read(1) == b""
             peer.sock.send(READ % 2)  # A request that arrives after the close is not executed either.
@@ -283,7 +284,7 @@
         peer = Peer(window=4096)
         connection = await peer.connect(listener)
         peer.sock.send(READ.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") % 1)
-        while not connection.is_closing:  # Once closing, the connection has its whole response buffered.
+        while not connection.is_closing:  # A connection that is closing has its whole response in its buffer.
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         peer.sock.send(b"x" * 1000)
--- a/tests/test_config_size.py
+++ b/tests/test_config_size.py
@@ -105,7 +105,8 @@
         tracemalloc.stop()
         return size
 
-    traced_bytes()  # objects that are created only once must not count
+    # The first call creates objects that stay in memory; they must not count in later measurements.
+    traced_bytes()
     (entry_count,) = counts.values()
     bytes_per_entry = (traced_bytes(**counts) - traced_bytes()) / entry_count
     assert 0.8 * ENTRY_BYTES[field] < bytes_per_entry <= 1.05 * ENTRY_BYTES[field]
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -74,7 +74,8 @@
     def body(pool: ConnectionPool, loop: VirtualLoop) -> None:
         made = add_idle(pool, loop, "b3", "b0", "b3", "b1")
         pool.remove_idle(made[0])
-        pool.release(made[0], True)  # The connection has been used again, so it is now the last one idle.
+        # After its reuse, the first connection has been idle for the shortest time.
+        pool.release(made[0], True)
         order = [made[1], made[2], made[3], made[0]]
         for number, expected in enumerate(order):
             assert [one.is_closed for one in order] == [i < number for i in range(4)]
--- a/tests/test_descriptor_shares.py
+++ b/tests/test_descriptor_shares.py
@@ -39,7 +39,7 @@
         self.shares = DescriptorShares(self.node, self.listener, self.slots)
         self.transports: dict[ClientConnection, FakeTransport] = {}
         self.slots.acquire()
-        self.slots.stop()  # The test calls `refresh` instead of the periodic timer.
+        self.slots.stop()  # The tests call `refresh` themselves, without the periodic timer.
         self.refresh()
 
     def refresh(self) -> None:
@@ -293,9 +293,8 @@
     for _ in range(4):
         for one in group.processes:
             one.refresh()
-        assert (
-            second.claimed <= previous_claim
-        )  # It does not grow when the first process releases descriptors.
+        # The claim of a process does not grow when another process releases descriptors.
+        assert second.claimed <= previous_claim
         previous_claim = second.claimed
     group.check()
     assert third.shares.share > MIN_FDS
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -180,7 +180,7 @@
     config = write_node_config(tmp_path, [], 1, sockets=sockets)
     clients, upstream = config.limits_per_process(1)
     assert clients + overflow_limit(clients) + CLOSING_FDS + upstream + RESERVED_FDS <= sockets
-    if sockets >= 4 * RESERVED_FDS:  # There is room for two processes.
+    if sockets >= 4 * RESERVED_FDS:  # The descriptors suffice for two processes during an upgrade.
         # A client is connected to one of the two processes, so its descriptor counts once.
         clients, upstream = config.limits_per_process(2)
         assert clients + 2 * (overflow_limit(clients) + CLOSING_FDS + upstream + RESERVED_FDS) <= sockets
@@ -199,7 +199,7 @@
             with contextlib.suppress(ConnectionResetError):
                 assert await client.read_until_closed() == b""
         ticks = cpu_ticks(rig)
-        await asyncio.sleep(0.5)  # The CPU time is measured over this interval.
+        await asyncio.sleep(0.5)  # The CPU time is measured over 0.5 s.
         assert cpu_ticks(rig) - ticks < 10 and count_open_descriptors(rig) == before
         resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
         assert (await (await rig.connect()).request("/read")).status == 200
@@ -295,7 +295,7 @@
         return self.closed
 
     def write_eof(self) -> None:
-        self.closed = True  # This side is half-closed, so the connection lingers.
+        self.closed = True  # After `write_eof` the connection is half-closed and lingers.
 
     def abort(self) -> None:
         self.closed = self.aborted = True
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,9 +25,11 @@
     longest_draws,
 )
 
-__all__ = ["all_longest_draws", "longest_draws"]  # fixtures
+# Tests request these imported fixtures by name.
+__all__ = ["all_longest_draws", "longest_draws"]
 
-SILENT_AT_S = 4.7  # the behaviour `goes_silent` sends its last byte at this time
+# The behaviour `goes_silent` sends its last byte at SILENT_AT_S.
+SILENT_AT_S = 4.7
 TOLERANCE_S = 0.01
 FAILURES_WITHOUT_MESSAGE = [
     "connection_refused",
@@ -86,7 +88,7 @@
     healthy_s = 0.0
     period = RETRY_PERIOD_S
     queue_time = MAX_QUEUE_TIME_S
-    if failure in ("goes_silent", "list_only"):  # the deadline counts from the last byte
+    if failure in ("goes_silent", "list_only"):  # The timeout counts from the last byte of the watch.
         healthy_s = SILENT_AT_S if failure == "goes_silent" else 0.0
         period = 3.3
         queue_time = MAX_ANSWER_DELAY_S
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -23,9 +23,10 @@
     longest_draws,
 )
 
-__all__ = ["all_longest_draws", "longest_draws"]  # fixtures
+# Tests request these imported fixtures by name.
+__all__ = ["all_longest_draws", "longest_draws"]
 
-# A call at a new address waits this long for an unanswered call at the old one.
+# A call at a new address waits up to MAX_ADDRESS_CHANGE_WAIT_S for an unanswered call at the old one.
 MAX_ADDRESS_CHANGE_WAIT_S = 1.0
 
 
@@ -185,7 +186,7 @@
 
     def change_address(client: DiscoveryClient) -> None:
         sim.behaviours = [*failures, "answers_late"]
-        client.node.reconfigure(sim.config)  # SIGHUP reconfigures the node before the address changes
+        client.node.reconfigure(sim.config)  # SIGHUP reconfigures the node before the address changes.
         client.change_address(NEW_ADDRESS)
 
     def change_address_later(client: DiscoveryClient) -> None:
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -24,8 +24,10 @@
 NODE_COUNT = 200
 DOWN_AT_S = 20.0
 BACK_AT_S = 28.0
-CALL_COST_S = 0.004  # discovery serves 250 calls per second
-MAX_WAIT_S = 1.0  # a call that waits longer in discovery's queue fails
+# Discovery serves 250 calls per second.
+CALL_COST_S = 0.004
+# Discovery fails a call that waits in its queue for longer than MAX_WAIT_S.
+MAX_WAIT_S = 1.0
 
 
 class OutageSimulation(DiscoverySimulation):
--- a/tests/test_discovery_reloads.py
+++ b/tests/test_discovery_reloads.py
@@ -34,7 +34,8 @@
     DiscoverySimulation,
 )
 
-CACHED_REVISION = 41  # the revision of the list with which a node starts
+# Revision of the cached endpoint list with which each node starts.
+CACHED_REVISION = 41
 
 
 @pytest.fixture
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -27,7 +27,7 @@
 from balancer.durable.writer import LogWriter
 from balancer.sim.crash import DIRECTORY_ID, NODE, make_snapshot
 
-# Longer than the delay after which a failed directory is reopened.
+# REOPEN_WAIT_S is longer than the delay after which a failed directory is reopened.
 REOPEN_WAIT_S = 3600.0
 
 
--- a/tests/test_endpoint_decoder.py
+++ b/tests/test_endpoint_decoder.py
@@ -120,7 +120,7 @@
     data = data[:at] + other + data[at + lost :]
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(list_layout, "MIN_RUN_BYTES", 200)
-        if data.lstrip()[:1] == b"{":  # the splitter rejects all other data before decoding
+        if data.lstrip()[:1] == b"{":  # The splitter rejects data without a leading brace before decoding.
             assert outcome(data, sliced=True) == outcome(data, sliced=False)
 
 
@@ -189,7 +189,8 @@
                 next(work)
                 slice_count += 1
         slices.append(slice_count)
-    assert slices[1] - slices[0] > 2 * 3700 / 50  # both decoding passes release their members in slices
+    # Both decoding passes release their members in slices.
+    assert slices[1] - slices[0] > 2 * 3700 / 50
 
 
 @pytest.mark.parametrize(("over", "line"), [
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -34,7 +34,8 @@
     small_limits,
 )
 
-__all__ = ["small_limits"]  # fixture
+# Tests request this imported fixture by name.
+__all__ = ["small_limits"]
 pytestmark = pytest.mark.usefixtures("small_limits")
 
 
@@ -66,7 +67,7 @@
     sent = [item for batch in batches(sim) for item in batch.items()]
     assert sent[:3] == [("b3", REMOVED), ("b5", REMOVED), ("b4", DRAINING)]
     assert sent[3:-1] == [(f"b{i}", IN_SERVICE) for i in range(30, 40) if i != 31]
-    assert sent[-1] == ("b31", DRAINING)  # draining a new backend is not urgent
+    assert sent[-1] == ("b31", DRAINING)  # The drain of a new backend is not urgent.
 
 
 def test_a_long_list_without_changes_sends_one_empty_batch(tmp_path: Path) -> None:
@@ -119,7 +120,7 @@
         sim.connections[0].send_chunk(newer, first=False) if batch == 5 else None
     )
     sim.run_steps(sim.send(complete_list(8, 30)))
-    sent = batches(sim)  # the delta is also long enough to be decoded in slices
+    sent = batches(sim)  # The delta is long enough to be decoded in slices as well.
     assert 5 <= sent.index({"b0": REMOVED}) <= 8 and any("b27" in batch for batch in sent[9:])
     assert not any(batch.get("b29") is IN_SERVICE or batch.get("b28") is IN_SERVICE for batch in batches(sim))
     assert sim.applied == [8, 9]
@@ -151,7 +152,8 @@
     assert sim.applied == [9] and sim.module.in_force.keys() == {"b0", *(f"b{i}" for i in range(2, 12))}
     assert node.pool.members.keys() == sim.module.in_force.keys()
     names = [name for batch in batches(sim) for name in batch]
-    assert len(names) < 30 and names.count("b0") == 1  # the rest of the older list must not be sent
+    # The rest of the older list must not be sent after a newer list has arrived.
+    assert len(names) < 30 and names.count("b0") == 1
 
 
 @pytest.mark.parametrize("slices", range(20))
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -237,7 +237,8 @@
 
     def apply_update(kind: api.ListUpdateKind, entries: list[api.Endpoint]) -> None:
         model.rng = random.Random()
-        model.rng.setstate(b.rng.getstate())  # The initial order takes random numbers.
+        # Both sides draw the same random numbers for the initial order of the endpoints.
+        model.rng.setstate(b.rng.getstate())
         model.apply_update(kind, entries)
         handle_event(api.ListUpdate(kind, [replace(e) for e in entries]))
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -45,7 +45,7 @@
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
         """Replace `sock_connect` of the event loop: delay connects to backends."""
         if address[1] not in {backend.port for backend in self.backends}:
-            pass  # Connects of the test's clients are not delayed.
+            pass  # Connections of the test's clients are not delayed.
         elif self.immediate_connects:
             self.immediate_connects -= 1
         else:
@@ -360,9 +360,8 @@
         here = connection.transport.get_extra_info("socket")
         here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         text = b"GET /up HTTP/1.1\r\n\r\n" * 2500 + b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
-        assert len(text) < MAX_BUFFERED_BODY_BYTES and sock.send(text) == len(
-            text
-        )  # The node receives this in one read.
+        # The node receives all requests in one read.
+        assert len(text) < MAX_BUFFERED_BODY_BYTES and sock.send(text) == len(text)
         gate = await harness.next_pending_connect()
         assert connection.responses.is_reading_paused and not connection.has_disconnected
         sock.shutdown(socket.SHUT_WR)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("data", [
     list_json(locality="z", cell=3, size=2, up_since_ms=9),
     list_json(locality="z", cell="3", size=2.0, up_since_ms=9.0, new={"x": [1]}),
-    list_json(locality="z", cell=3.5, size=2, up_since_ms=9, new=float("nan")),  # NaN is not valid JSON
+    list_json(locality="z", cell=3.5, size=2, up_since_ms=9, new=float("nan")),  # NaN is not valid JSON.
     list_json(locality="z", cell=3, size=2, up_since_ms=9).replace(b'"size"', b'"size": "x", "size"'),
     list_json(locality="z", cell=3, size=2, up_since_ms=9, new="\ud800"),
 ])  # fmt: skip
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -26,7 +26,8 @@
     small_limits,
 )
 
-__all__ = ["all_longest_draws", "longest_draws", "small_limits"]  # fixtures
+# Tests request these imported fixtures by name.
+__all__ = ["all_longest_draws", "longest_draws", "small_limits"]
 pytestmark = pytest.mark.usefixtures("small_limits")
 
 # These tests of short lists must hold for long lists as well, with the limits of `small_limits`.
@@ -91,7 +92,8 @@
 
     def slow(node: Node, _: DiscoveryClient) -> None:
         node.scheduler.skips_pauses = False
-        node.scheduler.clock = FakeCpuClock(0.2)  # each slice takes 0.2 s and is followed by a pause of 0.2 s
+        # Each slice takes 0.2 s and is followed by a pause of 0.2 s.
+        node.scheduler.clock = FakeCpuClock(0.2)
         sim.send(complete_list(8, 60))(node, _)
         sim.connections[0].send_empty_lines(sim.now, 40)
 
@@ -142,7 +144,7 @@
         sim.connections[1].send_chunk(encode(complete_list(8, 30)), first=False)
 
     sim.run(5, lambda discovery: cast(None, sim.loop.call_at(4.0, send, discovery.node, discovery)))
-    assert sim.applied == [9] and len(sim.module.in_force) == 30  # the list of the slow call has revision 9
+    assert sim.applied == [9] and len(sim.module.in_force) == 30  # The list of the slow call has revision 9.
     assert [line.was_open_at(4.5) for line in sim.connections] == [True, False]
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -48,7 +48,7 @@
 
     def last_record_number(self) -> int:
         """Return the number of the last record in the durable directory."""
-        with contextlib.suppress(OSError):  # a process may delete a generation of files during the read
+        with contextlib.suppress(OSError):  # A process may delete a generation of files during the read.
             return read_directory(SystemDirectory(self.state)).last_number
         return 0
 
@@ -111,7 +111,8 @@
         while True:
             backend = generator.choice(BACKENDS)
             banned = generator.random() < 0.5
-            previous = acknowledged.pop(backend, None)  # a request's effect is unknown until it is answered
+            # The effect of a request is unknown until it is answered.
+            previous = acknowledged.pop(backend, None)
             if (
                 await rig.call_console(f"/backends/{backend}/{'maint' if banned else 'ready'}", "POST")
             ).status == 200:
@@ -127,7 +128,7 @@
         for _ in range(6):
             async with files.run_process() as rig:
                 requests = asyncio.create_task(send_random_requests(rig, generator, acknowledged))
-                target = generator.randint(1, 60)  # the process is killed after this number of new records
+                target = generator.randint(1, 60)  # The process is killed after 1 to 60 new records.
                 await wait_until_async(partial(files.has_records, files.last_record_number() + target), 0.001)
                 rig.process.kill()
                 await requests
@@ -159,7 +160,7 @@
         async def can_ban() -> bool:
             return (await predecessor.call_console("/backends/b3/maint", "POST")).status == 200
 
-        await wait_until_async(can_ban)  # after the successor's end the predecessor writes the state again
+        await wait_until_async(can_ban)  # After the successor's end the predecessor writes the state again.
         assert {"b0", "b1", "b3"} <= set(files.read_state().banned)
 
 
--- a/tests/test_recovery_adapter.py
+++ b/tests/test_recovery_adapter.py
@@ -42,7 +42,8 @@
     """Endpoint list that the adapter has sent to the balancer."""
 
     kind: api.ListUpdateKind
-    phases: dict[str, api.EndpointPhase]  # phase of each backend
+    # Maps the name of each backend to its phase.
+    phases: dict[str, api.EndpointPhase]
 
 
 def endpoint_update(revision: int, *names: str) -> EndpointUpdate:
--- a/tests/test_recovery_register.py
+++ b/tests/test_recovery_register.py
@@ -24,7 +24,7 @@
     a = merged_register(one, two, three)
     b = merged_register(three, two, one, two)
     assert entry_states(a) == entry_states(b) and a.hash == b.hash and a.buckets == b.buckets
-    assert not a.merge(b.entries()) and not b.merge(one)  # entries of an older state change nothing
+    assert not a.merge(b.entries()) and not b.merge(one)  # Entries of an older state change nothing.
 
 
 @given(entry_lists, entry_lists)
@@ -39,7 +39,7 @@
     two = BanRegister(2, 1)
     one.commit([one.new_ban("a", 0.0)])
     two.merge(one.entries())
-    second_ban = one.new_ban("a", 5.0)  # the following lift does not know of this ban
+    second_ban = one.new_ban("a", 5.0)  # The lift by register two does not know of this second ban.
     two.commit(two.new_lift("a", 5.0))
     one.commit([second_ban])
     one.merge(two.entries())
--- a/tests/test_recovery_trust.py
+++ b/tests/test_recovery_trust.py
@@ -11,7 +11,8 @@
 from balancer.recovery.trust import TRUST_TABLE, StateKind, TrustLevel, TrustRule
 from tests.recovery_tier import BAN, Tier
 
-SURVEY_MS = 1_100  # a node without peers has ended its survey by then
+# A node without peers has ended its survey after SURVEY_MS.
+SURVEY_MS = 1_100
 
 
 def started_tier(kind: StateKind, level: TrustLevel, **disk: Any) -> Tier:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -246,7 +246,7 @@
             for s in sends(b.handle(now, api.RequestArrived(f"r{i}", "read", now + 1000.0))):
                 sent += s.backend == "b07"
                 b.handle(now, api.AttemptEnded(f"r{i}", 0, s.backend, api.AttemptStatus.OK, 30.0, True))
-    # At this rate in requests per second, a warm endpoint gets no more than its capacity.
+    # At `warm_rate` requests per second, a warm endpoint gets no more than its capacity.
     warm_rate = nodes * rate / backends
     return sent > cfg.overload_multiple * cold_fraction * warm_rate
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -23,7 +23,8 @@
 )
 from tests.test_console import CONSOLE
 
-EXIT_TIME_S = 0.5  # A process that waits for nothing exits within this time.
+# A process that waits for nothing exits within EXIT_TIME_S.
+EXIT_TIME_S = 0.5
 
 
 async def _wait_until_stopped(rig: Rig) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -226,7 +226,8 @@
             writer.write(OK + b"Content-Length: 200000\r\n\r\n" + CHUNK_64_KIB)
         await writer.drain()
         sock = writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))  # The backend resets.
+        # A linger time of 0 makes the abort send a reset.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
     async with running_node(tmp_path, Backend("b0", respond), console=CONSOLE) as rig:
--- a/tests/test_spoilt_answers.py
+++ b/tests/test_spoilt_answers.py
@@ -463,7 +463,8 @@
         assert timer is not None and not harness.streamed
         peer.send(chunk(MAX_BUFFERED_BODY_BYTES))
         await harness.wait_until_read(len(chunk(MAX_BUFFERED_BODY_BYTES)))
-        assert harness.streamed and timer.cancelled()  # Its size has started the streaming before the timer.
+        # The size of the response started the streaming before the timer expired.
+        assert harness.streamed and timer.cancelled()
         peer.send(b"0\r\n\r\n")
         assert (await harness.attempt_result()).status is AttemptStatus.OK and len(
             harness.streamed
@@ -531,9 +532,11 @@
     assert (LONG_RESPONSE_CHECK_S + DEADLINE_MARGIN_MS / 1000) < MAX_OVERRUN_S
 
 
-TIMEOUT_S = 0.7  # Clients in these tests send this as their Request-Timeout.
-MAX_OVERRUN_S = 0.5  # A request without a final response this long after its deadline counts as lost.
-# A busy machine may take this long; another test checks that the intervals add up to less than the bound.
+# Clients in these tests send TIMEOUT_S as their Request-Timeout.
+TIMEOUT_S = 0.7
+# A request without a final response MAX_OVERRUN_S after its deadline counts as lost.
+MAX_OVERRUN_S = 0.5
+# Allows for a busy machine; another test checks that the intervals add up to less than MAX_OVERRUN_S.
 MAX_OVERRUN_ON_BUSY_MACHINE_S = 4 * MAX_OVERRUN_S
 
 
--- a/tests/virtual_discovery.py
+++ b/tests/virtual_discovery.py
@@ -20,12 +20,14 @@
 from balancer.net.node import Node
 from tests.sockets import node_config
 
-# A change must be received this long after discovery has it, even if earlier calls have failed.
+# A change must be received RECEIPT_DEADLINE_S after discovery has it, even if earlier calls have failed.
 RECEIPT_DEADLINE_S = 6.0
-# The list must be received this long after SIGHUP names a new address of discovery.
+# The list must be received ADDRESS_CHANGE_DEADLINE_S after SIGHUP names a new address of discovery.
 ADDRESS_CHANGE_DEADLINE_S = 4.0
-MAX_ANSWER_DELAY_S = 1.0  # discovery may take this long to answer a call
-MAX_QUEUE_TIME_S = 2.0  # a call that waits longer in discovery's queue fails
+# Discovery may take up to MAX_ANSWER_DELAY_S to answer a call.
+MAX_ANSWER_DELAY_S = 1.0
+# Discovery fails a call that waits in its queue for longer than MAX_QUEUE_TIME_S.
+MAX_QUEUE_TIME_S = 2.0
 NEW_REVISION = 9
 OLD_ADDRESS = ("127.0.0.1", 1)
 NEW_ADDRESS = ("127.0.0.2", 2)
--- a/tests/virtual_run.py
+++ b/tests/virtual_run.py
@@ -199,9 +199,9 @@
     def maintain(self, moment: Moment) -> None:
         """Set the maintenance bans of a fault when it begins, and lift them when it ends."""
         for name in moment.names:
-            self.start_task(self.call_console(name, moment.step is Step.BEGIN))
+            self.start_task(self.change_ban(name, moment.step is Step.BEGIN))
 
-    async def call_console(self, backend: str, is_ban: bool) -> None:
+    async def change_ban(self, backend: str, is_ban: bool) -> None:
         """Set or lift a ban by a call to the node's console, and record its times for the judge."""
         called = self.clock.now()
         bans = [b for b in self.seen.maintenance if f"s{b.backend}" == backend and not b.ended]
