--- a/balancer/models/client.py
+++ b/balancer/models/client.py
@@ -1,4 +1,4 @@
-"""A client's operation: its attempts, the backoff between them, its end. It is given the time."""
+"""Model of a client's operation: its attempts, the backoff between them, and its end, without a clock."""
 
 from __future__ import annotations
 
@@ -7,78 +7,85 @@
 
 from balancer.experiments.tables import Clients, RequestClass
 
-MIN_PATIENCE_SHARE = 0.2  # of an attempt's time
+MIN_PATIENCE_SHARE_OF_TIMEOUT = 0.2
 
 
 class Outcome(Enum):
-    """How an attempt ended, as the client saw it."""
+    """How an attempt ended from the client's point of view.
+
+    REJECTED is a response 429 or 503, FAILED any other complete response except success. DISCONNECTED means
+    that the connection closed before a complete response, UNREACHABLE that none could be opened, ABANDONED
+    that an impatient client closed it before the attempt timed out.
+    """
 
     SERVED = "served"
-    REJECTED = "refused"  # 429 or 503
-    FAILED = "failed"  # any other complete answer
-    DISCONNECTED = "cut"  # the connection ended with an incomplete answer, or none
-    UNREACHABLE = "unreachable"  # no connection came up
-    TIMED_OUT = "silent"  # nothing by the end of its time
-    ABANDONED = "left"  # the client gave up early
+    REJECTED = "refused"
+    FAILED = "failed"
+    DISCONNECTED = "cut"
+    UNREACHABLE = "unreachable"
+    TIMED_OUT = "silent"
+    ABANDONED = "left"
 
 
 @dataclass(slots=True)
 class PlannedAttempt:
-    """An attempt that is about to be sent."""
+    """An attempt to send now; an impatient client disconnects before the deadline. Times are in ms."""
 
     number: int
-    deadline: float  # ms on the run's clock
-    leaves: float | None  # when an impatient client closes
+    deadline: float
+    disconnects_at: float | None
 
 
 class Operation:
-    """One operation over all its attempts: `begin` plans each, `ended` says when the next one is sent."""
+    """A client's operation with its retries: `begin_attempt` plans an attempt, `next_attempt_at` a retry."""
 
-    __slots__ = ("backoff", "clients", "cls", "first_risk", "give_up", "honours", "impatient", "intended",
-                 "leave_share", "number")  # fmt: skip
+    __slots__ = ("backoff_ms", "clients", "cls", "first_possible_execution", "gives_up_at",
+                 "honors_retry_after", "intended_at", "is_impatient", "number", "patience")  # fmt: skip
 
     def __init__(
-        self, cls: RequestClass, clients: Clients, intended: float, client_draws: tuple[float, ...]
+        self, cls: RequestClass, clients: Clients, intended_at: float, client_draws: tuple[float, ...]
     ) -> None:
-        """Plan an operation; `client_draws` are four uniform numbers, see `models.load.Arrivals`."""
-        self.cls, self.clients, self.intended = cls, clients, intended
-        self.give_up = intended + cls.deadline_ms
-        self.impatient, self.leave_share = client_draws[0] < clients.impatient_share, client_draws[1]
-        self.honours, self.backoff = (
+        """Plan an operation; `client_draws` are four uniform random numbers, see `models.load.Arrivals`."""
+        self.cls, self.clients, self.intended_at = cls, clients, intended_at
+        self.gives_up_at = intended_at + cls.deadline_ms
+        self.is_impatient, self.patience = client_draws[0] < clients.impatient_share, client_draws[1]
+        self.honors_retry_after, self.backoff_ms = (
             client_draws[2] < clients.retry_after_share,
             clients.backoff_ms * (0.5 + client_draws[3]),
         )
         self.number = -1
-        self.first_risk: float | None = None  # when a try first may have run
+        self.first_possible_execution: float | None = None
 
-    def begin(self, now: float) -> PlannedAttempt:
-        """Plan the next attempt, which is sent now."""
+    def begin_attempt(self, now: float) -> PlannedAttempt:
+        """Return the plan of the next attempt, which the client sends now."""
         self.number += 1
         last = self.number >= self.clients.retries
-        deadline = self.give_up
+        deadline = self.gives_up_at
         if not last:
             deadline = min(deadline, now + self.clients.attempt_time_share * self.cls.deadline_ms)
-        leaves = None
-        if self.impatient:
-            share = MIN_PATIENCE_SHARE + (1 - MIN_PATIENCE_SHARE) * self.leave_share
-            leaves = now + share * (deadline - now)
-        return PlannedAttempt(self.number, deadline, leaves)
-
-    def ended(self, now: float, sent: float, end: Outcome, retry_after: float) -> float | None:
-        """Return when the next attempt is sent, in ms; None if there is none. `retry_after` is in ms."""
+        disconnects_at = None
+        if self.is_impatient:
+            share = MIN_PATIENCE_SHARE_OF_TIMEOUT + (1 - MIN_PATIENCE_SHARE_OF_TIMEOUT) * self.patience
+            disconnects_at = now + share * (deadline - now)
+        return PlannedAttempt(self.number, deadline, disconnects_at)
+
+    def next_attempt_at(self, now: float, sent: float, end: Outcome, retry_after: float) -> float | None:
+        """Return the time (ms) of the next attempt, None without one; `retry_after` is a wait in ms."""
         if end in (Outcome.SERVED, Outcome.ABANDONED) or self.number >= self.clients.retries:
             return None
-        harmless = end in (Outcome.REJECTED, Outcome.UNREACHABLE)
-        if not harmless:
+        was_not_executed = end in (Outcome.REJECTED, Outcome.UNREACHABLE)
+        if not was_not_executed:
             if self.cls.effect == "fragile":
                 return None
             if self.cls.effect == "dedup":
                 if self.cls.group != "all":
                     return None
-                self.first_risk = sent if self.first_risk is None else self.first_risk
-                if now - self.first_risk > self.cls.memory_span_ms:
+                self.first_possible_execution = (
+                    sent if self.first_possible_execution is None else self.first_possible_execution
+                )
+                if now - self.first_possible_execution > self.cls.memory_span_ms:
                     return None
-        wait = self.backoff
-        if end is Outcome.REJECTED and self.honours:
+        wait = self.backoff_ms
+        if end is Outcome.REJECTED and self.honors_retry_after:
             wait = max(wait, retry_after)
-        return now + wait if now + wait < self.give_up else None
+        return now + wait if now + wait < self.gives_up_at else None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -17,7 +17,7 @@
 from balancer.experiments.tables import Backends, Clients, Fleet, Load, Rules
 from balancer.policy import Balancer
 from balancer.policy.recovery_admission import USABLE_CAPACITY_FRACTION, RecoveryAdmission
-from balancer.sim.service import PowerCut, World
+from balancer.sim.service import PowerCut, PowerLossSimulation
 from tests.helpers import BASE, answers, entry
 
 NAMES = "ABCDEFGH"
@@ -162,7 +162,10 @@
 
 def test_a_tier_that_recovers_into_a_surge_serves_more() -> None:
     """Without the quota, forty nodes with a lowest limit of two attempts overload four warming endpoints."""
-    figures = [World(STRESS, 3, PowerCut(2.0, over=1.0), with_quota).play() for with_quota in (False, True)]
+    figures = [
+        PowerLossSimulation(STRESS, 3, PowerCut(2.0, start_spread_s=1.0), with_quota).play()
+        for with_quota in (False, True)
+    ]
     goodput_without, goodput_with_quota = (f.goodput(4.5, 8.5) for f in figures)
     assert figures[1].collapsed == 0
     assert goodput_with_quota > 1.1 * goodput_without
@@ -176,7 +179,7 @@
     served: dict[bool, list[float]] = {False: [], True: []}
     for seed in range(1, 9):
         for with_quota in served:
-            figures = World(spec, seed, PowerCut(2.0, over=1.0), with_quota).play()
+            figures = PowerLossSimulation(spec, seed, PowerCut(2.0, start_spread_s=1.0), with_quota).play()
             served[with_quota].append(figures.goodput(4.5, 8.5))
             assert not with_quota or figures.collapsed == 0
     assert min(served[True]) >= 0.85
