--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -220,17 +220,17 @@
 def on_uvloop(test: Test) -> Callable[[Path], None]:
     """Turn a coroutine into a test that runs on uvloop, as the program does."""
 
-    def run_it(tmp_path: Path) -> None:
+    def run_test(tmp_path: Path) -> None:
         async def drive() -> None:
             await test(tmp_path)
 
         run(uvloop.new_event_loop(), drive())
 
-    run_it.__doc__, run_it.__name__ = test.__doc__, "test"
-    return run_it
+    run_test.__doc__, run_test.__name__ = test.__doc__, "test"
+    return run_test
 
 
-async def _nodelay(tmp: Path) -> None:
+async def _check_nodelay(tmp: Path) -> None:
     backend = Backend("b0")
     async with running_listener(tmp, backend) as listener:
         peer = Peer()
@@ -245,10 +245,10 @@
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-test_accepted_and_outgoing_connections_have_tcp_nodelay = on_uvloop(_nodelay)
+test_accepted_and_outgoing_connections_have_tcp_nodelay = on_uvloop(_check_nodelay)
 
 
-async def _crossed(tmp: Path) -> None:
+async def _request_crosses_the_close(tmp: Path) -> None:
     """A request unread when the node closes an idle connection meets a clean close and is not executed."""
     backend = Backend("b0")
     async with running_listener(tmp, backend) as listener:
@@ -270,10 +270,10 @@
         assert not listener.node.requests.open
 
 
-test_request_crossing_the_close_of_an_idle_connection_is_not_executed = on_uvloop(_crossed)
+test_request_crossing_the_close_of_an_idle_connection_is_not_executed = on_uvloop(_request_crosses_the_close)
 
 
-async def _whole_answer(tmp: Path) -> None:
+async def _client_keeps_sending(tmp: Path) -> None:
     """The last response reaches a client with a small window that sends more bytes after its request."""
     body = bytes(60_000)
 
@@ -294,10 +294,10 @@
         peer.sock.close()
 
 
-test_last_response_is_complete_for_a_client_that_keeps_sending = on_uvloop(_whole_answer)
+test_last_response_is_complete_for_a_client_that_keeps_sending = on_uvloop(_client_keeps_sending)
 
 
-async def _bounded(tmp: Path) -> None:
+async def _lingering_is_limited(tmp: Path) -> None:
     """If clients do not close after the node has, new ones are still served and lingering is limited."""
     limit = 3
     async with running_listener(tmp, limit=limit) as listener:
@@ -318,10 +318,10 @@
             peer.sock.close()
 
 
-test_lingering_connections_are_limited_and_do_not_block_new_ones = on_uvloop(_bounded)
+test_lingering_connections_are_limited_and_do_not_block_new_ones = on_uvloop(_lingering_is_limited)
 
 
-async def _never_closing(tmp: Path) -> None:
+async def _client_never_closes(tmp: Path) -> None:
     """A client that never closes its side is disconnected after the linger timeout."""
     async with running_listener(tmp) as listener:
         peer = Peer()
@@ -338,10 +338,10 @@
 ) -> None:
     """Guards against lingering connections that stay forever."""
     monkeypatch.setattr(client_file, "LINGER_TIMEOUT_S", 0.05)
-    on_uvloop(_never_closing)(tmp_path)
+    on_uvloop(_client_never_closes)(tmp_path)
 
 
-async def _reset_first(tmp: Path) -> None:
+async def _client_resets_at_the_close(tmp: Path) -> None:
     """A client that resets at the moment of the close causes no log line."""
     async with running_listener(tmp) as listener:
         peer = Peer()
@@ -355,11 +355,11 @@
 def test_reset_crossing_a_close_is_not_logged(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     """Guards against log lines of the node or the event loop for a routine reset."""
     with caplog.at_level(logging.INFO):
-        on_uvloop(_reset_first)(tmp_path)
+        on_uvloop(_client_resets_at_the_close)(tmp_path)
     assert not caplog.records
 
 
-async def _flood(tmp: Path) -> None:
+async def _client_reads_no_responses(tmp: Path) -> None:
     """Reading from a client that sends requests and reads no responses is paused."""
     async with running_listener(tmp) as listener:
         peer = Peer(window=4096)
@@ -378,10 +378,10 @@
         peer.sock.close()
 
 
-test_client_that_sends_requests_and_reads_nothing_is_paused = on_uvloop(_flood)
+test_client_that_sends_requests_and_reads_nothing_is_paused = on_uvloop(_client_reads_no_responses)
 
 
-async def _behind(tmp: Path) -> None:
+async def _bytes_follow_an_open_request(tmp: Path) -> None:
     """Bytes after an open request are dropped: it gets one response, the rest none, and nothing is logged."""
     go = asyncio.Event()
 
@@ -415,12 +415,12 @@
 def test_bytes_after_an_open_request_are_dropped(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     """Guards against responses, memory use or log lines for malformed or endless bytes after a request."""
     with caplog.at_level(logging.INFO):
-        on_uvloop(_behind)(tmp_path)
+        on_uvloop(_bytes_follow_an_open_request)(tmp_path)
     # The only line is written at the start of the node.
     assert caplog.messages == ["list: revision 41: in service b0"]
 
 
-async def _early(tmp: Path) -> None:
+async def _bytes_follow_a_rejected_request(tmp: Path) -> None:
     """Bytes after a request that was answered with an error get no second response."""
     async with running_listener(tmp) as listener:
         for leave in (Peer.reset, lambda peer: peer.sock.close()):
@@ -439,10 +439,10 @@
             assert not listener.node.requests.open
 
 
-test_flood_after_a_rejected_request_gets_one_response = on_uvloop(_early)
+test_flood_after_a_rejected_request_gets_one_response = on_uvloop(_bytes_follow_a_rejected_request)
 
 
-async def _queued(tmp: Path) -> None:
+async def _connections_wait_in_the_accept_queue(tmp: Path) -> None:
     """Connections still in the accept queue when the listener closes get their responses."""
     backend = Backend("b0")
     async with running_listener(tmp, backend) as listener:
@@ -461,10 +461,10 @@
             peer.sock.close()
 
 
-test_connections_in_the_accept_queue_are_served_at_shutdown = on_uvloop(_queued)
+test_connections_in_the_accept_queue_are_served_at_shutdown = on_uvloop(_connections_wait_in_the_accept_queue)
 
 
-async def _spared(tmp: Path) -> None:
+async def _connections_are_busy_at_shutdown(tmp: Path) -> None:
     """Stopping spares a connection with unread data; one with an incomplete request is closed later."""
     async with running_listener(tmp) as listener:
         peer, other = Peer(), Peer()
@@ -485,10 +485,12 @@
             each.sock.close()
 
 
-test_connection_with_an_incomplete_request_is_closed_at_shutdown = on_uvloop(_spared)
+test_connection_with_an_incomplete_request_is_closed_at_shutdown = on_uvloop(
+    _connections_are_busy_at_shutdown
+)
 
 
-async def _closed(tmp: Path) -> None:
+async def _requests_arrive_after_the_close(tmp: Path) -> None:
     """After the listener has closed, no request is executed, wherever it was when that happened."""
     backend = Backend("b0")
     async with running_listener(tmp, backend) as listener:
@@ -514,10 +516,10 @@
         assert not listener.node.requests.open
 
 
-test_no_request_is_executed_after_the_listener_has_closed = on_uvloop(_closed)
+test_no_request_is_executed_after_the_listener_has_closed = on_uvloop(_requests_arrive_after_the_close)
 
 
-async def _unframed(tmp: Path) -> None:
+async def _response_without_framing_is_truncated(tmp: Path) -> None:
     """A truncated response without framing ends in a reset: a clean close would make it look complete."""
     go = asyncio.Event()
 
@@ -540,4 +542,4 @@
         peer.sock.close()
 
 
-test_truncated_response_without_framing_ends_in_a_reset = on_uvloop(_unframed)
+test_truncated_response_without_framing_ends_in_a_reset = on_uvloop(_response_without_framing_is_truncated)
