--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -25,10 +25,10 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.loading import decode_experiment, load_experiment
 from balancer.lab import records
-from balancer.lab.figures import JUDGED, MIN_SEEDS
+from balancer.lab.figures import COMPARED_FIGURES, MIN_SEEDS
 from balancer.lab.judge import RULES, Judge
-from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, obtain
-from balancer.lab.run import Live, ResultsError, Run, play
+from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, build_program
+from balancer.lab.run import Live, ResultsError, Run, run_experiment
 from balancer.lab.summary import Summary, summarize
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
@@ -108,7 +108,7 @@
     """Return the program of a run, built if need be."""
     try:
         with console.status(f"building {what}" if what != WORKING_TREE else "building the node"):
-            return obtain(what)
+            return build_program(what)
     except ProgramError as err:
         raise stop(err) from None
     except OSError as err:
@@ -117,8 +117,8 @@
 
 def run_once(spec: Experiment, seed: int, what: Program, out: Path, human: bool = False,
              live: Live | None = None) -> tuple[records.RunRecords, Summary]:  # fmt: skip
-    """Play, judge and write `summary.json` and `experiment.json`; raises what `play` does, and OSError."""
-    seen = uvloop.run(play(spec, seed, what, out, human, live))
+    """Play, judge and write `summary.json` and `experiment.json`; raises as `run_experiment`, or OSError."""
+    seen = uvloop.run(run_experiment(spec, seed, what, out, human, live))
     (out / "experiment.json").write_bytes(msgspec.json.encode(spec))
     return seen, judged(spec, seed, what.label, seen, out)
 
@@ -302,12 +302,12 @@
 ) -> None:
     """Play two programs on the same seeds. Exit code 0: no difference; 1: some figure differs; 2: not run."""
     from balancer.lab.compare import compare, compare_page
-    from balancer.lab.compare import table as rows_of
+    from balancer.lab.compare import difference_rows as rows_of
 
     specs = (experiment_of(experiment, sets), experiment_of(experiment, [*(sets or ()), *(sets_b or ())]))
     spec = specs[0]
     programs = (program(a), program(b))
-    judged = tuple(dict.fromkeys([*JUDGED, *(more or ())]))
+    judged = tuple(dict.fromkeys([*COMPARED_FIGURES, *(more or ())]))
     with stopping():
         values = _paired_figures(specs, programs, range(first_seed, first_seed + seeds), out)
         for name in judged:
--- a/balancer/lab/addresses.py
+++ b/balancer/lab/addresses.py
@@ -90,7 +90,7 @@
             except BlockingIOError:
                 os.close(self.lock)
                 continue
-            self.places = AddressPlan(block, backends)
+            self.addresses = AddressPlan(block, backends)
             return
         raise AddressError("all blocks of addresses are in use")
 
--- a/balancer/lab/backend_stubs.py
+++ b/balancer/lab/backend_stubs.py
@@ -37,9 +37,9 @@
 class BackendStub:
     """A backend with a listener for each node, and its connections."""
 
-    def __init__(self, group: BackendGroup, number: int, core: Backend) -> None:
+    def __init__(self, group: BackendGroup, number: int, model: Backend) -> None:
         """Prepare the listeners; `open` starts them."""
-        self.group, self.number, self.core, self.name = group, number, core, f"s{number}"
+        self.group, self.number, self.model, self.name = group, number, model, f"s{number}"
         # In the order in which they came: the draws of a run follow it.
         self.connections: dict[BackendConnection, None] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -52,7 +52,7 @@
         self.listeners = [self._listener(node) for node in range(group.spec.fleet.nodes)]
 
     def _listener(self, node: int) -> ImpairedListener:
-        address = self.group.places.backend(node, self.number)
+        address = self.group.addresses.backend(node, self.number)
         return ImpairedListener(address, lambda: BackendConnection(self, node))
 
     def network_changed(self) -> None:
@@ -93,32 +93,32 @@
     def restart(self) -> None:
         """Restart cold."""
         self.close()
-        self.core.restart(self.group.clock.now())
+        self.model.restart(self.group.clock.now())
         self.owners.clear()
         self.open()
 
     def offer(self, job: Job, connection: BackendConnection) -> None:
         """Offer a complete attempt to the model."""
-        collapsed = self.core.collapsed
-        verdict = self.core.offer(self.group.clock.now(), job)
+        collapsed = self.model.collapsed
+        verdict = self.model.offer(self.group.clock.now(), job)
         if verdict is not None:
             job.verdict = verdict
             if verdict is Verdict.ERROR:
                 asyncio.get_running_loop().call_later(
-                    self.core.active_faults.gray_ms / 1000, connection.conclude, job
+                    self.model.active_faults.gray_ms / 1000, connection.conclude, job
                 )
             else:
                 connection.conclude(job)
         else:
             self.owners[job] = connection
             self.arm()
-        if self.core.collapsed is not None and collapsed is None:
-            self.group.collapsed(self, self.core.collapsed)
+        if self.model.collapsed is not None and collapsed is None:
+            self.group.collapsed(self, self.model.collapsed)
             self.close()
 
     def arm(self) -> None:
         """Set the timer for the next end of a request."""
-        ends_at = self.core.next_end
+        ends_at = self.model.next_end
         if ends_at is None or (self.timer is not None and self.timer_at <= ends_at):
             return
         if self.timer is not None:
@@ -128,7 +128,7 @@
 
     def _on_timer(self) -> None:
         self.timer = None
-        self.conclude(self.core.advance(self.group.clock.now() + TIMER_TOLERANCE_MS))
+        self.conclude(self.model.advance(self.group.clock.now() + TIMER_TOLERANCE_MS))
         self.arm()
 
     def conclude(self, jobs: list[Job]) -> None:
@@ -141,10 +141,10 @@
 class BackendConnection(ImpairedConnection):
     """A connection of a node to a backend."""
 
-    def __init__(self, host: BackendStub, node: int) -> None:
+    def __init__(self, stub: BackendStub, node: int) -> None:
         """Prepare the state of one connection."""
-        super().__init__(host.group.network, host.group.clock, host.name, f"n{node}")
-        self.host, self.node = host, node
+        super().__init__(stub.group.network, stub.group.clock, stub.name, f"n{node}")
+        self.stub, self.node = stub, node
         self.parser = httptools.HttpRequestParser(self)
         self.new_connection, self.surplus = True, False
         self.first = 0.0
@@ -154,13 +154,13 @@
 
     def up(self) -> None:
         """Count the connection; one over the limit is refused with its first request."""
-        self.surplus = len(self.host.connections) >= self.host.cap
-        self.host.connections[self] = None
+        self.surplus = len(self.stub.connections) >= self.stub.cap
+        self.stub.connections[self] = None
 
     def peer_closed(self) -> None:
         """Record when the node closed under an attempt."""
-        if self.record is not None and not self.record.ended and not self.record.closed:
-            self.record.closed = self.closed_at
+        if self.record is not None and not self.record.ended_at and not self.record.closed_at:
+            self.record.closed_at = self.closed_at
 
     def received(self, data: bytes) -> None:
         """Parse a piece of a request."""
@@ -168,18 +168,18 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as err:
-            self.host.group.seen.unknown.append(f"{self.peer}: {err}")
+            self.stub.group.run_records.unknown.append(f"{self.peer}: {err}")
             self.reset()
 
     def ended(self) -> None:
         """Forget the connection."""
-        self.host.connections.pop(self, None)
+        self.stub.connections.pop(self, None)
         self.alive = False
 
     def drop(self) -> None:
         """Lose the attempt in progress with the backend, and reset."""
-        if self.record is not None and not self.record.ended:
-            self.record.verdict, self.record.ended = "lost", self.clock.now()
+        if self.record is not None and not self.record.ended_at:
+            self.record.verdict, self.record.ended_at = "lost", self.clock.now()
             self.record.was_executed = self.job is not None and self.job.started
         self.reset()
 
@@ -214,7 +214,7 @@
         if not ident:
             self.send(answer("404 Not Found", b""))
             return
-        request_class = self.host.group.classes.get(path.split("/")[1] if "/" in path else "")
+        request_class = self.stub.group.classes.get(path.split("/")[1] if "/" in path else "")
         try:
             work = float(parse_qs(query)[WORK_PARAMETER][0])
             timeout = _milliseconds(self.headers.get(b"request-timeout", b""))
@@ -222,19 +222,21 @@
             request_class = None
             work = timeout = 0.0
         if request_class is None:
-            self.host.group.seen.unknown.append(f"{self.peer}: {method} {self.url.decode('latin-1')} {ident}")
+            self.stub.group.run_records.unknown.append(
+                f"{self.peer}: {method} {self.url.decode('latin-1')} {ident}"
+            )
             self.send(answer("400 Bad Request", b""))
             return
         key = self.headers.get(b"idempotency-key", b"").decode("latin-1")
         span = request_class.memory_span_ms if request_class.effect == "dedup" else 0.0
         now = self.clock.now()
         self.record = records.BackendAttemptRecord(
-            ident, self.node, self.host.number, method, self.url.decode("latin-1"), key, first, self.came_at,
+            ident, self.node, self.stub.number, method, self.url.decode("latin-1"), key, first, self.came_at,
             "", 0.0, self.closed_at, False, request_body=self.body.decode("latin-1"),
         )  # fmt: skip
-        self.host.group.seen.backend_attempts.append(self.record)
+        self.stub.group.run_records.backend_attempts.append(self.record)
         if self.new_connection:
-            work += self.host.group.spec.backends.handshake_ms
+            work += self.stub.group.spec.backends.handshake_ms
         self.job = Job(ident, self.node, work, now, now + timeout, key if span else "", span)
         self._submit(self.job)
 
@@ -247,28 +249,28 @@
         elif new_connection and (wait := self._handshake_ms()) >= MIN_NOTICED_WAIT_MS:
             asyncio.get_running_loop().call_later(wait / 1000, self._late_offer, job)
         else:
-            self.host.offer(job, self)
+            self.stub.offer(job, self)
 
     def _handshake_ms(self) -> float:
         link = self.network.conditions(self.peer, self.me)
-        return 2 * link.delay * self.host.group.spec.backends.handshake_rtts
+        return 2 * link.delay * self.stub.group.spec.backends.handshake_rtts
 
     def _late_offer(self, job: Job) -> None:
-        if self.host.alive and self.alive:
-            self.host.offer(job, self)
+        if self.stub.alive and self.alive:
+            self.stub.offer(job, self)
 
     def _probe(self) -> None:
-        handled, waiting = self.host.core.report
+        handled, waiting = self.stub.model.report
         report = f"Server-Load: TEXT inflight={handled}, queue={waiting}"
         self.send(answer("200 OK", b"", report))
 
     def conclude(self, job: Job) -> None:
         """Answer an attempt that has ended, or reset its connection."""
         record = self.record
-        if record is None or record.ident != job.ident or record.ended:
+        if record is None or record.ident != job.ident or record.ended_at:
             return
         verdict = job.verdict
-        record.verdict, record.ended, record.was_executed = (
+        record.verdict, record.ended_at, record.was_executed = (
             verdict.value,
             self.clock.now(),
             verdict in EXECUTED,
@@ -278,12 +280,12 @@
             return
         body, headers = b"", []
         if verdict in (Verdict.SERVED, Verdict.REPEATED):
-            self.host.served += 1
-            self.host.group.serial += 1
-            text = f"{job.ident} {self.host.name} {self.host.group.serial}"
+            self.stub.served += 1
+            self.stub.group.serial += 1
+            text = f"{job.ident} {self.stub.name} {self.stub.group.serial}"
             record.body, body = text, text.encode()
         else:
-            self.host.errors += 1
+            self.stub.errors += 1
         if verdict in NOT_STARTED:
             headers.append("Not-Started: 1")
         if self.surplus:
@@ -301,62 +303,68 @@
 
 
 class BackendGroup:
-    """The backends of one process of the lab: complete cells, whose members share the keys they have seen."""
+    """The backends of one process of the lab: complete cells, whose members share received keys."""
 
     def __init__(
         self,
         spec: Experiment,
         seed: int,
-        places: AddressPlan,
+        addresses: AddressPlan,
         network: NetworkConditions,
         clock: RunClock,
-        seen: records.RunRecords,
+        run_records: records.RunRecords,
         numbers: list[int],
     ) -> None:
         """Draw the backends of these numbers."""
-        self.spec, self.places, self.network, self.clock, self.seen = spec, places, network, clock, seen
+        self.spec, self.addresses, self.network, self.clock, self.run_records = (
+            spec,
+            addresses,
+            network,
+            clock,
+            run_records,
+        )
         self.seed = seed
         self.classes = {c.name: c for c in spec.load.classes}
         self.serial = 0
         cells: dict[int, Cell] = {}
-        self.hosts: dict[str, BackendStub] = {}
+        self.stubs: dict[str, BackendStub] = {}
         for number in numbers:
             speed = float(stream(seed, "speed", number).uniform(*spec.backends.speed))
-            core = Backend(
+            model = Backend(
                 spec.backends, spec.rules, speed, cells.setdefault(spec.cell_of(number), {}),
                 stream(seed, "backend", number), 0.0 if spec.backends.start_cold else -1e12,
             )  # fmt: skip
-            self.hosts[f"s{number}"] = BackendStub(self, number, core)
+            self.stubs[f"s{number}"] = BackendStub(self, number, model)
         network.watchers.append(self._network_changed)
 
     def _network_changed(self) -> None:
-        for host in self.hosts.values():
-            host.network_changed()
+        for stub in self.stubs.values():
+            stub.network_changed()
 
     def open(self) -> None:
         """Let all listen."""
-        for host in self.hosts.values():
-            host.open()
+        for stub in self.stubs.values():
+            stub.open()
 
-    def collapsed(self, host: BackendStub, collapse: OverloadCollapse) -> None:
+    def collapsed(self, stub: BackendStub, collapse: OverloadCollapse) -> None:
         """Record a collapse."""
-        self.seen.collapses.append(
-            records.CollapseRecord(host.number, collapse.at, collapse.started, collapse.work_by_node)
+        self.run_records.collapses.append(
+            records.CollapseRecord(stub.number, collapse.at, collapse.started, collapse.work_by_node)
         )
 
     def capacity(self) -> float:
         """Return the work a millisecond that all with power could do now, collapsed ones included."""
         now = self.clock.now()
         return sum(
-            h.core.capacity(now) for h in self.hosts.values() if h.alive or h.core.collapsed is not None
+            h.model.capacity(now) for h in self.stubs.values() if h.alive or h.model.collapsed is not None
         )
 
     def live(self) -> dict[str, Any]:
         """Return live figures by backend for the screen."""
         return {
             name: {
-                "served": h.served, "errors": h.errors, "held": sum(h.core.report), "alive": h.alive,
-                "warmth": round(h.core.warmth(self.clock.now()), 2),
+                "served": h.served, "errors": h.errors, "held": sum(h.model.report), "alive": h.alive,
+                "warmth": round(h.model.warmth(self.clock.now()), 2),
             }
-            for name, h in self.hosts.items()
+            for name, h in self.stubs.items()
         }  # fmt: skip
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -44,9 +44,11 @@
 class FrontEndProxy:
     """Distributes the connections of a zone's clients over nodes; detects a dead node with a delay."""
 
-    def __init__(self, spec: Experiment, zone: str, places: AddressPlan, network: NetworkConditions) -> None:
+    def __init__(
+        self, spec: Experiment, zone: str, addresses: AddressPlan, network: NetworkConditions
+    ) -> None:
         """Prepare the proxy of a zone; `start` begins its checks."""
-        self.spec, self.zone, self.places, self.network = spec, zone, places, network
+        self.spec, self.zone, self.addresses, self.network = spec, zone, addresses, network
         names = spec.node_names
         self.own = [i for i, n in enumerate(names) if spec.zone_of(n) == zone]
         self.up: dict[int, bool] = dict.fromkeys(range(len(names)), False)
@@ -80,7 +82,7 @@
         writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(CHECK_TIMEOUT_S):
-                reader, writer = await asyncio.open_connection(*self.places.node(node))
+                reader, writer = await asyncio.open_connection(*self.addresses.node(node))
                 writer.write(b"GET /up HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n")
                 line = await reader.readline()
         except (OSError, TimeoutError):
@@ -144,7 +146,7 @@
             self.group.free(self)
             return
         self.body, self.retry_after, self.keep = b"", 0.0, True
-        in_flight.record.sent = self.clock.now()
+        in_flight.record.sent_at = self.clock.now()
         self.uses -= 1
         self.send(in_flight.data)
 
@@ -173,7 +175,7 @@
         if in_flight is None or code < HTTPStatus.OK:
             return
         self.new_connection, record = False, in_flight.record
-        record.answered, record.status = self.clock.now(), code
+        record.answered_at, record.status = self.clock.now(), code
         record.body, record.retry_after = self.body.decode("latin-1"), self.retry_after
         end = _outcome(code)
         self.keep = self.parser.should_keep_alive()
@@ -189,12 +191,13 @@
 class ClientGroup:
     """The clients of one zone in one process of the lab: every `of`-th arrival from `part` on."""
 
-    def __init__(self, spec: Experiment, seed: int, zone: str, part: int, of: int, places: AddressPlan,
-                 network: NetworkConditions, clock: RunClock, seen: records.RunRecords) -> None:  # fmt: skip
+    def __init__(self, spec: Experiment, seed: int, zone: str, part: int, of: int, addresses: AddressPlan,
+                 network: NetworkConditions, clock: RunClock,
+                 run_records: records.RunRecords) -> None:  # fmt: skip
         """Draw the arrivals of this part of a zone."""
-        self.spec, self.zone, self.places, self.network = spec, zone, places, network
-        self.clock, self.seen = clock, seen
-        self.front_end = FrontEndProxy(spec, zone, places, network)
+        self.spec, self.zone, self.addresses, self.network = spec, zone, addresses, network
+        self.clock, self.run_records = clock, run_records
+        self.front_end = FrontEndProxy(spec, zone, addresses, network)
         self.arrivals = _part(draw_arrivals(spec, seed, zone), part, of)
         self.random = stream(seed, "connections", zone, part)
         self.idle: list[ClientConnection] = []
@@ -235,7 +238,7 @@
 
     def _send_attempt(self, operation: Operation, row: int, scheduled_at: float, first: str) -> None:
         now = self.clock.now()
-        self.seen.lateness.append(max(0.0, now - scheduled_at))
+        self.run_records.lateness.append(max(0.0, now - scheduled_at))
         step = operation.begin(max(now, scheduled_at))
         ident = next_ident(first, step.number)
         cls = operation.cls
@@ -243,7 +246,7 @@
             ident, first, self.zone, int(self.arrivals.kind[row]), step.number, -1, operation.intended,
             scheduled_at, 0.0, step.deadline, 0.0, "", key=f"k{first}" if cls.effect == "dedup" else "",
         )  # fmt: skip
-        self.seen.client_attempts.append(record)
+        self.run_records.client_attempts.append(record)
         data = _request(record, cls, float(self.arrivals.work[row]), step.deadline - max(now, scheduled_at))
         in_flight = InFlightAttempt(operation, row, step, record, data)
         self._at(in_flight, step.deadline, Outcome.TIMED_OUT)
@@ -283,7 +286,7 @@
             remaining_s = max(0.01, (in_flight.step.deadline - self.clock.now()) / 1000)
             async with asyncio.timeout(remaining_s):
                 await loop.create_connection(
-                    lambda: ClientConnection(self, node, in_flight, uses), *self.places.node(node)
+                    lambda: ClientConnection(self, node, in_flight, uses), *self.addresses.node(node)
                 )
         except OSError:
             self.ended(in_flight, Outcome.UNREACHABLE)
@@ -323,7 +326,7 @@
         now, record = self.clock.now(), in_flight.record
         if in_flight.ended:
             return
-        in_flight.ended, record.ended, record.end = True, now, end.value
+        in_flight.ended, record.ended_at, record.outcome = True, now, end.value
         for timer in in_flight.timers:
             timer.cancel()
         if end is Outcome.ABANDONED:
@@ -333,9 +336,11 @@
         self.counts[end.value] += 1
         if end is Outcome.SERVED:
             self.recent.append(now - in_flight.operation.intended)
-        retry_at = in_flight.operation.ended(now, record.sent or record.scheduled_at, end, record.retry_after)
+        retry_at = in_flight.operation.ended(
+            now, record.sent_at or record.scheduled_at, end, record.retry_after
+        )
         if retry_at is None:
-            record.last = True
+            record.is_last = True
             self.open -= 1
             if not self.open and self.next >= len(self.arrivals.at):
                 self.done.set()
@@ -378,7 +383,7 @@
     ]  # fmt: skip
     if record.key:
         lines.append(f"Idempotency-Key: {record.key}")
-    if record.number:
+    if record.attempt_number:
         lines.append("Client-Retry: 1")
     if body:
         lines.append(f"Content-Length: {len(body)}")
--- a/balancer/lab/compare.py
+++ b/balancer/lab/compare.py
@@ -18,8 +18,8 @@
 from numpy.typing import NDArray
 
 from balancer.experiments.random_streams import stream
-from balancer.lab.figures import JUDGED
-from balancer.lab.report import BAD, GOOD, INK, QUIET, page, png, table_html
+from balancer.lab.figures import COMPARED_FIGURES
+from balancer.lab.report import BAD, GOOD, INK, QUIET, html_page, inline_image, table_html
 
 LEVEL = 0.05  # of the whole family of figures
 RESAMPLES = 10_000
@@ -42,14 +42,14 @@
     differs: bool
 
 
-def interval(values: Floats) -> tuple[float, float]:
+def median_interval(values: Floats) -> tuple[float, float]:
     """Return the 95% bootstrap interval of the median."""
     picks = stream(0, "bootstrap").integers(0, len(values), (RESAMPLES, len(values)))
     medians = np.median(values[picks], axis=1)
     return float(np.quantile(medians, 0.025)), float(np.quantile(medians, 0.975))
 
 
-def sign_flip(values: Floats) -> float:
+def sign_flip_p_value(values: Floats) -> float:
     """Return the p value of the sign-flip permutation test on the mean."""
     if len(values) <= MAX_EXACT_SEEDS:
         signs = np.array(list(product((-1.0, 1.0), repeat=len(values))))
@@ -60,17 +60,17 @@
 
 
 def compare(a: list[dict[str, float]], b: list[dict[str, float]],
-            names: Sequence[str] = JUDGED) -> list[Difference]:  # fmt: skip
+            names: Sequence[str] = COMPARED_FIGURES) -> list[Difference]:  # fmt: skip
     """Compare figures of runs paired by seed; raises KeyError for one that a run does not have."""
     pairs = {name: (np.array([f[name] for f in a]), np.array([f[name] for f in b])) for name in names}
-    raw = {name: sign_flip(y - x) if np.any(y != x) else 1.0 for name, (x, y) in pairs.items()}
+    raw = {name: sign_flip_p_value(y - x) if np.any(y != x) else 1.0 for name, (x, y) in pairs.items()}
     corrected, least = {}, 0.0
     for rank, name in enumerate(sorted(raw, key=lambda n: raw[n])):
         least = max(least, min(1.0, raw[name] * (len(raw) - rank)))
         corrected[name] = least
     out = []
     for name, (x, y) in pairs.items():
-        low, high = interval(y - x)
+        low, high = median_interval(y - x)
         out.append(Difference(
             name, float(np.median(x)), float(np.median(y)), float(np.median(y - x)), low, high,
             corrected[name], corrected[name] <= LEVEL,
@@ -78,7 +78,7 @@
     return out
 
 
-def table(found: list[Difference]) -> list[dict[str, Any]]:
+def difference_rows(found: list[Difference]) -> list[dict[str, Any]]:
     """Return the differences as plain data."""
     return [asdict(d) for d in found]
 
@@ -117,6 +117,9 @@
              "differs" if d.differs else "no difference found") for d in found]  # fmt: skip
     head = ("figure", "A, median", "B, median", "B less A", "95% from", "to", "p, corrected", "")
     about = f"<p>A is {names[0]}, B is {names[1]}; {len(a)} seeds, each played by both.</p>"
-    return page(
-        f"{experiment}: {names[0]} and {names[1]}", about, table_html(rows, head), png(_picture(a, b, found))
+    return html_page(
+        f"{experiment}: {names[0]} and {names[1]}",
+        about,
+        table_html(rows, head),
+        inline_image(_picture(a, b, found)),
     )
--- a/balancer/lab/datagram_relay.py
+++ b/balancer/lab/datagram_relay.py
@@ -19,9 +19,9 @@
 class DatagramRelay:
     """Relays datagrams between nodes: what i sends to `relay(i, j)` reaches j from `relay(j, i)`."""
 
-    def __init__(self, spec: Experiment, places: AddressPlan, network: NetworkConditions) -> None:
+    def __init__(self, spec: Experiment, addresses: AddressPlan, network: NetworkConditions) -> None:
         """Prepare the relay; `open` binds its sockets."""
-        self.spec, self.places, self.network = spec, places, network
+        self.spec, self.addresses, self.network = spec, addresses, network
         self.transports: dict[tuple[int, int], asyncio.DatagramTransport] = {}
         self.sends: list[tuple[float, int]] = []  # when (monotonic s) each was sent, and by whom
         self.counts: Counter[str] = Counter()
@@ -38,7 +38,7 @@
             for far in range(self.spec.fleet.nodes):
                 transport, _ = await loop.create_datagram_endpoint(
                     lambda near=near, far=far: RelayEndpoint(self, near, far),  # type: ignore[misc]
-                    local_addr=self.places.relay(near, far),
+                    local_addr=self.addresses.relay(near, far),
                 )
                 self.transports[near, far] = transport
 
@@ -59,7 +59,7 @@
 
     def _arrive(self, near: int, target: int, data: bytes) -> None:
         with contextlib.suppress(OSError):
-            self.transports[target, near].sendto(data, self.places.peer(target))
+            self.transports[target, near].sendto(data, self.addresses.peer(target))
 
 
 class RelayEndpoint(asyncio.DatagramProtocol):
@@ -71,7 +71,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Relay a datagram of the node; count foreign ones."""
-        if addr[0] == self.relay.places.peer(self.near)[0]:
+        if addr[0] == self.relay.addresses.peer(self.near)[0]:
             self.relay.relay(self.near, self.far, data)
         else:
             self.relay.counts["foreign"] += 1
--- a/balancer/lab/discovery_stub.py
+++ b/balancer/lab/discovery_stub.py
@@ -26,11 +26,17 @@
 class DiscoveryStub:
     """Discovery on sockets: one address a node, calls in turn, watch events with a spread."""
 
-    def __init__(self, spec: Experiment, places: AddressPlan, network: NetworkConditions, clock: RunClock,
-                 seen: records.RunRecords) -> None:  # fmt: skip
+    def __init__(self, spec: Experiment, addresses: AddressPlan, network: NetworkConditions, clock: RunClock,
+                 run_records: records.RunRecords) -> None:  # fmt: skip
         """Prepare the list and the listeners of all nodes."""
-        self.spec, self.places, self.network, self.clock, self.seen = spec, places, network, clock, seen
-        self.core = Directory({
+        self.spec, self.addresses, self.network, self.clock, self.run_records = (
+            spec,
+            addresses,
+            network,
+            clock,
+            run_records,
+        )
+        self.directory = Directory({
             name: Listed(name, spec.zone_of(name), spec.cell_of(number),
                          up_since=time.time() * 1000 if spec.backends.start_cold else 0.0)
             for number, name in enumerate(spec.backend_names)
@@ -44,7 +50,7 @@
         self.moved = Counter[int]()  # how often discovery has moved, by node
         self.listeners = {
             (node, move): ImpairedListener(
-                places.discovery(node, move), partial(DiscoveryConnection, self, node, move)
+                addresses.discovery(node, move), partial(DiscoveryConnection, self, node, move)
             )
             for node in range(spec.fleet.nodes)
             for move in range(moves + 1)
@@ -83,14 +89,14 @@
 
     def plan(self, lag_s: float, name: str, phase: Phase, up_since: float | None = None) -> None:
         """Plan that a change of a backend becomes known `lag_s` from now."""
-        self.core.plan(self.clock.now() + lag_s * 1000, name, phase, up_since)
+        self.directory.plan(self.clock.now() + lag_s * 1000, name, phase, up_since)
         asyncio.get_running_loop().call_later(lag_s + 0.001, self._publish)
 
     def _publish(self) -> None:
-        changed = self.core.advance(self.clock.now())
+        changed = self.directory.advance(self.clock.now())
         if not changed:
             return
-        self.seen.list_deliveries.extend(
+        self.run_records.list_deliveries.extend(
             records.ListDeliveryRecord(-1, self.clock.now(), int(e.name[1:]), e.phase.value, e.up_since)
             for e in changed
         )
@@ -102,7 +108,9 @@
     def call(self, connection: DiscoveryConnection, since: int | None) -> None:
         """Queue a call for a snapshot (`since` is None) or a watch."""
         self.counts["calls"] += 1
-        self.seen.discovery_calls.append(records.DiscoveryCallRecord(connection.node, self.clock.now()))
+        self.run_records.discovery_calls.append(
+            records.DiscoveryCallRecord(connection.node, self.clock.now())
+        )
         self.calls.append((self.clock.now(), connection, since))
         if not self.busy:
             self._next()
@@ -123,7 +131,7 @@
             self.counts["failed"] += 1
             connection.send(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         elif since is None:
-            line = self.line(connection.node, list(self.core.entries.values()), True)
+            line = self.line(connection.node, list(self.directory.entries.values()), True)
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
         else:
             connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -139,21 +147,21 @@
         for entry in entries:
             number = int(entry.name[1:])
             rows.append({
-                "id": entry.name, "host_port": format_address(self.places.backend(node, number)),
+                "id": entry.name, "host_port": format_address(self.addresses.backend(node, number)),
                 "locality": entry.zone, "flavor": "std", "cell": entry.cell, "phase": entry.phase.value,
                 "size": 1.0, "up_since_ms": entry.up_since,
             })  # fmt: skip
-            self.seen.list_deliveries.append(
+            self.run_records.list_deliveries.append(
                 records.ListDeliveryRecord(node, now, number, entry.phase.value, entry.up_since)
             )
         if complete:
             here = {entry.name for entry in entries}
             for number, name in enumerate(self.spec.backend_names):
                 if name not in here:
-                    self.seen.list_deliveries.append(
+                    self.run_records.list_deliveries.append(
                         records.ListDeliveryRecord(node, now, number, Phase.REMOVED.value, 0.0)
                     )
-        table = {"revision": self.core.revision, "complete": complete, "members": rows}
+        table = {"revision": self.directory.revision, "complete": complete, "members": rows}
         return json.dumps(table, indent=1 if self.spec.discovery.multi_line else None).encode() + b"\n"
 
 
@@ -193,12 +201,12 @@
 
     def send_pending(self) -> None:
         """Send the pending entries of the watch; or end a watch that ends at a change."""
-        if self.open and self.watch is not None and self.watch.ends(self.service.core):
+        if self.open and self.watch is not None and self.watch.ends(self.service.directory):
             self.watch = None
             self.send(b"0\r\n\r\n")
             self.finish()
             return
-        pending = self.watch.pending(self.service.core) if self.open and self.watch is not None else None
+        pending = self.watch.pending(self.service.directory) if self.open and self.watch is not None else None
         if pending is not None:
             line = self.service.line(self.node, *pending)
             self.send(b"%x\r\n%b\r\n" % (len(line), line))
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -30,7 +30,13 @@
 RECOVERED = 0.95  # of the goodput before the first fault
 DETECTION_LIMIT_MS = 10_000.0  # within which a death has to be known
 WINDOW_S = 0.5  # of the series
-JUDGED = ("goodput", "refused", "latency_p50_ms", "latency_p99_ms", "node_cpu_us_per_try")  # of a comparison
+COMPARED_FIGURES = (
+    "goodput",
+    "refused",
+    "latency_p50_ms",
+    "latency_p99_ms",
+    "node_cpu_us_per_try",
+)  # of a comparison
 SUCCESSOR_WINDOW_S = 5.0
 SUCCESSOR_STEP_S = 0.1
 PREDECESSOR_WINDOW_MS = 3000  # before its end
@@ -43,44 +49,44 @@
 class OperationResult:
     """One operation over all its attempts."""
 
-    intended: float
-    kind: int
+    intended_at: float
+    class_index: int
     zone: str
     value: float  # asked for
     served_value: float  # of it
-    latency: float | None  # ms from when it was meant to be sent; None: not served
-    last_end: str
+    latency_ms: float | None  # ms from when it was meant to be sent; None: not served
+    last_outcome: str
     attempts: int
 
 
-def operations(spec: Experiment, seen: records.RunRecords) -> list[OperationResult]:
+def operations(spec: Experiment, run_records: records.RunRecords) -> list[OperationResult]:
     """Return the operations, in order of time."""
     by_wish: dict[str, list[records.ClientAttemptRecord]] = defaultdict(list)
-    for one in seen.client_attempts:
+    for one in run_records.client_attempts:
         by_wish[one.operation].append(one)
     out = []
     for attempts in by_wish.values():
-        attempts.sort(key=lambda t: t.number)
+        attempts.sort(key=lambda t: t.attempt_number)
         first, last = attempts[0], attempts[-1]
-        cls = spec.load.classes[first.kind]
-        served = next((t for t in attempts if t.end == Outcome.SERVED.value), None)
-        latency = served.answered - served.intended if served else None
+        cls = spec.load.classes[first.class_index]
+        served = next((t for t in attempts if t.outcome == Outcome.SERVED.value), None)
+        latency = served.answered_at - served.intended_at if served else None
         served_value = 0.0
         if latency is not None:
             served_value = cls.value * (1.0 if latency <= cls.objective_ms else cls.late_value)
         out.append(
             OperationResult(
-                first.intended,
-                first.kind,
+                first.intended_at,
+                first.class_index,
                 first.zone,
                 cls.value,
                 served_value,
                 latency,
-                last.end,
+                last.outcome,
                 len(attempts),
             )
         )
-    return sorted(out, key=lambda w: w.intended)
+    return sorted(out, key=lambda w: w.intended_at)
 
 
 def percentiles(values: Iterable[float], points: tuple[float, ...]) -> list[float]:
@@ -93,19 +99,19 @@
     return [histogram.get_value_at_percentile(p) / 1000 for p in points]
 
 
-def series(spec: Experiment, seen: records.RunRecords, done: list[OperationResult]) -> Series:
+def series(spec: Experiment, run_records: records.RunRecords, done: list[OperationResult]) -> Series:
     """Figures of each half second, by the time a request was meant to be sent."""
     count = int(np.ceil(spec.seconds / WINDOW_S))
-    slot = [min(count - 1, int(w.intended / 1000 / WINDOW_S)) for w in done]
+    slot = [min(count - 1, int(w.intended_at / 1000 / WINDOW_S)) for w in done]
     value, served_value, offered, refused = (np.zeros(count) for _ in range(4))
     latencies: list[list[float]] = [[] for _ in range(count)]
     for index, operation in zip(slot, done, strict=True):
         value[index] += operation.value
         served_value[index] += operation.served_value
         offered[index] += 1
-        refused[index] += operation.last_end == Outcome.REJECTED.value
-        if operation.latency is not None:
-            latencies[index].append(operation.latency)
+        refused[index] += operation.last_outcome == Outcome.REJECTED.value
+        if operation.latency_ms is not None:
+            latencies[index].append(operation.latency_ms)
     points = [percentiles(group, (50.0, 99.0)) for group in latencies]
     return {
         "t_s": [i * WINDOW_S for i in range(count)],
@@ -117,12 +123,12 @@
     }
 
 
-def backend_loads(spec: Experiment, seen: records.RunRecords) -> NDArray[np.float64]:
+def backend_loads(spec: Experiment, run_records: records.RunRecords) -> NDArray[np.float64]:
     """Return the attempts a second at each backend in each window; shape (backends, windows)."""
     count = int(np.ceil(spec.seconds / WINDOW_S))
     out = np.zeros((spec.backends.count, count))
-    for attempt in seen.backend_attempts:
-        index = int(attempt.first / 1000 / WINDOW_S)
+    for attempt in run_records.backend_attempts:
+        index = int(attempt.first_byte_at / 1000 / WINDOW_S)
         if 0 <= index < count:
             out[attempt.backend, index] += 1 / WINDOW_S
     return out
@@ -147,27 +153,31 @@
     return -1.0
 
 
-def figures(spec: Experiment, seed: int, seen: records.RunRecords, judged: Judgement) -> dict[str, float]:
+def figures(
+    spec: Experiment, seed: int, run_records: records.RunRecords, judged: Judgement
+) -> dict[str, float]:
     """Return all figures of a run by name; shares are of 1, times in ms unless the name says otherwise."""
-    done = operations(spec, seen)
-    line = series(spec, seen, done)
+    done = operations(spec, run_records)
+    line = series(spec, run_records, done)
     out = (
         _operation_figures(spec, done, line)
-        | _attempt_figures(spec, seen)
-        | _violation_figures(seen, judged)
-        | _harness_figures(seen)
-        | _costs(seen)
-        | successor_figures(seen)
+        | _attempt_figures(spec, run_records)
+        | _violation_figures(run_records, judged)
+        | _harness_figures(run_records)
+        | _costs(run_records)
+        | successor_figures(run_records)
     )
     out |= {f"broken_{rule}": float(judged.broken[rule]) for rule in RULES}
     if spec.fleet.membership:
-        out |= membership_figures(spec, seen)
-        if (agreed_s := agreement_time_s(spec, seen)) is not None:
+        out |= membership_figures(spec, run_records)
+        if (agreed_s := agreement_time_s(spec, run_records)) is not None:
             out["member_agreed_s"] = agreed_s
     if any(isinstance(f, PowerLoss) for f in spec.faults):
-        out |= power_recovery_figures(spec, seed, seen, [(w.intended, w.value, w.served_value) for w in done])
-    if seen.maintenance:
-        out["forgotten_bans"] = float(count_forgotten_bans(spec, seen))
+        out |= power_recovery_figures(
+            spec, seed, run_records, [(w.intended_at, w.value, w.served_value) for w in done]
+        )
+    if run_records.maintenance:
+        out["forgotten_bans"] = float(count_forgotten_bans(spec, run_records))
     recovery = _recovery(spec, line)
     if recovery is not None:
         out["recovery_s"] = recovery
@@ -175,12 +185,12 @@
 
 
 def _operation_figures(spec: Experiment, done: list[OperationResult], line: Series) -> dict[str, float]:
-    counted = [w for w in done if w.intended >= spec.warmup * 1000]
+    counted = [w for w in done if w.intended_at >= spec.warmup * 1000]
     value = sum(w.value for w in counted) or 1.0
     total = len(counted) or 1
-    latency = [w.latency for w in counted if w.latency is not None]
+    latency = [w.latency_ms for w in counted if w.latency_ms is not None]
     p50, p90, p99, p999 = percentiles(latency, (50.0, 90.0, 99.0, 99.9))
-    ends = Counter(w.last_end for w in counted)
+    ends = Counter(w.last_outcome for w in counted)
     first = int(np.ceil(spec.warmup / WINDOW_S))
     seconds = [np.mean(line["goodput"][i : i + 2]) for i in range(first, len(line["goodput"]) - 1)]
     return {
@@ -203,39 +213,41 @@
 def _class_goodputs(spec: Experiment, counted: list[OperationResult]) -> list[float]:
     out = []
     for kind in range(len(spec.load.classes)):
-        of_class = [w for w in counted if w.kind == kind]
+        of_class = [w for w in counted if w.class_index == kind]
         if of_class:
             out.append(sum(w.served_value for w in of_class) / (sum(w.value for w in of_class) or 1.0))
     return out
 
 
-def _attempt_figures(spec: Experiment, seen: records.RunRecords) -> dict[str, float]:
-    cross = sum(spec.zone_of(f"n{a.node}") != spec.zone_of(f"s{a.backend}") for a in seen.backend_attempts)
+def _attempt_figures(spec: Experiment, run_records: records.RunRecords) -> dict[str, float]:
+    cross = sum(
+        spec.zone_of(f"n{a.node}") != spec.zone_of(f"s{a.backend}") for a in run_records.backend_attempts
+    )
     return {
-        "attempts_per_try": len(seen.backend_attempts) / (len(seen.client_attempts) or 1),
-        "cross_zone": cross / (len(seen.backend_attempts) or 1),
+        "attempts_per_try": len(run_records.backend_attempts) / (len(run_records.client_attempts) or 1),
+        "cross_zone": cross / (len(run_records.backend_attempts) or 1),
     }
 
 
-def _violation_figures(seen: records.RunRecords, judged: Judgement) -> dict[str, float]:
+def _violation_figures(run_records: records.RunRecords, judged: Judgement) -> dict[str, float]:
     return {
         "broken_rules": float(sum(judged.broken.values())),
         "excused": float(judged.excused),
         "overdue": float(judged.overdue),
-        "toppled": float(len(seen.collapses)),
+        "toppled": float(len(run_records.collapses)),
     }
 
 
-def _harness_figures(seen: records.RunRecords) -> dict[str, float]:
-    lateness = percentiles(seen.lateness, (50.0, 99.0))
+def _harness_figures(run_records: records.RunRecords) -> dict[str, float]:
+    lateness = percentiles(run_records.lateness, (50.0, 99.0))
     return {
         "rig_late_p50_ms": lateness[0],
         "rig_late_p99_ms": lateness[1],
-        "rig_loop_lag_p99_ms": percentiles(seen.loop_lag, (99.0,))[0],
+        "rig_loop_lag_p99_ms": percentiles(run_records.loop_lag, (99.0,))[0],
     }
 
 
-def successor_figures(seen: records.RunRecords) -> dict[str, float]:
+def successor_figures(run_records: records.RunRecords) -> dict[str, float]:
     """Return figures of processes that succeeded another one of their node: killed, ended or upgraded.
 
     `heir_refused`: share of the attempts at the node that it rejected in the `SUCCESSOR_WINDOW_S` from when
@@ -244,74 +256,80 @@
     """
     refused, recovery = [], []
     by_node: dict[int, list[records.ClientAttemptRecord]] = defaultdict(list)
-    for one in sorted(seen.client_attempts, key=lambda t: t.sent):
+    for one in sorted(run_records.client_attempts, key=lambda t: t.sent_at):
         by_node[one.node].append(one)
-    for successor in seen.processes:
-        older = [x for x in seen.processes if x.node == successor.node and x.process == successor.process - 1]
-        end = max((x.killed or x.term or x.ended for x in older), default=0.0)
-        if not end or not successor.ready:
+    for successor in run_records.processes:
+        older = [
+            x
+            for x in run_records.processes
+            if x.node == successor.node and x.process == successor.process - 1
+        ]
+        end = max((x.killed_at or x.terminated_at or x.ended_at for x in older), default=0.0)
+        if not end or not successor.ready_at:
             continue
         attempts = by_node[successor.node]
         begin = end - PREDECESSOR_WINDOW_MS
-        before = [_is_served(t) for t in attempts if begin <= t.sent < min(end, successor.ready)]
-        until = successor.ready + SUCCESSOR_WINDOW_S * 1000
-        after = [t for t in attempts if successor.ready <= t.sent < until]
+        before = [_is_served(t) for t in attempts if begin <= t.sent_at < min(end, successor.ready_at)]
+        until = successor.ready_at + SUCCESSOR_WINDOW_S * 1000
+        after = [t for t in attempts if successor.ready_at <= t.sent_at < until]
         if not before or not after:
             continue
-        refused.append(sum(t.end == Outcome.REJECTED.value for t in after) / len(after))
-        recovery.append(_recovered_after_s(after, successor.ready, RECOVERED * sum(before) / len(before)))
+        refused.append(sum(t.outcome == Outcome.REJECTED.value for t in after) / len(after))
+        recovery.append(_recovered_after_s(after, successor.ready_at, RECOVERED * sum(before) / len(before)))
     if not refused:
         return {}
     return {"heir_refused": float(np.mean(refused)), "heir_recovery_s": float(max(recovery))}
 
 
 def _is_served(attempt: records.ClientAttemptRecord) -> bool:
-    return attempt.end == Outcome.SERVED.value
+    return attempt.outcome == Outcome.SERVED.value
 
 
 def _recovered_after_s(attempts: list[records.ClientAttemptRecord], ready: float, wanted: float) -> float:
     """Return the seconds from `ready` (ms) until a second in which the served share is as wanted."""
     for step in range(int((SUCCESSOR_WINDOW_S - 1) / SUCCESSOR_STEP_S)):
         begin = ready + step * SUCCESSOR_STEP_S * 1000
-        served = [_is_served(t) for t in attempts if begin <= t.sent < begin + 1000]
+        served = [_is_served(t) for t in attempts if begin <= t.sent_at < begin + 1000]
         if served and sum(served) / len(served) >= wanted:
             return step * SUCCESSOR_STEP_S
     return SUCCESSOR_WINDOW_S
 
 
-def _costs(seen: records.RunRecords) -> dict[str, float]:
+def _costs(run_records: records.RunRecords) -> dict[str, float]:
     """Return what the nodes' processes used, by the accounts of the system."""
     cpu: dict[int, list[tuple[float, float]]] = defaultdict(list)
-    for sample in seen.samples:
+    for sample in run_records.samples:
         cpu[sample.node].append((sample.at, sample.cpu_s))
     spent = 0.0
     for points in cpu.values():
         values = [c for _, c in sorted(points)]
         spent += sum(max(0.0, b - a) for a, b in pairwise(values))
     return {
-        "node_cpu_us_per_try": 1e6 * spent / (len(seen.client_attempts) or 1),
-        "node_rss_mb_max": max((s.rss_mb for s in seen.samples), default=0.0),
-        "node_descriptors_max": float(max((s.descriptors for s in seen.samples), default=0)),
-        "node_waited_s_max": max_cpu_wait_s(seen),
-        "node_ready_ms_max": max((x.ready - x.started for x in seen.processes if x.ready), default=0.0),
+        "node_cpu_us_per_try": 1e6 * spent / (len(run_records.client_attempts) or 1),
+        "node_rss_mb_max": max((s.rss_mb for s in run_records.samples), default=0.0),
+        "node_descriptors_max": float(max((s.descriptors for s in run_records.samples), default=0)),
+        "node_waited_s_max": max_cpu_wait_s(run_records),
+        "node_ready_ms_max": max(
+            (x.ready_at - x.started_at for x in run_records.processes if x.ready_at), default=0.0
+        ),
     }
 
 
-def max_cpu_wait_s(seen: records.RunRecords) -> float:
+def max_cpu_wait_s(run_records: records.RunRecords) -> float:
     """Return the most seconds within a window that a runnable process of a node had no core."""
     by_process: dict[tuple[int, int], list[records.ProcessSample]] = defaultdict(list)
-    for sample in sorted(seen.samples, key=lambda s: s.at):
+    for sample in sorted(run_records.samples, key=lambda s: s.at):
         by_process[sample.node, sample.process].append(sample)
     longest = 0.0
-    for process_record in seen.processes:
+    for process_record in run_records.processes:
         samples = [
             s
             for s in by_process[process_record.node, process_record.process]
-            if s.at >= process_record.started + START_UP_S * 1000
+            if s.at >= process_record.started_at + START_UP_S * 1000
         ]
         for first in samples:
             last = [s for s in samples if first.at <= s.at <= first.at + CPU_WAIT_WINDOW_S * 1000][-1]
-            longest = max(longest, last.waited_s - first.waited_s)
+            longest = max(longest, last.cpu_wait_s - first.cpu_wait_s)
     return longest
 
 
@@ -332,11 +350,11 @@
     return out
 
 
-def member_counts(spec: Experiment, seen: records.RunRecords) -> dict[int, list[tuple[float, int]]]:
+def member_counts(spec: Experiment, run_records: records.RunRecords) -> dict[int, list[tuple[float, int]]]:
     """Return how many members each node's log has as present over time: node to (s, count)."""
     out: dict[int, list[tuple[float, int]]] = defaultdict(list)
     members: dict[int, set[int]] = defaultdict(set)
-    for view in sorted(seen.member_views, key=lambda v: v.at):
+    for view in sorted(run_records.member_views, key=lambda v: v.at):
         mine = members[view.node]
         if view.member == view.node and view.state == "present":
             mine.clear()  # a new process
@@ -345,22 +363,25 @@
         else:
             mine.discard(view.member)
         out[view.node].append((view.at / 1000, len(mine)))
-    for process_record in seen.processes:
-        if process_record.ended and process_record.ended < spec.seconds * 1000:
-            out[process_record.node].append((process_record.ended / 1000, 0))
+    for process_record in run_records.processes:
+        if process_record.ended_at and process_record.ended_at < spec.seconds * 1000:
+            out[process_record.node].append((process_record.ended_at / 1000, 0))
     return {node: sorted(points) for node, points in sorted(out.items())}
 
 
-def membership_figures(spec: Experiment, seen: records.RunRecords) -> dict[str, float]:
+def membership_figures(spec: Experiment, run_records: records.RunRecords) -> dict[str, float]:
     """Return how soon all survivors knew of each killed node, and how many live nodes were declared dead."""
-    dead = [v for v in seen.member_views if v.state == "dead"]
-    kills = [(x.node, x.killed) for x in seen.processes if x.killed and not x.term]
+    dead = [v for v in run_records.member_views if v.state == "dead"]
+    kills = [(x.node, x.killed_at) for x in run_records.processes if x.killed_at and not x.terminated_at]
     slowest, missed = [], 0
     for node, at in kills:
         others = {
             x.node
-            for x in seen.processes
-            if x.node != node and x.ready and x.ready <= at and not 0 < x.ended < at + DETECTION_LIMIT_MS
+            for x in run_records.processes
+            if x.node != node
+            and x.ready_at
+            and x.ready_at <= at
+            and not 0 < x.ended_at < at + DETECTION_LIMIT_MS
         }
         known: dict[int, float] = {}
         for view in dead:
@@ -371,7 +392,10 @@
             slowest.append(max(known[n] for n in others) / 1000)
     false = [
         v for v in dead
-        if not any(x.node == v.member and (0 < x.ended <= v.at or x.started > v.at) for x in seen.processes)
+        if not any(
+            x.node == v.member and (0 < x.ended_at <= v.at or x.started_at > v.at)
+            for x in run_records.processes
+        )
     ]  # fmt: skip
     weak = flaky_nodes(spec)
     sound = [v for v in false if v.member not in weak and v.node not in weak]
@@ -382,15 +406,19 @@
     return out
 
 
-def agreement_time_s(spec: Experiment, seen: records.RunRecords) -> float | None:
+def agreement_time_s(spec: Experiment, run_records: records.RunRecords) -> float | None:
     """Seconds from the last fault's end until each node's log holds just those for present that live.
 
     None where some view is wrong when the last clients have come.
     """
     until = spec.seconds * 1000
-    alive = {x.node for x in seen.processes if x.started < until and (not x.ended or x.ended > until)}
+    alive = {
+        x.node
+        for x in run_records.processes
+        if x.started_at < until and (not x.ended_at or x.ended_at > until)
+    }
     last: dict[tuple[int, int], tuple[float, bool]] = {}
-    for view in sorted(seen.member_views, key=lambda v: v.at):
+    for view in sorted(run_records.member_views, key=lambda v: v.at):
         present = view.state in ("present", "suspected")
         before = last.get((view.node, view.member))
         if view.at < until and (before is None or before[1] != present):
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -64,16 +64,16 @@
     """All violations of a run, and what was excused."""
 
     broken: Counter[str] = field(default_factory=Counter)
-    first: list[Break] = field(default_factory=list)
+    first_violations: list[Break] = field(default_factory=list)
     excused: int = 0  # requests that a fault of the lab took
     overdue: int = 0  # answers past the rule's slack, within half a second
-    door: int = 0  # connections that ended with no answer and no attempt
+    unanswered: int = 0  # connections that ended with no answer and no attempt
 
     def add(self, rule: str, at: float, node: int, text: str) -> None:
         """Count a violation of a rule."""
         self.broken[rule] += 1
-        if len(self.first) < MAX_REPORTED_VIOLATIONS:
-            self.first.append(Break(rule, at, node, text))
+        if len(self.first_violations) < MAX_REPORTED_VIOLATIONS:
+            self.first_violations.append(Break(rule, at, node, text))
 
 
 class Judge:
@@ -82,7 +82,7 @@
     def __init__(
         self,
         spec: Experiment,
-        seen: records.RunRecords,
+        run_records: records.RunRecords,
         max_unanswered_share: float = MAX_UNANSWERED_SHARE,
     ) -> None:
         """Index the records by request and by node.
@@ -90,13 +90,13 @@
         `max_unanswered_share` of the requests may end with their connection, with no answer and no attempt:
         more of them where other clients fill the descriptors.
         """
-        self.spec, self.seen, self.out = spec, seen, Judgement()
+        self.spec, self.run_records, self.out = spec, run_records, Judgement()
         self.max_unanswered_share = max_unanswered_share
         self.attempts: dict[str, list[records.BackendAttemptRecord]] = defaultdict(list)
-        for attempt in sorted(seen.backend_attempts, key=lambda a: a.complete_at):
+        for attempt in sorted(run_records.backend_attempts, key=lambda a: a.complete_at):
             self.attempts[attempt.ident].append(attempt)
         self.process_records: dict[int, list[records.ProcessRecord]] = defaultdict(list)
-        for process_record in sorted(seen.processes, key=lambda x: x.started):
+        for process_record in sorted(run_records.processes, key=lambda x: x.started_at):
             self.process_records[process_record.node].append(process_record)
         self.network = NetworkConditions(spec, stream(0, "judge"))
         self.stalls = [
@@ -107,12 +107,12 @@
 
     def judge(self) -> Judgement:
         """Check all rules."""
-        client_attempts = {t.ident: t for t in self.seen.client_attempts}
-        for one in self.seen.client_attempts:
+        client_attempts = {t.ident: t for t in self.run_records.client_attempts}
+        for one in self.run_records.client_attempts:
             self._answered(one)
             self._refused(one)
-        doors = self.out.door
-        if doors > self.max_unanswered_share * max(1, len(self.seen.client_attempts)):
+        doors = self.out.unanswered
+        if doors > self.max_unanswered_share * max(1, len(self.run_records.client_attempts)):
             self.out.add(
                 "answer", 0.0, -1, f"{doors} connections ended with no answer: over 1 in 200 requests"
             )
@@ -125,66 +125,72 @@
         self._drains()
         self._bans()
         self._topples()
-        for process_record in self.seen.processes:
+        for process_record in self.run_records.processes:
             if process_record.failure:
                 self.out.add(
                     "crash",
-                    process_record.ended,
+                    process_record.ended_at,
                     process_record.node,
-                    f"process {process_record.process}: {process_record.failure} ({process_record.code})",
+                    f"process {process_record.process}: {process_record.failure} "
+                    f"({process_record.exit_code})",
                 )
-        for text in self.seen.unknown:
+        for text in self.run_records.unknown:
             self.out.add("changed", 0.0, -1, text)
         return self.out
 
     # --- answers
 
     def _answered(self, one: records.ClientAttemptRecord) -> None:
-        if not one.sent or one.end in (Outcome.ABANDONED.value, Outcome.UNREACHABLE.value):
+        if not one.sent_at or one.outcome in (Outcome.ABANDONED.value, Outcome.UNREACHABLE.value):
             return
         if one.status == HTTPStatus.OK:
             made = self.attempts.get(one.ident, ())
             if not any(a.body == one.body and a.verdict in MADE for a in made):
-                self.out.add("made-up", one.answered, one.node, f"{one.ident}: {one.body[:60]!r}")
-        if one.answered:
-            late = one.answered - one.deadline
+                self.out.add("made-up", one.answered_at, one.node, f"{one.ident}: {one.body[:60]!r}")
+        if one.answered_at:
+            late = one.answered_at - one.deadline
             self.out.overdue += late > self.spec.rules.answer_slack_ms + SOCKET_SLACK_MS
             return
-        if one.end == Outcome.DISCONNECTED.value and one.response_started:
+        if one.outcome == Outcome.DISCONNECTED.value and one.response_started:
             return  # failed: the client can tell that the answer is not whole
-        until = one.ended if one.end == Outcome.DISCONNECTED.value else one.deadline + OVERDUE_MS
+        until = one.ended_at if one.outcome == Outcome.DISCONNECTED.value else one.deadline + OVERDUE_MS
         if self._excused(one, until):
             self.out.excused += 1
-        elif one.end == Outcome.DISCONNECTED.value and not self.attempts.get(one.ident):
-            self.out.door += 1
+        elif one.outcome == Outcome.DISCONNECTED.value and not self.attempts.get(one.ident):
+            self.out.unanswered += 1
         else:
-            self.out.add("answer", one.deadline, one.node, f"{one.ident} ({one.end}) never got its answer")
+            self.out.add(
+                "answer", one.deadline, one.node, f"{one.ident} ({one.outcome}) never got its answer"
+            )
 
     def _excused(self, one: records.ClientAttemptRecord, until: float) -> bool:
         """Return whether a fault of the lab itself prevented the answer."""
         name, zone = f"n{one.node}", f"c-{one.zone}"
         for process_record in self.process_records[one.node]:
-            end = process_record.killed or (process_record.ended if process_record.failure else 0.0)
-            if not end or not one.sent - SOCKET_SLACK_MS <= end <= until + SOCKET_SLACK_MS:
+            end = process_record.killed_at or (process_record.ended_at if process_record.failure else 0.0)
+            if not end or not one.sent_at - SOCKET_SLACK_MS <= end <= until + SOCKET_SLACK_MS:
                 continue
-            if not process_record.term or one.sent <= process_record.term + TERMINATION_SLACK_MS:
+            if (
+                not process_record.terminated_at
+                or one.sent_at <= process_record.terminated_at + TERMINATION_SLACK_MS
+            ):
                 return True
-        if any(n == name and a <= until and one.sent <= b + SOCKET_SLACK_MS for n, a, b in self.stalls):
+        if any(n == name and a <= until and one.sent_at <= b + SOCKET_SLACK_MS for n, a, b in self.stalls):
             return True
         return any(
-            f.at * 1000 <= until and one.sent <= f.ends_at * 1000
+            f.at * 1000 <= until and one.sent_at <= f.ends_at * 1000
             and self.network.affects_link(f, zone, name)
             for f in self.links
         )  # fmt: skip
 
     def _refused(self, one: records.ClientAttemptRecord) -> None:
-        cls = self.spec.load.classes[one.kind]
+        cls = self.spec.load.classes[one.class_index]
         if one.status not in (429, 503) or cls.effect == "retryable":
             return
         risky = [a for a in self.attempts.get(one.ident, ()) if a.verdict not in NEVER_RAN]
         if risky and (cls.effect == "fragile" or cls.group != "all"):
             self.out.add(
-                "twice", one.answered, one.node, f"{one.ident} may have run and was refused as harmless"
+                "twice", one.answered_at, one.node, f"{one.ident} may have run and was refused as harmless"
             )
 
     # --- attempts
@@ -194,9 +200,11 @@
     ) -> None:
         for attempt in attempts:
             if one is None:
-                self.out.add("changed", attempt.first, attempt.node, f"{attempt.ident}: no client sent it")
+                self.out.add(
+                    "changed", attempt.first_byte_at, attempt.node, f"{attempt.ident}: no client sent it"
+                )
                 continue
-            cls = self.spec.load.classes[one.kind]
+            cls = self.spec.load.classes[one.class_index]
             same = (
                 (attempt.method, attempt.request_body) == method_and_body(cls, one.operation)
                 and attempt.path.startswith(f"/{cls.name}/{one.operation}?")
@@ -204,13 +212,16 @@
             )
             if not same:
                 self.out.add(
-                    "changed", attempt.first, attempt.node, f"{attempt.ident}: not as the client sent it"
+                    "changed",
+                    attempt.first_byte_at,
+                    attempt.node,
+                    f"{attempt.ident}: not as the client sent it",
                 )
 
     def _repeats(
         self, one: records.ClientAttemptRecord, attempts: list[records.BackendAttemptRecord]
     ) -> None:
-        cls = self.spec.load.classes[one.kind]
+        cls = self.spec.load.classes[one.class_index]
         if cls.effect == "retryable" or one.resent_at:
             return
         risky: list[records.BackendAttemptRecord] = []
@@ -238,7 +249,7 @@
 
     def _one_out(self, attempts: list[records.BackendAttemptRecord]) -> None:
         for earlier, later in pairwise(attempts):
-            ends = [t for t in (earlier.ended, earlier.closed) if t]
+            ends = [t for t in (earlier.ended_at, earlier.closed_at) if t]
             if earlier.node == later.node and (not ends or min(ends) > later.complete_at + SOCKET_SLACK_MS):
                 self.out.add(
                     "one-out",
@@ -251,20 +262,26 @@
 
     def _drains(self) -> None:
         deliveries: dict[tuple[int, int], list[records.ListDeliveryRecord]] = defaultdict(list)
-        for record in sorted([*self.seen.list_deliveries, *self._assumed_deliveries()], key=lambda t: t.at):
+        for record in sorted(
+            [*self.run_records.list_deliveries, *self._assumed_deliveries()], key=lambda t: t.at
+        ):
             deliveries[record.node, record.backend].append(record)
         limit = self.spec.rules.drain_grace_ms + SOCKET_SLACK_MS
-        for attempt in self.seen.backend_attempts:
+        for attempt in self.run_records.backend_attempts:
             history = deliveries.get((attempt.node, attempt.backend))
             if not history:
                 continue
             since = max(
-                (x.started for x in self.process_records[attempt.node] if x.started <= attempt.first),
+                (
+                    x.started_at
+                    for x in self.process_records[attempt.node]
+                    if x.started_at <= attempt.first_byte_at
+                ),
                 default=0.0,
             )
             known = [
                 t
-                for t in history[: bisect_right(history, attempt.first, key=lambda t: t.at)]
+                for t in history[: bisect_right(history, attempt.first_byte_at, key=lambda t: t.at)]
                 if t.at >= since
             ]
             barred = None
@@ -273,15 +290,15 @@
                     barred = None
                 elif barred is None:
                     barred = record.at
-            if barred is not None and attempt.first > barred + limit:
-                self.out.add("drain", attempt.first, attempt.node,
+            if barred is not None and attempt.first_byte_at > barred + limit:
+                self.out.add("drain", attempt.first_byte_at, attempt.node,
                              f"{attempt.ident} went to s{attempt.backend}, "
-                             f"{attempt.first - barred:.0f} ms after it was told")  # fmt: skip
+                             f"{attempt.first_byte_at - barred:.0f} ms after it was told")  # fmt: skip
 
     def _assumed_deliveries(self) -> Iterable[records.ListDeliveryRecord]:
         """Yield deliveries that count after a while, but for nodes that a fault keeps from discovery."""
         known: dict[int, list[records.ListDeliveryRecord]] = defaultdict(list)
-        for record in self.seen.list_deliveries:
+        for record in self.run_records.list_deliveries:
             if record.node == -1:
                 known[record.backend].append(record)
         for history in known.values():
@@ -310,36 +327,39 @@
 
     def _bans(self) -> None:
         by_place: dict[tuple[int, int], list[tuple[float, float]]] = defaultdict(list)
-        for ban in self.seen.maintenance:
-            ends = [ban.ended] if ban.ended else []
+        for ban in self.run_records.maintenance:
+            ends = [ban.lifted_at] if ban.lifted_at else []
             # A node that comes up anew with nothing else of it running has forgotten: `$TMPDIR` does not
             # last.
             process_records = self.process_records[ban.node]
             ends += [
-                x.started for x in process_records
-                if x.started > ban.begun
-                and not any(y.started < x.started and not 0 < y.ended < x.started for y in process_records)
+                x.started_at for x in process_records
+                if x.started_at > ban.banned_at
+                and not any(
+                    y.started_at < x.started_at and not 0 < y.ended_at < x.started_at
+                    for y in process_records
+                )
             ]  # fmt: skip
-            by_place[ban.node, ban.backend].append((ban.begun, min(ends, default=float("inf"))))
-        for attempt in self.seen.backend_attempts:
+            by_place[ban.node, ban.backend].append((ban.banned_at, min(ends, default=float("inf"))))
+        for attempt in self.run_records.backend_attempts:
             for begun, until in by_place.get((attempt.node, attempt.backend), ()):
-                if begun + SOCKET_SLACK_MS < attempt.first < until:
-                    self.out.add("banned", attempt.first, attempt.node,
+                if begun + SOCKET_SLACK_MS < attempt.first_byte_at < until:
+                    self.out.add("banned", attempt.first_byte_at, attempt.node,
                                  f"{attempt.ident} went to s{attempt.backend}, which is out")  # fmt: skip
 
     def _topples(self) -> None:
-        for collapse in self.seen.collapses:
+        for collapse in self.run_records.collapses:
             knew = {
-                t.node for t in self.seen.list_deliveries
-                if t.backend == collapse.backend and t.up_since and t.at <= collapse.at
-                and t.at >= collapse.started - ASSUMED_DELIVERY_MS
+                t.node for t in self.run_records.list_deliveries
+                if t.backend == collapse.backend and t.up_since and t.at <= collapse.collapsed_at
+                and t.at >= collapse.started_at - ASSUMED_DELIVERY_MS
             }  # fmt: skip
             total = sum(collapse.work_by_node.values())
             share = sum(w for node, w in collapse.work_by_node.items() if node in knew) / total
             if share >= MIN_INFORMED_SHARE:
                 self.out.add(
                     "topple",
-                    collapse.at,
+                    collapse.collapsed_at,
                     -1,
                     f"s{collapse.backend} toppled, {share:.0%} of its work from nodes that knew",
                 )
--- a/balancer/lab/power_recovery.py
+++ b/balancer/lab/power_recovery.py
@@ -41,7 +41,7 @@
 
     spec: Experiment
     seed: int
-    seen: records.RunRecords
+    run_records: records.RunRecords
     fault: PowerLoss = field(init=False)
     first: list[records.ProcessRecord] = field(init=False)  # of each node that came back: its first process
 
@@ -49,8 +49,8 @@
         """Find the last loss, and the first process of each node after it."""
         self.fault = max((f for f in self.spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
         back: dict[int, records.ProcessRecord] = {}
-        for process_record in sorted(self.seen.processes, key=lambda x: x.started):
-            if process_record.started >= self.cut:
+        for process_record in sorted(self.run_records.processes, key=lambda x: x.started_at):
+            if process_record.started_at >= self.cut:
                 back.setdefault(process_record.node, process_record)
         self.first = list(back.values())
 
@@ -69,14 +69,14 @@
         """The time at which the recovery is over."""
         planned = return_times(self.spec, self.seed, self.fault)
         warm = [at + self.spec.backends.warm_up_s for name, at in planned.items() if name[0] == "s"]
-        ready = [process_record.ready for process_record in self.first if process_record.ready]
+        ready = [process_record.ready_at for process_record in self.first if process_record.ready_at]
         return min(self.spec.seconds * 1000, max([*(at * 1000 for at in warm), *ready, self.power]))
 
     @property
     def median(self) -> float:
         """The time at which the median node was ready; infinity: half never were."""
         planned = return_times(self.spec, self.seed, self.fault)
-        ready = sorted(process_record.ready or float("inf") for process_record in self.first)
+        ready = sorted(process_record.ready_at or float("inf") for process_record in self.first)
         ready += [float("inf")] * (sum(name[0] == "n" for name in planned) - len(ready))
         return ready[(len(ready) - 1) // 2] if ready else float("inf")
 
@@ -93,21 +93,23 @@
 def capacity_shares(back: RecoveryTimes, offered: Floats) -> Floats:
     """Return the share of each slot's operations for which there was capacity; `offered` counts them."""
     work: dict[int, float] = defaultdict(float)
-    for one in back.seen.capacities:
+    for one in back.run_records.capacities:
         work[one.slot] += one.work
     share = np.ones(len(offered))
     for slot in range(int(back.cut / SLOT_MS), len(offered)):
         at = slot * SLOT_MS
-        serving = any(x.ready and x.ready <= at and not 0 < x.ended <= at for x in back.seen.processes)
+        serving = any(
+            x.ready_at and x.ready_at <= at and not 0 < x.ended_at <= at for x in back.run_records.processes
+        )
         asked = offered[slot] * back.spec.load.work_ms
         share[slot] = min(1.0, work[slot] * SLOT_MS / asked) if serving and asked else float(serving)
     return share
 
 
-def power_recovery_figures(spec: Experiment, seed: int, seen: records.RunRecords,
+def power_recovery_figures(spec: Experiment, seed: int, run_records: records.RunRecords,
               operations: list[tuple[float, float, float]]) -> dict[str, float]:  # fmt: skip
     """Return the figures of the recovery; `operations` are (intended ms, value, value served)."""
-    back = RecoveryTimes(spec, seed, seen)
+    back = RecoveryTimes(spec, seed, run_records)
     times = [at for at, _, _ in operations]
     asked = sum_by_slot(spec, times, [value for _, value, _ in operations])
     served_value = sum_by_slot(spec, times, [served_value for _, _, served_value in operations])
@@ -117,9 +119,9 @@
         "return_share": _share_between(served_value, asked, int(back.power / SLOT_MS), end),
         "return_bearable": _share_between(share * asked, asked, int(back.power / SLOT_MS), end),
         "return_to_95_s": _recovered_s(back, served_value, asked),
-        "return_toppled": float(sum(t.at >= _first_cut(spec) for t in seen.collapses)),
+        "return_toppled": float(sum(t.collapsed_at >= _first_cut(spec) for t in run_records.collapses)),
         "return_calls_worst": float(
-            _most_in_a_second([c.at for c in seen.discovery_calls if c.at >= back.power])
+            _most_in_a_second([c.at for c in run_records.discovery_calls if c.at >= back.power])
         ),
     } | _datagrams(back)
     if np.isfinite(back.median):
@@ -165,7 +167,7 @@
     if not back.spec.network.peer_datagrams:
         return {}
     sent: dict[int, list[int]] = defaultdict(list)
-    for one in back.seen.datagram_counts:
+    for one in back.run_records.datagram_counts:
         sent[one.second].append(one.count)
     cut, power = int(_first_cut(back.spec) / 1000), int(back.power / 1000)
     usual = [sum(sent[s]) / back.spec.fleet.nodes for s in range(int(np.ceil(back.spec.warmup)), cut)]
@@ -180,7 +182,7 @@
 def _all_full_s(back: RecoveryTimes) -> float:
     """Return the seconds from power until the last node reports recovery complete; -1: one never does."""
     last: dict[int, float] = {}
-    for one in back.seen.recovery_phases:
+    for one in back.run_records.recovery_phases:
         if one.phase == FULL and one.at >= back.cut:
             last.setdefault(one.node, one.at)
     if not back.first or any(process_record.node not in last for process_record in back.first):
@@ -188,22 +190,22 @@
     return (max(last.values()) - back.power) / 1000
 
 
-def count_forgotten_bans(spec: Experiment, seen: records.RunRecords) -> int:
+def count_forgotten_bans(spec: Experiment, run_records: records.RunRecords) -> int:
     """Count attempts, since nodes first died, at a backend whose ban a surviving disk or a live peer knew.
 
     A ban is known at the node that acknowledged it `REQUEST_SLACK_MS` later, and to the others within
     `BAN_PROPAGATION_MS`; where power was lost in between, from when a node with a sound disk is ready. It is
     not known across a cut link. A call at any node that puts the backend back ends it.
     """
-    bans = seen.maintenance
-    knowledge = _Knowledge(spec, seen)
-    first, count = min((x.killed for x in seen.processes if x.killed), default=float("inf")), 0
-    for attempt in seen.backend_attempts:
-        if attempt.first >= first:
-            at = attempt.first
+    bans = run_records.maintenance
+    knowledge = _Knowledge(spec, run_records)
+    first, count = min((x.killed_at for x in run_records.processes if x.killed_at), default=float("inf")), 0
+    for attempt in run_records.backend_attempts:
+        if attempt.first_byte_at >= first:
+            at = attempt.first_byte_at
             count += any(
-                b.backend == attempt.backend and b.begun < at
-                and not any(o.backend == b.backend and b.begun < o.ended <= at for o in bans)
+                b.backend == attempt.backend and b.banned_at < at
+                and not any(o.backend == b.backend and b.banned_at < o.lifted_at <= at for o in bans)
                 and knowledge.of(b, attempt.node, at)
                 for b in bans
             )  # fmt: skip
@@ -213,28 +215,30 @@
 class _Knowledge:
     """Which node could know of a ban, and when."""
 
-    def __init__(self, spec: Experiment, seen: records.RunRecords) -> None:
+    def __init__(self, spec: Experiment, run_records: records.RunRecords) -> None:
         self.spec = spec
         self.network = NetworkConditions(spec, stream(0, "bans"))
         self.cuts = sorted((f for f in spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
         self.links = [f for f in spec.faults if isinstance(f, LinkFault) and f.cut]
         self.process_records: dict[int, list[records.ProcessRecord]] = defaultdict(list)
-        for process_record in sorted(seen.processes, key=lambda x: x.started):
+        for process_record in sorted(run_records.processes, key=lambda x: x.started_at):
             self.process_records[process_record.node].append(process_record)
 
     def of(self, ban: records.MaintenanceRecord, node: int, at: float) -> bool:
         """Return whether `node` could know of it at `at`: by itself or from the node that acknowledged it."""
         knower = f"n{ban.node}"
         for fault in self.cuts:
-            if ban.begun < fault.at * 1000 <= at and disk_state_of(self.spec, fault, knower) != "sound":
+            if ban.banned_at < fault.at * 1000 <= at and disk_state_of(self.spec, fault, knower) != "sound":
                 return False
-        process_record = next((x for x in reversed(self.process_records[ban.node]) if x.started <= at), None)
-        if process_record is None or not process_record.ready or 0 < process_record.ended <= at:
+        process_record = next(
+            (x for x in reversed(self.process_records[ban.node]) if x.started_at <= at), None
+        )
+        if process_record is None or not process_record.ready_at or 0 < process_record.ended_at <= at:
             return False
-        since = ban.begun if process_record.started <= ban.begun else process_record.ready
+        since = ban.banned_at if process_record.started_at <= ban.banned_at else process_record.ready_at
         if node == ban.node:
             return at > since + REQUEST_SLACK_MS
-        wait = BAN_PROPAGATION_MS if process_record.started <= ban.begun else REQUEST_SLACK_MS
+        wait = BAN_PROPAGATION_MS if process_record.started_at <= ban.banned_at else REQUEST_SLACK_MS
         return at > since + wait and not self._apart(f"n{node}", knower, at)
 
     def _apart(self, one: str, other: str, at: float) -> bool:
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -44,7 +44,7 @@
 HTTP_SUCCESS = 2  # the hundreds of a status
 
 
-def limits(cpus: list[int], sockets: int | None) -> Callable[[], None]:
+def process_limits(cpus: list[int], sockets: int | None) -> Callable[[], None]:
     """Return the function that a child runs before it executes its program: it sets the limits."""
     libc = ctypes.CDLL(None)
     parent = os.getpid()
@@ -64,7 +64,7 @@
     return apply
 
 
-def grace(spec: Experiment) -> float:
+def termination_grace_s(spec: Experiment) -> float:
     """Return the seconds from SIGTERM to SIGKILL, as the platform states it."""
     longest_s = max(c.deadline_ms for c in spec.load.classes) / 1000
     return min(longest_s, MAX_COUNTED_DEADLINE_S) + TERMINATION_MARGIN_S
@@ -72,7 +72,7 @@
 
 def node_configuration(
     spec: Experiment,
-    places: AddressPlan,
+    addresses: AddressPlan,
     node: int,
     seed: int,
     attempts: int,
@@ -81,16 +81,16 @@
 ) -> dict[str, Any]:
     """Return the content of a node's file; discovery has moved `moves` times, `peers` nodes are listed."""
     members = [
-        {"id": name, "host_port": format_address(places.backend(node, number)),
+        {"id": name, "host_port": format_address(addresses.backend(node, number)),
          "locality": spec.zone_of(name), "flavor": "std", "cell": spec.cell_of(number),
          "phase": "in_service", "size": 1.0, "up_since_ms": 0}
         for number, name in enumerate(spec.backend_names)
     ]  # fmt: skip
     out = {
         "name": f"n{node}",
-        "listen": format_address(places.node(node)),
-        "discovery": format_address(places.discovery(node, moves)),
-        "console": format_address(places.console(node, 0)),
+        "listen": format_address(addresses.node(node)),
+        "discovery": format_address(addresses.discovery(node, moves)),
+        "console": format_address(addresses.console(node, 0)),
         "seed": f"{seed:016x}",
         "limits": {
             "cores": spec.fleet.cores,
@@ -101,13 +101,15 @@
         "settings": platform_settings(spec, node, attempts),
     }
     if spec.network.peer_datagrams:
-        out["peer_listen"] = format_address(places.peer(node))
-        out["peers"] = [format_address(places.relay(node, far)) for far in range(peers or spec.fleet.nodes)]
-        out["peers_all"] = format_address(places.relay(node, node))
+        out["peer_listen"] = format_address(addresses.peer(node))
+        out["peers"] = [
+            format_address(addresses.relay(node, far)) for far in range(peers or spec.fleet.nodes)
+        ]
+        out["peers_all"] = format_address(addresses.relay(node, node))
     return out
 
 
-async def call(
+async def call_console(
     address: tuple[str, int], method: str, path: str, wait: float = CONSOLE_TIMEOUT_S
 ) -> tuple[int, bytes]:
     """Call a console; return status and body, status 0 where no answer came in time."""
@@ -131,25 +133,25 @@
     cpu_s: float
     rss_mb: float
     descriptors: int
-    waited_s: float  # for a core, in waits that are over
+    cpu_wait_s: float  # for a core, in waits that are over
     runnable: bool
-    turns: tuple[int, int]  # ns that it ran, and how often it was put on a core
+    scheduling_counters: tuple[int, int]  # ns that it ran, and how often it was put on a core
 
 
 @dataclass
 class CpuWait:
     """A wait for a core in progress: the system counts a wait only once it is over."""
 
-    turns: tuple[int, int] | None = None  # as at the look that saw the wait first
-    since: float = 0.0  # s
+    scheduling_counters: tuple[int, int] | None = None  # as at the look that saw the wait first
+    since_s: float = 0.0  # s
 
     def so_far(self, at: float, found: Usage) -> float:
         """Return the seconds of the wait by samples at `at` (s) of a runnable process that did not run."""
         if not found.runnable:
-            self.turns = None
-        elif found.turns != self.turns:
-            self.turns, self.since = found.turns, at
-        return at - self.since if self.turns is not None else 0.0
+            self.scheduling_counters = None
+        elif found.scheduling_counters != self.scheduling_counters:
+            self.scheduling_counters, self.since_s = found.scheduling_counters, at
+        return at - self.since_s if self.scheduling_counters is not None else 0.0
 
 
 @dataclass
@@ -157,14 +159,14 @@
     """One process of a node."""
 
     process: asyncio.subprocess.Process
-    process_record: records.ProcessRecord
+    record: records.ProcessRecord
     stalled: bool = False
-    waiting: CpuWait = field(default_factory=CpuWait)
+    cpu_wait: CpuWait = field(default_factory=CpuWait)
 
     @property
     def alive(self) -> bool:
         """Whether it has not ended."""
-        return self.process_record.ended == 0 and self.process.returncode is None
+        return self.record.ended_at == 0 and self.process.returncode is None
 
     def signal(self, number: int) -> None:
         """Send a signal, if it still runs."""
@@ -219,7 +221,7 @@
         seed = (self.fleet.seed << 16 | self.number << 8 | self.starts) % 2**64
         fleet = self.fleet
         table = node_configuration(
-            fleet.spec, fleet.places, self.number, seed, self.attempts, self.moves, self.peers
+            fleet.spec, fleet.addresses, self.number, seed, self.attempts, self.moves, self.peers
         )
         self.config.write_text(json.dumps(table), "utf-8")
 
@@ -242,9 +244,9 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
-            preexec_fn=limits([fleet.cpus[self.number % len(fleet.cpus)]], fleet.spec.fleet.sockets),
+            preexec_fn=process_limits([fleet.cpus[self.number % len(fleet.cpus)]], fleet.spec.fleet.sockets),
         )
-        process_record = records.ProcessRecord(self.number, process, fleet.now(), clock=self.clock)
+        process_record = records.ProcessRecord(self.number, process, fleet.now(), clock_offset_s=self.clock)
         fleet.process_records.append(process_record)
         out = Running(child, process_record)
         self.running.append(out)
@@ -262,9 +264,9 @@
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "PYTHON"))}
         env |= {
             "PROXY_NAME": self.name, "PROXY_CONFIG": str(self.config), "TMPDIR": str(self.tmp),
-            "PROXY_LISTEN": format_address(fleet.places.node(self.number)), "PYTHONUNBUFFERED": "1",
-            "PROXY_DISCOVERY": format_address(fleet.places.discovery(self.number, self.moves)),
-            "PROXY_CONSOLE": format_address(fleet.places.console(self.number, process)),
+            "PROXY_LISTEN": format_address(fleet.addresses.node(self.number)), "PYTHONUNBUFFERED": "1",
+            "PROXY_DISCOVERY": format_address(fleet.addresses.discovery(self.number, self.moves)),
+            "PROXY_CONSOLE": format_address(fleet.addresses.console(self.number, process)),
         }  # fmt: skip
         tables = ["[membership]\n"] if fleet.spec.fleet.membership else []
         if fleet.spec.fleet.durable:
@@ -284,19 +286,19 @@
 
     async def _watch(self, running: Running) -> None:
         code = await running.process.wait()
-        process_record = running.process_record
-        process_record.ended, process_record.code = self.fleet.now(), code
-        if not process_record.term and not process_record.killed and not self.fleet.ending:
+        process_record = running.record
+        process_record.ended_at, process_record.exit_code = self.fleet.now(), code
+        if not process_record.terminated_at and not process_record.killed_at and not self.fleet.ending:
             process_record.failure = process_record.failure or "ended by itself"
         self.fleet.log.write_event(
             self.name, "ended", process=process_record.process, code=code, failure=process_record.failure
         )
 
     async def _ready(self, running: Running, process: int) -> None:
-        address = self.fleet.places.console(self.number, process)
+        address = self.fleet.addresses.console(self.number, process)
         while running.alive:
-            if (await call(address, "GET", "/healthcheck"))[0] == HTTPStatus.OK:
-                running.process_record.ready = self.fleet.now()
+            if (await call_console(address, "GET", "/healthcheck"))[0] == HTTPStatus.OK:
+                running.record.ready_at = self.fleet.now()
                 self.fleet.log.write_event(self.name, "ready", process=process)
                 return
             await asyncio.sleep(READY_POLL_INTERVAL_S)
@@ -304,15 +306,15 @@
     def kill(self) -> None:
         """Send SIGKILL to all its processes."""
         for running in self.alive():
-            running.process_record.killed = self.fleet.now()
+            running.record.killed_at = self.fleet.now()
             running.signal(signal.SIGKILL)
 
     async def terminate(self, some: list[Running], follow_up: signal.Signals | None = None) -> None:
         """Send SIGTERM, and a signal right behind it; SIGKILL after the grace period. Return at their end."""
         for running in some:
-            running.process_record.term = self.fleet.now()
+            running.record.terminated_at = self.fleet.now()
             running.signal(signal.SIGTERM)
-        remaining_s = grace(self.fleet.spec)
+        remaining_s = termination_grace_s(self.fleet.spec)
         if follow_up is not None:
             await self._ended(some, SIGNAL_SPACING_S)
             remaining_s -= SIGNAL_SPACING_S
@@ -321,7 +323,7 @@
         await self._ended(some, remaining_s)
         for running in some:
             if running.alive:
-                running.process_record.killed = self.fleet.now()
+                running.record.killed_at = self.fleet.now()
                 running.signal(signal.SIGKILL)
         await self._ended(some, 5.0)
 
@@ -329,7 +331,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(asyncio.gather(*(r.process.wait() for r in some)), wait)
 
-    async def roll(self, fault: Terminate) -> None:
+    async def restart_as_planned(self, fault: Terminate) -> None:
         """Restart as planned."""
         if fault.signals == "reload-first":
             for running in filter(self._takes_reload, self.alive()):
@@ -349,12 +351,10 @@
         old = self.alive()
         new = await self.start(keep_tmp=True)
         until = time.monotonic() + UPGRADE_READY_TIMEOUT_S
-        while not new.process_record.ready and new.alive and time.monotonic() < until:
+        while not new.record.ready_at and new.alive and time.monotonic() < until:
             await asyncio.sleep(READY_POLL_INTERVAL_S)
-        if not new.process_record.ready:
-            new.process_record.failure = (
-                new.process_record.failure or f"not ready within {UPGRADE_READY_TIMEOUT_S:g} s"
-            )
+        if not new.record.ready_at:
+            new.record.failure = new.record.failure or f"not ready within {UPGRADE_READY_TIMEOUT_S:g} s"
         await self.terminate(old)
 
     def stall(self, on: bool) -> None:
@@ -380,8 +380,8 @@
 
     def _takes_reload(self, running: Running) -> bool:
         """Return whether the platform would send SIGHUP: not to a process that has just started."""
-        ready = running.process_record.ready != 0
-        return ready and self.fleet.now() - running.process_record.started >= RELOAD_AFTER_MS
+        ready = running.record.ready_at != 0
+        return ready and self.fleet.now() - running.record.started_at >= RELOAD_AFTER_MS
 
     def disk(self, mode: str, on: bool) -> None:
         """Let `$TMPDIR` and the durable directory accept no bytes or no new files; or end that."""
@@ -395,14 +395,14 @@
             with contextlib.suppress(ProcessLookupError):
                 resource.prlimit(running.process.pid, resource.RLIMIT_FSIZE, (0 if on else hard, hard))
 
-    async def operate(self, backend: int, out: bool) -> bool:
+    async def set_maintenance(self, backend: int, out: bool) -> bool:
         """Take a backend out at this node's console, or put it back."""
         alive = self.alive()
         if not alive:
             return False
-        address = self.fleet.places.console(self.number, alive[-1].process_record.process)
+        address = self.fleet.addresses.console(self.number, alive[-1].record.process)
         path = f"/backends/s{backend}/{'maint' if out else 'ready'}"
-        return (await call(address, "POST", path))[0] // 100 == HTTP_SUCCESS
+        return (await call_console(address, "POST", path))[0] // 100 == HTTP_SUCCESS
 
 
 @dataclass
@@ -412,7 +412,7 @@
     spec: Experiment
     seed: int
     program: Program
-    places: AddressPlan
+    addresses: AddressPlan
     out: Path
     cpus: list[int]
     log: LabLog
@@ -438,9 +438,9 @@
         """Set the run's zero, and shift the times recorded before by it."""
         shift = (zero - self.zero) * 1000
         for process_record in self.process_records:
-            process_record.started, process_record.ready, process_record.ended = (
+            process_record.started_at, process_record.ready_at, process_record.ended_at = (
                 t - shift if t else t
-                for t in (process_record.started, process_record.ready, process_record.ended)
+                for t in (process_record.started_at, process_record.ready_at, process_record.ended_at)
             )
         self.zero = zero
 
@@ -461,16 +461,16 @@
         """Sample every process; kill one over its memory limit, as the platform does."""
         for node in self.nodes:
             for running in node.alive():
-                found = usage(running.process.pid)
+                found = process_usage(running.process.pid)
                 if found is None:
                     continue
                 at = self.now()
-                waited = found.waited_s + running.waiting.so_far(at / 1000, found)
+                waited = found.cpu_wait_s + running.cpu_wait.so_far(at / 1000, found)
                 self.samples.append(records.ProcessSample(at, node.number, found.cpu_s, found.rss_mb,
-                                                   found.descriptors, running.process_record.process,
+                                                   found.descriptors, running.record.process,
                                                    waited))  # fmt: skip
                 if found.rss_mb > self.spec.fleet.memory_mb:
-                    running.process_record.failure = f"over its memory: {found.rss_mb:.0f} MB"
+                    running.record.failure = f"over its memory: {found.rss_mb:.0f} MB"
                     running.signal(signal.SIGKILL)
 
     async def end_all(self) -> None:
@@ -492,7 +492,7 @@
             node.kill()
 
 
-def usage(pid: int) -> Usage | None:
+def process_usage(pid: int) -> Usage | None:
     """Return the resources of a process; None once it has ended."""
     try:
         parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
--- a/balancer/lab/programs.py
+++ b/balancer/lab/programs.py
@@ -76,7 +76,7 @@
     return full[:REVISION_HASH_LENGTH], folder
 
 
-def obtain(what: str = WORKING_TREE) -> Program:
+def build_program(what: str = WORKING_TREE) -> Program:
     """Build `REVISION[+VARIANT]` if it is not built yet; raises ProgramError. A build takes up to minutes."""
     revision, _, variant = what.partition("+")
     try:
--- a/balancer/lab/records.py
+++ b/balancer/lab/records.py
@@ -13,24 +13,24 @@
     ident: str
     operation: str  # ident of the operation's first try
     zone: str
-    kind: int  # index into the classes
-    number: int
+    class_index: int  # index into the classes
+    attempt_number: int
     node: int
-    intended: float  # of the first try
+    intended_at: float  # of the first try
     scheduled_at: float  # when this try was to be sent
-    sent: float  # when its last byte was written; 0: never
+    sent_at: float  # when its last byte was written; 0: never
     deadline: float
-    ended: float
-    end: str  # a `balancer.models.client.End`
+    ended_at: float
+    outcome: str  # a `balancer.models.client.End`
     status: int = 0
     body: str = ""
-    answered: float = 0.0  # when the last byte of an answer came, also past the deadline
+    answered_at: float = 0.0  # when the last byte of an answer came, also past the deadline
     key: str = ""
     retry_after: float = 0.0  # ms, as the node advised
     new_connection: bool = False  # on a new connection
     response_started: bool = False  # a byte of an answer came
     resent_at: float = 0.0  # when a kept connection ended under it, and it was sent once more; 0: it did not
-    last: bool = False  # no try followed
+    is_last: bool = False  # no try followed
 
 
 class BackendAttemptRecord(msgspec.Struct, array_like=True):
@@ -42,11 +42,11 @@
     method: str
     path: str
     key: str
-    first: float  # its first byte came off the node's socket
+    first_byte_at: float  # its first byte came off the node's socket
     complete_at: float  # its last byte
     verdict: str  # a `balancer.models.backend.Verdict`; "lost" where the backend died with it
-    ended: float  # the answer was written, or the connection broken; 0: never
-    closed: float  # the node closed its connection or ended its sending; 0: it did not
+    ended_at: float  # the answer was written, or the connection broken; 0: never
+    closed_at: float  # the node closed its connection or ended its sending; 0: it did not
     was_executed: bool
     request_body: str = ""  # the body that came
     body: str = ""  # the body that went back
@@ -66,8 +66,8 @@
     """The collapse of a cold backend under overload."""
 
     backend: int
-    at: float
-    started: float
+    collapsed_at: float
+    started_at: float
     work_by_node: dict[int, float]
 
 
@@ -76,8 +76,8 @@
 
     node: int
     backend: int
-    begun: float
-    ended: float
+    banned_at: float
+    lifted_at: float
 
 
 class ProcessRecord(msgspec.Struct, array_like=True):
@@ -85,14 +85,14 @@
 
     node: int
     process: int
-    started: float
-    ready: float = 0.0
-    term: float = 0.0
-    killed: float = 0.0  # the lab's own SIGKILL
-    ended: float = 0.0
-    code: int | None = None
+    started_at: float
+    ready_at: float = 0.0
+    terminated_at: float = 0.0
+    killed_at: float = 0.0  # the lab's own SIGKILL
+    ended_at: float = 0.0
+    exit_code: int | None = None
     failure: str = ""
-    clock: float = 0.0  # s by which its wall clock is off
+    clock_offset_s: float = 0.0  # s by which its wall clock is off
 
 
 class MemberViewRecord(msgspec.Struct, array_like=True):
@@ -145,7 +145,7 @@
     rss_mb: float
     descriptors: int
     process: int = 0  # of the node, the first is 0
-    waited_s: float = 0.0  # since it started: it could have run, and had no core
+    cpu_wait_s: float = 0.0  # since it started: it could have run, and had no core
 
 
 class RunRecords(msgspec.Struct):
@@ -175,11 +175,11 @@
             getattr(self, name).extend(getattr(other, name))
 
 
-def write(seen: RunRecords, path: Path) -> None:
+def write(run_records: RunRecords, path: Path) -> None:
     """Write the records; raises OSError, with no file left, where they do not fit."""
     draft = path.with_suffix(".part")
     try:
-        draft.write_bytes(msgspec.msgpack.encode(seen))
+        draft.write_bytes(msgspec.msgpack.encode(run_records))
         draft.replace(path)
     except OSError:
         draft.unlink(missing_ok=True)
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -37,14 +37,14 @@
 """
 
 
-def png(figure: Figure) -> str:
+def inline_image(figure: Figure) -> str:
     """Return an `img` element with the picture itself."""
     buffer = io.BytesIO()
     figure.savefig(buffer, format="png", dpi=110, bbox_inches="tight")
     return f'<img alt="plots" src="data:image/png;base64,{base64.b64encode(buffer.getvalue()).decode()}">'
 
 
-def spans(spec: Experiment) -> list[tuple[float, float, str]]:
+def fault_spans(spec: Experiment) -> list[tuple[float, float, str]]:
     """Return each fault's begin and end in seconds, and its name."""
     out = []
     for fault in spec.faults:
@@ -61,27 +61,33 @@
 
 def _shade(axes: Iterable[Axes], spec: Experiment) -> None:
     for ax in axes:
-        for begin, end, _ in spans(spec):
+        for begin, end, _ in fault_spans(spec):
             ax.axvspan(begin, end, color=SHADE, alpha=0.22, lw=0)
 
 
 def _plot_processes(ax: Axes, spec: Experiment, processes: list[records.ProcessRecord]) -> None:
     for process in processes:
-        end = process.ended / 1000 if process.ended else spec.seconds
-        end, begin = min(end, spec.seconds), max(0.0, process.started / 1000)
-        ready = process.ready / 1000 if process.ready else end
+        end = process.ended_at / 1000 if process.ended_at else spec.seconds
+        end, begin = min(end, spec.seconds), max(0.0, process.started_at / 1000)
+        ready = process.ready_at / 1000 if process.ready_at else end
         overlaps = any(
             x.node == process.node and x.process < process.process
-            and (not x.ended or x.ended > process.started)
+            and (not x.ended_at or x.ended_at > process.started_at)
             for x in processes
         )  # fmt: skip
         lane = process.node + (0.25 if process.process and overlaps else 0.0)
         ax.plot([begin, max(begin, ready)], [lane, lane], color=QUIET, lw=2, solid_capstyle="butt")
         if max(0.0, ready) < end:
             ax.plot([max(0.0, ready), end], [lane, lane], color=GOOD, lw=3, solid_capstyle="butt")
-        if process.term and 0 <= process.term / 1000 < end:
-            ax.plot([process.term / 1000, end], [lane, lane], color="#d98e04", lw=3, solid_capstyle="butt")
-        if process.ended and end < spec.seconds:
+        if process.terminated_at and 0 <= process.terminated_at / 1000 < end:
+            ax.plot(
+                [process.terminated_at / 1000, end],
+                [lane, lane],
+                color="#d98e04",
+                lw=3,
+                solid_capstyle="butt",
+            )
+        if process.ended_at and end < spec.seconds:
             ax.plot([end], [lane], marker="x", color=BAD, ms=5)
     ax.set_ylim(-0.7, spec.fleet.nodes - 0.3)
     ax.invert_yaxis()
@@ -89,20 +95,20 @@
         ax.set_yticks(range(spec.fleet.nodes), spec.node_names)
 
 
-def _plot_members(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+def _plot_members(ax: Axes, spec: Experiment, run_records: records.RunRecords) -> None:
     """Plot how many members each node saw as present, by its log, against those that lived."""
-    for points in member_counts(spec, seen).values():
+    for points in member_counts(spec, run_records).values():
         ax.step([t for t, _ in points] + [spec.seconds], [n for _, n in points] + [points[-1][1]],
                 where="post", color=QUIET, lw=0.8, alpha=0.7)  # fmt: skip
-    changes = {at / 1000 for process in seen.processes for at in (process.ready, process.ended)
+    changes = {at / 1000 for process in run_records.processes for at in (process.ready_at, process.ended_at)
                if 0 < at < spec.seconds * 1000}  # fmt: skip
     edges = sorted({0.0, spec.seconds} | changes)
     alive = [
         len(
             {
                 x.node
-                for x in seen.processes
-                if x.ready and x.ready <= t * 1000 and not 0 < x.ended <= t * 1000
+                for x in run_records.processes
+                if x.ready_at and x.ready_at <= t * 1000 and not 0 < x.ended_at <= t * 1000
             }
         )
         for t in edges
@@ -112,15 +118,15 @@
     ax.legend(loc="lower right", fontsize=8, frameon=False)
 
 
-def _plot_phases(ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
+def _plot_phases(ax: Axes, spec: Experiment, run_records: records.RunRecords) -> None:
     """Plot the recovery phases of each node, by its log: a bar a phase, grey to green."""
     shades = {"verify": "#4b5563", "ask": "#b3261e", "listed": "#d98e04", "warming": "#e7c65a", "full": GOOD}
-    for process_record in seen.processes:
-        end = min(process_record.ended / 1000 if process_record.ended else spec.seconds, spec.seconds)
+    for process_record in run_records.processes:
+        end = min(process_record.ended_at / 1000 if process_record.ended_at else spec.seconds, spec.seconds)
         inside = [
             p
-            for p in seen.recovery_phases
-            if process_record.started <= p.at and not 0 < process_record.ended < p.at
+            for p in run_records.recovery_phases
+            if process_record.started_at <= p.at and not 0 < process_record.ended_at < p.at
         ]
         mine = sorted((p.at / 1000, p.phase) for p in inside if p.node == process_record.node)
         for (begin, phase), (until, _) in pairwise([*mine, (end, "")]):
@@ -135,9 +141,9 @@
     ax.legend(loc="lower right", fontsize=8, frameon=False, ncols=5)
 
 
-def plots(spec: Experiment, seen: records.RunRecords) -> Figure:
+def plots(spec: Experiment, run_records: records.RunRecords) -> Figure:
     """Plot goodput and load, latency, rejections, load by backend, and nodes; faults as bands."""
-    line = series(spec, seen, operations(spec, seen))
+    line = series(spec, run_records, operations(spec, run_records))
     t = np.array(line["t_s"]) + WINDOW_S / 2
     heights = [2.2, 2.2, 1.2, 2.2, max(1.2, min(3.5, 0.22 * spec.fleet.nodes))]
     if spec.fleet.membership:
@@ -153,13 +159,13 @@
     refused.fill_between(t, line["refused_per_s"], color=BAD, alpha=0.5, step="mid")
     refused.set_ylabel("refused / s")
     refused.set_ylim(bottom=0)
-    _plot_backend_loads(figure, backends, spec, seen)
-    _plot_processes(nodes, spec, seen.processes)
+    _plot_backend_loads(figure, backends, spec, run_records)
+    _plot_processes(nodes, spec, run_records.processes)
     nodes.set(ylabel="nodes", xlabel="seconds", xlim=(0, spec.seconds))
     if spec.fleet.membership:
-        _plot_members(axes[5], spec, seen)
+        _plot_members(axes[5], spec, run_records)
     if spec.fleet.recovery:
-        _plot_phases(axes[-1], spec, seen)
+        _plot_phases(axes[-1], spec, run_records)
     _shade(axes[5:], spec)
     for ax in (goodput, latency, refused, nodes, *axes[5:]):
         ax.grid(axis="y", color="#e3e7ec", lw=0.6)
@@ -176,7 +182,7 @@
     load.set_ylim(0, max(line["offered_per_s"], default=1) * 1.3 + 1)
     load.set_ylabel("first tries / s (dashed)", color=QUIET)
     top = ax.get_ylim()[1]
-    for index, (begin, _, name) in enumerate(spans(spec)[:MAX_NAMED_FAULTS]):
+    for index, (begin, _, name) in enumerate(fault_spans(spec)[:MAX_NAMED_FAULTS]):
         ax.annotate(name, (begin, top), xytext=(2, 4 + 10 * (index % 4)), textcoords="offset points",
                     fontsize=7.5, color="#7a5b00", annotation_clip=False)  # fmt: skip
 
@@ -192,8 +198,8 @@
     ax.legend(loc="upper right", fontsize=8, frameon=False)
 
 
-def _plot_backend_loads(figure: Figure, ax: Axes, spec: Experiment, seen: records.RunRecords) -> None:
-    loads = backend_loads(spec, seen)
+def _plot_backend_loads(figure: Figure, ax: Axes, spec: Experiment, run_records: records.RunRecords) -> None:
+    loads = backend_loads(spec, run_records)
     image = ax.imshow(
         loads, aspect="auto", origin="lower", cmap="viridis", interpolation="nearest",
         extent=(0, loads.shape[1] * WINDOW_S, -0.5, spec.backends.count - 0.5),
@@ -219,7 +225,7 @@
     return "".join(lines) + "</table>"
 
 
-def page(title: str, *parts: str) -> str:
+def html_page(title: str, *parts: str) -> str:
     """Return a self-contained page."""
     name = html.escape(title)
     return (
@@ -228,7 +234,7 @@
     )
 
 
-def run_page(spec: Experiment, seen: records.RunRecords, summary: Summary) -> str:
+def run_page(spec: Experiment, run_records: records.RunRecords, summary: Summary) -> str:
     """Return the report of one run."""
     expected = [
         (each.figure, each.min, each.max, each.measured, "held" if each.held else "short")
@@ -244,7 +250,7 @@
         parts.append('<p class="short">Void: the harness itself was late, its figures tell nothing.</p>')
     if expected:
         parts.append(table_html(expected, ("expected", "at least", "at most", "measured", "")))
-    parts.append(png(plots(spec, seen)))
+    parts.append(inline_image(plots(spec, run_records)))
     if summary.breaks:
         rows = [(each.rule, each.at_ms, f"n{each.node}", each.text) for each in summary.breaks]
         parts += ["<h2>Broken rules</h2>", table_html(rows, ("rule", "at, ms", "node", "what"))]
@@ -253,4 +259,4 @@
         table_html(summary.figures.items(), ("figure", "")),
         "</div>",
     ]
-    return page(f"{spec.name}: lab report", *parts)
+    return html_page(f"{spec.name}: lab report", *parts)
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -39,7 +39,7 @@
 from balancer.lab.addresses import AddressBlock, AddressPlan
 from balancer.lab.logs import LabLog
 from balancer.lab.outage import Outage
-from balancer.lab.processes import Fleet, NodeHost, limits
+from balancer.lab.processes import Fleet, NodeHost, process_limits
 from balancer.lab.programs import ROOT, Program
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role
@@ -88,10 +88,10 @@
 class Companion(Protocol):
     """Work beside the clients of a run."""
 
-    async def clients_came(self, run: Run) -> None:
-        """Work from the run's zero on; cancelled before `clients_ended`."""
+    async def clients_started(self, run: Run) -> None:
+        """Work from the run's zero on; cancelled before `clients_finished`."""
 
-    async def clients_ended(self, run: Run) -> None:
+    async def clients_finished(self, run: Run) -> None:
         """Look at the nodes, which still run."""
 
 
@@ -107,7 +107,7 @@
     succeeded: bool = False
 
     def may_lift(self, ban: MaintenanceCall) -> bool:
-        """Return whether this is a lift that may have seen a ban: it was not over when that was called."""
+        """Return whether this lift may follow a ban: it was not answered before the ban was called."""
         return not self.is_out and self.backend == ban.backend and self.answered_at >= ban.called_at
 
 
@@ -131,22 +131,22 @@
 
 
 class Run:
-    """One run of an experiment; `seen` holds the records afterwards. Use `play`."""
+    """One run of an experiment; `run_records` holds the records afterwards. Use `run_experiment`."""
 
     def __init__(self, spec: Experiment, seed: int, program: Program, out: Path, log: LabLog,
-                 places: AddressPlan, live: Live | None, companion: Companion | None) -> None:  # fmt: skip
+                 addresses: AddressPlan, live: Live | None, companion: Companion | None) -> None:  # fmt: skip
         """Divide the cores between nodes and harness; nothing is started."""
         self.spec, self.seed, self.program, self.out, self.log = spec, seed, program, out, log
-        self.places, self.live, self.companion = places, live, companion
+        self.addresses, self.live, self.companion = addresses, live, companion
         cpus = sorted(os.sched_getaffinity(0))
         half = (len(cpus) + 1) // 2
-        self.rig_cpus = cpus[half:] or cpus
-        self.fleet = Fleet(spec, seed, program, places, out, cpus[:half], log)
+        self.harness_cpus = cpus[half:] or cpus
+        self.fleet = Fleet(spec, seed, program, addresses, out, cpus[:half], log)
         self.harness: list[HarnessProcess] = []
         self.bans: list[records.MaintenanceRecord] = []
         self.calls: list[MaintenanceCall] = []
         self.outages = [Outage(self.fleet, fault) for fault in spec.faults if isinstance(fault, PowerLoss)]
-        self.seen = records.RunRecords()
+        self.run_records = records.RunRecords()
         self.recent: list[float] = []  # ms: times of the answers since the last look at the live figures
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
@@ -154,11 +154,11 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", "balancer.lab.worker", cwd=ROOT, start_new_session=True,
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=MAX_LINE_BYTES,
-            preexec_fn=limits(self.rig_cpus, None),
+            preexec_fn=process_limits(self.harness_cpus, None),
         )  # fmt: skip
         harness_process = HarnessProcess(role, process, self.out / f"{role}-{part}.part.msgpack")
         self.harness.append(harness_process)
-        plan = Plan(self.spec, self.seed, self.places.block, role, part, of, str(harness_process.path))
+        plan = Plan(self.spec, self.seed, self.addresses.block, role, part, of, str(harness_process.path))
         harness_process.write_line(msgspec.json.encode(plan))
         self.log.write_event(f"{role}-{part}", "started", pid=process.pid)
         self.fleet.task(self._listen(harness_process))
@@ -221,7 +221,7 @@
         for outage in self.outages:
             loop.call_later(zero + outage.fault.at / 2 - time.monotonic(), outage.copy)
         watch = self.fleet.task(self._watch())
-        beside = self.fleet.task(self.companion.clients_came(self)) if self.companion is not None else None
+        beside = self.fleet.task(self.companion.clients_started(self)) if self.companion is not None else None
         clients = [r for r in self.harness if r.role == "clients"]
         longest = max(c.deadline_ms for c in self.spec.load.classes) / 1000
         await self._or_failed(
@@ -233,7 +233,7 @@
         watch.cancel()
         if self.companion is not None and beside is not None:
             beside.cancel()
-            await self.companion.clients_ended(self)
+            await self.companion.clients_finished(self)
         await self.fleet.end_all()
         for harness_process in self.harness:
             harness_process.write_line(b"end")
@@ -246,7 +246,7 @@
         while time.monotonic() < until:
             if self.failed.done():
                 self.failed.result()
-            waiting = [n for n in self.fleet.nodes if not any(r.process_record.ready for r in n.running)]
+            waiting = [n for n in self.fleet.nodes if not any(r.record.ready_at for r in n.running)]
             if not any(n.alive() for n in waiting):
                 break
             await asyncio.sleep(READY_POLL_INTERVAL_S)
@@ -269,7 +269,7 @@
             consoles = select_parties(self.spec, fault.nodes) if begin else self.spec.node_names
             for name in moment.names:
                 for console in consoles:
-                    self.fleet.task(self._operate(int(console[1:]), int(name[1:]), begin))
+                    self.fleet.task(self._set_maintenance(int(console[1:]), int(name[1:]), begin))
         if isinstance(fault, PowerLoss):
             self._power(fault, moment)
             return
@@ -284,7 +284,7 @@
             case Kill():
                 self.fleet.task(node.start(fault.keep_tmp))
             case Terminate():
-                self.fleet.task(node.roll(fault))
+                self.fleet.task(node.restart_as_planned(fault))
             case Stall():
                 node.stall(begin)
             case Upgrade():
@@ -305,12 +305,12 @@
             if name[0] == "n":
                 self.fleet.task(mine.restart(self.fleet.nodes[int(name[1:])]))
 
-    async def _operate(self, node: int, backend: int, out: bool) -> None:
+    async def _set_maintenance(self, node: int, backend: int, out: bool) -> None:
         call = MaintenanceCall(node, backend, out, self.fleet.now())
         self.calls.append(call)
         if not out:
             self._end_bans(call)
-        good = await self.fleet.nodes[node].operate(backend, out)
+        good = await self.fleet.nodes[node].set_maintenance(backend, out)
         call.answered_at, call.succeeded = self.fleet.now(), good
         if out and good:
             begun = min(call.answered_at, call.called_at + MAX_BAN_CALL_MS)
@@ -327,26 +327,26 @@
 
     def _end_bans(self, lift: MaintenanceCall) -> None:
         for ban in self.bans:
-            if not ban.ended and ban.backend == lift.backend and self._counts_at(lift, ban.node):
-                ban.ended = lift.called_at
+            if not ban.lifted_at and ban.backend == lift.backend and self._counts_at(lift, ban.node):
+                ban.lifted_at = lift.called_at
 
     def _collect(self) -> None:
         if self.fleet.errors:
             raise LabError(self.fleet.errors[0])
         for harness_process in self.harness:
-            self.seen.add(records.read(harness_process.path))
+            self.run_records.add(records.read(harness_process.path))
             harness_process.path.unlink()
-        self.seen.processes.extend(self.fleet.process_records)
-        self.seen.samples.extend(self.fleet.samples)
-        self.seen.maintenance.extend(self.bans)
+        self.run_records.processes.extend(self.fleet.process_records)
+        self.run_records.samples.extend(self.fleet.samples)
+        self.run_records.maintenance.extend(self.bans)
         # One machine, one clock: the run's zero in Unix time. A node whose clock was stepped logs by its own.
         wall = time.time() - (time.monotonic() - self.fleet.zero)
-        clocks = {(x.node, x.process): x.clock for x in self.fleet.process_records}
+        clocks = {(x.node, x.process): x.clock_offset_s for x in self.fleet.process_records}
         if self.spec.fleet.membership:
-            self.seen.member_views.extend(member_views(self.out / "logs", wall, clocks))
+            self.run_records.member_views.extend(member_views(self.out / "logs", wall, clocks))
         if self.spec.fleet.recovery:
-            self.seen.recovery_phases.extend(recovery_phases(self.out / "logs", wall, clocks))
-        records.write(self.seen, self.out / "records.msgpack")
+            self.run_records.recovery_phases.extend(recovery_phases(self.out / "logs", wall, clocks))
+        records.write(self.run_records, self.out / "records.msgpack")
         shutil.rmtree(self.out / "nodes", ignore_errors=True)
 
     async def abandon(self) -> None:
@@ -416,7 +416,7 @@
         )
 
 
-async def play(
+async def run_experiment(
     spec: Experiment,
     seed: int,
     program: Program,
@@ -436,7 +436,7 @@
         log = LabLog(out / "lab.jsonl", f"{spec.name}-{seed}", human)
     except OSError as err:
         raise ResultsError(str(err)) from None
-    run = Run(spec, seed, program, out, log, block.places, live, companion)
+    run = Run(spec, seed, program, out, log, block.addresses, live, companion)
     task, loop = asyncio.current_task(), asyncio.get_running_loop()
     assert task is not None
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -450,4 +450,4 @@
         block.close()
         with contextlib.suppress(OSError):
             log.close()
-    return run.seen
+    return run.run_records
--- a/balancer/lab/scale/concurrent_callers.py
+++ b/balancer/lab/scale/concurrent_callers.py
@@ -17,7 +17,7 @@
 import msgspec
 import uvloop
 
-from balancer.lab.processes import limits
+from balancer.lab.processes import process_limits
 from balancer.lab.programs import ROOT
 
 HOST = "127.0.0.1"
@@ -203,7 +203,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-B", "-m", "balancer.lab.scale.concurrent_callers", cwd=ROOT, limit=MAX_LINE_BYTES,
         stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        preexec_fn=limits(sorted(os.sched_getaffinity(0)), None),
+        preexec_fn=process_limits(sorted(os.sched_getaffinity(0)), None),
     )  # fmt: skip
 
     async def end() -> None:
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -24,7 +24,7 @@
 
 from balancer import interface as api
 from balancer.lab.figures import percentiles
-from balancer.lab.processes import call, limits
+from balancer.lab.processes import call_console, process_limits
 from balancer.lab.programs import ROOT
 from balancer.lab.scale import concurrent_callers, decision_module, generated_inputs, size
 from balancer.lab.scale.points import NotPlayed, Play, Point
@@ -303,7 +303,7 @@
         sys.executable, "-B", "-m", "balancer", cwd=ROOT,
         env=env | {"PROXY_CONFIG": str(path), "TMPDIR": str(folder)},
         stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limits(sorted(os.sched_getaffinity(0)), 1024),
+        preexec_fn=process_limits(sorted(os.sched_getaffinity(0)), 1024),
     )  # fmt: skip
 
 
@@ -338,7 +338,7 @@
 async def wait_until_listed(ports: Ports, backends: int) -> None:
     """Wait until a node's console counts `backends` members: the complete list is in force."""
     while True:
-        status, body = await call((HOST, ports.console), "GET", "/stats")
+        status, body = await call_console((HOST, ports.console), "GET", "/stats")
         if status == HTTPStatus.OK and json.loads(body)["members"] == backends:
             return
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/balancer/lab/scale/runner.py
+++ b/balancer/lab/scale/runner.py
@@ -18,7 +18,7 @@
 from matplotlib.ticker import EngFormatter, LogLocator, NullFormatter
 
 from balancer.lab.programs import ROOT
-from balancer.lab.report import BAD, GOOD, INK, page, png, table_html
+from balancer.lab.report import BAD, GOOD, INK, html_page, inline_image, table_html
 from balancer.lab.scale import (
     decision_module,
     dense_hosting,
@@ -223,12 +223,12 @@
     ]  # fmt: skip
     head = ("role", "figure", "unit", "from", "to", "fit", "residual", "target", "there", "beyond", "")
     kind = "quick" if result.quick else "whole"
-    return page(
+    return html_page(
         "scale: lab report",
         f"<p>{kind} run, seed {result.seed}, program {html.escape(result.program)}, Python {result.python}, "
         f"{html.escape(result.machine)}, load {result.load:g} before it, {result.seconds:g} s</p>",
         table_html(rows, head),
-        *(png(plots(group)) for group in by_role(result.slopes).values()),
+        *(inline_image(plots(group)) for group in by_role(result.slopes).values()),
         "<h2>Not played</h2>",
         table_html([(n.what, n.why) for n in result.not_played], ("what", "why")),
         "<h2>What is hollow</h2>",
--- a/balancer/lab/soak/crowd.py
+++ b/balancer/lab/soak/crowd.py
@@ -56,5 +56,5 @@
         for _ in range(min(OPENED_PER_TURN, self.size - len(open_ones))):
             with contextlib.suppress(OSError, TimeoutError):
                 async with asyncio.timeout(TURN_S):
-                    _, connection = await loop.create_connection(IdleConnection, *run.places.node(node))
+                    _, connection = await loop.create_connection(IdleConnection, *run.addresses.node(node))
                     open_ones.append(connection)
--- a/balancer/lab/soak/runner.py
+++ b/balancer/lab/soak/runner.py
@@ -15,7 +15,7 @@
 from balancer.lab.figures import MAX_CPU_WAIT_S
 from balancer.lab.judge import MAX_UNANSWERED_SHARE, SOCKET_SLACK_MS, Judge
 from balancer.lab.programs import Program
-from balancer.lab.run import Run, play
+from balancer.lab.run import Run, run_experiment
 from balancer.lab.soak.crowd import IdleCrowd
 from balancer.lab.soak.draws import Soak, draw
 from balancer.lab.soak.tier_checks import (
@@ -80,13 +80,13 @@
     stats: list[NodeStats] = field(default_factory=list)
     run: Run | None = None
 
-    async def clients_came(self, run: Run) -> None:
+    async def clients_started(self, run: Run) -> None:
         """Send the crowd."""
         self.run = run
         if self.soak.crowd:
             await IdleCrowd(self.soak.crowd).come(run)
 
-    async def clients_ended(self, run: Run) -> None:
+    async def clients_finished(self, run: Run) -> None:
         """Ask all consoles."""
         if self.soak.spec.fleet.recovery:
             self.stats = await read_stats(run)
@@ -101,7 +101,7 @@
     soak = draw(seed)
     folder = out / f"seed-{seed}"
     companion = SoakCompanion(soak)
-    seen = uvloop.run(play(soak.spec, seed, program, folder, companion=companion))
+    seen = uvloop.run(run_experiment(soak.spec, seed, program, folder, companion=companion))
     (folder / "experiment.json").write_bytes(msgspec.json.encode(soak.spec))
     # A crowd that fills the descriptors may see new connections shut unread (the page of the standing test).
     judge = Judge(soak.spec, seen, ANY_SHARE if soak.crowd else MAX_UNANSWERED_SHARE)
@@ -112,7 +112,8 @@
     figures = summary.figures
     is_void = figures["rig_late_p99_ms"] > SOCKET_SLACK_MS or figures["node_waited_s_max"] > MAX_CPU_WAIT_S
     findings = [
-        Finding(each.rule, f"{each.at:.0f} ms, n{each.node}: {each.text}") for each in judgement.first
+        Finding(each.rule, f"{each.at:.0f} ms, n{each.node}: {each.text}")
+        for each in judgement.first_violations
     ]
     findings += check_logs(folder / "logs")
     if soak.spec.fleet.recovery and companion.run is not None:
--- a/balancer/lab/soak/tier_checks.py
+++ b/balancer/lab/soak/tier_checks.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from balancer.lab import records
-from balancer.lab.processes import call
+from balancer.lab.processes import call_console
 from balancer.lab.run import MaintenanceCall, Run
 
 AGREEMENT_MS = 10_000.0  # after the last fault
@@ -39,8 +39,8 @@
 async def read_stats(run: Run) -> list[NodeStats]:
     """Return the `fleet` object of every node that answers."""
     nodes = [node for node in run.fleet.nodes if node.alive()]
-    consoles = [run.places.console(n.number, n.alive()[-1].process_record.process) for n in nodes]
-    answers = await asyncio.gather(*(call(console, "GET", "/stats") for console in consoles))
+    consoles = [run.addresses.console(n.number, n.alive()[-1].record.process) for n in nodes]
+    answers = await asyncio.gather(*(call_console(console, "GET", "/stats") for console in consoles))
     return [
         NodeStats(node.number, json.loads(body).get("fleet", {}))
         for node, (status, body) in zip(nodes, answers, strict=True)
@@ -92,7 +92,7 @@
         if any(each.may_lift(ban) for each in all_calls):
             continue
         bound = max(ban.answered_at, last_fault_ms) + AGREEMENT_MS
-        broken = [each for each in sent if each.backend == ban.backend and each.first > bound]
+        broken = [each for each in sent if each.backend == ban.backend and each.first_byte_at > bound]
         if broken:
             nodes = sorted({each.node for each in broken})
             idents = [each.ident for each in broken[:MAX_NAMED_ATTEMPTS]]
--- a/balancer/lab/summary.py
+++ b/balancer/lab/summary.py
@@ -57,10 +57,10 @@
 
 
 def summarize(
-    spec: Experiment, seed: int, program: str, seen: records.RunRecords, judged: Judgement
+    spec: Experiment, seed: int, program: str, run_records: records.RunRecords, judged: Judgement
 ) -> Summary:
     """Return the summary of a run by its records."""
-    values = figures(spec, seed, seen, judged)
+    values = figures(spec, seed, run_records, judged)
     late = values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_MS
     starved = values["node_waited_s_max"] > MAX_CPU_WAIT_S
     return Summary(
@@ -77,5 +77,7 @@
             )
             for each in spec.expect
         ],
-        breaks=[Violation(each.rule, round(each.at, 1), each.node, each.text) for each in judged.first],
+        breaks=[
+            Violation(each.rule, round(each.at, 1), each.node, each.text) for each in judged.first_violations
+        ],
     )
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -76,16 +76,16 @@
 
     def __init__(self, plan: Plan, read: Callable[[], float] = time.monotonic) -> None:
         """Prepare the parties of a plan; `read` gives the time of the event loop in s."""
-        self.plan, self.spec, self.seen = plan, plan.experiment, records.RunRecords()
+        self.plan, self.spec, self.run_records = plan, plan.experiment, records.RunRecords()
         self.clock = RunClock(read)
-        places = AddressPlan(plan.block, self.spec.backends.count)
+        addresses = AddressPlan(plan.block, self.spec.backends.count)
         self.network = NetworkConditions(
             self.spec, stream(plan.seed, "weather", STREAM_NAMES[plan.role], plan.part)
         )
-        world = (places, self.network, self.clock, self.seen)
+        world = (addresses, self.network, self.clock, self.run_records)
         self.group: BackendGroup | None = None
         self.client_groups: list[ClientGroup] = []
-        self.directory: DiscoveryStub | None = None
+        self.discovery: DiscoveryStub | None = None
         self.relay: DatagramRelay | None = None
         if plan.role == "backends":
             everyone = range(self.spec.backends.count)
@@ -96,13 +96,13 @@
             for zone in self.spec.fleet.zones:
                 self.client_groups.append(ClientGroup(self.spec, plan.seed, zone, plan.part, plan.of, *world))
         else:
-            self.directory = DiscoveryStub(self.spec, *world)
+            self.discovery = DiscoveryStub(self.spec, *world)
             if self.spec.network.peer_datagrams:
-                self.relay = DatagramRelay(self.spec, places, self.network)
+                self.relay = DatagramRelay(self.spec, addresses, self.network)
 
     async def open(self) -> None:
         """Listen, and start the health checks of the nodes. Raises OSError."""
-        for part in (self.group, self.directory):
+        for part in (self.group, self.discovery):
             if part is not None:
                 part.open()
         if self.relay is not None:
@@ -124,13 +124,13 @@
             loop.call_later(max(0.0, wait), self._record_capacity, self.group, 0)
 
     def _record_capacity(self, group: BackendGroup, slot: int) -> None:
-        self.seen.capacities.append(records.CapacityRecord(slot, group.capacity()))
+        self.run_records.capacities.append(records.CapacityRecord(slot, group.capacity()))
         wait = (slot + 1) * CAPACITY_INTERVAL_S - self.clock.now() / 1000
         asyncio.get_running_loop().call_later(max(0.0, wait), self._record_capacity, group, slot + 1)
 
     def _record_loop_lag(self, scheduled_at: float) -> None:
         loop = asyncio.get_running_loop()
-        self.seen.loop_lag.append((loop.time() - scheduled_at) * 1000)
+        self.run_records.loop_lag.append((loop.time() - scheduled_at) * 1000)
         loop.call_later(LOOP_LAG_INTERVAL_S, self._record_loop_lag, loop.time() + LOOP_LAG_INTERVAL_S)
 
     def _apply(self, moment: Moment) -> None:
@@ -139,60 +139,60 @@
             if on and fault.reset:
                 self._reset_links(fault)
             self.network.change(fault, on)
-        elif self.directory is not None:
-            self._apply_to_discovery(self.directory, moment)
+        elif self.discovery is not None:
+            self._apply_to_discovery(self.discovery, moment)
         elif self.group is not None:
             for name in moment.names:
-                if (host := self.group.hosts.get(name)) is not None:
-                    _apply_to_backend(host, moment)
+                if (stub := self.group.stubs.get(name)) is not None:
+                    _apply_to_backend(stub, moment)
 
     def _reset_links(self, fault: LinkFault) -> None:
         connections: list[ImpairedConnection] = [
-            w for h in (self.group.hosts.values() if self.group else ()) for w in h.connections
+            w for h in (self.group.stubs.values() if self.group else ()) for w in h.connections
         ]
         connections += [connection for group in self.client_groups for connection in group.connections]
         for connection in connections:
             if self.network.affects_link(fault, connection.me, connection.peer):
                 connection.reset()
 
-    def _apply_to_discovery(self, directory: DiscoveryStub, moment: Moment) -> None:
+    def _apply_to_discovery(self, discovery: DiscoveryStub, moment: Moment) -> None:
         fault, spec = moment.fault, self.spec.discovery
         if isinstance(fault, DiscoveryOutage):
-            directory.fail(moment.step is Step.BEGIN)
+            discovery.fail(moment.step is Step.BEGIN)
         elif isinstance(fault, DiscoveryDelay):
-            directory.late_ms = fault.delay_ms if moment.step is Step.BEGIN else 0.0
+            discovery.late_ms = fault.delay_ms if moment.step is Step.BEGIN else 0.0
         elif isinstance(fault, SilentWatches):
-            directory.silence(moment.names)
+            discovery.silence(moment.names)
         elif isinstance(fault, Reload):
             if fault.moves_discovery:
-                directory.move(moment.names)
+                discovery.move(moment.names)
         elif isinstance(fault, PowerLoss):
-            self._apply_power_loss(directory, moment)
+            self._apply_power_loss(discovery, moment)
         elif isinstance(fault, (Kill, Drain)):
             for name in moment.names:
                 if name[0] != "s":
                     continue
                 if moment.step is Step.RESTART:
-                    directory.plan(spec.addition_delay_s, name, Phase.IN_SERVICE, time.time() * 1000)
+                    discovery.plan(spec.addition_delay_s, name, Phase.IN_SERVICE, time.time() * 1000)
                 elif isinstance(fault, Drain) and moment.step is Step.BEGIN:
-                    directory.plan(spec.addition_delay_s, name, Phase.DRAINING)
+                    discovery.plan(spec.addition_delay_s, name, Phase.DRAINING)
                 else:
-                    directory.plan(spec.removal_delay_s, name, Phase.REMOVED)
+                    discovery.plan(spec.removal_delay_s, name, Phase.REMOVED)
 
-    def _apply_power_loss(self, directory: DiscoveryStub, moment: Moment) -> None:
+    def _apply_power_loss(self, discovery: DiscoveryStub, moment: Moment) -> None:
         """Keep a backend listed that is back before it is missed; list its new start once that is known."""
         spec, on = self.spec.discovery, moment.step is Step.BEGIN
         if "d" in moment.names:
-            directory.fail(on)
+            discovery.fail(on)
         return_times = {m.names[0]: m.at for m in timeline(self.spec, self.plan.seed)
                 if m.fault is moment.fault and m.step is Step.RESTART}  # fmt: skip
         for name in moment.names:
             if name[0] != "s":
                 continue
             if not on:
-                directory.plan(spec.addition_delay_s, name, Phase.IN_SERVICE, time.time() * 1000)
+                discovery.plan(spec.addition_delay_s, name, Phase.IN_SERVICE, time.time() * 1000)
             elif return_times.get(name, math.inf) + spec.addition_delay_s >= moment.at + spec.removal_delay_s:
-                directory.plan(spec.removal_delay_s, name, Phase.REMOVED)
+                discovery.plan(spec.removal_delay_s, name, Phase.REMOVED)
 
     def live(self) -> dict[str, Any]:
         """Return live figures for the screen."""
@@ -201,8 +201,8 @@
             out["backends"] = self.group.live()
         if self.client_groups:
             out["clients"] = {group.zone: group.live() for group in self.client_groups}
-        if self.directory is not None:
-            out["calls"] = dict(self.directory.counts)
+        if self.discovery is not None:
+            out["calls"] = dict(self.discovery.counts)
         if self.relay is not None:
             out["datagrams"] = dict(self.relay.counts)
         return out
@@ -214,22 +214,22 @@
             await asyncio.Event().wait()
 
 
-def _apply_to_backend(host: BackendStub, moment: Moment) -> None:
+def _apply_to_backend(stub: BackendStub, moment: Moment) -> None:
     """Apply a step of a fault to one backend."""
-    fault, on, now = moment.fault, moment.step is Step.BEGIN, host.group.clock.now()
-    active_faults = host.core.active_faults
+    fault, on, now = moment.fault, moment.step is Step.BEGIN, stub.group.clock.now()
+    active_faults = stub.model.active_faults
     match fault:
         case Kill() | Drain() | PowerLoss() if moment.step is Step.RESTART:
-            host.restart()
+            stub.restart()
         case Kill() | PowerLoss():
-            host.close()
+            stub.close()
         case Drain() if moment.step is Step.END:
-            host.close()
+            stub.close()
         case Stall() if on:
-            host.core.stall(now)
+            stub.model.stall(now)
         case Stall():
-            host.conclude(host.core.wake(now))
-            host.arm()
+            stub.conclude(stub.model.wake(now))
+            stub.arm()
         case GrayFailure():
             active_faults.gray, active_faults.gray_ms = (fault.share if on else 0.0), fault.answer_ms
         case Slowdown():
@@ -237,7 +237,7 @@
         case ConnectionResets():
             active_faults.resets = fault.share if on else 0.0
         case SlowConnects() if on:
-            host.schedule_connect_delays(fault)
+            stub.schedule_connect_delays(fault)
 
 
 def _write_message(**table: Any) -> None:
@@ -278,9 +278,9 @@
     if not last:
         return 1
     if worker.relay is not None:
-        worker.seen.datagram_counts.extend(worker.relay.sent(worker.clock.zero))
+        worker.run_records.datagram_counts.extend(worker.relay.sent(worker.clock.zero))
     try:
-        records.write(worker.seen, Path(worker.plan.records))
+        records.write(worker.run_records, Path(worker.plan.records))
     except OSError as err:
         _write_message(error=f"results cannot be written: {err}", results=True)
         return 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 from balancer.lab.addresses import AddressBlock, AddressPlan, format_address
 from balancer.lab.processes import node_configuration
 from balancer.lab.programs import ROOT, Program
-from balancer.lab.run import Run, play
+from balancer.lab.run import Run, run_experiment
 from balancer.membership.config import Config
 from balancer.membership.messages import Message, MessageKind, encode
 from balancer.membership.peer_socket import MAX_DATAGRAMS_PER_S, RECOVERY_KINDS, PeerSocket
@@ -76,7 +76,7 @@
 
     def __call__(self, run: Run) -> None:
         if run.fleet.now() > 8000 and self.thread is None:
-            console = format_address(run.fleet.places.console(0, 0))
+            console = format_address(run.fleet.addresses.console(0, 0))
             self.thread = threading.Thread(
                 target=lambda: self.memberships.append(command.read_membership(console))
             )
@@ -91,7 +91,9 @@
     for number in range(MAX_RUNS):
         reader = MembershipReader()
         run_records = uvloop.run(
-            play(load_experiment(folder / "spec.toml"), 1, NODE, folder / f"{number}", False, reader)
+            run_experiment(
+                load_experiment(folder / "spec.toml"), 1, NODE, folder / f"{number}", False, reader
+            )
         )
         if not is_void(run_records):
             break
@@ -108,7 +110,7 @@
 
 def is_void(run_records: records.RunRecords) -> bool:
     """Return whether a process had no CPU time between SIGTERM and SIGKILL to announce its end."""
-    return any(life.term and life.killed for life in run_records.processes)
+    return any(life.terminated_at and life.killed_at for life in run_records.processes)
 
 
 def states(run_records: records.RunRecords, node: int, member: int) -> list[str]:
@@ -140,7 +142,7 @@
     run_records: records.RunRecords, node: int
 ) -> None:
     # All nodes are terminated from the time at which node 0 is.
-    until = min(life.term for life in run_records.processes if life.node == 0)
+    until = min(life.terminated_at for life in run_records.processes if life.node == 0)
     found = [v.state for v in run_records.member_views if (v.node, v.member) == (node, 2) and v.at < until]
     assert "dead" not in found and "left" not in found
 
@@ -252,7 +254,7 @@
 def test_running_nodes_apply_a_changed_list_of_peers() -> None:
     async def body() -> None:
         block = AddressBlock(4, 1)
-        peers = [block.places.peer(node) for node in range(4)]
+        peers = [block.addresses.peer(node) for node in range(4)]
         nodes = [await start_member(n, peers[n], peers[:3], n) for n in range(3)]
         shells = [shell for _, shell in nodes]
         try:
@@ -276,7 +278,7 @@
 def test_the_peer_socket_routes_by_kind_and_reserves_half_of_the_budget_for_membership() -> None:
     async def body() -> None:
         block = AddressBlock(2, 1)
-        peers = [block.places.peer(node) for node in range(2)]
+        peers = [block.addresses.peer(node) for node in range(2)]
         here, there = PeerSocket(peers[0], peers, peers[1]), PeerSocket(peers[1], peers, peers[0])
         foreign = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         got: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -48,7 +48,7 @@
 
     async def prepare(self) -> None:
         """Start backends, discovery and relays, and write the files of the nodes."""
-        places = self.block.places
+        places = self.block.addresses
         loop = asyncio.get_running_loop()
         for backend in self.backends:
             await backend.start()
@@ -64,7 +64,7 @@
 
     def write_files(self, node: int) -> None:
         """Write the configuration files of a node."""
-        places = self.block.places
+        places = self.block.addresses
         directory = self.directory(node)
         directory.mkdir(exist_ok=True)
         table = node_config([b.list_entry() for b in self.backends], self.discovery[node].port,
@@ -90,7 +90,7 @@
             data = self.sockets[sender, receiver].recv(512)
             for target in [receiver] if receiver != sender else set(range(self.count)) - {sender}:
                 if frozenset({sender, target}) not in self.dropped_pairs:
-                    self.sockets[target, sender].sendto(data, self.block.places.peer(target))
+                    self.sockets[target, sender].sendto(data, self.block.addresses.peer(target))
 
     def partition(self, *nodes: int) -> None:
         """Partition these nodes from the others."""
@@ -285,7 +285,7 @@
             (tier.directory(0) / "state").write_text("no directory")
         else:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.bind(tier.block.places.peer(0))
+            sock.bind(tier.block.addresses.peer(0))
         async with tier.run_process(0) as rig:
             assert (await recovery(rig))["path"] == "alone" and await serving_backends(rig)
             await ban(rig)
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -19,7 +19,7 @@
 from balancer.lab.figures import figures
 from balancer.lab.judge import RULES, Judge
 from balancer.lab.programs import ROOT, Program
-from balancer.lab.run import play
+from balancer.lab.run import run_experiment
 from tests import virtual_run
 
 # A drain, a ban and a cold backend: room to break every rule.
@@ -109,7 +109,7 @@
     program = Program("made-up", ROOT, f"exec {shlex.join(stand_in)}")
     spec = structs.replace(spec, seconds=1.0, faults=())
     for number in range(VOID):
-        seen = asyncio.run(play(spec, 1, program, tmp_path / str(number)))
+        seen = asyncio.run(run_experiment(spec, 1, program, tmp_path / str(number)))
         if made_up := sum(one.status == 200 and one.body == MADE_UP for one in seen.client_attempts):
             break
     assert 0 < made_up == Judge(spec, seen).judge().broken["made-up"]
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -315,13 +315,13 @@
     def looks(*found: Usage) -> records.RunRecords:
         waiting, out = CpuWait(), records.RunRecords(processes=[records.ProcessRecord(0, 0, -5000.0)])
         for at, each in enumerate(found):
-            so_far = each.waited_s + waiting.so_far(float(at), each)
-            out.samples.append(records.ProcessSample(1000.0 * at, 0, each.cpu_s, 20.0, 9, waited_s=so_far))
+            so_far = each.cpu_wait_s + waiting.so_far(float(at), each)
+            out.samples.append(records.ProcessSample(1000.0 * at, 0, each.cpu_s, 20.0, 9, cpu_wait_s=so_far))
         return out
 
     runs, starved = Usage(0.3, 20.0, 9, 0.2, True, (300, 7)), Usage(0.3, 20.0, 9, 0.2, True, (310, 8))
     after, rests = Usage(0.3, 20.0, 9, 3.1, True, (320, 9)), Usage(0.3, 20.0, 9, 0.2, False, (310, 8))
-    assert [s.waited_s for s in looks(runs, starved, starved, starved, after).samples] == pytest.approx(
+    assert [s.cpu_wait_s for s in looks(runs, starved, starved, starved, after).samples] == pytest.approx(
         [0.2, 0.2, 1.2, 2.2, 3.1]
     )
     assert (
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -122,7 +122,7 @@
 
 
 def life(node: int, process: int, started: float, ready: float, ended: float = 0.0) -> records.ProcessRecord:
-    return records.ProcessRecord(node, process, started, ready, killed=ended, ended=ended)
+    return records.ProcessRecord(node, process, started, ready, killed_at=ended, ended_at=ended)
 
 
 def seen(bans: list[records.MaintenanceRecord], attempts: list[tuple[int, float]]) -> records.RunRecords:
@@ -219,14 +219,16 @@
         assert done.returncode in (0, 1, 2) and not done.stderr, done.stderr
         spec, found = load_experiment(tmp_path / "spec.toml"), records.read(out / "records.msgpack")
         lives = {(x.node, x.process): x for x in found.processes}
-        if not json.loads(done.stdout)["void"] or all(life.ready or life.killed for life in found.processes):
+        if not json.loads(done.stdout)["void"] or all(
+            life.ready_at or life.killed_at for life in found.processes
+        ):
             break
     assert sorted(lives) == [(n, p) for n in range(3) for p in range(2)]
-    assert all(lives[n, 0].killed and lives[n, 1].ready for n in range(3))
-    assert max(lives[n, 0].ended for n in range(3)) < min(lives[n, 1].started for n in range(3))
+    assert all(lives[n, 0].killed_at and lives[n, 1].ready_at for n in range(3))
+    assert max(lives[n, 0].ended_at for n in range(3)) < min(lives[n, 1].started_at for n in range(3))
     logs = {n: (out / "logs" / f"n{n}-1.log").read_text() for n in range(3)}
     said = {
-        ban.node for ban in found.maintenance if ban.begun < lives[ban.node, 0].killed
+        ban.node for ban in found.maintenance if ban.banned_at < lives[ban.node, 0].killed_at
     }  # a busy console may not
     kept = {n for n in range(3) if ": 1 backends in maintenance," in logs[n]}
     assert kept == said - {1}  # its disk is empty
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -26,7 +26,7 @@
 from balancer.lab.datagram_relay import DatagramRelay
 from balancer.lab.impaired_sockets import ImpairedConnection, ImpairedListener, RunClock
 from balancer.lab.programs import ROOT, Program
-from balancer.lab.run import LabError, play
+from balancer.lab.run import LabError, run_experiment
 from balancer.models.network import NetworkConditions
 from tests.sockets import WAIT_TIMEOUT_S, wait_until
 
@@ -118,7 +118,9 @@
         done = lab("run", spec, "--out", str(out), "--seed", "3", "--json")
         table = json.loads(done.stdout)
         seen = records.read(out / "records.msgpack")
-        is_complete = all(e["held"] for e in table["expectations"]) and all(x.ready for x in seen.processes)
+        is_complete = all(e["held"] for e in table["expectations"]) and all(
+            x.ready_at for x in seen.processes
+        )
         if not table["void"] or is_complete:
             break
     assert done.returncode == (2 if table["void"] else 0), done.stdout + done.stderr
@@ -127,9 +129,11 @@
     lives = {(life.node, life.process): life for life in seen.processes}
     assert sorted(lives) == [(0, 0), (0, 1), (1, 0), (1, 1), (2, 0), (2, 1)]
     assert (
-        lives[0, 0].code == -signal.SIGKILL and lives[2, 0].code == 0 and all(x.ready for x in lives.values())
+        lives[0, 0].exit_code == -signal.SIGKILL
+        and lives[2, 0].exit_code == 0
+        and all(x.ready_at for x in lives.values())
     )
-    assert lives[2, 1].started < lives[2, 0].term < lives[2, 0].ended  # side by side
+    assert lives[2, 1].started_at < lives[2, 0].terminated_at < lives[2, 0].ended_at  # side by side
     assert 'src="data:image/png;base64,' in (out / "report.html").read_text()
     lines = [json.loads(line) for line in (out / "lab.jsonl").read_text().splitlines()]
     assert all({"run", "party", "event", "t_ms", "wall"} <= line.keys() for line in lines)
@@ -237,7 +241,7 @@
 def test_a_node_that_dies_during_its_start_is_reported(tmp_path: Path) -> None:
     spec = load_experiment(Path(file(tmp_path, CALM)), ["seconds=2.0"])
     with pytest.raises(LabError, match="no node started"):
-        uvloop.run(play(spec, 1, Program("dead", ROOT, "exit 3"), tmp_path / "out"))
+        uvloop.run(run_experiment(spec, 1, Program("dead", ROOT, "exit 3"), tmp_path / "out"))
 
 
 NOT_OF_RUN = (
@@ -279,7 +283,7 @@
 def test_a_cut_link_is_silent_and_lets_no_connection_come_up(block: AddressBlock) -> None:
     async def whole() -> None:
         network = NetworkConditions(Experiment(name="x"), stream(1, "w"))
-        address = block.places.backend(0, 0)
+        address = block.addresses.backend(0, 0)
         listener = ImpairedListener(address, lambda: Echo(network, RunClock(), "s0", "n0"))
         listener.open()
         reader, writer = await asyncio.open_connection(*address)
@@ -312,9 +316,11 @@
     async def whole() -> None:
         spec = Experiment(name="x", network=Network(same_zone_ms=2.0, jitter=3.0))
         network = NetworkConditions(spec, stream(1, "w"))
-        listener = ImpairedListener(block.places.backend(0, 0), lambda: Echo(network, RunClock(), "s0", "n0"))
+        listener = ImpairedListener(
+            block.addresses.backend(0, 0), lambda: Echo(network, RunClock(), "s0", "n0")
+        )
         listener.open()
-        reader, writer = await asyncio.open_connection(*block.places.backend(0, 0))
+        reader, writer = await asyncio.open_connection(*block.addresses.backend(0, 0))
         sent = b""
         for i in range(200):
             piece = b"%d," % i
@@ -332,12 +338,12 @@
     async def whole() -> None:
         spec = Experiment(name="x", fleet=Fleet(nodes=3), network=Network(peer_datagrams=True, peer_ms=1.0))
         network = NetworkConditions(spec, stream(1, "w"))
-        relay = DatagramRelay(spec, block.places, network)
+        relay = DatagramRelay(spec, block.addresses, network)
         await relay.open()
         sockets = []
         for node in range(3):
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.bind(block.places.peer(node))
+            sock.bind(block.addresses.peer(node))
             sock.setblocking(False)
             sockets.append(sock)
         loop = asyncio.get_running_loop()
@@ -345,15 +351,15 @@
         async def receive(node: int) -> Any:
             return await asyncio.wait_for(loop.sock_recvfrom(sockets[node], 300), WAIT_TIMEOUT_S)
 
-        sockets[0].sendto(b"hello", block.places.relay(0, 2))
-        assert await receive(2) == (b"hello", block.places.relay(2, 0))
-        sockets[1].sendto(b"all", block.places.relay(1, 1))
-        assert await receive(0) == (b"all", block.places.relay(0, 1))
-        assert await receive(2) == (b"all", block.places.relay(2, 1))
+        sockets[0].sendto(b"hello", block.addresses.relay(0, 2))
+        assert await receive(2) == (b"hello", block.addresses.relay(2, 0))
+        sockets[1].sendto(b"all", block.addresses.relay(1, 1))
+        assert await receive(0) == (b"all", block.addresses.relay(0, 1))
+        assert await receive(2) == (b"all", block.addresses.relay(2, 1))
         network.change(cut("nodes:0", "nodes:2"), True)
-        sockets[0].sendto(b"lost", block.places.relay(0, 2))
-        sockets[0].sendto(b"x" * 257, block.places.relay(0, 1))
-        sockets[0].sendto(b"here", block.places.relay(0, 1))
+        sockets[0].sendto(b"lost", block.addresses.relay(0, 2))
+        sockets[0].sendto(b"x" * 257, block.addresses.relay(0, 1))
+        sockets[0].sendto(b"here", block.addresses.relay(0, 1))
         assert (await receive(1))[0] == b"here"
         assert relay.counts["lost"] == 1 and relay.counts["too_long"] == 1
         for transport in relay.transports.values():
@@ -366,6 +372,6 @@
 
 def test_two_blocks_at_once_are_never_the_same() -> None:
     blocks = [AddressBlock(4, 4) for _ in range(3)]
-    assert len({b.places.block for b in blocks}) == 3
+    assert len({b.addresses.block for b in blocks}) == 3
     for b in blocks:
         b.close()
--- a/tests/virtual_run.py
+++ b/tests/virtual_run.py
@@ -16,7 +16,7 @@
 from balancer.experiments.faults import Maintenance
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan
-from balancer.lab.processes import call, node_configuration
+from balancer.lab.processes import call_console, node_configuration
 from balancer.lab.run import LEAD_S, TAIL_S
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role, Worker
@@ -175,7 +175,7 @@
     def crash(self) -> None:
         """The node's process ends by itself."""
         self.end_node()
-        self.process_record.ended, self.process_record.code, self.process_record.failure = (
+        self.process_record.ended_at, self.process_record.exit_code, self.process_record.failure = (
             self.clock.now(),
             CRASHED,
             "ended by itself",
@@ -189,11 +189,11 @@
     async def operate(self, backend: str, out: bool) -> None:
         """An operator's call at the console, and what the judge is to know of it."""
         called = self.clock.now()
-        bans = [b for b in self.seen.maintenance if f"s{b.backend}" == backend and not b.ended]
+        bans = [b for b in self.seen.maintenance if f"s{b.backend}" == backend and not b.lifted_at]
         if not out and bans:
-            bans[0].ended = called
+            bans[0].lifted_at = called
         path = f"/backends/{backend}/{'maint' if out else 'ready'}"
-        status, _ = await call(self.places.console(0, 0), "POST", path)
+        status, _ = await call_console(self.places.console(0, 0), "POST", path)
         if out and status == 200:
             self.seen.maintenance.append(
                 records.MaintenanceRecord(0, int(backend[1:]), self.clock.now(), 0.0)
@@ -224,7 +224,7 @@
         self.end_node()
         await asyncio.sleep(TAIL_S)
         for worker in self.workers:
-            self.seen.add(worker.seen)
+            self.seen.add(worker.run_records)
         self.seen.processes.append(self.process_record)
         return self.seen
 
