--- a/balancer/lab/backend_stubs.py
+++ b/balancer/lab/backend_stubs.py
@@ -1,4 +1,4 @@
-"""Backend stubs on sockets: each node reaches each backend at an address of its own."""
+"""Backend stubs on sockets; each node reaches each backend at a separate address."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
     Verdict.SERVED: "200 OK", Verdict.REPEATED: "200 OK", Verdict.ERROR: "500 Internal Server Error",
     Verdict.REJECTED: "503 Service Unavailable", Verdict.EXPIRED: "504 Gateway Timeout",
 }  # fmt: skip
-MIN_NOTICED_WAIT_MS = 0.5  # the resolution of the event loop
+MIN_TIMER_DELAY_MS = 0.5  # Shorter delays are below the resolution of the event loop's timers.
 TIMER_TOLERANCE_MS = 0.5
 NOT_STARTED = frozenset({Verdict.REJECTED, Verdict.EXPIRED})
-WORK_PARAMETER = "w"  # of the query: the work of a request, which nodes pass on unread
+WORK_PARAMETER = "w"  # Query parameter with the work of a request, which nodes forward unread.
 
 
 def answer(code: str, body: bytes, *headers: str) -> bytes:
@@ -35,20 +35,20 @@
 
 
 class BackendStub:
-    """A backend with a listener for each node, and its connections."""
+    """A backend model on sockets, with one listener per node."""
 
     def __init__(self, group: BackendGroup, number: int, model: Backend) -> None:
-        """Prepare the listeners; `open` starts them."""
+        """Create the listeners, which `open` starts."""
         self.group, self.number, self.model, self.name = group, number, model, f"s{number}"
-        # In the order in which they came: the draws of a run follow it.
+        # Connections are kept in order of arrival because a run's random draws follow this order.
         self.connections: dict[BackendConnection, None] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0.0
         self.cap = group.spec.backends.connections_per_core * group.spec.backends.cores
-        self.served = self.errors = 0  # for the live figures
+        self.served = self.errors = 0  # Both counters feed the live display only.
         self.alive = True
         self.owners: dict[Job, BackendConnection] = {}
-        self.unresponsive: set[int] = set()  # nodes whose connections do not come up for a moment
+        self.unresponsive: set[int] = set()  # New connections from these nodes are not accepted for now.
         self.listeners = [self._listener(node) for node in range(group.spec.fleet.nodes)]
 
     def _listener(self, node: int) -> ImpairedListener:
@@ -56,14 +56,14 @@
         return ImpairedListener(address, lambda: BackendConnection(self, node))
 
     def network_changed(self) -> None:
-        """Let the connections of nodes behind a cut link not come up."""
+        """Leave connections from nodes behind a cut link unaccepted until the link is back."""
         for node, listener in enumerate(self.listeners):
             listener.set_unresponsive(
                 node in self.unresponsive or self.group.network.is_cut(f"n{node}", self.name)
             )
 
     def schedule_connect_delays(self, fault: SlowConnects) -> None:
-        """Schedule the intervals in which new connections of each node come up late."""
+        """Schedule the intervals in which new connections from each node are accepted late."""
         loop, now = asyncio.get_running_loop(), self.group.clock.now() / 1000
         for node in range(self.group.spec.fleet.nodes):
             random = stream(self.group.seed, "late", str(fault.at), self.number, node)
@@ -76,14 +76,14 @@
         self.network_changed()
 
     def open(self) -> None:
-        """Listen."""
+        """Start the listeners of all nodes."""
         for listener in self.listeners:
             listener.open()
         self.alive = True
         self.network_changed()
 
     def close(self) -> None:
-        """Vanish: reset connections, refuse new ones, lose the requests in progress."""
+        """Stop the backend: reset its connections, refuse new ones and lose the requests in progress."""
         self.alive = False
         for listener in self.listeners:
             listener.close()
@@ -91,14 +91,14 @@
             connection.drop()
 
     def restart(self) -> None:
-        """Restart cold."""
+        """Restart the backend in its cold state."""
         self.close()
         self.model.restart(self.group.clock.now())
         self.owners.clear()
         self.open()
 
     def offer(self, job: Job, connection: BackendConnection) -> None:
-        """Offer a complete attempt to the model."""
+        """Submit a completely received attempt to the backend model."""
         collapsed = self.model.collapsed
         verdict = self.model.offer(self.group.clock.now(), job)
         if verdict is not None:
@@ -117,7 +117,7 @@
             self.close()
 
     def arm(self) -> None:
-        """Set the timer for the next end of a request."""
+        """Set the timer to the time at which the next request ends."""
         ends_at = self.model.next_end
         if ends_at is None or (self.timer is not None and self.timer_at <= ends_at):
             return
@@ -132,17 +132,17 @@
         self.arm()
 
     def conclude(self, jobs: list[Job]) -> None:
-        """Answer the requests that have ended."""
+        """Send the responses of requests that have ended."""
         for job in jobs:
             if (connection := self.owners.pop(job, None)) is not None:
                 connection.conclude(job)
 
 
 class BackendConnection(ImpairedConnection):
-    """A connection of a node to a backend."""
+    """Backend side of a connection from a node."""
 
     def __init__(self, stub: BackendStub, node: int) -> None:
-        """Prepare the state of one connection."""
+        """Create the state of a connection that is not established yet."""
         super().__init__(stub.group.network, stub.group.clock, stub.name, f"n{node}")
         self.stub, self.node = stub, node
         self.parser = httptools.HttpRequestParser(self)
@@ -153,18 +153,18 @@
         self.alive = True
 
     def up(self) -> None:
-        """Count the connection; one over the limit is refused with its first request."""
+        """Register the connection; a connection over the limit has its first request rejected."""
         self.surplus = len(self.stub.connections) >= self.stub.cap
         self.stub.connections[self] = None
 
     def peer_closed(self) -> None:
-        """Record when the node closed under an attempt."""
+        """Record when the node closed the connection during an attempt."""
         if self.record is not None and not self.record.ended_at and not self.record.closed_at:
             self.record.closed_at = self.closed_at
 
     def received(self, data: bytes) -> None:
-        """Parse a piece of a request."""
-        self.first = self.first or self.came_at
+        """Parse received bytes of a request; reset the connection if they are malformed."""
+        self.first = self.first or self.read_at
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as err:
@@ -172,38 +172,38 @@
             self.reset()
 
     def ended(self) -> None:
-        """Forget the connection."""
+        """Remove the closed connection from its backend."""
         self.stub.connections.pop(self, None)
         self.alive = False
 
     def drop(self) -> None:
-        """Lose the attempt in progress with the backend, and reset."""
+        """Record the attempt in progress as lost and reset the connection."""
         if self.record is not None and not self.record.ended_at:
             self.record.verdict, self.record.ended_at = "lost", self.clock.now()
             self.record.was_executed = self.job is not None and self.job.started
         self.reset()
 
-    # --- httptools
+    # --- callbacks of the httptools parser
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Clear the parsed fields for a new request."""
         self.headers: dict[bytes, bytes] = {}
         self.url = self.body = b""
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Append a piece of the request target."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store a request header under its lower-case name."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body."""
+        """Append a piece of the request body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Answer a health check, or offer an attempt."""
+        """Answer a health check, or submit an attempt to the backend model."""
         path, _, query = self.url.decode("latin-1").partition("?")
         method = self.parser.get_method().decode()
         first, self.first = self.first, 0.0
@@ -231,7 +231,7 @@
         span = request_class.memory_span_ms if request_class.effect == "dedup" else 0.0
         now = self.clock.now()
         self.record = records.BackendAttemptRecord(
-            ident, self.node, self.stub.number, method, self.url.decode("latin-1"), key, first, self.came_at,
+            ident, self.node, self.stub.number, method, self.url.decode("latin-1"), key, first, self.read_at,
             "", 0.0, self.closed_at, False, request_body=self.body.decode("latin-1"),
         )  # fmt: skip
         self.stub.group.run_records.backend_attempts.append(self.record)
@@ -241,12 +241,12 @@
         self._submit(self.job)
 
     def _submit(self, job: Job) -> None:
-        """Offer an attempt, after the handshake of a new connection; reject it on a surplus one."""
+        """Submit an attempt, after the handshake on a new connection; reject it on a surplus one."""
         new_connection, self.new_connection = self.new_connection, False
         if self.surplus:
             job.verdict = Verdict.REJECTED
             self.conclude(job)
-        elif new_connection and (wait := self._handshake_ms()) >= MIN_NOTICED_WAIT_MS:
+        elif new_connection and (wait := self._handshake_ms()) >= MIN_TIMER_DELAY_MS:
             asyncio.get_running_loop().call_later(wait / 1000, self._late_offer, job)
         else:
             self.stub.offer(job, self)
@@ -265,7 +265,7 @@
         self.send(answer("200 OK", b"", report))
 
     def conclude(self, job: Job) -> None:
-        """Answer an attempt that has ended, or reset its connection."""
+        """Send the response of an attempt that has ended, or reset its connection."""
         record = self.record
         if record is None or record.ident != job.ident or record.ended_at:
             return
@@ -303,7 +303,7 @@
 
 
 class BackendGroup:
-    """The backends of one process of the lab: complete cells, whose members share received keys."""
+    """The backends of one lab process: whole cells, whose members share the keys they received."""
 
     def __init__(
         self,
@@ -315,7 +315,7 @@
         run_records: records.RunRecords,
         numbers: list[int],
     ) -> None:
-        """Draw the backends of these numbers."""
+        """Create the backends of these numbers, with speeds drawn from the seed."""
         self.spec, self.addresses, self.network, self.clock, self.run_records = (
             spec,
             addresses,
@@ -342,25 +342,25 @@
             stub.network_changed()
 
     def open(self) -> None:
-        """Let all listen."""
+        """Start the listeners of all backends."""
         for stub in self.stubs.values():
             stub.open()
 
     def collapsed(self, stub: BackendStub, collapse: OverloadCollapse) -> None:
-        """Record a collapse."""
+        """Record the overload collapse of a backend."""
         self.run_records.collapses.append(
             records.CollapseRecord(stub.number, collapse.at, collapse.started, collapse.work_by_node)
         )
 
     def capacity(self) -> float:
-        """Return the work a millisecond that all with power could do now, collapsed ones included."""
+        """Return the work per ms that all backends with power can do now, collapsed ones included."""
         now = self.clock.now()
         return sum(
             h.model.capacity(now) for h in self.stubs.values() if h.alive or h.model.collapsed is not None
         )
 
     def live(self) -> dict[str, Any]:
-        """Return live figures by backend for the screen."""
+        """Return the live figures of each backend for the display."""
         return {
             name: {
                 "served": h.served, "errors": h.errors, "held": sum(h.model.report), "alive": h.alive,
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -1,4 +1,4 @@
-"""Clients on sockets behind front-end proxies: an open loop that sends arrivals on time."""
+"""Open-loop clients on sockets behind front-end proxies; they send each request at its drawn arrival time."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
 from balancer.models.load import Arrivals, draw_arrivals
 from balancer.models.network import NetworkConditions
 
-OVERDUE_MS = 500.0  # after its deadline, a request without an answer counts as lost
+LOST_AFTER_DEADLINE_MS = 500.0
 DOWN_CHECK_INTERVAL_S = 0.1
 CHECK_TIMEOUT_S = 1.0
-TERMINATION_NOTICE_S = 0.3  # after SIGTERM, until the front-end proxies use the node no more
+TERMINATION_NOTICE_S = 0.3  # Front-end proxies stop using a node this long after its SIGTERM.
 FAILED_CHECKS_UNTIL_DOWN = 2
 LINK_POLL_S = 0.02
 TIMER_TOLERANCE_MS = 0.5
-IDENT_STEP = 0x9E3779B97F4A7C15  # odd, so that all identifiers of an operation differ
+IDENT_STEP = 0x9E3779B97F4A7C15  # An odd step makes all request IDs of an operation differ.
 REJECTED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 def next_ident(ident: str, number: int) -> str:
-    """Return the request identifier of an attempt, the same in every run of a seed."""
+    """Return the request ID of an operation's attempt, which is the same in every run of a seed."""
     return f"{(int(ident, 16) + number * IDENT_STEP) % 2**64:016x}"
 
 
 class FrontEndProxy:
-    """Distributes the connections of a zone's clients over nodes; detects a dead node with a delay."""
+    """Distributes a zone's client connections over nodes, and detects dead nodes with a delay."""
 
     def __init__(
         self, spec: Experiment, zone: str, addresses: AddressPlan, network: NetworkConditions
     ) -> None:
-        """Prepare the proxy of a zone; `start` begins its checks."""
+        """Create the proxy of a zone, whose health checks begin with `start`."""
         self.spec, self.zone, self.addresses, self.network = spec, zone, addresses, network
         names = spec.node_names
         self.own = [i for i, n in enumerate(names) if spec.zone_of(n) == zone]
@@ -71,7 +71,7 @@
             elif missed >= FAILED_CHECKS_UNTIL_DOWN:
                 self.up[node] = False
                 self.leaving.discard(node)
-            # Two checks in a row have to fail within `failure-detection-s`.
+            # A node counts as down after two failed checks, which fit into `failure-detection-s`.
             await asyncio.sleep(
                 self.spec.clients.failure_detection_s / 2 if self.up[node] else DOWN_CHECK_INTERVAL_S
             )
@@ -93,12 +93,12 @@
         return line.startswith(b"HTTP/1.1 200")
 
     def leave(self, node: int) -> None:
-        """Open no new connections to a node until it has been down and answers again."""
+        """Open no new connections to a node until it has failed its checks and passes them again."""
         self.leaving.add(node)
         self.up[node] = False
 
     def choose_node(self) -> int | None:
-        """Return the node of a new connection: of the zone in turn, else of another zone."""
+        """Return the zone's next live node for a new connection, or one of any zone if it has none."""
         for nodes in (self.own, list(self.up)):
             alive = [n for n in nodes if self.up[n]]
             if alive:
@@ -109,31 +109,33 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
-    """An attempt in flight."""
+    """A client attempt that has no final result yet."""
 
     operation: Operation
     row: int
     step: PlannedAttempt
     record: records.ClientAttemptRecord
     data: bytes
-    connection: ClientConnection | None = None  # what it was written to last
-    ended: bool = False  # the client has moved on
+    connection: ClientConnection | None = None  # The request was last written to this connection.
+    ended: bool = False  # True once the client no longer waits for the response.
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
 
 class ClientConnection(ImpairedConnection):
-    """A connection of a client to a node."""
+    """Client side of a connection to a node."""
 
-    def __init__(self, group: ClientGroup, node: int, in_flight: InFlightAttempt, uses: int) -> None:
-        """Prepare a connection for an attempt; `uses` bounds its requests."""
+    def __init__(
+        self, group: ClientGroup, node: int, in_flight: InFlightAttempt, remaining_requests: int
+    ) -> None:
+        """Create a connection for an attempt; it closes after `remaining_requests` requests."""
         super().__init__(group.network, group.clock, f"c-{group.zone}", f"n{node}")
-        self.group, self.node, self.uses = group, node, uses
+        self.group, self.node, self.remaining_requests = group, node, remaining_requests
         self.in_flight: InFlightAttempt | None = in_flight
         self.parser = httptools.HttpResponseParser(self)
         self.new_connection = self.keep = True
 
     def up(self) -> None:
-        """Send the attempt that waits for the connection."""
+        """Send the attempt that was waiting for the connection."""
         self.group.connections.add(self)
         if self.in_flight is not None:
             self.write(self.in_flight)
@@ -142,16 +144,16 @@
         """Send a request on this connection."""
         self.in_flight, in_flight.connection = in_flight, self
         in_flight.record.node, in_flight.record.new_connection = self.node, self.new_connection
-        if in_flight.ended:  # its time ran out while the connection came up
+        if in_flight.ended:  # The attempt timed out while the connection was being established.
             self.group.free(self)
             return
         self.body, self.retry_after, self.keep = b"", 0.0, True
         in_flight.record.sent_at = self.clock.now()
-        self.uses -= 1
+        self.remaining_requests -= 1
         self.send(in_flight.data)
 
     def received(self, data: bytes) -> None:
-        """Parse a piece of a response."""
+        """Parse received bytes of a response; reset the connection if they are malformed."""
         if self.in_flight is not None:
             self.in_flight.record.response_started = True
         try:
@@ -160,17 +162,17 @@
             self.reset()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the advice of `Retry-After`."""
+        """Store the delay of a `Retry-After` header, unless it is no number."""
         if name.lower() == b"retry-after":
             with contextlib.suppress(ValueError):
                 self.retry_after = float(value) * 1000
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body."""
+        """Append a piece of the response body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """End the attempt with its response."""
+        """End the attempt in flight with its complete response."""
         in_flight, code = self.in_flight, self.parser.get_status_code()
         if in_flight is None or code < HTTPStatus.OK:
             return
@@ -184,17 +186,17 @@
         self.group.free(self)
 
     def ended(self) -> None:
-        """Report the end of the connection."""
+        """Report the closed connection to its client group."""
         self.group.lost(self)
 
 
 class ClientGroup:
-    """The clients of one zone in one process of the lab: every `of`-th arrival from `part` on."""
+    """Clients of a zone in one lab process; they send every `of`-th arrival from number `part` on."""
 
     def __init__(self, spec: Experiment, seed: int, zone: str, part: int, of: int, addresses: AddressPlan,
                  network: NetworkConditions, clock: RunClock,
                  run_records: records.RunRecords) -> None:  # fmt: skip
-        """Draw the arrivals of this part of a zone."""
+        """Draw the arrivals that this process sends for a zone."""
         self.spec, self.zone, self.addresses, self.network = spec, zone, addresses, network
         self.clock, self.run_records = clock, run_records
         self.front_end = FrontEndProxy(spec, zone, addresses, network)
@@ -206,13 +208,13 @@
         self.open = 0
         self.done = asyncio.Event()
         self.counts: Counter[str] = Counter()
-        self.recent: list[float] = []  # ms: answers since the last look
+        self.recent_latencies_ms: list[float] = []  # Responses served since the last call of `live`.
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Start to send, once the zero of the clock is set."""
+        """Start to send arrivals; the zero of the run clock must be set before."""
         loop = asyncio.get_running_loop()
-        for moment in timeline(self.spec, 0):  # no seed draws a planned restart
+        for moment in timeline(self.spec, 0):  # Planned restarts are the same for every seed.
             if isinstance(moment.fault, Terminate):
                 at = moment.at + TERMINATION_NOTICE_S - self.clock.now() / 1000
                 for name in moment.names:
@@ -249,16 +251,16 @@
         self.run_records.client_attempts.append(record)
         data = _request(record, cls, float(self.arrivals.work[row]), step.deadline - max(now, scheduled_at))
         in_flight = InFlightAttempt(operation, row, step, record, data)
-        self._at(in_flight, step.deadline, Outcome.TIMED_OUT)
+        self._end_at(in_flight, step.deadline, Outcome.TIMED_OUT)
         if step.leaves is not None:
-            self._at(in_flight, step.leaves, Outcome.ABANDONED)
-        self._place(in_flight)
+            self._end_at(in_flight, step.leaves, Outcome.ABANDONED)
+        self._assign_connection(in_flight)
 
-    def _at(self, in_flight: InFlightAttempt, retry_at: float, end: Outcome) -> None:
+    def _end_at(self, in_flight: InFlightAttempt, retry_at: float, end: Outcome) -> None:
         wait = max(0.0, retry_at - self.clock.now()) / 1000
         in_flight.timers.append(asyncio.get_running_loop().call_later(wait, self.ended, in_flight, end))
 
-    def _place(self, in_flight: InFlightAttempt, new_connection: bool = False) -> None:
+    def _assign_connection(self, in_flight: InFlightAttempt, new_connection: bool = False) -> None:
         while self.idle and not new_connection:
             index = int(self.random.random() * len(self.idle))
             self.idle[index], self.idle[-1] = self.idle[-1], self.idle[index]
@@ -277,7 +279,7 @@
     async def _connect(self, in_flight: InFlightAttempt, node: int) -> None:
         loop = asyncio.get_running_loop()
         in_flight.record.node = node
-        uses = int(self.random.geometric(1 / self.spec.clients.requests_per_connection))
+        remaining_requests = int(self.random.geometric(1 / self.spec.clients.requests_per_connection))
         while self.network.is_cut(f"c-{self.zone}", f"n{node}"):
             if in_flight.ended:
                 return
@@ -286,23 +288,24 @@
             remaining_s = max(0.01, (in_flight.step.deadline - self.clock.now()) / 1000)
             async with asyncio.timeout(remaining_s):
                 await loop.create_connection(
-                    lambda: ClientConnection(self, node, in_flight, uses), *self.addresses.node(node)
+                    lambda: ClientConnection(self, node, in_flight, remaining_requests),
+                    *self.addresses.node(node),
                 )
         except OSError:
             self.ended(in_flight, Outcome.UNREACHABLE)
         except TimeoutError:
-            pass  # its deadline's timer says so
+            pass  # The deadline timer of the attempt reports the timeout.
 
     def free(self, connection: ClientConnection) -> None:
-        """Take a connection back that is idle again."""
+        """Return a connection to the idle pool, or close it after its last request."""
         connection.in_flight = None
-        if connection.uses <= 0 or not connection.keep:
+        if connection.remaining_requests <= 0 or not connection.keep:
             connection.finish()
         else:
             self.idle.append(connection)
 
     def lost(self, connection: ClientConnection) -> None:
-        """Handle the end of a connection."""
+        """Handle a closed connection: resend its attempt once, or report a disconnect."""
         self.connections.discard(connection)
         with contextlib.suppress(ValueError):
             self.idle.remove(connection)
@@ -317,12 +320,12 @@
         )
         if resent_at:
             in_flight.record.resent_at = self.clock.now()
-            self._place(in_flight, new_connection=True)
+            self._assign_connection(in_flight, new_connection=True)
         else:
             self.ended(in_flight, Outcome.DISCONNECTED)
 
     def ended(self, in_flight: InFlightAttempt, end: Outcome) -> None:
-        """End an attempt for its client; a late answer is still recorded."""
+        """End an attempt for its client; a later response is still recorded."""
         now, record = self.clock.now(), in_flight.record
         if in_flight.ended:
             return
@@ -330,12 +333,14 @@
         for timer in in_flight.timers:
             timer.cancel()
         if end is Outcome.ABANDONED:
-            self._hang_up(in_flight)
+            self._reset_connection(in_flight)
         elif end is Outcome.TIMED_OUT:
-            asyncio.get_running_loop().call_later(OVERDUE_MS / 1000, self._hang_up, in_flight)
+            asyncio.get_running_loop().call_later(
+                LOST_AFTER_DEADLINE_MS / 1000, self._reset_connection, in_flight
+            )
         self.counts[end.value] += 1
         if end is Outcome.SERVED:
-            self.recent.append(now - in_flight.operation.intended)
+            self.recent_latencies_ms.append(now - in_flight.operation.intended)
         retry_at = in_flight.operation.ended(
             now, record.sent_at or record.scheduled_at, end, record.retry_after
         )
@@ -350,13 +355,13 @@
                 wait, self._send_attempt, in_flight.operation, in_flight.row, retry_at, record.operation
             )
 
-    def _hang_up(self, in_flight: InFlightAttempt) -> None:
+    def _reset_connection(self, in_flight: InFlightAttempt) -> None:
         if in_flight.connection is not None and in_flight.connection.in_flight is in_flight:
             in_flight.connection.reset()
 
     def live(self) -> dict[str, Any]:
-        """Return live figures for the screen: outcomes so far, and latencies since the last call."""
-        recent, self.recent = self.recent, []
+        """Return live figures for the display: outcomes so far, and latencies since the last call."""
+        recent, self.recent_latencies_ms = self.recent_latencies_ms, []
         return {
             "ends": dict(self.counts),
             "recent": recent,
@@ -371,7 +376,7 @@
 
 
 def method_and_body(cls: RequestClass, operation: str) -> tuple[str, str]:
-    """Return the method and the body of an operation's requests."""
+    """Return the HTTP method and body that an operation's requests have."""
     return ("GET", "") if cls.effect == "retryable" else ("POST", f'{{"wish":"{operation}"}}')
 
 
--- a/balancer/lab/compare.py
+++ b/balancer/lab/compare.py
@@ -1,9 +1,9 @@
 """Compare two programs on the same seeds: paired differences, a bootstrap interval, a significance test.
 
-The interval is that of the median difference (percentile bootstrap, 95%). The verdict is by an exact
-sign-flip permutation test on the mean difference, with Holm's correction over the judged figures: a program
-compared with itself is called different in one comparison of twenty at the most, whatever the number of
-figures.
+The interval covers the median difference (percentile bootstrap, 95%). Whether a figure differs is decided by
+an exact sign-flip permutation test on the mean difference, with Holm's correction over all compared figures:
+a program compared with itself is called different in at most one comparison of twenty, whatever the number
+of figures.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 from balancer.lab.figures import COMPARED_FIGURES
 from balancer.lab.report import BAD, GOOD, INK, QUIET, html_page, inline_image, table_html
 
-LEVEL = 0.05  # of the whole family of figures
+FAMILY_WISE_ERROR_RATE = 0.05
 RESAMPLES = 10_000
-MAX_EXACT_SEEDS = 12  # up to which all sign flips are enumerated
+MAX_EXACT_SEEDS = 12  # The test enumerates all sign flips up to 12 seeds, and samples them above.
 
 Floats = NDArray[np.float64]
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """One figure, B less A over the seeds."""
+    """Difference of one figure between two programs, B minus A, over all seeds."""
 
     figure: str
     median_a: float
     median_b: float
-    median: float  # of the differences
+    median: float  # Median of the paired differences, not the difference of the medians.
     low: float
     high: float
-    p: float  # of the sign-flip test, corrected
+    p: float  # p value of the sign-flip test after Holm's correction.
     differs: bool
 
 
@@ -55,13 +55,13 @@
         signs = np.array(list(product((-1.0, 1.0), repeat=len(values))))
     else:
         signs = stream(0, "signs").choice((-1.0, 1.0), (RESAMPLES, len(values)))
-    # What rounds to the same counts as the same: the observed signs must be among the flips.
+    # The tolerance keeps rounding errors from excluding the observed signs from the counted flips.
     return float(np.mean(np.abs(signs @ values) >= abs(values.sum()) * (1 - 1e-12)))
 
 
 def compare(a: list[dict[str, float]], b: list[dict[str, float]],
             names: Sequence[str] = COMPARED_FIGURES) -> list[Difference]:  # fmt: skip
-    """Compare figures of runs paired by seed; raises KeyError for one that a run does not have."""
+    """Compare the figures of runs paired by seed; raises KeyError for a figure that a run lacks."""
     pairs = {name: (np.array([f[name] for f in a]), np.array([f[name] for f in b])) for name in names}
     raw = {name: sign_flip_p_value(y - x) if np.any(y != x) else 1.0 for name, (x, y) in pairs.items()}
     corrected, least = {}, 0.0
@@ -73,13 +73,13 @@
         low, high = median_interval(y - x)
         out.append(Difference(
             name, float(np.median(x)), float(np.median(y)), float(np.median(y - x)), low, high,
-            corrected[name], corrected[name] <= LEVEL,
+            corrected[name], corrected[name] <= FAMILY_WISE_ERROR_RATE,
         ))  # fmt: skip
     return out
 
 
 def difference_rows(found: list[Difference]) -> list[dict[str, Any]]:
-    """Return the differences as plain data."""
+    """Return the differences as dictionaries for JSON."""
     return [asdict(d) for d in found]
 
 
@@ -112,11 +112,11 @@
     b: list[dict[str, float]],
     found: list[Difference],
 ) -> str:
-    """Return the report of a comparison."""
+    """Return the HTML report of a comparison."""
     rows = [(d.figure, d.median_a, d.median_b, d.median, d.low, d.high, round(d.p, 4),
              "differs" if d.differs else "no difference found") for d in found]  # fmt: skip
-    head = ("figure", "A, median", "B, median", "B less A", "95% from", "to", "p, corrected", "")
-    about = f"<p>A is {names[0]}, B is {names[1]}; {len(a)} seeds, each played by both.</p>"
+    head = ("figure", "A, median", "B, median", "B - A", "95% from", "to", "p, corrected", "")
+    about = f"<p>A is {names[0]}, B is {names[1]}; {len(a)} seeds, each run with both programs.</p>"
     return html_page(
         f"{experiment}: {names[0]} and {names[1]}",
         about,
--- a/balancer/lab/discovery_stub.py
+++ b/balancer/lab/discovery_stub.py
@@ -1,4 +1,4 @@
-"""A discovery stub: the service that lists the backends, on sockets."""
+"""Stub of the discovery service, which serves the list of backends on sockets."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from balancer.models.directory import Directory, Listed, Phase, Watch
 from balancer.models.network import NetworkConditions
 
-FORMER_ADDRESS_CLOSE_S = 1.5  # after a move, until the former address closes its connections
-HEARTBEAT_INTERVAL_S = 2.0  # between two empty lines of a watch
+FORMER_CONNECTION_LIFETIME_S = 1.5  # Connections to a former address are closed this long after a move.
+HEARTBEAT_INTERVAL_S = 2.0  # An open watch sends an empty line as a heartbeat at this interval.
 
 
 class DiscoveryStub:
-    """Discovery on sockets: one address a node, calls in turn, watch events with a spread."""
+    """Discovery service with one address per node; it serves calls one by one and spreads watch events."""
 
     def __init__(self, spec: Experiment, addresses: AddressPlan, network: NetworkConditions, clock: RunClock,
                  run_records: records.RunRecords) -> None:  # fmt: skip
-        """Prepare the list and the listeners of all nodes."""
+        """Create the backend list, and the listeners of all nodes without starting them."""
         self.spec, self.addresses, self.network, self.clock, self.run_records = (
             spec,
             addresses,
@@ -47,7 +47,7 @@
         self.busy = False
         self.counts: Counter[str] = Counter()
         moves = sum(isinstance(fault, Reload) and fault.moves_discovery for fault in spec.faults)
-        self.moved = Counter[int]()  # how often discovery has moved, by node
+        self.moves_by_node = Counter[int]()
         self.listeners = {
             (node, move): ImpairedListener(
                 addresses.discovery(node, move), partial(DiscoveryConnection, self, node, move)
@@ -57,17 +57,17 @@
         }
 
     def open(self) -> None:
-        """Listen, also at the addresses of later moves."""
+        """Start all listeners, those at the addresses of later moves included."""
         for listener in self.listeners.values():
             listener.open()
 
     def move(self, names: tuple[str, ...]) -> None:
-        """Close the present address of these nodes, whose new files name the next one."""
+        """Stop listening at these nodes' present address; their new configuration names the next one."""
         for node in (int(name[1:]) for name in names):
-            self.listeners[node, self.moved[node]].close()
-            self.moved[node] += 1
+            self.listeners[node, self.moves_by_node[node]].close()
+            self.moves_by_node[node] += 1
             asyncio.get_running_loop().call_later(
-                FORMER_ADDRESS_CLOSE_S, self._close_former, node, self.moved[node]
+                FORMER_CONNECTION_LIFETIME_S, self._close_former, node, self.moves_by_node[node]
             )
 
     def _close_former(self, node: int, move: int) -> None:
@@ -75,20 +75,20 @@
             connection.finish()
 
     def fail(self, down: bool) -> None:
-        """Go down with resets, or come back."""
+        """Take discovery down and reset its connections, or bring it back."""
         self.down = down
         for connection in list(self.connections) if down else ():
             connection.reset()
 
     def silence(self, names: tuple[str, ...]) -> None:
-        """Silence the open watches of these nodes."""
+        """Stop sending anything on the open watches of these nodes."""
         for connection in self.connections:
             if connection.watch is not None and connection.peer in names:
                 connection.watch.silent = True
                 self.counts["silent"] += 1
 
     def plan(self, lag_s: float, name: str, phase: Phase, up_since: float | None = None) -> None:
-        """Plan that a change of a backend becomes known `lag_s` from now."""
+        """Schedule a change of a backend, which discovery learns of `lag_s` from now."""
         self.directory.plan(self.clock.now() + lag_s * 1000, name, phase, up_since)
         asyncio.get_running_loop().call_later(lag_s + 0.001, self._publish)
 
@@ -106,7 +106,7 @@
             asyncio.get_running_loop().call_later(wait / 1000, connection.send_pending)
 
     def call(self, connection: DiscoveryConnection, since: int | None) -> None:
-        """Queue a call for a snapshot (`since` is None) or a watch."""
+        """Queue a call for a snapshot (`since` is None) or for a watch from revision `since` on."""
         self.counts["calls"] += 1
         self.run_records.discovery_calls.append(
             records.DiscoveryCallRecord(connection.node, self.clock.now())
@@ -141,7 +141,7 @@
         self._next()
 
     def line(self, node: int, entries: list[Listed], complete: bool) -> bytes:
-        """Return entries as one line for a node, and record them as delivered."""
+        """Encode list entries as JSON for a node, and record them as delivered."""
         now = self.clock.now()
         rows = []
         for entry in entries:
@@ -166,10 +166,10 @@
 
 
 class DiscoveryConnection(ImpairedConnection):
-    """A connection of a node to discovery."""
+    """Discovery's side of a connection from a node."""
 
     def __init__(self, service: DiscoveryStub, node: int, move: int = 0) -> None:
-        """`move`: how often discovery had moved to come to this address."""
+        """Create a connection to the address that discovery has after `move` moves."""
         super().__init__(service.network, service.clock, "d", f"n{node}")
         self.service, self.node, self.move = service, node, move
         self.parser = httptools.HttpRequestParser(self)
@@ -183,14 +183,14 @@
             self.reset()
 
     def received(self, data: bytes) -> None:
-        """Parse a piece of a call."""
+        """Parse received bytes of a call; reset the connection if they are malformed."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.reset()
 
     def on_url(self, url: bytes) -> None:
-        """Queue the call."""
+        """Queue a call, or answer 404 for an unknown path."""
         parts = urlsplit(url.decode("latin-1"))
         query = parse_qs(parts.query)
         if parts.path != "/discovery/hosts":
@@ -200,7 +200,7 @@
         self.service.call(self, since)
 
     def send_pending(self) -> None:
-        """Send the pending entries of the watch; or end a watch that ends at a change."""
+        """Send the pending entries of the watch, or end a watch that closes on a change."""
         if self.open and self.watch is not None and self.watch.ends(self.service.directory):
             self.watch = None
             self.send(b"0\r\n\r\n")
@@ -212,13 +212,13 @@
             self.send(b"%x\r\n%b\r\n" % (len(line), line))
 
     def send_heartbeat(self) -> None:
-        """Send an empty line as a heartbeat, and plan the next."""
+        """Send an empty line as a heartbeat and schedule the next one."""
         if self.open and self.watch is not None and not self.watch.silent:
             self.send(b"1\r\n\n\r\n")
             self.heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self.send_heartbeat)
 
     def ended(self) -> None:
-        """Forget the connection and its watch."""
+        """Remove the closed connection and end its watch."""
         self.service.connections.discard(self)
         self.watch = None
         if self.heartbeat is not None:
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run: goodput, latency without coordinated omission, costs, recovery, the harness itself."""
+"""Figures of a run: goodput, latency without coordinated omission, costs, recovery, harness lateness."""
 
 from __future__ import annotations
 
@@ -21,51 +21,51 @@
 from balancer.lab.timeline import last_step_at
 from balancer.models.client import Outcome
 
-MAX_HARNESS_LATENESS_MS = 5.0  # at p99; a run beyond that is void
-MAX_CPU_WAIT_S = 1.0  # of a runnable node within CPU_WAIT_WINDOW_S; a run beyond that is void
+MAX_HARNESS_LATENESS_P99_MS = 5.0  # A run whose harness sends later than this at p99 is void.
+MAX_CPU_WAIT_S = 1.0  # A run is void if a runnable node waited longer for a core in CPU_WAIT_WINDOW_S.
 CPU_WAIT_WINDOW_S = 2.0
-START_UP_S = 3.0  # from a process's start until its waits count: many start at once
-MAX_LATENCY_US = 60_000_000  # of the histogram
-MIN_BROADCAST_LOSS = 0.5  # from which on a node is not a healthy one
-RECOVERED = 0.95  # of the goodput before the first fault
-DETECTION_LIMIT_MS = 10_000.0  # within which a death has to be known
-WINDOW_S = 0.5  # of the series
+START_UP_S = 3.0  # Waits for a core in this time after a start are ignored: many processes start at once.
+HISTOGRAM_MAX_US = 60_000_000
+MIN_BROADCAST_LOSS = 0.5  # A node that loses this share of its broadcasts does not count as healthy.
+RECOVERED_GOODPUT_SHARE = 0.95  # Recovery means this share of the goodput before the first fault.
+DETECTION_LIMIT_MS = 10_000.0  # Every survivor has to detect a node's death within this time.
+SERIES_WINDOW_S = 0.5
 COMPARED_FIGURES = (
     "goodput",
     "refused",
     "latency_p50_ms",
     "latency_p99_ms",
     "node_cpu_us_per_try",
-)  # of a comparison
+)
 SUCCESSOR_WINDOW_S = 5.0
 SUCCESSOR_STEP_S = 0.1
-PREDECESSOR_WINDOW_MS = 3000  # before its end
-MIN_SEEDS = 8  # for a significant difference after the correction for several figures
+PREDECESSOR_WINDOW_MS = 3000  # A predecessor's served share is taken over this time before its end.
+MIN_SEEDS = 8  # With fewer seeds, no difference stays significant after Holm's correction.
 
 Series = dict[str, list[float]]
 
 
 @dataclass(slots=True)
 class OperationResult:
-    """One operation over all its attempts."""
+    """The result of one operation over all its attempts."""
 
     intended_at: float
     class_index: int
     zone: str
-    value: float  # asked for
-    served_value: float  # of it
-    latency_ms: float | None  # ms from when it was meant to be sent; None: not served
+    value: float  # Value that the operation has if it is served in time.
+    served_value: float  # Value that was earned: less than `value` if late, 0 if not served.
+    latency_ms: float | None  # Latency counts from the intended send time; None if not served.
     last_outcome: str
     attempts: int
 
 
 def operations(spec: Experiment, run_records: records.RunRecords) -> list[OperationResult]:
-    """Return the operations, in order of time."""
-    by_wish: dict[str, list[records.ClientAttemptRecord]] = defaultdict(list)
+    """Return the operations of a run, ordered by intended send time."""
+    by_operation: dict[str, list[records.ClientAttemptRecord]] = defaultdict(list)
     for one in run_records.client_attempts:
-        by_wish[one.operation].append(one)
+        by_operation[one.operation].append(one)
     out = []
-    for attempts in by_wish.values():
+    for attempts in by_operation.values():
         attempts.sort(key=lambda t: t.attempt_number)
         first, last = attempts[0], attempts[-1]
         cls = spec.load.classes[first.class_index]
@@ -90,19 +90,19 @@
 
 
 def percentiles(values: Iterable[float], points: tuple[float, ...]) -> list[float]:
-    """Return percentiles in ms by an HDR histogram of three digits; zeros for empty input."""
-    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
+    """Return percentiles in ms from an HDR histogram with three significant digits; zeros for empty input."""
+    histogram = HdrHistogram(1, HISTOGRAM_MAX_US, 3)
     for value in values:
-        histogram.record_value(max(1, min(MAX_LATENCY_US, round(value * 1000))))
+        histogram.record_value(max(1, min(HISTOGRAM_MAX_US, round(value * 1000))))
     if not histogram.get_total_count():
         return [0.0] * len(points)
     return [histogram.get_value_at_percentile(p) / 1000 for p in points]
 
 
 def series(spec: Experiment, run_records: records.RunRecords, done: list[OperationResult]) -> Series:
-    """Figures of each half second, by the time a request was meant to be sent."""
-    count = int(np.ceil(spec.seconds / WINDOW_S))
-    slot = [min(count - 1, int(w.intended_at / 1000 / WINDOW_S)) for w in done]
+    """Return the figures of each half second, by the intended send time of requests."""
+    count = int(np.ceil(spec.seconds / SERIES_WINDOW_S))
+    slot = [min(count - 1, int(w.intended_at / 1000 / SERIES_WINDOW_S)) for w in done]
     value, served_value, offered, refused = (np.zeros(count) for _ in range(4))
     latencies: list[list[float]] = [[] for _ in range(count)]
     for index, operation in zip(slot, done, strict=True):
@@ -114,49 +114,54 @@
             latencies[index].append(operation.latency_ms)
     points = [percentiles(group, (50.0, 99.0)) for group in latencies]
     return {
-        "t_s": [i * WINDOW_S for i in range(count)],
-        "offered_per_s": (offered / WINDOW_S).tolist(),
+        "t_s": [i * SERIES_WINDOW_S for i in range(count)],
+        "offered_per_s": (offered / SERIES_WINDOW_S).tolist(),
         "goodput": (served_value / np.maximum(value, 1e-9)).tolist(),
-        "refused_per_s": (refused / WINDOW_S).tolist(),
+        "refused_per_s": (refused / SERIES_WINDOW_S).tolist(),
         "p50_ms": [p[0] for p in points],
         "p99_ms": [p[1] for p in points],
     }
 
 
 def backend_loads(spec: Experiment, run_records: records.RunRecords) -> NDArray[np.float64]:
-    """Return the attempts a second at each backend in each window; shape (backends, windows)."""
-    count = int(np.ceil(spec.seconds / WINDOW_S))
+    """Return the attempts per second at each backend in each window, in shape (backends, windows)."""
+    count = int(np.ceil(spec.seconds / SERIES_WINDOW_S))
     out = np.zeros((spec.backends.count, count))
     for attempt in run_records.backend_attempts:
-        index = int(attempt.first_byte_at / 1000 / WINDOW_S)
+        index = int(attempt.first_byte_at / 1000 / SERIES_WINDOW_S)
         if 0 <= index < count:
-            out[attempt.backend, index] += 1 / WINDOW_S
+            out[attempt.backend, index] += 1 / SERIES_WINDOW_S
     return out
 
 
-def _recovery(spec: Experiment, line: Series) -> float | None:
-    """Seconds from the last fault's end until goodput is back for a second; None: no fault, -1: never."""
+def _recovery_s(spec: Experiment, line: Series) -> float | None:
+    """Return the seconds from the last fault's end until goodput has recovered for a whole second.
+
+    None if the experiment has no fault, -1 if goodput never recovers.
+    """
     if not spec.faults:
         return None
     begin = min(f.at for f in spec.faults)
     before = [
-        g for t, g in zip(line["t_s"], line["goodput"], strict=True) if spec.warmup <= t < begin - WINDOW_S
+        g
+        for t, g in zip(line["t_s"], line["goodput"], strict=True)
+        if spec.warmup <= t < begin - SERIES_WINDOW_S
     ]
-    end, wanted = last_step_at(spec), RECOVERED * (float(np.mean(before)) if before else 1.0)
+    end, wanted = last_step_at(spec), RECOVERED_GOODPUT_SHARE * (float(np.mean(before)) if before else 1.0)
     good = 0
     for t, goodput in zip(line["t_s"], line["goodput"], strict=True):
-        if t + WINDOW_S <= end:
+        if t + SERIES_WINDOW_S <= end:
             continue
         good = good + 1 if goodput >= wanted else 0
-        if good * WINDOW_S >= 1.0:
-            return max(0.0, t + WINDOW_S - end - 1.0)
+        if good * SERIES_WINDOW_S >= 1.0:
+            return max(0.0, t + SERIES_WINDOW_S - end - 1.0)
     return -1.0
 
 
 def figures(
     spec: Experiment, seed: int, run_records: records.RunRecords, judged: Judgement
 ) -> dict[str, float]:
-    """Return all figures of a run by name; shares are of 1, times in ms unless the name says otherwise."""
+    """Return all figures of a run by name: shares from 0 to 1, times in ms unless the name says otherwise."""
     done = operations(spec, run_records)
     line = series(spec, run_records, done)
     out = (
@@ -164,7 +169,7 @@
         | _attempt_figures(spec, run_records)
         | _violation_figures(run_records, judged)
         | _harness_figures(run_records)
-        | _costs(run_records)
+        | _node_cost_figures(run_records)
         | successor_figures(run_records)
     )
     out |= {f"broken_{rule}": float(judged.broken[rule]) for rule in RULES}
@@ -178,7 +183,7 @@
         )
     if run_records.maintenance:
         out["forgotten_bans"] = float(count_forgotten_bans(spec, run_records))
-    recovery = _recovery(spec, line)
+    recovery = _recovery_s(spec, line)
     if recovery is not None:
         out["recovery_s"] = recovery
     return {name: round(value, 6) for name, value in out.items()}
@@ -191,7 +196,7 @@
     latency = [w.latency_ms for w in counted if w.latency_ms is not None]
     p50, p90, p99, p999 = percentiles(latency, (50.0, 90.0, 99.0, 99.9))
     ends = Counter(w.last_outcome for w in counted)
-    first = int(np.ceil(spec.warmup / WINDOW_S))
+    first = int(np.ceil(spec.warmup / SERIES_WINDOW_S))
     seconds = [np.mean(line["goodput"][i : i + 2]) for i in range(first, len(line["goodput"]) - 1)]
     return {
         "goodput": sum(w.served_value for w in counted) / value,
@@ -248,11 +253,12 @@
 
 
 def successor_figures(run_records: records.RunRecords) -> dict[str, float]:
-    """Return figures of processes that succeeded another one of their node: killed, ended or upgraded.
+    """Return figures of processes that replaced a killed, ended or upgraded process of their node.
 
-    `heir_refused`: share of the attempts at the node that it rejected in the `SUCCESSOR_WINDOW_S` from when
-    it was ready, the mean over the successors. `heir_recovery_s`: from then until, for a second, its attempts
-    are served as often as RECOVERED of what its predecessor served in the 3 s before; the slowest successor.
+    `heir_refused` is the share of attempts that a successor rejected in the first `SUCCESSOR_WINDOW_S` after
+    it was ready, averaged over the successors. `heir_recovery_s` is the time from then until its served share
+    stays, for a second, at RECOVERED_GOODPUT_SHARE of what its predecessor served in its last 3 s; the value
+    of the slowest successor counts.
     """
     refused, recovery = [], []
     by_node: dict[int, list[records.ClientAttemptRecord]] = defaultdict(list)
@@ -275,7 +281,9 @@
         if not before or not after:
             continue
         refused.append(sum(t.outcome == Outcome.REJECTED.value for t in after) / len(after))
-        recovery.append(_recovered_after_s(after, successor.ready_at, RECOVERED * sum(before) / len(before)))
+        recovery.append(
+            _recovered_after_s(after, successor.ready_at, RECOVERED_GOODPUT_SHARE * sum(before) / len(before))
+        )
     if not refused:
         return {}
     return {"heir_refused": float(np.mean(refused)), "heir_recovery_s": float(max(recovery))}
@@ -286,7 +294,7 @@
 
 
 def _recovered_after_s(attempts: list[records.ClientAttemptRecord], ready: float, wanted: float) -> float:
-    """Return the seconds from `ready` (ms) until a second in which the served share is as wanted."""
+    """Return the seconds from `ready` (ms) until a second whose served share is at least `wanted`."""
     for step in range(int((SUCCESSOR_WINDOW_S - 1) / SUCCESSOR_STEP_S)):
         begin = ready + step * SUCCESSOR_STEP_S * 1000
         served = [_is_served(t) for t in attempts if begin <= t.sent_at < begin + 1000]
@@ -295,8 +303,8 @@
     return SUCCESSOR_WINDOW_S
 
 
-def _costs(run_records: records.RunRecords) -> dict[str, float]:
-    """Return what the nodes' processes used, by the accounts of the system."""
+def _node_cost_figures(run_records: records.RunRecords) -> dict[str, float]:
+    """Return the resource usage of the node processes, as the operating system accounts for it."""
     cpu: dict[int, list[tuple[float, float]]] = defaultdict(list)
     for sample in run_records.samples:
         cpu[sample.node].append((sample.at, sample.cpu_s))
@@ -316,7 +324,7 @@
 
 
 def max_cpu_wait_s(run_records: records.RunRecords) -> float:
-    """Return the most seconds within a window that a runnable process of a node had no core."""
+    """Return the most seconds that a runnable node process waited for a core within any window."""
     by_process: dict[tuple[int, int], list[records.ProcessSample]] = defaultdict(list)
     for sample in sorted(run_records.samples, key=lambda s: s.at):
         by_process[sample.node, sample.process].append(sample)
@@ -351,13 +359,13 @@
 
 
 def member_counts(spec: Experiment, run_records: records.RunRecords) -> dict[int, list[tuple[float, int]]]:
-    """Return how many members each node's log has as present over time: node to (s, count)."""
+    """Return how many members each node's log shows as present over time: node to (s, count)."""
     out: dict[int, list[tuple[float, int]]] = defaultdict(list)
     members: dict[int, set[int]] = defaultdict(set)
     for view in sorted(run_records.member_views, key=lambda v: v.at):
         mine = members[view.node]
         if view.member == view.node and view.state == "present":
-            mine.clear()  # a new process
+            mine.clear()  # A node logs its own presence once per process: here a new one has started.
         if view.state in ("present", "suspected"):
             mine.add(view.member)
         else:
@@ -407,9 +415,9 @@
 
 
 def agreement_time_s(spec: Experiment, run_records: records.RunRecords) -> float | None:
-    """Seconds from the last fault's end until each node's log holds just those for present that live.
+    """Return the seconds from the last fault until each live node's log shows just the live nodes as present.
 
-    None where some view is wrong when the last clients have come.
+    None if some node's view is still wrong when the run's last request arrives.
     """
     until = spec.seconds * 1000
     alive = {
@@ -430,7 +438,7 @@
 
 
 def expectation_holds(expect: Expect, values: dict[str, float]) -> bool:
-    """Whether an expectation holds; a figure that the run does not have does not."""
+    """Return whether an expectation holds; one on a figure that the run lacks does not."""
     value = values.get(expect.figure)
     if value is None:
         return False
--- a/balancer/lab/impaired_sockets.py
+++ b/balancer/lab/impaired_sockets.py
@@ -1,9 +1,8 @@
-"""Sockets of the stubs with the network's faults on them.
+"""Sockets of the stubs, which apply the network's faults to their traffic.
 
-Each pair of parties has an address of its own, so a stub knows from which node a connection comes, and
-holds back at its own end what the network would hold back. Not taken: a relay process between each pair,
-which costs every byte two more trips through an event loop and with that two thirds of the load that the
-harness can offer.
+Each pair of parties has its own address, so a stub knows which node a connection comes from, and delays data
+at its own end as the network would. A relay process between each pair was rejected: each byte would pass
+through two more event loops, which would cost two thirds of the load that the harness can offer.
 """
 
 from __future__ import annotations
@@ -25,92 +24,93 @@
 
 
 class RunClock:
-    """Milliseconds since the run's first possible arrival; all processes of a run share its zero."""
+    """Clock in ms since the run's first possible arrival; all processes of a run share its zero."""
 
-    def __init__(self, read: Callable[[], float] = time.monotonic) -> None:
-        """Start at zero now; `read` gives seconds."""
-        self.read = read  # s
-        self.zero = read()
+    def __init__(self, read_s: Callable[[], float] = time.monotonic) -> None:
+        """Start the clock at zero; `read_s` returns the present time in seconds."""
+        self.read_s = read_s
+        self.zero = read_s()
 
     def now(self) -> float:
         """Return the milliseconds since the run's zero."""
-        return (self.read() - self.zero) * 1000
+        return (self.read_s() - self.zero) * 1000
 
 
 class Segment(NamedTuple):
-    """Bytes in transit, ms: when they arrive, and when they were written or read from the socket."""
+    """Bytes in transit: times in ms at which they arrive, and were written to or read from the socket."""
 
     arrives_at: float
     at: float
-    data: bytes | None  # None: the end of the stream
+    data: bytes | None  # None marks the end of the stream.
 
 
 class ImpairedConnection(asyncio.Protocol):
-    """One end of a TCP connection between `me` and `peer`, each a party's name."""
+    """One end of a TCP connection between the parties named `me` and `peer`."""
 
     def __init__(self, network: NetworkConditions, clock: RunClock, me: str, peer: str) -> None:
-        """Prepare a connection of party `me` with party `peer`."""
+        """Create the connection of party `me` with party `peer`, not yet established."""
         self.network, self.clock, self.me, self.peer = network, clock, me, peer
         self.transport: asyncio.Transport | None = None
         self.open = False
         self.inward: deque[Segment] = deque()
         self.outward: deque[Segment] = deque()
         self.timers: dict[bool, asyncio.TimerHandle] = {}
-        self.came_at = 0.0  # when what is being received came off the socket
-        self.closed_at = 0.0  # when the peer's end came off the socket; 0: it did not
+        self.read_at = 0.0  # When the bytes now being delivered were read from the socket.
+        self.closed_at = 0.0  # When the socket reported that the peer had closed; 0 before that.
 
-    # --- for the party
+    # --- methods that subclasses override or call
 
     def up(self) -> None:
-        """Handle that the connection is established."""
+        """Handle an established connection."""
 
     def received(self, data: bytes) -> None:
         """Handle received bytes."""
 
     def ended(self) -> None:
-        """Handle that the peer has closed, or that the connection broke."""
+        """Handle a connection that the peer has closed or that broke."""
 
     def peer_closed(self) -> None:
-        """Handle the end of the peer's stream as the socket has it, before the network's delay."""
+        """Handle the end of the peer's stream when the socket reports it, before the network's delay."""
 
     def send(self, data: bytes) -> None:
-        """Write, subject to the conditions of the network."""
-        self._pass(self.outward, data, False)
+        """Send bytes, subject to the conditions of the network."""
+        self._transmit(self.outward, data, False)
 
     def finish(self) -> None:
-        """Close once everything is written."""
-        self._pass(self.outward, None, False)
+        """Close the connection once all bytes are written."""
+        self._transmit(self.outward, None, False)
 
     def reset(self) -> None:
-        """Reset the connection now."""
+        """Reset the connection at once, without sending what is queued."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
-            if sock is None:  # the loop has closed it, and is yet to say so
+            if sock is None:  # The event loop closed the socket and has yet to call connection_lost.
                 return
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self.transport.abort()
 
-    # --- asyncio
+    # --- callbacks of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio)."""
-        self.transport, self.open = cast(asyncio.Transport, transport), True  # no subclass under uvloop
+        """Store the transport of the established connection."""
+        # A cast, as transports of uvloop do not derive from asyncio.Transport.
+        self.transport, self.open = cast(asyncio.Transport, transport), True
         self.network.watchers.append(self._changed)
         self.up()
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on after the delay of the network (asyncio)."""
-        self._pass(self.inward, data, True)
+        """Deliver received bytes after the delay of the network."""
+        self._transmit(self.inward, data, True)
 
     def eof_received(self) -> bool:
-        """Pass the end on after the delay of the network (asyncio)."""
+        """Deliver the end of the peer's stream after the delay of the network."""
         self._closed()
-        self._pass(self.inward, None, True)
+        self._transmit(self.inward, None, True)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Deliver what has arrived, and end (asyncio)."""
+        """Deliver bytes that are still queued, unless the link is cut, and end the connection."""
         if not self.open:
             return
         self.open = False
@@ -123,7 +123,7 @@
         if not self.network.conditions(self.peer, self.me).cut:
             for piece in list(self.inward):
                 if piece.data is not None:
-                    self.came_at = piece.at
+                    self.read_at = piece.at
                     self.received(piece.data)
         self.inward.clear()
         self.ended()
@@ -132,9 +132,9 @@
         self.closed_at = self.closed_at or self.clock.now()
         self.peer_closed()
 
-    # --- the network
+    # --- delays and cuts of the simulated network
 
-    def _pass(self, queue: deque[Segment], data: bytes | None, inward: bool) -> None:
+    def _transmit(self, queue: deque[Segment], data: bytes | None, inward: bool) -> None:
         if not self.open:
             return
         here, there = (self.peer, self.me) if inward else (self.me, self.peer)
@@ -156,8 +156,8 @@
         queue = self.inward if inward else self.outward
         here, there = (self.peer, self.me) if inward else (self.me, self.peer)
         if self.network.conditions(here, there).cut:
-            return  # goes on when the conditions change
-        # The loop counts whole milliseconds: what is due within the half of one goes now.
+            return  # Delivery resumes when the network conditions change.
+        # The event loop counts whole milliseconds: segments due within half a millisecond are delivered now.
         while queue and queue[0].arrives_at <= self.clock.now() + TIMER_TOLERANCE_MS:
             self._deliver(queue.popleft(), inward)
         if queue and self.open:
@@ -173,7 +173,7 @@
     def _deliver(self, piece: Segment, inward: bool) -> None:
         data = piece.data
         if inward:
-            self.came_at = piece.at
+            self.read_at = piece.at
             if data is None:
                 self.ended()
                 if self.transport is not None:
@@ -184,22 +184,23 @@
             if data is None:
                 self.transport.close()
             else:
-                with contextlib.suppress(RuntimeError):  # the loop has closed it, and is yet to say so
+                # The event loop may have closed the socket without having called connection_lost yet.
+                with contextlib.suppress(RuntimeError):
                     self.transport.write(data)
 
 
 class ImpairedListener:
-    """A listening socket that can refuse connections, or let them never come up."""
+    """A listening socket that can refuse connections or leave them unaccepted."""
 
-    def __init__(self, address: tuple[str, int], make: Callable[[], asyncio.Protocol]) -> None:
-        """Prepare a listener; `make` gives the protocol of a connection."""
-        self.address, self.make = address, make
+    def __init__(self, address: tuple[str, int], protocol_factory: Callable[[], asyncio.Protocol]) -> None:
+        """Create a closed listener; `protocol_factory` returns the protocol of a new connection."""
+        self.address, self.protocol_factory = address, protocol_factory
         self.sock: socket.socket | None = None
         self.fillers: list[socket.socket] = []
         self.tasks: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
-        """Listen. Raises OSError."""
+        """Start to listen; raises OSError if the address cannot be bound."""
         if self.sock is not None:
             return
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
@@ -215,7 +216,7 @@
         asyncio.get_running_loop().add_reader(sock.fileno(), self._accept)
 
     def close(self) -> None:
-        """Refuse connections from now on."""
+        """Stop listening, so that new connections are refused."""
         if self.sock is not None:
             asyncio.get_running_loop().remove_reader(self.sock.fileno())
             self.sock.close()
@@ -223,13 +224,13 @@
         self._drop_fillers()
 
     def set_unresponsive(self, unresponsive: bool) -> None:
-        """Let new connections never come up, by a full accept queue of the kernel; or let them again."""
+        """Leave new connections unaccepted by filling the kernel's accept queue, or accept them again."""
         if self.sock is None or unresponsive == bool(self.fillers):
             return
         loop = asyncio.get_running_loop()
         if unresponsive:
             loop.remove_reader(self.sock.fileno())
-            self._accept()  # these came before
+            self._accept()  # Connections that are already queued are still accepted.
             self.sock.listen(0)
             for _ in range(2):
                 filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
@@ -237,7 +238,7 @@
                 filler.connect_ex(self.address)
                 self.fillers.append(filler)
             return
-        while True:  # the fillers, and whoever slipped in before them: for him the connection resets
+        while True:  # Empty the queue of fillers; a real connection that preceded them is reset.
             try:
                 self.sock.accept()[0].close()
             except BlockingIOError:
@@ -259,6 +260,6 @@
             except (BlockingIOError, ConnectionError):
                 return
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = loop.create_task(loop.connect_accepted_socket(self.make, connection))
+            task = loop.create_task(loop.connect_accepted_socket(self.protocol_factory, connection))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -20,7 +20,7 @@
 from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.experiments.tables import RequestClass
 from balancer.lab import records
-from balancer.lab.clients import OVERDUE_MS, method_and_body
+from balancer.lab.clients import LOST_AFTER_DEADLINE_MS, method_and_body
 from balancer.lab.timeline import last_step_at
 from balancer.models.backend import Verdict
 from balancer.models.client import Outcome
@@ -153,7 +153,11 @@
             return
         if one.outcome == Outcome.DISCONNECTED.value and one.response_started:
             return  # failed: the client can tell that the answer is not whole
-        until = one.ended_at if one.outcome == Outcome.DISCONNECTED.value else one.deadline + OVERDUE_MS
+        until = (
+            one.ended_at
+            if one.outcome == Outcome.DISCONNECTED.value
+            else one.deadline + LOST_AFTER_DEADLINE_MS
+        )
         if self._excused(one, until):
             self.out.excused += 1
         elif one.outcome == Outcome.DISCONNECTED.value and not self.attempts.get(one.ident):
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -103,7 +103,7 @@
     if spec.network.peer_datagrams:
         out["peer_listen"] = format_address(addresses.peer(node))
         out["peers"] = [
-            format_address(addresses.relay(node, far)) for far in range(peers or spec.fleet.nodes)
+            format_address(addresses.relay(node, remote)) for remote in range(peers or spec.fleet.nodes)
         ]
         out["peers_all"] = format_address(addresses.relay(node, node))
     return out
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -20,7 +20,7 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.faults import LinkFault, PowerLoss, fault_kind
 from balancer.lab import records
-from balancer.lab.figures import WINDOW_S, Series, backend_loads, member_counts, operations, series
+from balancer.lab.figures import SERIES_WINDOW_S, Series, backend_loads, member_counts, operations, series
 from balancer.lab.summary import Summary
 from balancer.lab.timeline import last_step_at
 
@@ -144,7 +144,7 @@
 def plots(spec: Experiment, run_records: records.RunRecords) -> Figure:
     """Plot goodput and load, latency, rejections, load by backend, and nodes; faults as bands."""
     line = series(spec, run_records, operations(spec, run_records))
-    t = np.array(line["t_s"]) + WINDOW_S / 2
+    t = np.array(line["t_s"]) + SERIES_WINDOW_S / 2
     heights = [2.2, 2.2, 1.2, 2.2, max(1.2, min(3.5, 0.22 * spec.fleet.nodes))]
     if spec.fleet.membership:
         heights.append(2.2)
@@ -202,7 +202,7 @@
     loads = backend_loads(spec, run_records)
     image = ax.imshow(
         loads, aspect="auto", origin="lower", cmap="viridis", interpolation="nearest",
-        extent=(0, loads.shape[1] * WINDOW_S, -0.5, spec.backends.count - 0.5),
+        extent=(0, loads.shape[1] * SERIES_WINDOW_S, -0.5, spec.backends.count - 0.5),
     )  # fmt: skip
     figure.colorbar(image, ax=ax, pad=0.01, label="attempts / s", fraction=0.05)
     if spec.backends.count <= MAX_NAMED_LANES:
--- a/balancer/lab/summary.py
+++ b/balancer/lab/summary.py
@@ -10,7 +10,7 @@
 from balancer.lab import records
 from balancer.lab.figures import (
     MAX_CPU_WAIT_S,
-    MAX_HARNESS_LATENESS_MS,
+    MAX_HARNESS_LATENESS_P99_MS,
     expectation_holds,
     figures,
 )
@@ -61,7 +61,7 @@
 ) -> Summary:
     """Return the summary of a run by its records."""
     values = figures(spec, seed, run_records, judged)
-    late = values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_MS
+    late = values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_P99_MS
     starved = values["node_waited_s_max"] > MAX_CPU_WAIT_S
     return Summary(
         version=VERSION,
