--- a/balancer/lab/discovery_stub.py
+++ b/balancer/lab/discovery_stub.py
@@ -16,7 +16,7 @@
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan, format_address
 from balancer.lab.impaired_sockets import ImpairedConnection, ImpairedListener, RunClock
-from balancer.models.directory import Directory, Listed, Phase, Watch
+from balancer.models.directory import Directory, ListedEndpoint, Phase, Watch
 from balancer.models.network import NetworkConditions
 
 FORMER_CONNECTION_LIFETIME_S = 1.5  # Connections to a former address are closed this long after a move.
@@ -37,7 +37,7 @@
             run_records,
         )
         self.directory = Directory({
-            name: Listed(name, spec.zone_of(name), spec.cell_of(number),
+            name: ListedEndpoint(name, spec.zone_of(name), spec.cell_of(number),
                          up_since=time.time() * 1000 if spec.backends.start_cold else 0.0)
             for number, name in enumerate(spec.backend_names)
         })  # fmt: skip
@@ -84,12 +84,12 @@
         """Stop sending anything on the open watches of these nodes."""
         for connection in self.connections:
             if connection.watch is not None and connection.peer in names:
-                connection.watch.silent = True
+                connection.watch.is_silent = True
                 self.counts["silent"] += 1
 
     def plan(self, lag_s: float, name: str, phase: Phase, up_since: float | None = None) -> None:
         """Schedule a change of a backend, which discovery learns of `lag_s` from now."""
-        self.directory.plan(self.clock.now() + lag_s * 1000, name, phase, up_since)
+        self.directory.schedule_change(self.clock.now() + lag_s * 1000, name, phase, up_since)
         asyncio.get_running_loop().call_later(lag_s + 0.001, self._publish)
 
     def _publish(self) -> None:
@@ -135,12 +135,12 @@
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
         else:
             connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            connection.watch = Watch(since, brief=self.spec.discovery.watch_ends_on_change)
+            connection.watch = Watch(since, ends_on_change=self.spec.discovery.watch_ends_on_change)
             connection.send_pending()
             connection.send_heartbeat()
         self._next()
 
-    def line(self, node: int, entries: list[Listed], complete: bool) -> bytes:
+    def line(self, node: int, entries: list[ListedEndpoint], complete: bool) -> bytes:
         """Encode list entries as JSON for a node, and record them as delivered."""
         now = self.clock.now()
         rows = []
@@ -201,7 +201,7 @@
 
     def send_pending(self) -> None:
         """Send the pending entries of the watch, or end a watch that closes on a change."""
-        if self.open and self.watch is not None and self.watch.ends(self.service.directory):
+        if self.open and self.watch is not None and self.watch.should_end(self.service.directory):
             self.watch = None
             self.send(b"0\r\n\r\n")
             self.finish()
@@ -213,7 +213,7 @@
 
     def send_heartbeat(self) -> None:
         """Send an empty line as a heartbeat and schedule the next one."""
-        if self.open and self.watch is not None and not self.watch.silent:
+        if self.open and self.watch is not None and not self.watch.is_silent:
             self.send(b"1\r\n\n\r\n")
             self.heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self.send_heartbeat)
 
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -35,7 +35,7 @@
     Slowdown,
     Stall,
 )
-from balancer.experiments.random_streams import stream
+from balancer.experiments.random_streams import random_stream
 from balancer.lab import records
 from balancer.lab.addresses import AddressPlan
 from balancer.lab.backend_stubs import BackendGroup, BackendStub
@@ -80,7 +80,7 @@
         self.clock = RunClock(read)
         addresses = AddressPlan(plan.block, self.spec.backends.count)
         self.network = NetworkConditions(
-            self.spec, stream(plan.seed, "weather", STREAM_NAMES[plan.role], plan.part)
+            self.spec, random_stream(plan.seed, "weather", STREAM_NAMES[plan.role], plan.part)
         )
         world = (addresses, self.network, self.clock, self.run_records)
         self.group: BackendGroup | None = None
@@ -228,7 +228,7 @@
         case Stall() if on:
             stub.model.stall(now)
         case Stall():
-            stub.conclude(stub.model.wake(now))
+            stub.conclude(stub.model.resume(now))
             stub.arm()
         case GrayFailure():
             active_faults.gray, active_faults.gray_ms = (fault.share if on else 0.0), fault.answer_ms
