--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -25,10 +25,10 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.loading import decode_experiment, load_experiment
 from balancer.lab import records
-from balancer.lab.figures import JUDGED, MIN_SEEDS
+from balancer.lab.figures import COMPARED_FIGURES, MIN_SEEDS
 from balancer.lab.judge import RULES, Judge
-from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, obtain
-from balancer.lab.run import Live, ResultsError, Run, play
+from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, prepare_program
+from balancer.lab.run import Live, ResultsError, Run, run_experiment
 from balancer.lab.summary import Summary, summarize
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
@@ -108,7 +108,7 @@
     """Return the program of a revision, building it if necessary."""
     try:
         with console.status(f"building {revision}" if revision != WORKING_TREE else "building the node"):
-            return obtain(revision)
+            return prepare_program(revision)
     except ProgramError as err:
         raise error_exit(err) from None
     except OSError as err:
@@ -119,9 +119,9 @@
              live: Live | None = None) -> tuple[records.RunRecords, Summary]:  # fmt: skip
     """Play an experiment, judge it and write `summary.json` and `experiment.json`.
 
-    Raises the errors of `play`, and OSError.
+    Raises the errors of `run_experiment`, and OSError.
     """
-    run_records = uvloop.run(play(spec, seed, program, out, verbose, live))
+    run_records = uvloop.run(run_experiment(spec, seed, program, out, verbose, live))
     (out / "experiment.json").write_bytes(msgspec.json.encode(spec))
     return run_records, judge_records(spec, seed, program.label, run_records, out)
 
@@ -331,12 +331,12 @@
 ) -> None:
     """Compare two programs on the same seeds. Exit code 0: no difference; 1: a figure differs; 2: not run."""
     from balancer.lab.compare import compare, compare_page
-    from balancer.lab.compare import table as rows_of
+    from balancer.lab.compare import difference_rows as rows_of
 
     specs = (read_experiment(experiment, sets), read_experiment(experiment, [*(sets or ()), *(sets_b or ())]))
     spec = specs[0]
     programs = (build_program(a), build_program(b))
-    figure_names = tuple(dict.fromkeys([*JUDGED, *(extra_figures or ())]))
+    figure_names = tuple(dict.fromkeys([*COMPARED_FIGURES, *(extra_figures or ())]))
     with reporting_errors():
         values = _paired_figures(specs, programs, range(first_seed, first_seed + seeds), out)
         for name in figure_names:
--- a/balancer/lab/summary.py
+++ b/balancer/lab/summary.py
@@ -10,7 +10,7 @@
 from balancer.lab import records
 from balancer.lab.figures import (
     MAX_CPU_WAIT_S,
-    MAX_HARNESS_LATENESS_MS,
+    MAX_HARNESS_LATENESS_P99_MS,
     expectation_holds,
     figures,
 )
@@ -57,11 +57,11 @@
 
 
 def summarize(
-    spec: Experiment, seed: int, program: str, seen: records.RunRecords, judged: Judgement
+    spec: Experiment, seed: int, program: str, run_records: records.RunRecords, judged: Judgement
 ) -> Summary:
     """Return the summary of a run by its records."""
-    values = figures(spec, seed, seen, judged)
-    late = values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_MS
+    values = figures(spec, seed, run_records, judged)
+    late = values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_P99_MS
     starved = values["node_waited_s_max"] > MAX_CPU_WAIT_S
     return Summary(
         version=VERSION,
@@ -77,5 +77,7 @@
             )
             for each in spec.expect
         ],
-        breaks=[Violation(each.rule, round(each.at, 1), each.node, each.text) for each in judged.first],
+        breaks=[
+            Violation(each.rule, round(each.at, 1), each.node, each.text) for each in judged.first_violations
+        ],
     )
