--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -389,7 +389,7 @@
         show_soak(result)
     if result.broken:
         raise typer.Exit(Exit.SHORT)
-    raise typer.Exit(Exit.HELD if result.is_telling else Exit.NOT_RUN)
+    raise typer.Exit(Exit.HELD if result.is_conclusive else Exit.NOT_RUN)
 
 
 def _show_differences(result: dict[str, Any], judged: int, out: Path) -> None:
--- a/balancer/lab/soak/runner.py
+++ b/balancer/lab/soak/runner.py
@@ -67,7 +67,7 @@
         return [each for each in self.seeds if each.findings and not each.void]
 
     @property
-    def is_telling(self) -> bool:
+    def is_conclusive(self) -> bool:
         """Whether few enough plays were void."""
         return len(self.void) <= MAX_VOID_SHARE * len(self.seeds)
 
--- a/tests/test_lab_soak.py
+++ b/tests/test_lab_soak.py
@@ -122,7 +122,7 @@
 
     broken = Finding("answer", "late")
     soak = SoakResult("p", [result(1, False, broken), result(2, True, broken), result(3, False)])
-    assert [each.seed for each in soak.broken] == [1] and soak.void == [2] and not soak.is_telling
+    assert [each.seed for each in soak.broken] == [1] and soak.void == [2] and not soak.is_conclusive
     assert soak.broken[0].command == "bin/balancer lab soak --seeds 1 --out DIR"
 
 
