--- a/balancer/lab/scale/__init__.py
+++ b/balancer/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The harness of scale: what each role costs at growing sizes, and its slope to the size of two years."""
+"""Scale measurements: the cost of each role at growing sizes, extrapolated to the planned size."""
--- a/balancer/lab/scale/concurrent_callers.py
+++ b/balancer/lab/scale/concurrent_callers.py
@@ -1,6 +1,7 @@
-"""Concurrent clients of some nodes in a process of their own: an open loop of requests at a steady rate.
+"""Concurrent clients of some nodes in a separate process, with an open loop of requests at a steady rate.
 
-It reads a plan as a line of JSON, says that it is ready, reads when to begin, and writes what it saw.
+The process reads a plan as a line of JSON, reports that it is ready, reads its start time, and writes its
+results.
 """
 
 from __future__ import annotations
@@ -21,35 +22,41 @@
 from balancer.lab.programs import ROOT
 
 HOST = "127.0.0.1"
-ANSWER_TIMEOUT_S = 5.0  # s from the last request until all have their answers
-POLL_INTERVAL_S = 0.02  # s between two looks whether they have
-MAX_CONNECTIONS = 64  # connections to one node; what comes beyond that waits for one of them
-MAX_LINE_BYTES = 2**26  # bytes of a line of JSON
+ANSWER_TIMEOUT_S = 5.0  # Requests without a response this long after the last request count as unanswered.
+POLL_INTERVAL_S = 0.02
+MAX_CONNECTIONS = 64  # Requests beyond this many connections to one node wait for a free connection.
+MAX_LINE_BYTES = 2**26
 CONTENT_LENGTH = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
 CONNECTION_CLOSE = re.compile(rb"connection: close", re.IGNORECASE)
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """The requests of one process from its begin on; times in s."""
+    """The load of one process: a request rate for each node, and the durations of both parts in seconds."""
 
-    ports: list[int]  # of its nodes
-    per_s: float  # requests to each
-    first: float  # how long the first part lasts
+    ports: list[int]
+    per_s: float
+    first: float
     second: float
 
 
 class PartResult(msgspec.Struct):
     """The results of the requests that were due in one part of the run."""
 
-    until: float  # of the monotonic clock
+    until: float  # The part ends at this time of the monotonic clock.
     scheduled: int = 0
-    sent: int = 0  # of them, before the part was over
-    statuses: dict[int, int] = msgspec.field(default_factory=dict)  # of the answers; 0: none came
-    took_ms: list[float] = msgspec.field(default_factory=list)  # of each answer, since its request was due
-    late_ms: list[float] = msgspec.field(default_factory=list)  # the harness's own lateness with each request
+    sent: int = 0  # Only requests sent before the end of the part count as sent.
+    statuses: dict[int, int] = msgspec.field(
+        default_factory=dict
+    )  # Status 0 counts requests without a response.
+    took_ms: list[float] = msgspec.field(
+        default_factory=list
+    )  # Latencies count from when the request was due.
+    late_ms: list[float] = msgspec.field(
+        default_factory=list
+    )  # Lateness of the harness is recorded per request.
 
     def answered(self, status: int, count: int = 1) -> None:
-        """Count requests that have ended."""
+        """Count requests that have ended, by status."""
         self.statuses[status] = self.statuses.get(status, 0) + count
 
     @property
@@ -66,14 +73,15 @@
     def __init__(self, target: Target) -> None:
         """Prepare a connection to a node."""
         self.target, self.buffer = target, b""
-        self.request: tuple[PartResult, float] | None = None  # that has no answer yet, and when it was due
+        # The request in progress is kept as its part of the run and the time at which it was due.
+        self.request: tuple[PartResult, float] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, part: PartResult, due_at: float) -> None:
-        """Send a request."""
+        """Send a request and count it as sent if its part has not ended yet."""
         self.request = part, due_at
         part.sent += time.monotonic() < part.until
         self.transport.write(
@@ -82,7 +90,7 @@
         self.target.number += 1
 
     def data_received(self, data: bytes) -> None:
-        """Parse a piece of a response."""
+        """Parse a piece of a response, and end the request once the response is complete (asyncio)."""
         self.buffer += data
         head, found, body = self.buffer.partition(b"\r\n\r\n")
         length = CONTENT_LENGTH.search(head)
@@ -93,12 +101,12 @@
         if CONNECTION_CLOSE.search(head):
             self.transport.close()
         else:
-            self.target.free(self)
+            self.target.connection_idle(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the request in progress without an answer."""
+        """End the request in progress as unanswered (asyncio)."""
         self._end_request(0)
-        self.target.lost(self)
+        self.target.remove(self)
 
     def _end_request(self, status: int) -> None:
         if self.request is not None:
@@ -113,10 +121,10 @@
     """One node, and the requests that wait for a connection to it."""
 
     def __init__(self, port: int) -> None:
-        """Prepare the connections to a node by its port."""
+        """Start without connections to the node that listens on this port."""
         self.port, self.number = port, 0
         self.idle: list[CallerConnection] = []
-        self.connections = 0  # with those that are being opened
+        self.connections = 0  # Connections that are still being opened count as well.
         self.waiting: list[tuple[PartResult, float]] = []
         self.opening: set[asyncio.Task[None]] = set()
 
@@ -134,7 +142,7 @@
 
     async def _open(self) -> None:
         try:
-            _, wire = await asyncio.get_running_loop().create_connection(
+            _, connection = await asyncio.get_running_loop().create_connection(
                 lambda: CallerConnection(self), HOST, self.port
             )
         except OSError:
@@ -142,29 +150,29 @@
             if self.waiting:
                 self.waiting.pop(0)[0].answered(0)
         else:
-            self.free(wire)
+            self.connection_idle(connection)
 
-    def free(self, wire: CallerConnection) -> None:
-        """Take a connection that is idle."""
+    def connection_idle(self, connection: CallerConnection) -> None:
+        """Use an idle connection for the next waiting request, or keep it for later."""
         if self.waiting:
-            wire.send(*self.waiting.pop(0))
+            connection.send(*self.waiting.pop(0))
         else:
-            self.idle.append(wire)
+            self.idle.append(connection)
 
-    def lost(self, wire: CallerConnection) -> None:
-        """Forget a connection that has ended."""
+    def remove(self, connection: CallerConnection) -> None:
+        """Remove a connection that has ended."""
         self.connections -= 1
-        if wire in self.idle:
-            self.idle.remove(wire)
+        if connection in self.idle:
+            self.idle.remove(connection)
 
 
 async def send_all(plan: Plan, begin: float) -> list[PartResult]:
-    """Send all requests from `begin` (s, monotonic) on, and return the results of both parts."""
+    """Send all requests from `begin` on, a time of the monotonic clock; return the results of both parts."""
     parts = PartResult(begin + plan.first), PartResult(begin + plan.first + plan.second)
     targets = [Target(port) for port in plan.ports]
     per_s = plan.per_s * len(targets)
-    first, every = round(plan.first * per_s), round((plan.first + plan.second) * per_s)
-    for number in range(every):
+    first, total = round(plan.first * per_s), round((plan.first + plan.second) * per_s)
+    for number in range(total):
         due_at = begin + number / per_s
         await asyncio.sleep(max(0.0, due_at - time.monotonic()))
         part = parts[number >= first]
@@ -180,26 +188,30 @@
 
 
 class CallerProcess:
-    """A process of concurrent clients, as its parent has it."""
+    """A process of concurrent clients, controlled by its parent."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         """Wrap a process that has been started."""
         self.process = process
 
-    async def begin(self, when: float) -> None:
-        """Let it send from `when` (s, monotonic) on."""
+    async def send_from(self, when: float) -> None:
+        """Tell the process to send requests from `when` on, in seconds of the monotonic clock."""
         assert self.process.stdin is not None
         self.process.stdin.write(msgspec.json.encode(when) + b"\n")
         await self.process.stdin.drain()
 
-    async def parts(self) -> list[PartResult]:
-        """Return its results once it is done; raises msgspec.DecodeError where it has ended without."""
+    async def results(self) -> list[PartResult]:
+        """Wait for the results of the process.
+
+        Raises:
+            msgspec.DecodeError: The process ended without results.
+        """
         assert self.process.stdout is not None
         return msgspec.json.decode(await self.process.stdout.readline(), type=list[PartResult])
 
 
 async def spawn(stack: AsyncExitStack, plan: Plan) -> CallerProcess:
-    """Start one and wait until it is ready; it ends with the stack."""
+    """Start a client process that is killed when the stack closes, and wait until it is ready."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-B", "-m", "balancer.lab.scale.concurrent_callers", cwd=ROOT, limit=MAX_LINE_BYTES,
         stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
@@ -219,7 +231,7 @@
 
 
 def main() -> None:
-    """Run the process."""
+    """Run the client process: read the plan and the start time from stdin, write the results to stdout."""
     plan = msgspec.json.decode(sys.stdin.readline(), type=Plan)
     gc.freeze()
     sys.stdout.write("null\n")
--- a/balancer/lab/scale/decision_module.py
+++ b/balancer/lab/scale/decision_module.py
@@ -61,9 +61,9 @@
         self.balancer.handle(self.now, served)
         self.answer.append(time.process_time_ns() - begin)
 
-    def play(self, most_s: float, most: int) -> None:
-        """Play at most `most` requests, or as many as fit into `most_s` seconds."""
-        until = time.process_time() + most_s
+    def play(self, max_s: float, most: int) -> None:
+        """Play at most `most` requests, or as many as fit into `max_s` seconds."""
+        until = time.process_time() + max_s
         for number in range(most):
             self.one(number % REQUESTS_PER_FAILURE == REQUESTS_PER_FAILURE - 1)
             if number > REQUESTS_PER_FAILURE and time.process_time() > until:
@@ -89,8 +89,8 @@
     return Balancer(parse_settings(generated_inputs.raw_settings(backends)), seed)
 
 
-def measure(backends: int, seed: int, most_s: float) -> Iterator[Point]:
-    """Yield all figures of one size, within `most_s` seconds of processor time."""
+def measure(backends: int, seed: int, max_s: float) -> Iterator[Point]:
+    """Yield all figures of one size, within `max_s` seconds of processor time."""
 
     def point(figure: str, unit: str, value: float) -> Point:
         return Point("module", figure, unit, backends, value, False)
@@ -111,26 +111,24 @@
         took.append(time.process_time_ns() - begin)
     yield point("whole_list", "us", statistics.median(took) / 1000)
     requests = Requests(balancer, generated_inputs.START_MS)
-    requests.play(most_s / 3, 4_000)
+    requests.play(max_s / 3, 4_000)
     for figure, value in requests.medians():
         yield point(figure, "us", value)
-    yield from (point(*figure) for figure in _changes(balancer, requests.now, backends, most_s / 3))
+    yield from (point(*figure) for figure in _changes(balancer, requests.now, backends, max_s / 3))
     now = requests.now + generated_inputs.DAY_MS
     yield point(
         "unavailable",
         "us",
-        generated_inputs.spent_us(lambda: balancer.count_unavailable(now), most_s / 10, 200),
+        generated_inputs.median_cpu_us(lambda: balancer.count_unavailable(now), max_s / 10, 200),
     )
     yield point(
-        "learned", "us", generated_inputs.spent_us(lambda: balancer.learned_state(now), most_s / 10, 200)
+        "learned", "us", generated_inputs.median_cpu_us(lambda: balancer.learned_state(now), max_s / 10, 200)
     )
 
 
-def _changes(
-    balancer: Balancer, now: float, backends: int, most_s: float
-) -> Iterator[tuple[str, str, float]]:
+def _changes(balancer: Balancer, now: float, backends: int, max_s: float) -> Iterator[tuple[str, str, float]]:
     """Yield the cost of changes of one entry: a drain, a replacement, a restart."""
-    clock, numbers = generated_inputs.clock(500.0, now), itertools.count()
+    clock, numbers = generated_inputs.virtual_times(500.0, now), itertools.count()
     fresh = itertools.count(backends)
     places = list(range(backends))
 
@@ -155,7 +153,7 @@
         update(generated_inputs.entry(places[turn * 7 % backends], started_at=now + turn))
 
     for name, call in (("drain", drained), ("replace", replaced), ("restart", restarted)):
-        yield name, "us", generated_inputs.spent_us(call, most_s / 3, 400)
+        yield name, "us", generated_inputs.median_cpu_us(call, max_s / 3, 400)
 
 
 def memory(backends: int, seed: int) -> Point:
@@ -175,7 +173,7 @@
     return Point("module", "memory", "bytes", backends, float(held), False)
 
 
-def replacements(seed: int, most: int, marks: tuple[int, ...], most_s: float) -> Iterator[Point | NotPlayed]:
+def replacements(seed: int, most: int, marks: tuple[int, ...], max_s: float) -> Iterator[Point | NotPlayed]:
     """Yield the cost, then the memory, of replacements one after the other."""
     for figure, unit in (("change", "us"), ("memory", "bytes")):
         balancer = node(BACKENDS_IN_SERVICE, seed)
@@ -183,12 +181,12 @@
             generated_inputs.START_MS,
             api.ListUpdate(api.ListUpdateKind.SNAPSHOT, generated_inputs.entries(BACKENDS_IN_SERVICE), 1),
         )
-        until, took, held = time.process_time() + most_s / 2, [], 0
+        until, took, held = time.process_time() + max_s / 2, [], 0
         if unit == "bytes":
             tracemalloc.start()
         for number in range(most):
             # As many a day as the size has; each drains before it goes.
-            now = generated_inputs.START_MS + number * generated_inputs.DAY_MS / size.RESTARTS_A_DAY
+            now = generated_inputs.START_MS + number * generated_inputs.DAY_MS / size.RESTARTS_PER_DAY
             old, new = (
                 generated_inputs.entry(number),
                 generated_inputs.entry(number + BACKENDS_IN_SERVICE, started_at=now),
@@ -207,7 +205,7 @@
                     yield Point("replaced", figure, unit, number + 1, value, False)
             if time.process_time() > until:
                 yield NotPlayed(f"replaced.{figure} beyond {number + 1} of {most}",
-                                f"it took more than {most_s / 2:g} s of processor time")  # fmt: skip
+                                f"it took more than {max_s / 2:g} s of processor time")  # fmt: skip
                 break
         if unit == "bytes":
             tracemalloc.stop()
@@ -216,14 +214,14 @@
 
 def plays(quick: bool) -> list[Play]:
     """Return the plays of the module."""
-    sizes, most_s = (QUICK_SIZES, 2.0) if quick else (SIZES, 12.0)
+    sizes, max_s = (QUICK_SIZES, 2.0) if quick else (SIZES, 12.0)
 
     def run(seed: int) -> Iterator[Point]:
         for backends in sizes:
             yield memory(backends, seed)
-            yield from measure(backends, seed, most_s)
+            yield from measure(backends, seed, max_s)
 
-    most = 2_000 if quick else size.REPLACED
+    most = 2_000 if quick else size.BACKEND_RESTARTS
     marks = tuple(most * part // 100 for part in (2, 5, 10, 20, 50, 100))
 
     def replaced(seed: int) -> Iterator[Point | NotPlayed]:
@@ -231,6 +229,6 @@
 
     return [
         Play("module", run, size.BACKENDS, LIMITS),
-        Play("replaced", replaced, size.REPLACED,
+        Play("replaced", replaced, size.BACKEND_RESTARTS,
              "The very Balancer, without requests, 200 in service: a change names one gone and one new."),
     ]  # fmt: skip
--- a/balancer/lab/scale/dense_hosting.py
+++ b/balancer/lab/scale/dense_hosting.py
@@ -48,7 +48,7 @@
     backend = await loop.create_server(BackendStub, HOST, 0)
     where = f"{HOST}:{backend.sockets[0].getsockname()[1]}"
     entries = generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS)
-    discovery = DiscoveryStub(generated_inputs.line(entries, 2, True, where))
+    discovery = DiscoveryStub(generated_inputs.encode_update(entries, 2, True, where))
     server = await asyncio.start_server(discovery.serve, HOST, 0)
     async with contextlib.AsyncExitStack() as stack:
         stack.callback(server.close)
@@ -68,7 +68,7 @@
                 api.EndpointPhase.IN_SERVICE if number % 2 else api.EndpointPhase.DRAINING,
                 entries[0].started_at,
             )
-            lines.append(generated_inputs.line([at], number + 3, False, where))
+            lines.append(generated_inputs.encode_update([at], number + 3, False, where))
         busy = await _processor_times(pids, discovery, lines, changes)
         memory = [resources_of(pid)[1] for pid in pids]
     figures = (
--- a/balancer/lab/scale/discovery.py
+++ b/balancer/lab/scale/discovery.py
@@ -26,10 +26,10 @@
 
 WATCHERS = (40, 80, 160, 320, round(size.NODES / size.CONTROL_MACHINES), 800)
 QUICK_WATCHERS = (10, 20, 40)
-BURSTS = (1, size.RACK_MACHINES, 400, 2_000, size.LOST_ZONE)  # entries that one line changes
+BURSTS = (1, size.RACK_MACHINES, 400, 2_000, size.BACKENDS_PER_ZONE)  # entries that one line changes
 QUICK_BURSTS = (1, size.RACK_MACHINES, 400)
 LIST_ENTRIES = 200  # entries of the whole list that watchers are told
-EVENTS_PER_DAY = size.CHANGES_A_DAY + size.RESTARTS_A_DAY
+EVENTS_PER_DAY = size.CONFIG_CHANGES_PER_DAY + size.RESTARTS_PER_DAY
 STREAM_WATCHERS = 4
 MAX_LINES_AHEAD = 200  # lines that are sent before the last watcher is waited for
 BROADCASTS = 40  # changes told to all, one after the other
@@ -203,7 +203,7 @@
         """Return a line that changes `count` entries."""
         revision = next(self.revisions)
         phase = api.EndpointPhase.DRAINING if revision % 2 else api.EndpointPhase.IN_SERVICE
-        return generated_inputs.line(
+        return generated_inputs.encode_update(
             [generated_inputs.entry(n, phase) for n in range(count)], revision, False
         )
 
@@ -231,7 +231,7 @@
 
 async def play_watchers(count: int) -> list[Point]:
     """Measure a join of all at once, changes, and a reconnection of a tenth without state."""
-    directory = Directory(generated_inputs.line(generated_inputs.entries(LIST_ENTRIES), 1, True))
+    directory = Directory(generated_inputs.encode_update(generated_inputs.entries(LIST_ENTRIES), 1, True))
     watchers = Watchers(count, directory)
     loop = asyncio.get_running_loop()
     begin = loop.time()
@@ -265,7 +265,9 @@
 
 async def play_bursts(sizes: tuple[int, ...]) -> list[Point]:
     """Measure bytes and processor time of lines that change many entries: a rack, a zone."""
-    watchers = Watchers(1, Directory(generated_inputs.line(generated_inputs.entries(LIST_ENTRIES), 1, True)))
+    watchers = Watchers(
+        1, Directory(generated_inputs.encode_update(generated_inputs.entries(LIST_ENTRIES), 1, True))
+    )
     await watchers.start()
     out = []
     try:
@@ -282,7 +284,7 @@
 
 async def play_day(events: int) -> list[Point]:
     """Measure bytes and processor time of a day's stream of changes, sent fast."""
-    directory = Directory(generated_inputs.line(generated_inputs.entries(LIST_ENTRIES), 1, True))
+    directory = Directory(generated_inputs.encode_update(generated_inputs.entries(LIST_ENTRIES), 1, True))
     watchers = Watchers(STREAM_WATCHERS, directory)
     await watchers.start()
     out = []
@@ -326,6 +328,6 @@
 
     return [
         Play("discovery", discovery, size.NODES, LIMITS),
-        Play("burst", lambda _: uvloop.run(play_bursts(bursts)), size.LOST_ZONE, LIMITS),
+        Play("burst", lambda _: uvloop.run(play_bursts(bursts)), size.BACKENDS_PER_ZONE, LIMITS),
         Play("day", lambda _: uvloop.run(play_day(events)), EVENTS_PER_DAY, LIMITS),
     ]
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -78,16 +78,16 @@
 def lists(sizes: tuple[int, ...]) -> Iterator[Point | NotPlayed]:
     """Yield the bytes of a snapshot and of a change, and the processor time to decode it."""
     for backends in sizes:
-        data = generated_inputs.line(generated_inputs.entries(backends), 2, True)
+        data = generated_inputs.encode_update(generated_inputs.entries(backends), 2, True)
         yield Point("list", "whole", "bytes", backends, float(len(data)), True)
-        change = generated_inputs.line([generated_inputs.entry(backends - 1)], 3, False)
+        change = generated_inputs.encode_update([generated_inputs.entry(backends - 1)], 3, False)
         yield Point("list", "change", "bytes", backends, float(len(change)), True)
         try:
             decode(data)
         except JsonStreamError as err:
             yield NotPlayed(f"list.decode at {backends}", f"refused whole: {err.summary}")
             continue
-        took = generated_inputs.spent_us(lambda data=data: decode(data), 1.0, 50)  # type: ignore[misc]
+        took = generated_inputs.median_cpu_us(lambda data=data: decode(data), 1.0, 50)  # type: ignore[misc]
         yield Point("list", "decode", "us", backends, took, False)
         yield from uvloop.run(measure_taking(backends))
 
@@ -113,7 +113,7 @@
 
     def __init__(self, work: Iterator[None] | None = None) -> None:
         """Run a generator, if one is given."""
-        self.spent_us = self.longest_us = 0.0
+        self.median_cpu_us = self.longest_us = 0.0
         self.result: EndpointUpdate | None = None
         if work is not None:
             self.add(work)
@@ -136,7 +136,7 @@
                 return
             finally:
                 took = (time.process_time_ns() - begin) / 1000
-                self.spent_us, self.longest_us = self.spent_us + took, max(self.longest_us, took)
+                self.median_cpu_us, self.longest_us = self.median_cpu_us + took, max(self.longest_us, took)
 
 
 async def measure_taking(backends: int) -> list[Point]:
@@ -152,7 +152,7 @@
     out = []
 
     def event(revision: int, entries: list[api.Endpoint]) -> EndpointUpdate:
-        found, longest = decode(generated_inputs.line(entries, revision, True))
+        found, longest = decode(generated_inputs.encode_update(entries, revision, True))
         assert found is not None
         if revision == 1:
             out.append(Point("list", "decode_turn", "us", backends, longest, False))
@@ -413,8 +413,8 @@
             generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS),
             where,
         )
-        self.other_zones = [entry for entry in self.entries if entry.zone != generated_inputs.ZONE]
-        self.snapshot = generated_inputs.line(self.entries, 2, True, where)
+        self.other_zones = [entry for entry in self.entries if entry.zone != generated_inputs.OWN_ZONE]
+        self.snapshot = generated_inputs.encode_update(self.entries, 2, True, where)
         self.revision = 2
 
     def change(self) -> bytes:
@@ -422,14 +422,14 @@
         number, self.revision = self.revision - 2, self.revision + 1
         was = self.entries[number // 2 * 7 % len(self.entries)]
         phase = api.EndpointPhase.IN_SERVICE if number % 2 else api.EndpointPhase.DRAINING
-        return generated_inputs.line([replace(was, phase=phase)], self.revision, False, self.where)
+        return generated_inputs.encode_update([replace(was, phase=phase)], self.revision, False, self.where)
 
     def lists(self) -> list[tuple[int, bytes]]:
         """Return snapshots to send one after the other, each with the number of its entries."""
         each = self.other_zones, self.entries, self.entries[:-1]  # one less: its end is seen by their number
         first, self.revision = self.revision + 1, self.revision + len(each)
         return [
-            (len(entries), generated_inputs.line(entries, number, True, self.where))
+            (len(entries), generated_inputs.encode_update(entries, number, True, self.where))
             for number, entries in enumerate(each, first)
         ]
 
@@ -447,7 +447,7 @@
     changes = [lines.change() for _ in range(int(plan.first / CHANGE_INTERVAL_S))]
     lists, slowest = lines.lists(), 0.0
     begin, (cpu, _) = time.monotonic() + CLIENT_START_DELAY_S, resources_of(pid)
-    await clients.begin(begin)
+    await clients.send_from(begin)
     for number, line in enumerate(changes):
         await asyncio.sleep(begin + number * CHANGE_INTERVAL_S - time.monotonic())
         discovery.send(line)
@@ -459,7 +459,7 @@
             await discovery.send_long(line)
             await wait_until_listed(ports, count)
             slowest = max(slowest, time.monotonic() - sent_at)
-    at_rest, busy = await clients.parts()
+    at_rest, busy = await clients.results()
     p50, p99 = percentiles(at_rest.took_ms, (50.0, 99.0))
     late_ms = at_rest.late_ms + busy.late_ms
     return {
--- a/balancer/lab/scale/generated_inputs.py
+++ b/balancer/lab/scale/generated_inputs.py
@@ -1,4 +1,4 @@
-"""Generated lists and settings in the platform's form, and a measure of processor time."""
+"""Generated endpoint lists and settings in the platform's format, and a timer of processor time."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from balancer import interface as api
 from balancer.lab.scale import size
 
-START_MS = 1_800_000_000_000.0  # ms: a virtual wall clock's begin
-DAY_MS = 86_400_000.0  # ms
-BATCHES = 5
-ZONE = "z0"  # the node's own
+START_MS = 1_800_000_000_000.0  # The virtual wall clock starts at this Unix time.
+DAY_MS = 86_400_000.0
+TIMING_BATCHES = 5
+OWN_ZONE = "z0"
 
 
-def zone(number: int) -> str:
+def zone_name(number: int) -> str:
     """Return the zone of a backend."""
     return f"z{number % size.ZONES}"
 
@@ -27,12 +27,12 @@
     phase: api.EndpointPhase = api.EndpointPhase.IN_SERVICE,
     started_at: float = START_MS - DAY_MS,
 ) -> api.Endpoint:
-    """Return the entry of a backend; it is warm unless `started_at` says otherwise."""
-    return api.Endpoint(f"b{number:06d}", zone(number), number % 700, 1.0, phase, started_at, "std")
+    """Return the list entry of a backend, which by default has been up for a day and is warm."""
+    return api.Endpoint(f"b{number:06d}", zone_name(number), number % 700, 1.0, phase, started_at, "std")
 
 
 def entries(count: int, started_at: float = START_MS - DAY_MS) -> list[api.Endpoint]:
-    """Return a complete list."""
+    """Return a complete endpoint list."""
     return [entry(number, started_at=started_at) for number in range(count)]
 
 
@@ -43,21 +43,22 @@
 }
 
 
-def line(
-    some: Sequence[api.Endpoint], revision: int, complete: bool, address: str | Mapping[str, str] = ""
+def encode_update(
+    endpoints: Sequence[api.Endpoint], revision: int, complete: bool, address: str | Mapping[str, str] = ""
 ) -> bytes:
-    """Return a list, or a line of a watch, in the platform's form; `address` is that of all, or of each.
+    """Encode a list, or one line of a watch, in the platform's format.
 
-    Without it each has one of its own, of the length that addresses have.
+    `address` is the address of all backends, or a mapping from each backend to its own. By default each
+    backend has a distinct address of realistic length.
     """
 
-    def where(name: str) -> str:
+    def address_of(name: str) -> str:
         return address.get(name, "") if isinstance(address, Mapping) else address or _address(name)
 
     rows = [
-        {"id": e.backend, "host_port": where(e.backend), "locality": e.zone, "flavor": e.kind,
+        {"id": e.backend, "host_port": address_of(e.backend), "locality": e.zone, "flavor": e.kind,
          "cell": e.cell, "phase": _PHASE_NAMES[e.phase], "size": e.weight, "up_since_ms": e.started_at}
-        for e in some
+        for e in endpoints
     ]  # fmt: skip
     table = {"revision": revision, "complete": complete, "members": rows}
     return json.dumps(table).encode() + b"\n"
@@ -69,14 +70,14 @@
 
 
 def raw_settings(backends: int, classes: int = 3) -> dict[str, Any]:
-    """Return a node's settings in the platform's form; one class in three is not idempotent."""
+    """Return a node's settings in the platform's format; one request class in three is not idempotent."""
     effects: list[dict[str, Any]] = [
         {"effect": "retryable"},
         {"effect": "dedup", "group": "zone", "memory-span": 3000.0},
         {"effect": "fragile"},
     ]
     return {
-        "me": 7, "group-size": max(1, round(backends / size.GROUP)), "zone": ZONE,
+        "me": 7, "group-size": max(1, round(backends / size.BACKENDS_PER_NODE)), "zone": OWN_ZONE,
         "failure-domains": [f"z{n}" for n in range(size.ZONES)], "kinds": ["std"], "granularity": 1.0,
         "discovery": "automatic", "client-habits": {"marks-retry": True}, "weight-source": "off",
         "charges": {"cross-zone": 0.1},
@@ -91,25 +92,26 @@
     }  # fmt: skip
 
 
-def spent_us(call: Callable[[], object], most_s: float, most_calls: int = 20_000) -> float:
-    """Return the processor time of a call in us: the median of batches that fit into `most_s`."""
+def median_cpu_us(call: Callable[[], object], max_s: float, max_calls: int = 20_000) -> float:
+    """Return the processor time of a call in us, as the median of batches that fit into `max_s` seconds."""
     begin = time.process_time_ns()
     call()
-    first = max(1_000, time.process_time_ns() - begin)  # ns
-    calls = max(1, min(most_calls, int(most_s * 1e9 / BATCHES / first)))
+    first = max(1_000, time.process_time_ns() - begin)
+    calls = max(1, min(max_calls, int(max_s * 1e9 / TIMING_BATCHES / first)))
     took = []
-    for _ in range(BATCHES):
+    for _ in range(TIMING_BATCHES):
         begin = time.process_time_ns()
         for _ in range(calls):
             call()
         took.append((time.process_time_ns() - begin) / calls / 1000)
-        if sum(took) * calls > 2 * most_s * 1e6:  # the first call was a quick one
+        # An unusually fast first call makes the batches too long, so they end at twice the time limit.
+        if sum(took) * calls > 2 * max_s * 1e6:
             break
     return statistics.median(took)
 
 
-def clock(step: float, begin: float = START_MS) -> Iterator[float]:
-    """Yield the times of a virtual clock in ms, `step` apart."""
+def virtual_times(step: float, begin: float = START_MS) -> Iterator[float]:
+    """Yield times of a virtual clock in ms at intervals of `step`."""
     while True:
         yield begin
         begin += step
--- a/balancer/lab/scale/membership_tiers.py
+++ b/balancer/lab/scale/membership_tiers.py
@@ -16,7 +16,7 @@
 from functools import partial
 
 from balancer.lab.scale.points import NotPlayed, Point
-from balancer.lab.scale.size import DAY_S, HEADERS, RACK_MACHINES, REGIONS, RESTARTS_A_DAY
+from balancer.lab.scale.size import DAY_S, IP_UDP_HEADER_BYTES, RACK_MACHINES, REGIONS, RESTARTS_PER_DAY
 from balancer.membership.core import Membership
 from balancer.membership.events import DatagramReceived, Event, SendDatagram, Tick
 from balancer.membership.messages import (
@@ -59,7 +59,7 @@
 
     def record(self, now: float, data: bytes) -> None:
         """Count a datagram at a live node."""
-        size = len(data) + HEADERS
+        size = len(data) + IP_UDP_HEADER_BYTES
         self.datagrams += 1
         self.size += size
         self.by_second[int(now / 1000)] += size
@@ -164,7 +164,7 @@
         world, of = tier(count, seed), PointFactory(ROLE, count)
         yield from _seconds(world, of, "quiet")
         world.measure()
-        gap = DAY_S * 1000 / RESTARTS_A_DAY
+        gap = DAY_S * 1000 / RESTARTS_PER_DAY
         for number in range(int(QUIET_MS / gap)):
             world.at(world.now + number * gap, partial(_restart, world, number % count))
         yield from _seconds(world, of, "day")
--- a/balancer/lab/scale/parallel_parts.py
+++ b/balancer/lab/scale/parallel_parts.py
@@ -1,6 +1,9 @@
-"""Run parts of plays in parallel worker processes: simulations whose counted figures depend on a seed alone.
+"""Runs parts of plays in parallel worker processes.
 
-Each part has the processor time of its own process; plays that measure an idle machine do not belong here.
+The parts are simulations whose counted figures depend only on the seed.
+
+Each part measures the processor time of its own process. Plays that need an otherwise idle machine must not
+run here.
 """
 
 from __future__ import annotations
@@ -22,52 +25,52 @@
 
 @dataclass(slots=True, frozen=True)
 class PartResult:
-    """A part and its results."""
+    """The results of one part, and its run time in its process."""
 
     part: Part
     items: Sequence[Point | NotPlayed]
-    seconds: float  # that it took in its process
+    seconds: float
 
 
 def default_workers() -> int:
-    """Return half of the cores: the rest is for other work."""
+    """Return half the number of available cores, which leaves the rest to other work."""
     return max(1, len(os.sched_getaffinity(0)) // 2)
 
 
-def played(
-    parts: Sequence[Part], seed: int, workers: int, until: float, not_played: Callable[[str], NotPlayed]
+def run_parts(
+    parts: Sequence[Part], seed: int, workers: int, deadline: float, not_played: Callable[[str], NotPlayed]
 ) -> Generator[PartResult, None, None]:
-    """Yield each part as it ends; the costliest begin first.
+    """Run parts in worker processes and yield each result as it arrives; the longest parts start first.
 
-    At `until`, a time of the monotonic clock, processes that have not ended are killed, and `left` tells of
-    their parts. Raises what a part raises.
+    At `deadline`, a time of the monotonic clock, the remaining processes are killed, and the result of each
+    of their parts is what `not_played` returns for its name. An exception in a part is raised here.
     """
-    others = set(multiprocessing.active_children())
+    earlier_children = set(multiprocessing.active_children())
     spawn = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(workers, spawn, partial(_end_with_parent, os.getpid()))
-    ordered = sorted(parts, key=lambda part: -part.cost)
-    running = {pool.submit(_play, part.run, seed): part for part in ordered}
+    ordered = sorted(parts, key=lambda part: -part.estimated_s)
+    running = {pool.submit(_run_part, part.run, seed): part for part in ordered}
     try:
-        while running and (ended := wait(running, until - time.monotonic(), FIRST_COMPLETED).done):
+        while running and (ended := wait(running, deadline - time.monotonic(), FIRST_COMPLETED).done):
             for future in ended:
-                yield _done(running.pop(future), future)
+                yield _result_of(running.pop(future), future)
         for part in running.values():
             yield PartResult(part, [not_played(part.name)], 0.0)
     finally:
         if running:
-            for process in set(multiprocessing.active_children()) - others:
+            for process in set(multiprocessing.active_children()) - earlier_children:
                 process.kill()
         pool.shutdown(cancel_futures=True)
 
 
-def _done(part: Part, future: Future[tuple[list[Point | NotPlayed], float]]) -> PartResult:
+def _result_of(part: Part, future: Future[tuple[list[Point | NotPlayed], float]]) -> PartResult:
     try:
         return PartResult(part, *future.result())
-    except BrokenProcessPool:  # for want of memory, perhaps
-        return PartResult(part, [NotPlayed(part.name, "its process, or one beside it, was ended")], 0.0)
+    except BrokenProcessPool:  # The kernel kills worker processes, for example, when memory runs out.
+        return PartResult(part, [NotPlayed(part.name, "a worker process of the pool was terminated")], 0.0)
 
 
-def _play(
+def _run_part(
     run: Callable[[int], Iterable[Point | NotPlayed]], seed: int
 ) -> tuple[list[Point | NotPlayed], float]:
     begin = time.monotonic()
@@ -75,8 +78,8 @@
 
 
 def _end_with_parent(parent: int) -> None:
-    """End with the parent, however it ends; leave interrupts to it."""
+    """Have the kernel kill this worker when its parent ends, and ignore SIGINT, which the parent handles."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-    if os.getppid() != parent:  # it died in between
+    if os.getppid() != parent:  # The parent ended before the death signal was set.
         os._exit(1)
--- a/balancer/lab/scale/points.py
+++ b/balancer/lab/scale/points.py
@@ -1,4 +1,4 @@
-"""Points of a play and their slope: four forms, least squares, the simplest that fits."""
+"""Measured points and the fit of their growth: four forms by least squares, preferring the simplest."""
 
 from __future__ import annotations
 
@@ -15,30 +15,33 @@
     "root": np.sqrt,
     "linear": np.array,
 }
-"""The forms a + b * f(size), the simplest first."""
-SIMPLER_FORM_FACTOR = 1.1  # a simpler form is taken where its residual is at most so many times the least one
-ROUNDING_RESIDUAL = 1e-9  # a relative residual under this is rounding
-MIN_WEIGHT_SHARE = (
-    0.01  # of the largest value: what is less is weighed as if it were that, so a zero weighs too
-)
-MIN_SIZES = 3  # a form has two numbers; a slope through two points fits always and shows nothing
+"""Forms f of the fit a + b * f(size), from the simplest to the most complex."""
+# A simpler form is preferred if its residual is at most 1.1 times the smallest residual.
+SIMPLER_FORM_FACTOR = 1.1
+# Relative residuals below this are treated as rounding errors.
+ROUNDING_RESIDUAL = 1e-9
+# Values below 1% of the largest are weighted as if they were 1% of it, so that a zero has a finite weight.
+MIN_WEIGHT_SHARE = 0.01
+# A form has two parameters and fits any two points exactly, so two sizes would show nothing.
+MIN_SIZES = 3
 
 
 @dataclass(slots=True, frozen=True)
 class Point:
     """One figure of one role, measured at one size."""
 
-    role: str  # "module", "list", "settings", "membership", "recovery", "durable", "discovery"
-    figure: str  # "answer", "choice", "change"
-    unit: str  # "ms", "us", "bytes", "datagrams/s", "entries"
-    size: int  # what it was measured at: backends, members, classes, tenants
+    role: str  # Examples of roles are "module", "list", "settings", "membership" and "recovery".
+    figure: str  # Examples of figures are "answer", "choice" and "change".
+    unit: str  # Examples of units are "ms", "us", "bytes", "datagrams/s" and "entries".
+    size: int  # The size is the number of backends, members, classes or tenants in the measurement.
     value: float
-    exact: bool  # counted, and the same for a seed; else a time or a memory of the machine it was measured on
+    # An exact value is counted and depends on the seed only; times and memory also depend on the machine.
+    exact: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """A figure over its sizes: value = a + b * f(size), f by `fit`."""
+    """The growth of one figure, fitted as value = a + b * f(size); `fit` is the key of f in FORMS."""
 
     role: str
     figure: str
@@ -46,18 +49,18 @@
     sizes: tuple[int, ...]
     values: tuple[float, ...]
     exact: bool
-    fit: str  # a key of FORMS
+    fit: str
     a: float
     b: float
-    residual: float  # root of the mean square of the relative errors, by what the form leaves free
-    target: int  # the size of two years
-    at_target: float  # what the fit gives there
-    beyond: float  # target by the largest size that was measured
+    residual: float  # The root mean square of the relative errors is corrected for the degrees of freedom.
+    target: int  # The target is the size planned in two years.
+    at_target: float  # The value of the fit at the target size is an extrapolation.
+    beyond: float  # The target size is divided by the largest measured size.
 
 
 @dataclass(slots=True, frozen=True)
 class NotPlayed:
-    """A part that a play left out, or that did not end within its bound."""
+    """A measurement that was left out, or that did not end within its time limit."""
 
     what: str
     why: str
@@ -65,34 +68,42 @@
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """Some figures of a play at one size, which can be had in a process beside others."""
+    """A part of a play at one size that can run in a worker process."""
 
-    name: str  # as it is called where it was not played
-    run: Callable[[int], Iterable[Point | NotPlayed]]  # from a seed; can be pickled
-    cost: float  # about the seconds that it takes: what takes long is begun first
+    name: str  # NotPlayed reports a part under this name.
+    run: Callable[[int], Iterable[Point | NotPlayed]]  # The callable takes a seed and must be picklable.
+    estimated_s: float  # The estimated run time orders the parts: the longest starts first.
 
 
 @dataclass(slots=True, frozen=True)
 class Play:
-    """One play: measures some figures at all its sizes, is bounded, ends by itself."""
+    """A measurement of some figures at all its sizes, which ends by itself within a bounded time."""
 
     name: str
-    run: Callable[[int], Iterable[Point | NotPlayed]]  # from a seed; points come as they are measured
-    target: int  # the size of two years of what it grows by
-    limits: str  # what of it is hollow, what the stub or the world leaves out
-    parts: tuple[Part, ...] = ()  # the same in the same order, where parts can be had beside one another
+    run: Callable[
+        [int], Iterable[Point | NotPlayed]
+    ]  # The callable takes a seed and yields points as measured.
+    target: int  # The target is the planned size, in two years, of whatever this play scales.
+    limits: str  # This text for the report says what stubs replace and what the simulation leaves out.
+    parts: tuple[
+        Part, ...
+    ] = ()  # Plays that can run in parallel list the same measurements here in the same order.
 
 
 def fit(points: Sequence[Point], target: int) -> Slope:
-    """Fit the slope of one figure of one role; raises ValueError for points of several, or of too few sizes.
+    """Fit the growth of one figure of one role.
+
+    Errors count relative to the value: sizes span a factor of 16 or more, and absolute errors at the largest
+    sizes would hide those at the small ones. If no measured value is negative, a form that is negative at
+    the target is rejected.
 
-    Errors count in proportion to the value: sizes lie over a factor of 16 and more, and the largest would
-    hide what the small ones show. A form by which what was never negative would be so at the target is out.
+    Raises:
+        ValueError: The points are of several figures, or of fewer than MIN_SIZES sizes.
     """
     if len({(p.role, p.figure, p.unit) for p in points}) != 1:
-        raise ValueError("the points are not of one figure")
+        raise ValueError("all points of a slope must be of one figure, got points of several figures")
     if len({p.size for p in points}) < MIN_SIZES:
-        raise ValueError(f"a slope needs {MIN_SIZES} sizes")
+        raise ValueError(f"a slope needs points of at least {MIN_SIZES} sizes")
     ordered = sorted(points, key=lambda p: p.size)
     sizes = np.array([p.size for p in ordered], dtype=np.float64)
     values = np.array([p.value for p in ordered], dtype=np.float64)
@@ -100,7 +111,7 @@
     scale = np.maximum(np.abs(values), max(MIN_WEIGHT_SHARE * largest, ROUNDING_RESIDUAL))
     tried = {form: _least_squares(form, sizes, values, scale) for form in FORMS}
     if float(np.min(values)) >= 0:
-        tried = {form: found for form, found in tried.items() if at(form, *found[:2], target) >= 0}
+        tried = {form: found for form, found in tried.items() if fitted_value(form, *found[:2], target) >= 0}
     least_residual = min(residual for _, _, residual in tried.values())
     bound = max(SIMPLER_FORM_FACTOR * least_residual, ROUNDING_RESIDUAL)
     form = next(form for form, found in tried.items() if found[2] <= bound)
@@ -118,18 +129,18 @@
         b=b,
         residual=residual,
         target=target,
-        at_target=at(form, a, b, target),
+        at_target=fitted_value(form, a, b, target),
         beyond=target / ordered[-1].size,
     )
 
 
-def at(form: str, a: float, b: float, size: float) -> float:
-    """Return the value of a fit at a size."""
+def fitted_value(form: str, a: float, b: float, size: float) -> float:
+    """Return the value of a fitted form at a size."""
     return a + b * float(FORMS[form](np.array([float(size)]))[0])
 
 
-def slopes(points: Iterable[Point], target: int) -> list[Slope]:
-    """Fit the slopes of all figures with enough sizes, in the order of their first points."""
+def fit_slopes(points: Iterable[Point], target: int) -> list[Slope]:
+    """Fit a slope for each figure with enough sizes, in the order of the figures' first points."""
     groups: dict[tuple[str, str, str], list[Point]] = defaultdict(list)
     for point in points:
         groups[point.role, point.figure, point.unit].append(point)
@@ -139,7 +150,7 @@
 def _least_squares(
     form: str, sizes: NDArray[np.float64], values: NDArray[np.float64], scale: NDArray[np.float64]
 ) -> tuple[float, float, float]:
-    """Return a, b, and the relative residual by the degrees of freedom."""
+    """Return a, b and the relative residual, corrected for the degrees of freedom."""
     columns = [np.ones_like(sizes)] if form == "constant" else [np.ones_like(sizes), FORMS[form](sizes)]
     matrix = np.stack(columns, axis=1) / scale[:, None]
     found, *_ = np.linalg.lstsq(matrix, values / scale, rcond=None)
--- a/balancer/lab/scale/power_recovery.py
+++ b/balancer/lab/scale/power_recovery.py
@@ -15,7 +15,7 @@
 
 from balancer.lab.scale.membership_tiers import LOSS_RATE, Meter, PointFactory
 from balancer.lab.scale.points import NotPlayed, Point
-from balancer.lab.scale.size import HEADERS
+from balancer.lab.scale.size import IP_UDP_HEADER_BYTES
 from balancer.recovery import actions, events
 from balancer.recovery.ban_register import BanEntry
 from balancer.recovery.config import RecoveryConfig
@@ -198,7 +198,7 @@
         body = decode(data, 0.0).body
         took = (time.thread_time() - begun) * 1e6
         assert isinstance(body, NodeStatus)
-        yield of.counted("answer_bytes", "bytes", len(data) + HEADERS)
+        yield of.counted("answer_bytes", "bytes", len(data) + IP_UDP_HEADER_BYTES)
         yield of.counted("answer_left_out", "entries", count - body.present_count)
         yield of.machine("answer_processor", "us", took)
 
--- a/balancer/lab/scale/rack_failure.py
+++ b/balancer/lab/scale/rack_failure.py
@@ -115,7 +115,7 @@
     entries = generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS)
     by_host = {address(number): number for number in range(backends)}
     hosts = {entries[number].backend: f"{host}:{bank.port}" for host, number in by_host.items()}
-    discovery = DiscoveryStub(generated_inputs.line(entries, 2, True, hosts))
+    discovery = DiscoveryStub(generated_inputs.encode_update(entries, 2, True, hosts))
     async with contextlib.AsyncExitStack() as stack:
         server = await loop.create_server(lambda: NamedBackend(bank), sock=bank.socket)
         stack.callback(server.close)
@@ -129,18 +129,18 @@
         callers = await spawn_callers(stack, plan)
         begin, lags = time.monotonic() + CLIENT_START_DELAY_S, list[float]()
         for one in callers:
-            await one.begin(begin)
+            await one.send_from(begin)
         stack.callback(loop.create_task(record_lag(lags)).cancel)
         await asyncio.sleep(begin + before - time.monotonic())
         used = [host for host, _ in bank.requests.most_common(size.RACK_MACHINES)]
         gone = [replace(entries[by_host[host]], phase=api.EndpointPhase.REMOVED) for host in used]
         served_there = sum(bank.requests[host] for host in used)
-        discovery.send(generated_inputs.line(gone, 3, False, hosts))
+        discovery.send(generated_inputs.encode_update(gone, 3, False, hosts))
         await asyncio.sleep(0)
         discovery.cut()
         calls.close()
         bank.fail(frozenset(used))
-        seen = [await one.parts() for one in callers]
+        seen = [await one.results() for one in callers]
     earlier, later = (merged(parts) for parts in zip(*seen, strict=True))
     counts = (("sent_before", "requests", float(served_there)), ("sent_late", "requests", float(bank.late)))
     points = [Point("rack", name, unit, backends, value, False) for name, unit, value in counts]
--- a/balancer/lab/scale/runner.py
+++ b/balancer/lab/scale/runner.py
@@ -1,4 +1,4 @@
-"""Run the plays of all roles, and write their points and slopes to `scale.json` and `scale.html`."""
+"""Runs the scale measurements of all roles and writes the results to `scale.json` and `scale.html`."""
 
 from __future__ import annotations
 
@@ -28,43 +28,44 @@
     settings_tables,
     shared_state,
 )
-from balancer.lab.scale.parallel_parts import PartResult, default_workers, played
-from balancer.lab.scale.points import FORMS, NotPlayed, Play, Point, Slope, slopes
+from balancer.lab.scale.parallel_parts import PartResult, default_workers, run_parts
+from balancer.lab.scale.points import FORMS, NotPlayed, Play, Point, Slope, fit_slopes
 
 VERSION = 1
-# s for all plays, of 15 and 2 minutes: the report takes the rest. What does not fit any more is not played.
+# The command may take 15 minutes, or 2 if quick, of which the report needs the rest. Plays that would start
+# after the limit are skipped.
 TIME_LIMIT_S, QUICK_TIME_LIMIT_S = 840.0, 90.0
 COLUMNS = 3
 
 
-class Played(msgspec.Struct, frozen=True):
-    """A play that was run."""
+class StartedPlay(msgspec.Struct, frozen=True):
+    """A play that was started, as the result file lists it."""
 
     name: str
     target: int
     limits: str
-    seconds: float  # of its parts together, where they were played beside one another
+    seconds: float  # Parts that ran in parallel are added up.
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What `scale.json` holds."""
+    """The content of `scale.json`."""
 
     version: int
     seed: int
     quick: bool
-    program: str  # see `program`
+    program: str
     python: str
     machine: str
-    load: float  # mean number of processes that wanted a core in the minute before: other work counts, too
+    load: float  # The one-minute load average before the run includes other work on the machine.
     seconds: float
-    plays: list[Played]
+    plays: list[StartedPlay]
     points: list[Point]
     slopes: list[Slope]
     not_played: list[NotPlayed]
 
 
-def program() -> str:
-    """Return the commit, with a mark where files differ from it; "unknown" without git."""
+def program_version() -> str:
+    """Return the commit, marked as dirty if files differ from it, or "unknown" without git."""
     done = subprocess.run(["git", "-C", str(ROOT), "describe", "--always", "--dirty", "--abbrev=12"],
                           capture_output=True, check=False)  # fmt: skip
     return done.stdout.decode().strip() if not done.returncode else "unknown"
@@ -86,21 +87,22 @@
 
 @dataclass(slots=True, frozen=True)
 class RunBounds:
-    """The bounds and the observer of one run."""
+    """The seed, time limit and observer of one run."""
 
     seed: int
-    limit_s: float  # s for all of them
-    until: float  # when that is over, by the monotonic clock
-    observe: Callable[[str, Point | None], None]  # hears of each play as it begins, and of each point
+    limit_s: float
+    deadline: float  # The deadline is a time of the monotonic clock.
+    # The observer is called as each play starts, and for each point.
+    observe: Callable[[str, Point | None], None]
 
     @property
     def is_over(self) -> bool:
-        """Whether the time is over, so that nothing more begins."""
-        return time.monotonic() > self.until
+        """Whether the time limit has passed, so that nothing more is started."""
+        return time.monotonic() > self.deadline
 
     def not_played_in_time(self, what: str) -> NotPlayed:
-        """Return the mark of a play for which there was no time."""
-        return NotPlayed(what, f"the {self.limit_s:g} s of the whole command were over")
+        """Return the entry for a measurement that did not fit into the time limit."""
+        return NotPlayed(what, f"the time limit of {self.limit_s:g} s for the whole command had passed")
 
 
 @dataclass(slots=True, frozen=True)
@@ -108,34 +110,36 @@
     """The results of one play."""
 
     items: list[Point | NotPlayed]
-    seconds: float | None  # that it took, all its parts together; None: it was not begun
+    # The run times of all parts are added up; None means that the play was not started.
+    seconds: float | None
 
 
 def run(
     plays: Sequence[Play], seed: int, quick: bool, observe: Callable[[str, Point | None], None],
     workers: int | None = None,
 ) -> Result:  # fmt: skip
-    """Run plays one at a time, then those that have parts in `workers` processes, see `workers_most`.
+    """Run plays without parts one at a time, then those with parts in `workers` processes.
 
-    `tell` hears of each play as it begins, and of each point.
+    The default number of workers is that of `default_workers`. `observe` is called as each play starts, and
+    for each point.
     """
-    version, load, begin = program(), os.getloadavg()[0], time.monotonic()
+    version, load, begin = program_version(), os.getloadavg()[0], time.monotonic()
     limit_s = QUICK_TIME_LIMIT_S if quick else TIME_LIMIT_S
-    course = RunBounds(seed, limit_s, begin + limit_s, observe)
-    results = {play.name: _play_alone(play, course) for play in plays if not play.parts}
-    results |= _play_parts([play for play in plays if play.parts], course, workers or default_workers())
+    bounds = RunBounds(seed, limit_s, begin + limit_s, observe)
+    results = {play.name: _play_alone(play, bounds) for play in plays if not play.parts}
+    results |= _play_parts([play for play in plays if play.parts], bounds, workers or default_workers())
     points: list[Point] = []
-    found: list[Slope] = []
-    not_played_in_time: list[NotPlayed] = []
-    done: list[Played] = []
+    fitted: list[Slope] = []
+    left_out: list[NotPlayed] = []
+    done: list[StartedPlay] = []
     for play in plays:
         items, seconds = results[play.name].items, results[play.name].seconds
-        mine = [item for item in items if isinstance(item, Point)]
-        points += mine
-        found += slopes(mine, play.target)
-        not_played_in_time += [item for item in items if isinstance(item, NotPlayed)]
+        own_points = [item for item in items if isinstance(item, Point)]
+        points += own_points
+        fitted += fit_slopes(own_points, play.target)
+        left_out += [item for item in items if isinstance(item, NotPlayed)]
         if seconds is not None:
-            done.append(Played(play.name, play.target, play.limits, round(seconds, 1)))
+            done.append(StartedPlay(play.name, play.target, play.limits, round(seconds, 1)))
     return Result(
         version=VERSION,
         seed=seed,
@@ -147,40 +151,40 @@
         seconds=round(time.monotonic() - begin, 1),
         plays=done,
         points=[_rounded(p) for p in points],
-        slopes=found,
-        not_played=not_played_in_time,
+        slopes=fitted,
+        not_played=left_out,
     )
 
 
-def _play_alone(play: Play, course: RunBounds) -> PlayResult:
-    """Run one play in this process; check the time after each item."""
-    if course.is_over:
-        return PlayResult([course.not_played_in_time(play.name)], None)
+def _play_alone(play: Play, bounds: RunBounds) -> PlayResult:
+    """Run one play in this process and check the time limit after each item."""
+    if bounds.is_over:
+        return PlayResult([bounds.not_played_in_time(play.name)], None)
     begin, items = time.monotonic(), list[Point | NotPlayed]()
-    course.observe(play.name, None)
-    for item in play.run(course.seed):
+    bounds.observe(play.name, None)
+    for item in play.run(bounds.seed):
         items.append(item)
         if isinstance(item, Point):
-            course.observe(play.name, item)
-        if course.is_over:
-            items.append(course.not_played_in_time(f"{play.name}, the rest"))
+            bounds.observe(play.name, item)
+        if bounds.is_over:
+            items.append(bounds.not_played_in_time(f"{play.name}, the rest"))
             break
     return PlayResult(items, time.monotonic() - begin)
 
 
-def _play_parts(plays: Sequence[Play], course: RunBounds, workers: int) -> dict[str, PlayResult]:
-    """Run the parts of plays in parallel processes; their points keep the order of the parts."""
-    if course.is_over:
-        return {play.name: PlayResult([course.not_played_in_time(play.name)], None) for play in plays}
+def _play_parts(plays: Sequence[Play], bounds: RunBounds, workers: int) -> dict[str, PlayResult]:
+    """Run the parts of plays in parallel processes and keep their points in the order of the parts."""
+    if bounds.is_over:
+        return {play.name: PlayResult([bounds.not_played_in_time(play.name)], None) for play in plays}
     for play in plays:
-        course.observe(play.name, None)
+        bounds.observe(play.name, None)
     of = {part.name: play.name for play in plays for part in play.parts}
     parts, done = [part for play in plays for part in play.parts], dict[str, PartResult]()
-    for ended in played(parts, course.seed, workers, course.until, course.not_played_in_time):
+    for ended in run_parts(parts, bounds.seed, workers, bounds.deadline, bounds.not_played_in_time):
         done[ended.part.name] = ended
         for item in ended.items:
             if isinstance(item, Point):
-                course.observe(of[ended.part.name], item)
+                bounds.observe(of[ended.part.name], item)
     return {
         play.name: PlayResult(
             [item for part in play.parts for item in done[part.name].items],
@@ -191,31 +195,40 @@
 
 
 def _rounded(point: Point) -> Point:
-    """Return a point with six digits, or as it is where it was counted."""
+    """Round a measured value to six digits and leave a counted one as it is."""
     value = point.value if point.exact else float(f"{point.value:.6g}")
     return Point(point.role, point.figure, point.unit, point.size, value, point.exact)
 
 
 def encode(result: Result) -> bytes:
-    """Encode `scale.json` with a line for each value, so that two runs can be compared as text."""
+    """Encode the result as JSON with one line for each value, so that two runs can be compared as text."""
     text = msgspec.json.encode(result)
     return msgspec.json.format(text, indent=1) + b"\n"
 
 
 def read(path: Path) -> Result:
-    """Read a result; raises OSError, msgspec.MsgspecError."""
+    """Read a result file.
+
+    Raises:
+        OSError: The file cannot be read.
+        msgspec.MsgspecError: The file is not a valid result.
+    """
     return msgspec.json.decode(path.read_bytes(), type=Result)
 
 
 def write(result: Result, out: Path) -> None:
-    """Write both files; raises OSError."""
+    """Write `scale.json` and `scale.html`.
+
+    Raises:
+        OSError: The folder or a file cannot be written.
+    """
     out.mkdir(parents=True, exist_ok=True)
     (out / "scale.json").write_bytes(encode(result))
     (out / "scale.html").write_text(report(result), "utf-8")
 
 
 def report(result: Result) -> str:
-    """Return an HTML page: a plot and a row for each slope, and what was left out."""
+    """Return an HTML page with a plot and a row for each slope, and the measurements that were left out."""
     rows = [
         (s.role, s.figure, s.unit, s.sizes[0], s.sizes[-1], s.fit, f"{s.residual:.1%}", s.target, s.at_target,
          f"{s.beyond:.3g}", "counted" if s.exact else "measured")
@@ -231,21 +244,21 @@
         *(png(plots(group)) for group in by_role(result.slopes).values()),
         "<h2>Not played</h2>",
         table_html([(n.what, n.why) for n in result.not_played], ("what", "why")),
-        "<h2>What is hollow</h2>",
+        "<h2>Limits of the measurements</h2>",
         table_html([(p.name, p.seconds, p.limits) for p in result.plays], ("play", "s", "")),
     )
 
 
-def by_role(found: Iterable[Slope]) -> dict[str, list[Slope]]:
+def by_role(fitted: Iterable[Slope]) -> dict[str, list[Slope]]:
     """Group slopes by role."""
     out: dict[str, list[Slope]] = {}
-    for slope in found:
+    for slope in fitted:
         out.setdefault(slope.role, []).append(slope)
     return out
 
 
 def plots(group: Sequence[Slope]) -> Figure:
-    """Plot each slope: its points, and its fit up to the size of two years."""
+    """Plot the points of each slope, and its fit up to the target size."""
     rows = -(-len(group) // COLUMNS)
     figure = Figure(figsize=(10.5, 2.6 * rows))
     figure.subplots_adjust(hspace=0.45, wspace=0.25)
@@ -262,7 +275,8 @@
         ax.set_title(f"{slope.role} {slope.figure}, {slope.unit}: {slope.fit}", fontsize=8)
         ax.tick_params(labelsize=7)
         for axis in (ax.xaxis, ax.yaxis):
-            axis.set_major_formatter(EngFormatter(sep=""))  # powers of ten as formulas take longest of all
+            # Matplotlib's default labels, powers of ten as formulas, would take most of the drawing time.
+            axis.set_major_formatter(EngFormatter(sep=""))
             axis.set_minor_formatter(NullFormatter())
         if ax.get_yscale() == "log":
             ax.yaxis.set_major_locator(LogLocator(subs=(1.0, 2.0, 5.0), numticks=5))
--- a/balancer/lab/scale/settings_tables.py
+++ b/balancer/lab/scale/settings_tables.py
@@ -1,4 +1,4 @@
-"""The tables of a node's settings at growing sizes: classes (one for each route) and tenants."""
+"""Scale measurements of a node's settings with growing tables of request classes and tenants."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 QUICK_ROUTES = (100, 400, 1_600)
 TENANTS = (5_000, 20_000, 60_000, 150_000, 350_000)
 QUICK_TENANTS = (1_000, 4_000, 16_000)
-LISTED = 200  # backends: what the list costs is not counted here
+LIST_ENTRIES = 200  # The list is short, as its cost is not part of this measurement.
 
 LIMITS = (
-    "parse_settings on values that json has read, and the module's turn; the file's reading and what net/ "
-    "keeps of it are not in. A route is a class, as the settings have no other word; nothing reads the "
-    "tenants yet."
+    "Measured are parse_settings on decoded JSON, and the decision module's turn for new settings; reading "
+    "the file and what net/ keeps of it are left out. A route is a request class, as the settings have no "
+    "other table for it; no code uses the tenants yet."
 )
 
 
 def measure(role: str, count: int, text: str, seed: int) -> Iterator[Point]:
-    """Measure the parsing of settings, their memory, and the turn of a reload."""
+    """Measure the time to parse settings, the time of a reload, and their memory."""
     raw = json.loads(text)
     begin = time.process_time_ns()
     settings = parse_settings(raw)
@@ -46,32 +46,33 @@
 
 
 def _reload_ms(settings: api.Settings, seed: int) -> float:
-    """Return the ms of the module's turn where all classes have their record already."""
-    balancer = Balancer(parse_settings(generated_inputs.raw_settings(LISTED)), seed)
+    """Return the time in ms of a reload in a module that already has a record of each request class."""
+    balancer = Balancer(parse_settings(generated_inputs.raw_settings(LIST_ENTRIES)), seed)
     balancer.handle(
         generated_inputs.START_MS,
-        api.ListUpdate(api.ListUpdateKind.SNAPSHOT, generated_inputs.entries(LISTED), 1),
+        api.ListUpdate(api.ListUpdateKind.SNAPSHOT, generated_inputs.entries(LIST_ENTRIES), 1),
     )
     balancer.handle(generated_inputs.START_MS, api.Reconfigured(settings))
     event = api.Reconfigured(settings)
     return (
-        generated_inputs.spent_us(lambda: balancer.handle(generated_inputs.START_MS, event), 0.5, 50) / 1000
+        generated_inputs.median_cpu_us(lambda: balancer.handle(generated_inputs.START_MS, event), 0.5, 50)
+        / 1000
     )
 
 
 def plays(quick: bool) -> list[Play]:
-    """Return the plays of the tables."""
+    """Return the plays of the route and tenant tables."""
 
     def routes(seed: int) -> Iterator[Point]:
         for count in QUICK_ROUTES if quick else ROUTES:
             yield from measure(
-                "routes", count, json.dumps(generated_inputs.raw_settings(LISTED, count)), seed
+                "routes", count, json.dumps(generated_inputs.raw_settings(LIST_ENTRIES, count)), seed
             )
 
     def tenants(seed: int) -> Iterator[Point]:
         for count in QUICK_TENANTS if quick else TENANTS:
             rows = [{"name": f"t{n:06d}", "quota-per-s": 3.0, "share": 0.1} for n in range(count)]
-            text = json.dumps(generated_inputs.raw_settings(LISTED) | {"projects": rows})
+            text = json.dumps(generated_inputs.raw_settings(LIST_ENTRIES) | {"projects": rows})
             yield from measure("tenants", count, text, seed)
 
     return [Play("routes", routes, size.ROUTES, LIMITS), Play("tenants", tenants, size.TENANTS, LIMITS)]
--- a/balancer/lab/scale/shared_state.py
+++ b/balancer/lab/scale/shared_state.py
@@ -1,9 +1,9 @@
-"""The plays of the state that nodes share: membership, recovery, and the durable state of one node.
+"""Scale measurements of the state that nodes share: membership, recovery, and the durable state of one node.
 
-Of their figures `_datagrams` and `_bytes` are what one node receives, on the mean and with headers,
-`_worst_second` its bytes in the worst second, `_processor` its core's processor time, and `_world` that of
-the whole simulation; where whole tiers are played beside one another, in their own processes. Figures of
-membership and recovery in s are virtual time.
+Figures named `*_datagrams` and `*_bytes` are what one node receives, as a mean over nodes and with headers.
+`*_worst_second` is the number of its bytes in the worst second, `*_processor` the processor time of its
+protocol core, and `*_world` that of the whole simulation. Whole tiers are simulated in parallel processes,
+each with its own processor time. Figures of membership and recovery in s are virtual time.
 """
 
 from __future__ import annotations
@@ -19,24 +19,26 @@
 Sizes = tuple[int, ...]
 Run = Callable[[Sequence[int], int], Iterator[Point | NotPlayed]]
 TIER_LIMITS = (
-    "The cores are those that run uses; the network loses 1% and takes 4 to 40 ms, without queues. There are "
-    "no sockets, no event loop and no requests: processor time is the cores' own, without system calls. "
+    "The protocol cores are those of a real node; the simulated network loses 1% of the datagrams and delays "
+    "them by 4 to 40 ms, without queues. There are no sockets, no event loop and no requests: processor time "
+    "is that of the protocol cores, without system calls. "
 )
 DISK_LIMITS = (
-    "The store is that of run over a disk in memory: no time of a real disk, and a list of short names. "
+    "The store is that of a real node over a simulated disk in memory: the time of a real disk is left out, "
+    "and the names in the list are short. "
 )
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """A play before its sizes are chosen."""
+    """A play whose sizes depend on whether the run is quick."""
 
     name: str
     run: Run
     sizes: Sizes
     quick_sizes: Sizes
     target: int
-    limits: str  # what of it is hollow
+    limits: str  # This text for the report says what the simulation leaves out.
 
 
 SCENARIOS = (
@@ -47,8 +49,8 @@
         (4, 8, 16, 32, 64),
         NODES,
         TIER_LIMITS
-        + "The tier agrees from the start, so a node has heard few of its peers so far. The restarts of a "
-        "day come at the rate of 5,700 nodes, whatever the size.",
+        + "The nodes start with the same view, so each has received datagrams from few of its peers. "
+        "Restarts occur at the rate of 5,700 nodes at every size.",
     ),
     Scenario(
         "membership one core",
@@ -56,8 +58,8 @@
         (356, 712, 1_425, 2_850, 5_700),
         (356, 1_425, 2_850),
         NODES,
-        "One core at the size itself; its peers are hollow: they answer at once, lose "
-        "nothing, agree with it.",
+        "One protocol core at the full number of members; its peers are stubs that answer at once, lose "
+        "nothing and have the same view.",
     ),
     Scenario(
         "membership cold start",
@@ -65,7 +67,7 @@
         (50, 100, 200, 400, 800),
         (8, 16, 32, 64, 128),
         NODES,
-        TIER_LIMITS + "All start in one moment.",
+        TIER_LIMITS + "All nodes start at the same time.",
     ),
     Scenario(
         "membership faults",
@@ -74,8 +76,8 @@
         (4, 8, 16, 32, 64),
         NODES,
         TIER_LIMITS
-        + "A rack is one node in twenty, a larger part than 40 of 5,700; a region is a third, and apart "
-        "until each side agrees.",
+        + "A rack is one node in twenty, a larger share than 40 of 5,700; a region is a third of the nodes, "
+        "and it is partitioned until the nodes of each side agree.",
     ),
     Scenario(
         "recovery return",
@@ -83,7 +85,8 @@
         (10, 20, 40, 80, 160, 320),
         (4, 8, 16, 32),
         NODES,
-        TIER_LIMITS + "Six backends, one ban, discovery that answers in 4 ms; every disk is sound.",
+        TIER_LIMITS
+        + "There are six backends and one ban, discovery answers in 4 ms, and every disk is sound.",
     ),
     Scenario(
         "recovery turns",
@@ -91,9 +94,9 @@
         (356, 712, 1_425, 2_850, 5_700),
         (356, 1_425, 2_850),
         NODES,
-        "24 nodes stand for all: the turn of each is as long as those of its share of "
-        "the tier. What nodes tell "
-        "each other is that of 24.",
+        "24 nodes represent the tier: the poll slot of each is as long as those of "
+        "the nodes it represents. The traffic "
+        "between nodes is that of 24 nodes.",
     ),
     Scenario(
         "recovery restart",
@@ -101,8 +104,8 @@
         (356, 712, 1_425, 2_850, 5_700),
         (356, 1_425, 5_700),
         NODES,
-        "One core at the size itself; eight hollow peers answer a roll call, nothing is "
-        "lost, and discovery has "
+        "One protocol core at the full number of nodes; eight stub peers answer a survey, no "
+        "datagram is lost, and discovery has "
         "no other caller.",
     ),
     Scenario(
@@ -111,7 +114,7 @@
         (356, 712, 1_425, 2_850, 5_700),
         (356, 1_425, 5_700),
         NODES,
-        "One datagram, written and read at the size itself.",
+        "One datagram is encoded and decoded at the full number of nodes.",
     ),
     Scenario(
         "durable store",
@@ -120,7 +123,7 @@
         (1_000, 4_000, 16_000),
         BACKENDS,
         DISK_LIMITS
-        + "Something is learned of one backend in four. A start is played where list and snapshot fit.",
+        + "One backend in four has learned state. A start is measured where the list and the snapshot fit.",
     ),
     Scenario(
         "durable limits",
@@ -133,8 +136,8 @@
 )
 
 
-# What can be played in parts beside one another: what plays a size of it, by a name where there are several,
-# and about the seconds of a core that it takes at 100 nodes.
+# Runs that can be split into parallel parts: for each part, the suffix of its name, the function that
+# measures one size, and the estimated core seconds at 100 nodes.
 PARALLEL_RUNS: dict[Run, dict[str, tuple[Run, float]]] = {
     membership_tiers.quiet: {"": (membership_tiers.quiet, 0.4)},
     membership_tiers.cold_start: {"": (membership_tiers.cold_start, 0.5)},
@@ -144,7 +147,7 @@
     },
     power_recovery.tiers: {"": (power_recovery.tiers, 16.0)},
 }
-COST_EXPONENT = 2.2  # the power of the size by which that grows
+COST_EXPONENT = 2.2  # The run time of a simulated tier grows as this power of its size.
 
 
 def plays(quick: bool) -> list[Play]:
@@ -160,6 +163,6 @@
 
 def _parts(name: str, run: Run, sizes: Sizes) -> tuple[Part, ...]:
     return tuple(
-        Part(f"{name}{what} at {size}", partial(one, (size,)), seconds * (size / 100) ** COST_EXPONENT)
-        for size in sizes for what, (one, seconds) in PARALLEL_RUNS.get(run, {}).items()
+        Part(f"{name}{suffix} at {size}", partial(run_one, (size,)), cost_s * (size / 100) ** COST_EXPONENT)
+        for size in sizes for suffix, (run_one, cost_s) in PARALLEL_RUNS.get(run, {}).items()
     )  # fmt: skip
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -66,7 +66,7 @@
 def factor(text: str) -> tuple[float, float]:
     """A factor of a mark in base units, and how far it goes beyond what was measured."""
     if found := re.fullmatch(r"size:(\w+)", text):
-        return size.ARITHMETIC[found[1]], 1.0
+        return size.DERIVED_FIGURES[found[1]], 1.0
     if found := re.fullmatch(r"(\w+):(\w+)\.(\w+)~", text):
         slope = slope_of(*found.groups())
         return slope.at_target * UNITS.get(slope.unit, 1.0), slope.beyond
@@ -186,8 +186,8 @@
 
 
 def test_the_sizes_facts_of_the_program_are_those_of_the_program() -> None:
-    assert size.FEEDERS == subsetting.NODES_PER_ENDPOINT
-    assert size.BUDGETS["a datagram between nodes"] == size.DATAGRAM
+    assert size.NODES_PER_ENDPOINT == subsetting.NODES_PER_ENDPOINT
+    assert size.BUDGETS["datagram between nodes, bytes"] == size.MAX_DATAGRAM_BYTES
 
 
 def test_nothing_is_read_from_a_slope_that_does_not_fit() -> None:
--- a/tests/test_scale_parallel_parts.py
+++ b/tests/test_scale_parallel_parts.py
@@ -80,14 +80,14 @@
         assert [play.name for play in plays] == list(SMALL)
         names = [part.name for play in plays for part in play.parts]
         assert len(set(names)) == len(names)
-        assert all(part.cost > 0 for play in plays for part in play.parts)
+        assert all(part.estimated_s > 0 for play in plays for part in play.parts)
 
 
 def test_parts_that_do_not_end_in_time_are_killed_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [0.0]
     monkeypatch.setattr(parallel_parts, "time", SimpleNamespace(monotonic=lambda: clock[0]))
     parts = [Part("b", forever, 1.0), Part("c", forever, 1.0), Part("a", one, 2.0)]
-    found = parallel_parts.played(parts, 7, 1, 600.0, left)
+    found = parallel_parts.run_parts(parts, 7, 1, 600.0, left)
     first = next(found)
     assert (first.part.name, first.items) == ("a", list(one(7)))
     clock[0] = 600.0
@@ -98,7 +98,7 @@
 
 
 def test_an_abandoned_run_leaves_no_process_behind() -> None:
-    found = parallel_parts.played(
+    found = parallel_parts.run_parts(
         [Part("a", one, 2.0), Part("b", forever, 1.0)], 7, 2, time.monotonic() + 600.0, left
     )
     assert next(found).part.name == "a"
@@ -108,14 +108,14 @@
 
 def test_a_defect_in_a_part_is_raised() -> None:
     with pytest.raises(ArithmeticError, match="planted"):
-        list(parallel_parts.played([Part("a", broken, 1.0)], 7, 1, time.monotonic() + 600.0, left))
+        list(parallel_parts.run_parts([Part("a", broken, 1.0)], 7, 1, time.monotonic() + 600.0, left))
     assert not multiprocessing.active_children()
 
 
 def test_a_process_that_ends_by_itself_is_named() -> None:
-    (done,) = parallel_parts.played([Part("a", dies, 1.0)], 7, 1, time.monotonic() + 600.0, left)
+    (done,) = parallel_parts.run_parts([Part("a", dies, 1.0)], 7, 1, time.monotonic() + 600.0, left)
     (item,) = done.items
-    assert isinstance(item, NotPlayed) and item.what == "a" and "was ended" in item.why
+    assert isinstance(item, NotPlayed) and item.what == "a" and "was terminated" in item.why
 
 
 def test_parts_that_the_command_has_no_time_for_are_named(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_scale_points.py
+++ b/tests/test_scale_points.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from balancer.lab.scale.points import Point, at, fit, slopes
+from balancer.lab.scale.points import Point, fit, fit_slopes, fitted_value
 
 SIZES = (200, 800, 3_000, 12_000, 70_000)
 PLANTED: dict[str, Callable[[int], float]] = {
@@ -82,9 +82,9 @@
 
 def test_slopes_go_by_figure_and_leave_out_what_has_too_few_sizes() -> None:
     some = points(PLANTED["linear"]) + points(PLANTED["log"], "change") + points(PLANTED["root"], "few")[:2]
-    assert [s.figure for s in slopes(some, 70_000)] == ["answer", "change"]
+    assert [s.figure for s in fit_slopes(some, 70_000)] == ["answer", "change"]
 
 
 def test_at_gives_the_value_of_a_fit() -> None:
-    assert at("root", 1.0, 2.0, 9) == 7.0
-    assert at("constant", 1.0, 0.0, 9) == 1.0
+    assert fitted_value("root", 1.0, 2.0, 9) == 7.0
+    assert fitted_value("constant", 1.0, 0.0, 9) == 1.0
--- a/tests/test_scale_runner.py
+++ b/tests/test_scale_runner.py
@@ -59,11 +59,11 @@
         generated_inputs.entry(1, api.EndpointPhase.DRAINING),
         generated_inputs.entry(2, api.EndpointPhase.REMOVED, 5.0),
     ]
-    news = decode_update(generated_inputs.line(told, 3, True))
+    news = decode_update(generated_inputs.encode_update(told, 3, True))
     assert list(news.members) == [member(one, f"10.0.0.{i}:8080") for i, one in enumerate(told)]
     assert (news.revision, news.complete) == (3, True)
     assert {
-        m.address for m in decode_update(generated_inputs.line(told, 3, True, "127.0.0.1:9")).members
+        m.address for m in decode_update(generated_inputs.encode_update(told, 3, True, "127.0.0.1:9")).members
     } == {("127.0.0.1", 9)}
 
 
@@ -210,13 +210,15 @@
     assert found["discovery", "join_calls", 12] == 12
     assert found["discovery", "join_failed", 12] == 0
     assert found["discovery", "tenth_calls", 12] == 2
-    line = len(generated_inputs.line([generated_inputs.entry(0, api.EndpointPhase.DRAINING)], 3, False))
+    line = len(
+        generated_inputs.encode_update([generated_inputs.entry(0, api.EndpointPhase.DRAINING)], 3, False)
+    )
     assert found["discovery", "told", 12] == pytest.approx(12 * line, rel=0.02)
 
 
 def test_bursts_and_a_days_stream_are_counted() -> None:
     bursts = figures(uvloop.run(discovery.play_bursts((1, 40, 90))), exact=True)
-    assert bursts["burst", "line", 40] == len(generated_inputs.line(
+    assert bursts["burst", "line", 40] == len(generated_inputs.encode_update(
         [generated_inputs.entry(n) for n in range(40)], 8, False))  # fmt: skip
     day = uvloop.run(discovery.play_day(160))
     again = uvloop.run(discovery.play_day(160))
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -130,7 +130,7 @@
         # Five nodes feed a backend. Coins fall for each backend alone, so what one node sends to five of them
         # stands for what five nodes send to one: the rule is on all of that, and chance has its slack there.
         seat = self.seats.setdefault(entry.backend, len(self.seats))
-        self.budget.send(self.now, replace(entry, backend=f"{seat // size.FEEDERS}"))
+        self.budget.send(self.now, replace(entry, backend=f"{seat // size.NODES_PER_ENDPOINT}"))
         attempt = len(self.checker.requests[send.request].attempts) - 1
         ok = api.AttemptEnded(send.request, attempt, send.backend, api.AttemptStatus.OK, ANSWER_MS, True)
         self.at(self.now + ANSWER_MS, partial(self.tell, ok))
@@ -167,7 +167,7 @@
     assert len(lost) == round(size.BACKENDS / size.ZONES)
     rest = [m for m in whole if m.zone != zone]
     drain = [replace(m, phase=DRAINING) for m in rest[:CHANGED]]
-    numbers = (n for n in range(size.BACKENDS, 2 * size.BACKENDS) if generated_inputs.zone(n) != zone)
+    numbers = (n for n in range(size.BACKENDS, 2 * size.BACKENDS) if generated_inputs.zone_name(n) != zone)
     new = [member(generated_inputs.entry(next(numbers))) for _ in range(CHANGED)]
     world.put(2, [*new, *drain, *rest[CHANGED:]])
     while world.in_force != [1, 2]:
