--- a/balancer/lab/scale/concurrent_callers.py
+++ b/balancer/lab/scale/concurrent_callers.py
@@ -22,9 +22,9 @@
 from balancer.lab.programs import ROOT
 
 HOST = "127.0.0.1"
-ANSWER_TIMEOUT_S = 5.0  # Requests without a response this long after the last request count as unanswered.
+ANSWER_TIMEOUT_S = 5.0  # Requests count as unanswered if the response is missing 5 s after the last request.
 POLL_INTERVAL_S = 0.02
-MAX_CONNECTIONS = 64  # Requests beyond this many connections to one node wait for a free connection.
+MAX_CONNECTIONS = 64  # If all 64 connections to a node are busy, further requests wait for one of them.
 MAX_LINE_BYTES = 2**26
 CONTENT_LENGTH = re.compile(rb"content-length: (\d+)", re.IGNORECASE)
 CONNECTION_CLOSE = re.compile(rb"connection: close", re.IGNORECASE)
@@ -40,20 +40,20 @@
 
 
 class PartResult(msgspec.Struct):
-    """The results of the requests that were due in one part of the run."""
+    """The results of the requests that were due in one part of the run.
 
-    until: float  # The part ends at this time of the monotonic clock.
+    `until` is the end of the part on the monotonic clock; only requests sent before it count as `sent`.
+    """
+
+    until: float
     scheduled: int = 0
-    sent: int = 0  # Only requests sent before the end of the part count as sent.
-    statuses: dict[int, int] = msgspec.field(
-        default_factory=dict
-    )  # Status 0 counts requests without a response.
-    took_ms: list[float] = msgspec.field(
-        default_factory=list
-    )  # Latencies count from when the request was due.
-    late_ms: list[float] = msgspec.field(
-        default_factory=list
-    )  # Lateness of the harness is recorded per request.
+    sent: int = 0
+    # Responses are counted by status; status 0 stands for requests without a response.
+    statuses: dict[int, int] = msgspec.field(default_factory=dict)
+    # Latencies of responses are measured from the time at which the request was due.
+    took_ms: list[float] = msgspec.field(default_factory=list)
+    # The delay with which the harness itself sends each request is recorded to detect an overloaded machine.
+    late_ms: list[float] = msgspec.field(default_factory=list)
 
     def answered(self, status: int, count: int = 1) -> None:
         """Count requests that have ended, by status."""
@@ -73,7 +73,7 @@
     def __init__(self, target: Target) -> None:
         """Prepare a connection to a node."""
         self.target, self.buffer = target, b""
-        # The request in progress is kept as its part of the run and the time at which it was due.
+        # A request in progress is stored as its part of the run and the time at which it was due.
         self.request: tuple[PartResult, float] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -124,7 +124,7 @@
         """Start without connections to the node that listens on this port."""
         self.port, self.number = port, 0
         self.idle: list[CallerConnection] = []
-        self.connections = 0  # Connections that are still being opened count as well.
+        self.connections = 0  # The number of connections includes those that are still being opened.
         self.waiting: list[tuple[PartResult, float]] = []
         self.opening: set[asyncio.Task[None]] = set()
 
--- a/balancer/lab/scale/generated_inputs.py
+++ b/balancer/lab/scale/generated_inputs.py
@@ -11,7 +11,7 @@
 from balancer import interface as api
 from balancer.lab.scale import size
 
-START_MS = 1_800_000_000_000.0  # The virtual wall clock starts at this Unix time.
+START_MS = 1_800_000_000_000.0  # The virtual clock starts at Unix time 1,800,000,000 s.
 DAY_MS = 86_400_000.0
 TIMING_BATCHES = 5
 OWN_ZONE = "z0"
--- a/balancer/lab/scale/parallel_parts.py
+++ b/balancer/lab/scale/parallel_parts.py
@@ -66,7 +66,7 @@
 def _result_of(part: Part, future: Future[tuple[list[Point | NotPlayed], float]]) -> PartResult:
     try:
         return PartResult(part, *future.result())
-    except BrokenProcessPool:  # The kernel kills worker processes, for example, when memory runs out.
+    except BrokenProcessPool:  # A worker process died, for example because the machine ran out of memory.
         return PartResult(part, [NotPlayed(part.name, "a worker process of the pool was terminated")], 0.0)
 
 
@@ -81,5 +81,5 @@
     """Have the kernel kill this worker when its parent ends, and ignore SIGINT, which the parent handles."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-    if os.getppid() != parent:  # The parent ended before the death signal was set.
+    if os.getppid() != parent:  # The parent has already ended, so its death signal will never arrive.
         os._exit(1)
--- a/balancer/lab/scale/points.py
+++ b/balancer/lab/scale/points.py
@@ -18,30 +18,40 @@
 """Forms f of the fit a + b * f(size), from the simplest to the most complex."""
 # A simpler form is preferred if its residual is at most 1.1 times the smallest residual.
 SIMPLER_FORM_FACTOR = 1.1
-# Relative residuals below this are treated as rounding errors.
+# Relative residuals below 1e-9 are rounding errors.
 ROUNDING_RESIDUAL = 1e-9
 # Values below 1% of the largest are weighted as if they were 1% of it, so that a zero has a finite weight.
 MIN_WEIGHT_SHARE = 0.01
-# A form has two parameters and fits any two points exactly, so two sizes would show nothing.
+# Every form has two parameters and fits any two points exactly, so a slope needs at least three sizes.
 MIN_SIZES = 3
 
 
 @dataclass(slots=True, frozen=True)
 class Point:
-    """One figure of one role, measured at one size."""
+    """One figure of one role, measured at one size.
 
-    role: str  # Examples of roles are "module", "list", "settings", "membership" and "recovery".
-    figure: str  # Examples of figures are "answer", "choice" and "change".
-    unit: str  # Examples of units are "ms", "us", "bytes", "datagrams/s" and "entries".
-    size: int  # The size is the number of backends, members, classes or tenants in the measurement.
+    A role is for example "module", "list", "membership" or "recovery", a figure "answer" or "change", and a
+    unit "ms", "us", "bytes", "datagrams/s" or "entries". The size is the number of backends, members, request
+    classes or tenants. Exact values are counted and depend only on the seed; times and memory also depend on
+    the machine.
+    """
+
+    role: str
+    figure: str
+    unit: str
+    size: int
     value: float
-    # An exact value is counted and depends on the seed only; times and memory also depend on the machine.
     exact: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """The growth of one figure, fitted as value = a + b * f(size); `fit` is the key of f in FORMS."""
+    """The growth of one figure, fitted as value = a + b * f(size).
+
+    `fit` is the key of f in FORMS, `residual` the root mean square of the relative errors, corrected for the
+    degrees of freedom. `target` is the size planned in two years, `at_target` the value of the fit there, and
+    `beyond` the ratio of the target to the largest measured size.
+    """
 
     role: str
     figure: str
@@ -52,10 +62,10 @@
     fit: str
     a: float
     b: float
-    residual: float  # The root mean square of the relative errors is corrected for the degrees of freedom.
-    target: int  # The target is the size planned in two years.
-    at_target: float  # The value of the fit at the target size is an extrapolation.
-    beyond: float  # The target size is divided by the largest measured size.
+    residual: float
+    target: int
+    at_target: float
+    beyond: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,26 +78,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """A part of a play at one size that can run in a worker process."""
+    """A part of a play at one size that can run in a worker process.
+
+    `run` takes a seed and must be picklable. Parts with the longest estimated run time start first.
+    """
 
-    name: str  # NotPlayed reports a part under this name.
-    run: Callable[[int], Iterable[Point | NotPlayed]]  # The callable takes a seed and must be picklable.
-    estimated_s: float  # The estimated run time orders the parts: the longest starts first.
+    name: str
+    run: Callable[[int], Iterable[Point | NotPlayed]]
+    estimated_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class Play:
-    """A measurement of some figures at all its sizes, which ends by itself within a bounded time."""
+    """A measurement of some figures at all its sizes, which ends by itself within a bounded time.
+
+    `run` takes a seed and yields points as they are measured. `target` is the size planned in two years.
+    `limits` is a text for the report: what stubs replace, and what the simulation leaves out. A play that can
+    run in parallel processes has the same measurements, in the same order, as `parts`.
+    """
 
     name: str
-    run: Callable[
-        [int], Iterable[Point | NotPlayed]
-    ]  # The callable takes a seed and yields points as measured.
-    target: int  # The target is the planned size, in two years, of whatever this play scales.
-    limits: str  # This text for the report says what stubs replace and what the simulation leaves out.
-    parts: tuple[
-        Part, ...
-    ] = ()  # Plays that can run in parallel list the same measurements here in the same order.
+    run: Callable[[int], Iterable[Point | NotPlayed]]
+    target: int
+    limits: str
+    parts: tuple[Part, ...] = ()
 
 
 def fit(points: Sequence[Point], target: int) -> Slope:
--- a/balancer/lab/scale/runner.py
+++ b/balancer/lab/scale/runner.py
@@ -44,7 +44,7 @@
     name: str
     target: int
     limits: str
-    seconds: float  # Parts that ran in parallel are added up.
+    seconds: float  # The run times of parallel parts are added up.
 
 
 class Result(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
     program: str
     python: str
     machine: str
-    load: float  # The one-minute load average before the run includes other work on the machine.
+    load: float  # The one-minute load average before the run shows how busy the machine was with other work.
     seconds: float
     plays: list[StartedPlay]
     points: list[Point]
@@ -87,12 +87,12 @@
 
 @dataclass(slots=True, frozen=True)
 class RunBounds:
-    """The seed, time limit and observer of one run."""
+    """The seed, time limit and observer of one run; the deadline is a time of the monotonic clock."""
 
     seed: int
     limit_s: float
-    deadline: float  # The deadline is a time of the monotonic clock.
-    # The observer is called as each play starts, and for each point.
+    deadline: float
+    # The observer is called when a play starts, with None, and for each measured point.
     observe: Callable[[str, Point | None], None]
 
     @property
@@ -110,7 +110,7 @@
     """The results of one play."""
 
     items: list[Point | NotPlayed]
-    # The run times of all parts are added up; None means that the play was not started.
+    # The run times of parallel parts are added up; None means that the play was not started.
     seconds: float | None
 
 
--- a/balancer/lab/scale/settings_tables.py
+++ b/balancer/lab/scale/settings_tables.py
@@ -17,7 +17,7 @@
 QUICK_ROUTES = (100, 400, 1_600)
 TENANTS = (5_000, 20_000, 60_000, 150_000, 350_000)
 QUICK_TENANTS = (1_000, 4_000, 16_000)
-LIST_ENTRIES = 200  # The list is short, as its cost is not part of this measurement.
+LIST_ENTRIES = 200  # The endpoint list is kept short, because its cost is not part of this measurement.
 
 LIMITS = (
     "Measured are parse_settings on decoded JSON, and the decision module's turn for new settings; reading "
--- a/balancer/lab/scale/shared_state.py
+++ b/balancer/lab/scale/shared_state.py
@@ -38,7 +38,7 @@
     sizes: Sizes
     quick_sizes: Sizes
     target: int
-    limits: str  # This text for the report says what the simulation leaves out.
+    limits: str
 
 
 SCENARIOS = (
@@ -136,8 +136,8 @@
 )
 
 
-# Runs that can be split into parallel parts: for each part, the suffix of its name, the function that
-# measures one size, and the estimated core seconds at 100 nodes.
+# Only these measurements are split into parallel parts. Each part has a name suffix, a function that measures
+# one size, and an estimate of the core seconds that it takes at 100 nodes.
 PARALLEL_RUNS: dict[Run, dict[str, tuple[Run, float]]] = {
     membership_tiers.quiet: {"": (membership_tiers.quiet, 0.4)},
     membership_tiers.cold_start: {"": (membership_tiers.cold_start, 0.5)},
@@ -147,7 +147,7 @@
     },
     power_recovery.tiers: {"": (power_recovery.tiers, 16.0)},
 }
-COST_EXPONENT = 2.2  # The run time of a simulated tier grows as this power of its size.
+COST_EXPONENT = 2.2  # The run time of a simulated tier grows with its size to the power of 2.2.
 
 
 def plays(quick: bool) -> list[Play]:
--- a/balancer/lab/scale/size.py
+++ b/balancer/lab/scale/size.py
@@ -10,7 +10,7 @@
 ROUTES, TENANTS = 14_000, 350_000
 REGIONS, ZONES = 3, 9
 CONFIG_CHANGES_PER_DAY = 29_000
-RESTARTS_PER_DAY = 9_600  # Restarts include replacements of machines.
+RESTARTS_PER_DAY = 9_600  # A replaced machine counts as a restart.
 CONTROL_MACHINES = 9
 RACK_MACHINES = 40
 DAY_S = 86_400
@@ -28,18 +28,17 @@
 MAX_DATAGRAM_BYTES = 256  # A datagram between nodes may have at most 256 bytes of payload.
 IP_UDP_HEADER_BYTES = 28  # The IP and UDP headers add 28 bytes to a datagram.
 BYTES_PER_TENANT = 100  # A bare tenant table, without any state, needs 100 bytes for each tenant.
-LIST_CHANGES_PER_RESTART = (
-    3  # A restart changes the endpoint list three times: draining, removed, in service again.
+LIST_CHANGES_PER_RESTART = 3  # A restarting backend's list entry changes to draining, removed and in service.
+# Five nodes send requests to each backend; the value must match NODES_PER_ENDPOINT in policy/subsetting.py.
+NODES_PER_ENDPOINT = 5
+# In a cold start the whole tier together sends 8 pages of 25 members each second, see docs/membership.md.
+TIER_PAGES_PER_S, MEMBERS_PER_PAGE = 8, 25
+POLL_SLOT_S = (
+    0.025  # In a recovering tier, nodes call discovery in slots of 25 ms, see docs/fleet-recovery.md.
 )
-NODES_PER_ENDPOINT = 5  # This copy must match NODES_PER_ENDPOINT in balancer/policy/subsetting.py.
-TIER_PAGES_PER_S, MEMBERS_PER_PAGE = (
-    8,
-    25,
-)  # The whole tier sends these pages in a cold start (docs/membership.md).
-POLL_SLOT_S = 0.025  # Recovering nodes call discovery in slots of 25 ms (docs/fleet-recovery.md).
 DISCOVERY_CALL_S = 0.004  # The discovery stub serves a call in 4 ms.
 
-BACKEND_RESTARTS = 50_000  # A process may see this many backend restarts, those of five days.
+BACKEND_RESTARTS = 50_000  # About 50,000 backends restart in five days, the assumed life of a node process.
 BACKENDS_PER_NODE = BACKENDS / NODES
 BACKENDS_PER_ZONE = round(BACKENDS / ZONES)
 
