--- a/balancer/lab/scale/dense_hosting.py
+++ b/balancer/lab/scale/dense_hosting.py
@@ -1,4 +1,4 @@
-"""Dense hosting: many real node processes with the same list, as a check on the hollow ones."""
+"""Dense hosting: many real node processes with the same list, to verify the figures of stub nodes."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 )
 from balancer.lab.scale.points import NotPlayed, Play, Point
 
-COUNT = 16
+PROCESS_COUNT = 16
 SIZES = (200, 1_000, 4_000, 20_000)
-READY_TIMEOUT_S = 40.0  # s that all have until they serve
-CHANGES, CHANGE_INTERVAL_S = 12, 0.4  # told to all; s between two
+READY_TIMEOUT_S = 40.0
+CHANGE_COUNT, CHANGE_INTERVAL_S = 12, 0.4
 
 LIMITS = (
-    "Processes by `python -m balancer` that share the machine's cores, without the fleet's rooms and at "
-    "rest: no requests but one each that shows it is ready. What a change costs is the processor time while "
-    "changes come, less that of as long a time without."
+    "Processes of `python -m balancer` share the machine's cores, without a fleet file and idle except for "
+    "one request each that shows it is ready. The cost of a change is the processor time while changes "
+    "arrive, minus that of an equally long time without changes."
 )
 
 
-async def play_processes(count: int, backends: int, changes: int = CHANGES) -> list[Point | NotPlayed]:
-    """Start nodes with a list; measure until all serve, then changes; return the median node's figures."""
+async def play_processes(count: int, backends: int, changes: int = CHANGE_COUNT) -> list[Point | NotPlayed]:
+    """Measure the start of nodes with a list, then the cost of changes, as medians over the nodes."""
     loop = asyncio.get_running_loop()
     backend = await loop.create_server(BackendStub, HOST, 0)
     where = f"{HOST}:{backend.sockets[0].getsockname()[1]}"
@@ -57,10 +57,15 @@
         try:
             ports = await start_nodes(stack, count, backends, server.sockets[0].getsockname()[1])
         except TimeoutError:
-            return [NotPlayed(f"processes at {backends}", f"not all {count} served in {READY_TIMEOUT_S:g} s")]
+            return [
+                NotPlayed(
+                    f"processes at {backends}",
+                    f"not all {count} nodes served a request within {READY_TIMEOUT_S:g} s",
+                )
+            ]
         ready_ms = (loop.time() - begin) * 1000
         pids = list(ports)
-        rest = await _processor_times(pids, discovery, [], changes)
+        idle_s = await _processor_times(pids, discovery, [], changes)
         lines = []
         for number in range(changes):
             at = generated_inputs.entry(
@@ -69,12 +74,12 @@
                 entries[0].started_at,
             )
             lines.append(generated_inputs.encode_update([at], number + 3, False, where))
-        busy = await _processor_times(pids, discovery, lines, changes)
+        busy_s = await _processor_times(pids, discovery, lines, changes)
         memory = [resources_of(pid)[1] for pid in pids]
     figures = (
         ("ready", "ms", ready_ms),
         ("memory", "bytes", statistics.median(memory)),
-        ("change", "us", max(0.0, statistics.median(busy) - statistics.median(rest)) * 1e6 / changes),
+        ("change", "us", max(0.0, statistics.median(busy_s) - statistics.median(idle_s)) * 1e6 / changes),
     )
     return [Point("processes", name, unit, backends, value, False) for name, unit, value in figures]
 
@@ -82,9 +87,12 @@
 async def start_nodes(
     stack: contextlib.AsyncExitStack, count: int, backends: int, discovery_port: int
 ) -> dict[int, int]:
-    """Start nodes and wait until all serve and have the list; return each node's port by its process id.
+    """Start nodes, wait until all serve requests and have the list, and return their ports by process ID.
 
-    Each has a subset of its own; they end with the stack. Raises TimeoutError after READY_MOST.
+    Each node has its own subset. The processes are killed when the stack closes.
+
+    Raises:
+        TimeoutError: Some node was not ready within READY_TIMEOUT_S.
     """
     nodes, ports = [], dict[int, Ports]()
     for me in range(count):
@@ -96,7 +104,7 @@
             ports[node.pid] = await wait_for_ports(node)
             stack.callback(asyncio.create_task(drain_log(node)).cancel)
             client = Client(ports[node.pid].clients)
-            while (await client.ask())[0] != HTTPStatus.OK:
+            while (await client.send_request())[0] != HTTPStatus.OK:
                 await asyncio.sleep(0.05)
             client.close()
         for node in nodes:
@@ -107,23 +115,23 @@
 async def _processor_times(
     pids: list[int], discovery: DiscoveryStub, lines: list[bytes], steps: int
 ) -> list[float]:
-    """Return the processor time of each in s over `steps` intervals, in which these lines are sent."""
+    """Return each process's processor time in s over `steps` intervals, one line being sent in each."""
     before = [resources_of(pid)[0] for pid in pids]
     for step in range(steps):
         if step < len(lines):
             discovery.send(lines[step])
         await asyncio.sleep(CHANGE_INTERVAL_S)
-    return [resources_of(pid)[0] - was for pid, was in zip(pids, before, strict=True)]
+    return [resources_of(pid)[0] - before_s for pid, before_s in zip(pids, before, strict=True)]
 
 
 def plays(quick: bool) -> list[Play]:
-    """Return the play of the processes; a quick run leaves it out, as it takes a minute and a half."""
+    """Return the play of the node processes; a quick run skips it, because it takes a minute and a half."""
 
     def processes(_: int) -> Iterator[Point | NotPlayed]:
         if quick:
-            yield NotPlayed(f"{COUNT} real processes before one list", "not in a quick run")
+            yield NotPlayed(f"{PROCESS_COUNT} real processes before one list", "not in a quick run")
             return
         for backends in SIZES:
-            yield from uvloop.run(play_processes(COUNT, backends))
+            yield from uvloop.run(play_processes(PROCESS_COUNT, backends))
 
     return [Play("processes", processes, size.BACKENDS, LIMITS)]
--- a/balancer/lab/scale/durable_state.py
+++ b/balancer/lab/scale/durable_state.py
@@ -1,7 +1,7 @@
-"""The durable state of one node at growing lists: what a start reads, what a change and a snapshot write.
+"""Scale measurements of one node's durable state with growing lists: starts, changes and snapshots.
 
-The store is the one that `run` has, over the disk of `sim/disk.py`: bytes are counted, processor time is the
-store's own, and no time of a real disk is in it.
+The store is that of a real node over the simulated disk of `sim/disk.py`: bytes are counted, processor time
+is that of the store, and the time of a real disk is left out.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 ROLE = "durable"
 NODE, DIRECTORY_ID = "n0", "0123456789abcdef"
 KINDS, CELLS = 4, 16
-WALL_CLOCK_MS = 1_767_225_600_000.0  # a moment, Unix time
-MEASURED_CHANGES = 200  # of one entry, whose processor time is measured
-MEASURED_APPLIES = 5  # changes taken into what is kept: each costs as much as the list is long
-MEASURED_READS = 3  # of a directory, of which the quickest counts: other work on the machine only adds
-LEARNED_EVERY = 4  # one listed backend in so many has something learned of it
+WALL_CLOCK_MS = 1_767_225_600_000.0
+MEASURED_CHANGES = 200
+MEASURED_APPLIES = 5  # Applying a change takes time in proportion to the list, so only five are measured.
+MEASURED_READS = 3  # The fastest of three reads counts, because other work on the machine only adds time.
+LEARNED_EVERY = 4  # The generated sample has learned state for one backend in four.
 
 
 class Node:
-    """A node's store and its state, as `durable/committer.py` uses them."""
+    """A node's store and its state, used in the same way as in `durable/committer.py`."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
-        """Open the store on a disk."""
+        """Open the store on a disk and replay its records."""
         self.disk, self.state = disk, DurableState()
         self.store = LogWriter(SimulatedDirectory(disk), NODE, DIRECTORY_ID, self._snapshot)
 
@@ -47,88 +47,88 @@
         return self.state.encode_snapshot()
 
     def append(self, record: Record) -> int:
-        """Write and sync a record; return the bytes that the log grew by."""
+        """Write and sync a record, and return the number of bytes by which the log grew."""
         data, before = encode_record(record), self.store.log_bytes
         self.store.append([data], True)
         self.state.apply(data)
         return self.store.log_bytes - before
 
 
-def stores(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
-    """Measure a store at growing lists: its records, its start with a full log, one change, a snapshot.
+def measure_stores(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
+    """Measure a store with growing lists: its records, a start with a full log, one change, and a snapshot.
 
-    Where a record of that list is too long for the store, what needs it is not played.
+    If the record of a list is too long for the store, the measurement of the start is skipped.
     """
     for count in sizes:
-        of, rows = PointFactory(ROLE, count), listed(count, seed)
-        whole, sample = EndpointListReceived(1, True, WALL_CLOCK_MS, rows), sampled(rows)
+        points, rows = PointFactory(ROLE, count), make_list(count, seed)
+        whole, sample = EndpointListReceived(1, True, WALL_CLOCK_MS, rows), make_sample(rows)
         snapshot = _state_of(rows)
-        yield of.counted("list_record", "bytes", len(encode_record(whole)))
-        yield of.counted("learned_record", "bytes", len(encode_record(sample)))
-        yield of.counted("snapshot", "bytes", len(snapshot.encode_snapshot()))
-        yield of.machine("snapshot_processor", "ms", _ms(snapshot.encode_snapshot))
-        yield from _changes(of, rows)
+        yield points.counted("list_record", "bytes", len(encode_record(whole)))
+        yield points.counted("learned_record", "bytes", len(encode_record(sample)))
+        yield points.counted("snapshot", "bytes", len(snapshot.encode_snapshot()))
+        yield points.measured("snapshot_processor", "ms", _mean_cpu_ms(snapshot.encode_snapshot))
+        yield from _changes(points, rows)
         if (why := _rejection(encode_record(whole)) or _rejection(snapshot.encode_snapshot())) is None:
-            yield from _start(of, whole, sample)
+            yield from _start(points, whole, sample)
         else:
             yield NotPlayed(f"{ROLE}, a start at {count}", why)
 
 
-def limits(sizes: Sequence[int], seed: int) -> Iterator[Point]:
-    """Yield the number of entries up to which a record fits into the store (`STA03` above)."""
+def measure_limits(sizes: Sequence[int], seed: int) -> Iterator[Point]:
+    """Yield the largest number of entries whose record fits into the store; longer ones fail with STA03."""
     for count in sizes:
-        of, rows = PointFactory(ROLE, count), listed(count, seed)
+        points, rows = PointFactory(ROLE, count), make_list(count, seed)
         makes: dict[str, Callable[[list[EndpointRow]], bytes]] = {
             "list": lambda some: encode_record(EndpointListReceived(1, True, WALL_CLOCK_MS, some)),
-            "learned_of_a_quarter": lambda some: encode_record(sampled(some)),
-            "learned_of_all": lambda some: encode_record(sampled(some, 1)),
+            "learned_of_a_quarter": lambda some: encode_record(make_sample(some)),
+            "learned_of_all": lambda some: encode_record(make_sample(some, 1)),
             "snapshot": lambda some: _state_of(some).encode_snapshot(),
         }
         for what, make in makes.items():
             if (most := _longest_fitting(rows, make)) < count:
-                yield of.counted(f"most_{what}", "entries", most)
+                yield points.counted(f"most_{what}", "entries", most)
 
 
-def listed(count: int, seed: int) -> list[EndpointRow]:
-    """Return a list of `count` backends in service, with names of usual length."""
-    dice = random.Random(f"list {seed}")
+def make_list(count: int, seed: int) -> list[EndpointRow]:
+    """Return a list of `count` backends in service, with names of realistic length."""
+    rng = random.Random(f"list {seed}")
     rows = []
     for number in range(count):
         host = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
-        zone, kind = f"zone-{number % ZONES}", f"kind-{dice.randrange(KINDS)}"
-        started = WALL_CLOCK_MS - dice.randrange(86_400_000)
-        name, cell = f"backend-{number:05d}", dice.randrange(CELLS)
+        zone, kind = f"zone-{number % ZONES}", f"kind-{rng.randrange(KINDS)}"
+        started = WALL_CLOCK_MS - rng.randrange(86_400_000)
+        name, cell = f"backend-{number:05d}", rng.randrange(CELLS)
         rows.append(EndpointRow(name, host, 8080, zone, kind, cell, 1.0, "up", started))
     return rows
 
 
-def sampled(rows: Sequence[EndpointRow], every: int = LEARNED_EVERY) -> LearnedSample:
-    """Return the learned state of every `every`-th backend of a list."""
+def make_sample(rows: Sequence[EndpointRow], every: int = LEARNED_EVERY) -> LearnedSample:
+    """Return a sample with the learned state of every `every`-th backend of a list."""
     backends = {row.backend: (row.started_at_ms, 1.25, 17.5, 0, 0.0) for row in rows[::every]}
     learned = LearnedState(64.0, 1.0, 0.0, {"a": (5.0, 1.0, 0.0)}, backends)
     return LearnedSample(Timestamp(WALL_CLOCK_MS, DIRECTORY_ID, 1e6), learned, 193.0)
 
 
 def _state_of(rows: Sequence[EndpointRow]) -> DurableState:
-    return DurableState(endpoints={row.backend: row for row in rows}, learned_sample=sampled(rows))
+    return DurableState(endpoints={row.backend: row for row in rows}, learned_sample=make_sample(rows))
 
 
-def _changes(of: PointFactory, rows: Sequence[EndpointRow]) -> Iterator[Point]:
-    """Measure a change of one entry: its write to the log, its effect on the state."""
+def _changes(points: PointFactory, rows: Sequence[EndpointRow]) -> Iterator[Point]:
+    """Measure the change of one entry: the write to the log, and its application to the state."""
     node = Node(SimulatedDisk())
     change = EndpointListReceived(2, False, WALL_CLOCK_MS, [rows[0]])
     grown = node.append(change)
     data, state = encode_record(change), _state_of(rows)
-    append = _ms(lambda: node.store.append([data], True), MEASURED_CHANGES)
+    append = _mean_cpu_ms(lambda: node.store.append([data], True), MEASURED_CHANGES)
     node.store.close()
-    take = _ms(lambda: state.apply(data), MEASURED_APPLIES)
-    yield of.counted("change_bytes", "bytes", grown)
-    yield of.machine("change_write", "us", append * 1000)
-    yield of.machine("change_take", "us", take * 1000)
+    take = _mean_cpu_ms(lambda: state.apply(data), MEASURED_APPLIES)
+    yield points.counted("change_bytes", "bytes", grown)
+    yield points.measured("change_write", "us", append * 1000)
+    yield points.measured("change_take", "us", take * 1000)
 
 
-def _start(of: PointFactory, whole: EndpointListReceived, sample: LearnedSample) -> Iterator[Point]:
-    """Measure the start of a process after one whose log is full."""
+def _start(points: PointFactory, whole: EndpointListReceived, sample: LearnedSample) -> Iterator[Point]:
+    """Measure a process start from the files of a predecessor whose log is full."""
     disk = SimulatedDisk()
     node = Node(disk)
     node.append(whole)
@@ -136,25 +136,25 @@
     while not node.store.needs_rotation:
         node.append(sample)
         samples += 1
-    yield of.counted("log_full", "s", samples)
-    rotated = _ms(lambda: node.store.rotate(node.state.encode_snapshot()))
-    yield of.machine("rotate", "ms", rotated)
+    yield points.counted("log_full", "s", samples)
+    rotate_ms = _mean_cpu_ms(lambda: node.store.rotate(node.state.encode_snapshot()))
+    yield points.measured("rotate", "ms", rotate_ms)
     node.append(whole)
     while not node.store.needs_rotation:
         node.append(sample)
     node.store.close()
-    yield of.counted("files", "bytes", sum(map(len, disk.image().values())))
+    yield points.counted("files", "bytes", sum(map(len, disk.image().values())))
     files = CountingDirectory(disk)
-    read = min(_ms(lambda: _read(files)) for _ in range(MEASURED_READS))
-    yield of.counted("start_read", "bytes", files.size / MEASURED_READS)
-    yield of.machine("start_processor", "ms", read)
-    yield of.machine("start_memory", "bytes", _peak(lambda: _read(files)))
-    again = _ms(lambda: Node(disk).store.close())
-    yield of.machine("take_over", "ms", again)
+    read_ms = min(_mean_cpu_ms(lambda: _read_state(files)) for _ in range(MEASURED_READS))
+    yield points.counted("start_read", "bytes", files.size / MEASURED_READS)
+    yield points.measured("start_processor", "ms", read_ms)
+    yield points.measured("start_memory", "bytes", _peak_bytes(lambda: _read_state(files)))
+    takeover_ms = _mean_cpu_ms(lambda: Node(disk).store.close())
+    yield points.measured("take_over", "ms", takeover_ms)
 
 
 class CountingDirectory(SimulatedDirectory):
-    """The file layer, with the bytes that were read."""
+    """A simulated directory that counts the bytes read from it."""
 
     size = 0
 
@@ -165,14 +165,14 @@
         return data
 
 
-def _read(files: SimulatedDirectory) -> DurableState:
-    """Read the directory as a start does before it takes it over."""
+def _read_state(files: SimulatedDirectory) -> DurableState:
+    """Read the state from a directory, as a starting process does before the takeover."""
     loaded = read_directory(files, NODE, all_generations=False)
     return replay(loaded.snapshot, loaded.records)
 
 
 def _rejection(data: bytes) -> str | None:
-    """Return why a record does not fit into the store; None where it does."""
+    """Return why a record does not fit into the store, or None if it fits."""
     try:
         frames.make_frame(1, 1, 0, data)
     except frames.RecordTooLongError as err:
@@ -181,12 +181,12 @@
 
 
 def _longest_fitting(rows: list[EndpointRow], make: Callable[[list[EndpointRow]], bytes]) -> int:
-    """Return the length of the longest prefix of a list whose record fits."""
+    """Return the length of the longest prefix of a list whose record fits into the store."""
     counts = range(1, len(rows) + 1)
     return bisect.bisect_left(counts, True, key=lambda count: _rejection(make(rows[:count])) is not None)
 
 
-def _ms(call: Callable[[], object], times: int = 1) -> float:
+def _mean_cpu_ms(call: Callable[[], object], times: int = 1) -> float:
     """Return the mean processor time of a call in ms."""
     begun = time.thread_time()
     for _ in range(times):
@@ -194,8 +194,8 @@
     return (time.thread_time() - begun) * 1000 / times
 
 
-def _peak(call: Callable[[], object]) -> float:
-    """Return the peak bytes of the objects that a call creates."""
+def _peak_bytes(call: Callable[[], object]) -> float:
+    """Return the peak memory in bytes of the objects that a call creates."""
     tracemalloc.start()
     try:
         call()
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list at growing sizes: its bytes, its decoding, and one real node process that has it."""
+"""Scale measurements of the endpoint list: its bytes, its decoding, and one node process that uses it."""
 
 from __future__ import annotations
 
@@ -42,41 +42,40 @@
 QUICK_SIZES = (200, 800, 3_200)
 NODE_SIZES = (200, 2_000, 7_000, 20_000, 40_000, 70_000)
 QUICK_NODE_SIZES = (200, 1_000, 3_200)
-PIECE_BYTES = 64 * 1024  # bytes that a socket gives at a time
-READY_TIMEOUT_S = 20.0  # s that a node has until it serves
-IN_FORCE_TIMEOUT_S = 20.0  # s from then on until its list is in force
-POLL_INTERVAL_S = 0.05  # s between two looks at a node's console
-LOOP_LAG_INTERVAL_S = 0.02  # s between two looks how late the process is that plays backends and discovery
-RATE_PER_S = size.PEAK_PER_S / size.NODES  # requests to a node
-CLIENT_START_DELAY_S = 0.2  # s until the clients begin
-CHANGE_INTERVAL_S = 0.5  # s
-HEARTBEAT_INTERVAL_S = 2.0  # s between two empty lines of a watch: without them it would count as dead
-ANSWER_TIMEOUT_S = 5.0  # s for one answer
+PIECE_BYTES = 64 * 1024  # The decoder gets pieces of 64 KiB, the size of a socket read.
+READY_TIMEOUT_S = 20.0
+IN_FORCE_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
+LOOP_LAG_INTERVAL_S = 0.02
+RATE_PER_S = size.PEAK_PER_S / size.NODES
+CLIENT_START_DELAY_S = 0.2
+CHANGE_INTERVAL_S = 0.5
+HEARTBEAT_INTERVAL_S = 2.0  # Without a heartbeat every 2 s, a node would consider its watch dead.
+ANSWER_TIMEOUT_S = 5.0
 HOST = "127.0.0.1"
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 LIST_LIMITS = (
-    "Objects and the decoders as the node's watch uses them, in pieces of 64 KiB, without the socket; "
-    "entries have ids of seven characters and one kind. A list is taken by the node's own Listing with its "
-    "pool and Balancer, one turn after the other, without the pauses between them and with no request "
-    "under way; the cycle collector rests meanwhile, as it does in the node."
+    "The node's own JSON splitter and decoders read pieces of 64 KiB, without a socket; entries have IDs of "
+    "seven characters and one kind. The node's own EndpointUpdater, connection pool and Balancer apply the "
+    "list, step by step without pauses and with no request in progress; the cyclic garbage collector is "
+    "disabled meanwhile, as it is in the node."
 )
-MEMORY_MB = 192.0  # of a node, as the platform's larger ones have
+MEMORY_MB = 192.0  # The platform's larger nodes have 192 MB of memory.
 NODE_LIMITS = (
-    "One process by `python -m balancer`, as built, without the fleet's rooms. Discovery and one "
-    "backend address under all ids are one process of the harness beside it, clients another: they ask "
-    "193 times a second, however long answers take, timed from when a request was due: the latencies "
-    "hold the harness's own time, too (`rig_late` is what 99 in 100 of its requests and looks were "
-    "late by at most, `rig_worst` the latest of them). Once the list is in force, one entry changes "
-    "each 0.5 s; `_lists` are figures of the time behind that, in which a whole list without the "
-    "node's own zone, one with it and the same but for one are told, each once the one before is in "
-    "force."
+    "One process of `python -m balancer` with compiled modules and without a fleet file. One process of the "
+    "harness serves discovery and the backends, all of which have the same address; another runs the "
+    "clients. They send 193 requests per second, whatever the latency, which counts from the time a request "
+    "was due and so includes the harness's own delays (`rig_late` is the p99 lateness of its requests and "
+    "wake-ups, `rig_worst` the maximum). Once the list is in force, one entry changes every 0.5 s. Figures "
+    "named `*_lists` are from the time after that, in which discovery sends a snapshot without the node's "
+    "own zone, one with it, and one with a single entry less, each once the previous one is in force."
 )
 
 
 def lists(sizes: tuple[int, ...]) -> Iterator[Point | NotPlayed]:
-    """Yield the bytes of a snapshot and of a change, and the processor time to decode it."""
+    """Yield the bytes of a snapshot and of a change, and the time to decode and apply a snapshot."""
     for backends in sizes:
         data = generated_inputs.encode_update(generated_inputs.entries(backends), 2, True)
         yield Point("list", "whole", "bytes", backends, float(len(data)), True)
@@ -85,21 +84,25 @@
         try:
             decode(data)
         except JsonStreamError as err:
-            yield NotPlayed(f"list.decode at {backends}", f"refused whole: {err.summary}")
+            yield NotPlayed(f"list.decode at {backends}", f"the decoder refused the list: {err.summary}")
             continue
         took = generated_inputs.median_cpu_us(lambda data=data: decode(data), 1.0, 50)  # type: ignore[misc]
         yield Point("list", "decode", "us", backends, took, False)
-        yield from uvloop.run(measure_taking(backends))
+        yield from uvloop.run(measure_updates(backends))
 
 
 def decode(data: bytes) -> tuple[EndpointUpdate | None, float]:
-    """Decode a list in pieces; return its event and the us of the longest turn. Raises JsonStreamError."""
+    """Decode a list in pieces, and return its update and the time in us of the longest step.
+
+    Raises:
+        JsonStreamError: The list cannot be decoded.
+    """
     objects, event, longest = JsonSplitter(max_object_bytes(MEMORY_MB)), None, 0.0
     for at in range(0, len(data), PIECE_BYTES):
         begin = time.process_time_ns()
         for item in objects.feed(data[at : at + PIECE_BYTES]):
             if isinstance(item, mmap):
-                steps = Steps(decode_update_in_slices(item))
+                steps = StepRunner(decode_update_in_slices(item))
                 event, longest = steps.result, max(longest, steps.longest_us)
             elif item:
                 event = decode_update(item)
@@ -108,25 +111,25 @@
     return event, longest
 
 
-class Steps:
-    """Runs a generator step by step, as `Turns` does but without its pauses."""
+class StepRunner:
+    """Runs a generator step by step like `CooperativeScheduler`, but without pauses between the steps."""
 
     def __init__(self, work: Iterator[None] | None = None) -> None:
-        """Run a generator, if one is given."""
+        """Run a generator if one is given."""
         self.median_cpu_us = self.longest_us = 0.0
         self.result: EndpointUpdate | None = None
         if work is not None:
             self.add(work)
 
     def add(self, work: Iterator[None]) -> None:
-        """Run a generator to its end."""
+        """Run a generator to its end with the cyclic garbage collector disabled."""
         gc.disable()
         try:
-            self._carry_out(work)
+            self._run(work)
         finally:
             gc.enable()
 
-    def _carry_out(self, work: Iterator[None]) -> None:
+    def _run(self, work: Iterator[None]) -> None:
         while True:
             begin = time.process_time_ns()
             try:
@@ -139,9 +142,9 @@
                 self.median_cpu_us, self.longest_us = self.median_cpu_us + took, max(self.longest_us, took)
 
 
-async def measure_taking(backends: int) -> list[Point]:
-    """Measure the turns of a node that takes a list, loses a zone of it, and has the zone back."""
-    balancer = decision_module.node(backends, 1)
+async def measure_updates(backends: int) -> list[Point]:
+    """Measure the steps in which a node applies a list, one without a zone, and the first list again."""
+    balancer = decision_module.new_balancer(backends, 1)
 
     def send(event: api.ListUpdate) -> None:
         balancer.handle(now, event)
@@ -158,7 +161,7 @@
             out.append(Point("list", "decode_turn", "us", backends, longest, False))
         return found
 
-    steps = Steps()
+    steps = StepRunner()
     listing = EndpointUpdater(pool, send, lambda *_: None, cast(CooperativeScheduler, steps))
     other_zones = [entry for entry in lines if entry.zone != lines[0].zone]
     for revision, (name, entries) in enumerate(
@@ -168,14 +171,15 @@
         gc.collect()
         begin = time.process_time_ns()
         listing.put(what, api.ListUpdateKind.SNAPSHOT)
-        spent = (time.process_time_ns() - begin) / 1000  # short lists take no turns
+        # Short lists are applied at once, without steps of the scheduler.
+        spent = (time.process_time_ns() - begin) / 1000
         out.append(Point("list", name, "us", backends, spent, False))
         out.append(Point("list", f"{name}_turn", "us", backends, steps.longest_us or spent, False))
     return out
 
 
 class BackendStub(asyncio.Protocol):
-    """Answers each request at once; a request is one head without a body."""
+    """Responds at once to each request, which is one head without a body."""
 
     transport: asyncio.Transport
 
@@ -184,7 +188,7 @@
         self.transport, self.buffer = cast(asyncio.Transport, transport), b""
 
     def data_received(self, data: bytes) -> None:
-        """Answer each request head."""
+        """Respond to each complete request head (asyncio)."""
         self.buffer += data
         heads = self.buffer.count(b"\r\n\r\n")
         if heads:
@@ -194,14 +198,14 @@
 
 @dataclass
 class DiscoveryStub:
-    """Sends each watch the snapshot, then changes and empty lines, as chunks."""
+    """Sends the snapshot to each new watch, then changes and heartbeats, as HTTP chunks."""
 
     snapshot: bytes
     watches: list[asyncio.StreamWriter] = field(default_factory=list)
     calls: int = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Handle one call."""
+        """Serve one call until its caller disconnects."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             self.calls += 1
@@ -215,7 +219,7 @@
 
     @staticmethod
     async def _is_caller_gone(reader: asyncio.StreamReader) -> bool:
-        """Return whether the caller is gone; False once a heartbeat is due."""
+        """Return True once the caller has disconnected, or False when a heartbeat is due."""
         try:
             async with asyncio.timeout(HEARTBEAT_INTERVAL_S):
                 await reader.read()
@@ -229,13 +233,13 @@
             self._chunk(writer, line)
 
     async def send_long(self, line: bytes) -> None:
-        """Send a long line to all watches in pieces, as fast as it is read."""
+        """Send a long line to all watches in pieces, as fast as they read it."""
         for writer in self.watches:
             for at in range(0, len(line), PIECE_BYTES):
                 self._chunk(writer, line[at : at + PIECE_BYTES])
                 await writer.drain()
 
-    def cut(self) -> None:
+    def end_watches(self) -> None:
         """End all watches, as in an outage of discovery."""
         for writer in self.watches:
             writer.close()
@@ -247,14 +251,14 @@
 
 @dataclass
 class Client:
-    """One connection to the node, made anew where it ends; one request after the other."""
+    """A client that sends one request after the other on a connection, which it reopens if it ends."""
 
     port: int
     numbers: Iterator[int] = field(default_factory=itertools.count)
     streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def ask(self) -> tuple[int, float]:
-        """Send a request; return the status, 0 where no answer came, and the latency in ms."""
+    async def send_request(self) -> tuple[int, float]:
+        """Send a request and return its status, or 0 without a response, and the latency in ms."""
         begin = time.perf_counter()
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -274,21 +278,21 @@
             return 0, (time.perf_counter() - begin) * 1000
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Abort the connection."""
         if self.streams is not None:
             self.streams[1].transport.abort()
             self.streams = None
 
 
 def resources_of(pid: int) -> tuple[float, float]:
-    """Return the processor time in s of a process's first thread, the event loop, and its memory in bytes."""
+    """Return the processor time in s of a process's main thread, and the memory of the process in bytes."""
     spent = int(Path(f"/proc/{pid}/schedstat").read_text("utf-8").split()[0])
     pages = int(Path(f"/proc/{pid}/statm").read_text("utf-8").split()[1])
     return spent / 1e9, float(pages * PAGE_BYTES)
 
 
 async def spawn(folder: Path, backends: int, discovery: int, me: int = 7) -> asyncio.subprocess.Process:
-    """Start a node without a list; `me` is its number, by which it finds its subset."""
+    """Start a node process without a list; `me` is the node's index, which selects its subset."""
     config = {
         "name": f"n{me}", "listen": f"{HOST}:0", "console": f"{HOST}:0", "discovery": f"{HOST}:{discovery}",
         "seed": f"8c1f30d27a5b{me:04x}",
@@ -308,14 +312,19 @@
 
 
 class Ports(NamedTuple):
-    """The ports of a node."""
+    """The ports of a node for clients and for its console."""
 
     clients: int
     console: int
 
 
 async def wait_for_ports(process: asyncio.subprocess.Process) -> Ports:
-    """Return the ports that a node serves on, by its log."""
+    """Read a node's log until it reports its ports.
+
+    Raises:
+        TimeoutError: The node reported no port within READY_TIMEOUT_S.
+        ConnectionError: The node ended before it reported its ports.
+    """
     assert process.stderr is not None
     console = 0
     async with asyncio.timeout(READY_TIMEOUT_S):
@@ -324,11 +333,11 @@
                 if found[1] == "serves":
                     return Ports(int(found[2]), console)
                 console = int(found[2])
-    raise ConnectionError("the node has ended")
+    raise ConnectionError("the node process ended before it logged the port on which it serves")
 
 
 async def record_lag(seen_ms: list[float]) -> None:
-    """Record how late this process is at regular wake-ups, in ms, until cancelled."""
+    """Record the lateness of this event loop in ms at regular wake-ups, until cancelled."""
     while True:
         due = time.monotonic() + LOOP_LAG_INTERVAL_S
         await asyncio.sleep(LOOP_LAG_INTERVAL_S)
@@ -336,7 +345,7 @@
 
 
 async def wait_until_listed(ports: Ports, backends: int) -> None:
-    """Wait until a node's console counts `backends` members: the complete list is in force."""
+    """Wait until a node's console reports `backends` members, so that the complete list is in force."""
     while True:
         status, body = await call((HOST, ports.console), "GET", "/stats")
         if status == HTTPStatus.OK and json.loads(body)["members"] == backends:
@@ -345,23 +354,23 @@
 
 
 async def end_process(process: asyncio.subprocess.Process) -> None:
-    """Kill a process and wait until it is gone."""
+    """Kill a process and wait for its end."""
     with contextlib.suppress(ProcessLookupError):
         process.kill()
     await process.wait()
 
 
 async def drain_log(process: asyncio.subprocess.Process) -> None:
-    """Read the log of a process, so that it never blocks on it."""
+    """Discard the log of a process, so that the process never blocks on a full pipe."""
     assert process.stderr is not None
     while await process.stderr.read(65536):
         pass
 
 
 async def play_node(backends: int, seconds: float, lists_s: float) -> list[Point | NotPlayed]:
-    """Measure one node process with a list: until it serves, until the list is in force, then requests.
+    """Measure one node process: the time until it serves, the time until the list is in force, and requests.
 
-    For `seconds` one entry changes now and then, for `lists_s` whole lists come.
+    One list entry changes at regular intervals for `seconds`, then snapshots arrive for `lists_s`.
     """
     loop = asyncio.get_running_loop()
     async with contextlib.AsyncExitStack() as stack:
@@ -378,10 +387,12 @@
         ports = await wait_for_ports(process)
         stack.callback(loop.create_task(drain_log(process)).cancel)
         client = Client(ports.clients)
-        while (await client.ask())[0] != HTTPStatus.OK:
+        while (await client.send_request())[0] != HTTPStatus.OK:
             if loop.time() - begin > READY_TIMEOUT_S:
-                why = f"never ready: nothing served in {READY_TIMEOUT_S:g} s, {discovery.calls} calls"
-                return _unready(backends, resources_of(process.pid)[1], why)
+                why = (
+                    f"no request was served in {READY_TIMEOUT_S:g} s, with {discovery.calls} discovery calls"
+                )
+                return _points_of_unready_node(backends, resources_of(process.pid)[1], why)
             await asyncio.sleep(POLL_INTERVAL_S)
         ready_ms = (loop.time() - begin) * 1000
         client.close()
@@ -392,49 +403,50 @@
             plan = concurrent_callers.Plan([ports.clients], RATE_PER_S, seconds, lists_s)
             clients, lags_ms = await concurrent_callers.spawn(stack, plan), list[float]()
             stack.callback(loop.create_task(record_lag(lags_ms)).cancel)
-            out = await _requests(process.pid, clients, plan, ports, discovery, lines, lags_ms)
+            out = await _measure_requests(process.pid, clients, plan, ports, discovery, lines, lags_ms)
         except TimeoutError:
-            return [NotPlayed(f"node at {backends}", "a whole list was not in force in time")]
+            return [NotPlayed(f"node at {backends}", "a snapshot was not in force in time")]
     out = {"ready": (ready_ms, "ms"), "in_force": (in_force_ms, "ms")} | out
     return [Point("node", name, unit, backends, value, False) for name, (value, unit) in out.items()]
 
 
-def _unready(backends: int, memory: float, why: str) -> list[Point | NotPlayed]:
+def _points_of_unready_node(backends: int, memory: float, why: str) -> list[Point | NotPlayed]:
     point = Point("node", "memory_unready", "bytes", backends, memory, False)
     return [point, NotPlayed(f"node at {backends}", why)]
 
 
 class ListLines:
-    """The lines that discovery sends, made in advance."""
+    """The lines that discovery sends, encoded before the measurement."""
 
-    def __init__(self, backends: int, where: str) -> None:
-        """Make a list of backends that all listen at `where`."""
-        self.entries, self.where = (
+    def __init__(self, backends: int, address: str) -> None:
+        """Encode a list of backends that all have the address `where`."""
+        self.entries, self.address = (
             generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS),
-            where,
+            address,
         )
         self.other_zones = [entry for entry in self.entries if entry.zone != generated_inputs.OWN_ZONE]
-        self.snapshot = generated_inputs.encode_update(self.entries, 2, True, where)
+        self.snapshot = generated_inputs.encode_update(self.entries, 2, True, address)
         self.revision = 2
 
     def change(self) -> bytes:
-        """Return a line in which one backend drains, or is back."""
+        """Encode a line in which one backend starts to drain, or is in service again."""
         number, self.revision = self.revision - 2, self.revision + 1
         was = self.entries[number // 2 * 7 % len(self.entries)]
         phase = api.EndpointPhase.IN_SERVICE if number % 2 else api.EndpointPhase.DRAINING
-        return generated_inputs.encode_update([replace(was, phase=phase)], self.revision, False, self.where)
+        return generated_inputs.encode_update([replace(was, phase=phase)], self.revision, False, self.address)
 
     def lists(self) -> list[tuple[int, bytes]]:
-        """Return snapshots to send one after the other, each with the number of its entries."""
-        each = self.other_zones, self.entries, self.entries[:-1]  # one less: its end is seen by their number
+        """Encode the snapshots to send one after the other, each with the number of its entries."""
+        # The last snapshot has one entry less, so that its number of entries shows when it is in force.
+        each = self.other_zones, self.entries, self.entries[:-1]
         first, self.revision = self.revision + 1, self.revision + len(each)
         return [
-            (len(entries), generated_inputs.encode_update(entries, number, True, self.where))
+            (len(entries), generated_inputs.encode_update(entries, number, True, self.address))
             for number, entries in enumerate(each, first)
         ]
 
 
-async def _requests(
+async def _measure_requests(
     pid: int,
     clients: concurrent_callers.CallerProcess,
     plan: concurrent_callers.Plan,
@@ -443,7 +455,11 @@
     lines: ListLines,
     lags_ms: list[float],
 ) -> dict[str, tuple[float, str]]:
-    """Measure requests during changes and snapshots; raises TimeoutError where a snapshot is not in force."""
+    """Measure requests during changes and snapshots.
+
+    Raises:
+        TimeoutError: A snapshot was not in force in time.
+    """
     changes = [lines.change() for _ in range(int(plan.first / CHANGE_INTERVAL_S))]
     lists, slowest = lines.lists(), 0.0
     begin, (cpu, _) = time.monotonic() + CLIENT_START_DELAY_S, resources_of(pid)
@@ -479,12 +495,12 @@
 
 
 def plays(quick: bool) -> list[Play]:
-    """Return the plays of the list."""
+    """Return the plays of the endpoint list."""
     sizes, node_sizes = (QUICK_SIZES, QUICK_NODE_SIZES) if quick else (SIZES, NODE_SIZES)
     seconds, lists_s = (2.0, 4.0) if quick else (6.0, 10.0)
 
     def nodes(_: int) -> Iterator[Point | NotPlayed]:
-        # As `build` does: a node that compiles its modules as it starts holds 2 MB more for good.
+        # Modules are compiled beforehand, as in a build: a node that compiles them itself keeps 2 MB more.
         compileall.compile_dir(ROOT / "balancer", quiet=2)
         for backends in node_sizes:
             yield from uvloop.run(play_node(backends, seconds, lists_s))
--- a/balancer/lab/scale/power_recovery.py
+++ b/balancer/lab/scale/power_recovery.py
@@ -1,8 +1,8 @@
-"""The recovery of a tier from a power loss at growing sizes, and the part of one node in it.
+"""Scale measurements of the recovery from a power loss: whole tiers, and the work of one node.
 
-Whole tiers are those of `sim/recovery_world.py`: the cores of membership and recovery, with discovery and
-disks played. Above some hundreds of nodes discovery's turns are played by a small tier whose nodes each take
-the turns of many, and what a node says of itself is encoded at the size itself.
+Whole tiers run in `sim/recovery_world.py`: the protocol cores of membership and recovery with simulated
+discovery and disks. Above some hundreds of nodes a small tier, each of whose nodes has the poll slots of
+many, stands in for the calls to discovery, and a node's status is encoded at the full number of nodes.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 from balancer.sim.scheduler import EventScheduler
 
 ROLE = "recovery"
-OUTAGE_MS, SPREAD_MS = 1_000.0, 2_000.0  # from the cut until power is back; over which nodes start then
-RECOVERY_TIMEOUT_MS = 400_000.0  # virtual time for which FULL and the list are waited for at most
-STEP_MS = 50.0  # between two looks: what a time may be too long by
-REQUESTS_PER_S = 193.0  # requests a second that a node carried
-ANSWER_MS = 20.0  # from a roll call to its answers
-REPRESENTATIVES = 24  # nodes of the tier whose nodes each take the turns of many
-MEASURED_PLANS = 8  # of turns, whose processor time is measured
+OUTAGE_MS, START_SPREAD_MS = 1_000.0, 2_000.0  # Power is off for 1 s; then nodes start at random within 2 s.
+RECOVERY_TIMEOUT_MS = 400_000.0
+STEP_MS = 50.0  # Recovery is checked every 50 ms, so measured times may be up to 50 ms too long.
+REQUESTS_PER_S = 193.0
+SURVEY_REPLY_MS = 20.0
+REPRESENTATIVE_NODES = 24  # Each of these 24 nodes represents an equal share of a larger tier.
+MEASURED_PLANS = 8
 
 
 class RecoveringTier(Tier):
-    """A tier whose nodes all have sound disks of a moment ago, and start as power comes back."""
+    """A tier whose nodes restart after a power loss, all with sound and recent state on disk."""
 
     def __init__(self, count: int, seed: int, config: RecoveryConfig) -> None:
-        """Lose the power of all nodes, and plan their starts."""
+        """Simulate the power loss of all nodes, and schedule their starts."""
         super().__init__(count, seed, Network(loss_rate=LOSS_RATE), config, Recovery, BACKENDS)
         self.meter = Meter()
         generation = int(self.now / GENERATION_UNIT_MS)
@@ -63,19 +63,22 @@
         for name in BACKENDS:
             self.restart_backend(name)
         for node in range(count):
-            self.at(self.now + self.dice.uniform(0, SPREAD_MS), partial(self.boot, node, Condition.SOUND))
-        self.full: dict[int, float] = {}  # ms from power to a node's FULL
-        self.listed_at: dict[int, float] = {}  # and until discovery told it the list
-
-    def finish(self) -> None:
-        """Run until all are FULL and have been told the list, or the longest time is over."""
+            self.at(
+                self.now + self.dice.uniform(0, START_SPREAD_MS), partial(self.boot, node, Condition.SOUND)
+            )
+        # Both tables hold times in ms since the return of power, until a node is FULL and until it has a list.
+        self.full_at: dict[int, float] = {}
+        self.listed_at: dict[int, float] = {}
+
+    def run_until_recovered(self) -> None:
+        """Run until all nodes are FULL and have the list, or until the time limit."""
         ends = self.now + RECOVERY_TIMEOUT_MS
-        while self.now < ends and min(len(self.full), len(self.listed_at)) < self.count:
+        while self.now < ends and min(len(self.full_at), len(self.listed_at)) < self.count:
             self.run(self.now + STEP_MS)
             since = self.now - self.power_at
             for node, process in enumerate(self.processes):
                 if process is not None and process.phase is Phase.FULL:
-                    self.full.setdefault(node, since)
+                    self.full_at.setdefault(node, since)
                 if process is not None and process.listed_starts:
                     self.listed_at.setdefault(node, since)
 
@@ -85,102 +88,104 @@
         super()._arrive(source, target, data)
 
 
-def tiers(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
-    """All nodes of a tier lose power and return over two seconds, at the usual loss of datagrams."""
+def whole_tiers(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
+    """Measure tiers in which all nodes lose power and restart within two seconds, with datagram loss."""
     for count in sizes:
-        of, begun = PointFactory(ROLE, count), time.thread_time()
+        points, started_at = PointFactory(ROLE, count), time.thread_time()
         tier = RecoveringTier(count, seed, RecoveryConfig())
-        tier.finish()
-        meter, full, listed_at = tier.meter, _last(tier.full, count), _last(tier.listed_at, count)
-        yield from of.took("return_full", full)
-        yield from of.took("return_told", listed_at)
+        tier.run_until_recovered()
+        meter, full_at, listed_at = tier.meter, _latest(tier.full_at, count), _latest(tier.listed_at, count)
+        yield from points.virtual_time("return_full", full_at)
+        yield from points.virtual_time("return_told", listed_at)
         calls = max(tier.discovery.requests_per_second.values())
-        yield of.counted("return_calls", "entries", calls)
-        yield of.counted("return_datagrams", "entries", meter.datagrams / count)
-        yield of.counted("return_bytes", "bytes", meter.size / count)
-        worst = max(meter.by_second.values()) / count
-        yield of.counted("return_worst_second", "bytes/s", worst)
-        yield of.machine("return_world", "s", time.thread_time() - begun)
+        yield points.counted("return_calls", "entries", calls)
+        yield points.counted("return_datagrams", "entries", meter.datagrams / count)
+        yield points.counted("return_bytes", "bytes", meter.total_bytes / count)
+        worst = max(meter.bytes_by_second.values()) / count
+        yield points.counted("return_worst_second", "bytes/s", worst)
+        yield points.measured("return_world", "s", time.thread_time() - started_at)
 
 
-def turns(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
-    """Discovery's turns where each of a few nodes takes those of many, so that a round is as long."""
+def poll_slots(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
+    """Measure the schedule of discovery calls with a few nodes, each with the poll slots of many."""
     for count in sizes:
-        of, each = PointFactory(ROLE, count), count / REPRESENTATIVES
+        points, nodes_represented = PointFactory(ROLE, count), count / REPRESENTATIVE_NODES
         tier = RecoveringTier(
-            REPRESENTATIVES, seed, RecoveryConfig(poll_slot_ms=RecoveryConfig().poll_slot_ms * each)
+            REPRESENTATIVE_NODES,
+            seed,
+            RecoveryConfig(poll_slot_ms=RecoveryConfig().poll_slot_ms * nodes_represented),
         )
-        tier.finish()
-        early = sum(tier.full[node] < at for node, at in tier.listed_at.items() if node in tier.full)
-        listed_at = _last(tier.listed_at, REPRESENTATIVES)
-        yield from of.took("turns_told", listed_at)
-        yield of.counted("turns_early", "entries", early * each)
-        one = PollSchedule(0, RecoveryConfig().poll_slot_ms)
-        one.poll_started(0.0, count)
-        one.poll_failed(0.0, count)
-        yield from of.took("turns_again", one.next_poll_at)
-        begun = time.thread_time()
+        tier.run_until_recovered()
+        early = sum(tier.full_at[node] < at for node, at in tier.listed_at.items() if node in tier.full_at)
+        listed_at = _latest(tier.listed_at, REPRESENTATIVE_NODES)
+        yield from points.virtual_time("turns_told", listed_at)
+        yield points.counted("turns_early", "entries", early * nodes_represented)
+        schedule = PollSchedule(0, RecoveryConfig().poll_slot_ms)
+        schedule.poll_started(0.0, count)
+        schedule.poll_failed(0.0, count)
+        yield from points.virtual_time("turns_again", schedule.next_poll_at)
+        started_at = time.thread_time()
         for node in range(MEASURED_PLANS):
             PollSchedule(node, RecoveryConfig().poll_slot_ms).schedule_first(0.0, range(count))
-        took = (time.thread_time() - begun) * 1000 / MEASURED_PLANS
-        yield of.machine("turns_plan", "ms", took)
+        took = (time.thread_time() - started_at) * 1000 / MEASURED_PLANS
+        yield points.measured("turns_plan", "ms", took)
 
 
 class RestartedNode(EventScheduler):
-    """One node that comes back alone into a tier of hollow peers that went on, FULL, each seeing all."""
+    """One node that restarts in a running tier, whose stub peers are FULL and see all members."""
 
     def __init__(self, count: int, seed: int) -> None:
-        """Start the node again at time 0."""
+        """Restart the node at time 0 with its state from disk."""
         super().__init__(0.0)
-        self.count, self.dice = count, random.Random(f"restart {seed}")
+        self.count, self.rng = count, random.Random(f"restart {seed}")
         self.core = Recovery(RecoveryConfig(), 0, count, 2, seed, self.now)
-        self.full = self.listed_at = math.inf
-        self._give(events.DiskRead(True, False, 1, OUTAGE_MS, (), 1, REQUESTS_PER_S))
-        self._give(events.MembershipChanged(dict.fromkeys(range(count), 1), True))
-
-    def finish(self) -> None:
-        """Run until it is FULL and has been told the list, or the longest time is over."""
-        while self.now < RECOVERY_TIMEOUT_MS and max(self.full, self.listed_at) == math.inf:
-            self.at(min(self.core.next_wakeup, RECOVERY_TIMEOUT_MS), partial(self._give, events.Tick()))
+        self.full_at = self.listed_at = math.inf
+        self._handle(events.DiskRead(True, False, 1, OUTAGE_MS, (), 1, REQUESTS_PER_S))
+        self._handle(events.MembershipChanged(dict.fromkeys(range(count), 1), True))
+
+    def run_until_recovered(self) -> None:
+        """Run until the node is FULL and has the list, or until the time limit."""
+        while self.now < RECOVERY_TIMEOUT_MS and max(self.full_at, self.listed_at) == math.inf:
+            self.at(min(self.core.next_wakeup, RECOVERY_TIMEOUT_MS), partial(self._handle, events.Tick()))
             self.run(self.next_event)
 
-    def _give(self, event: events.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         for action in self.core.handle(self.now, event):
             match action:
                 case actions.SendDatagram() if decode(action.data, self.now).kind is MessageKind.SURVEY:
-                    for peer in self.dice.sample(
+                    for peer in self.rng.sample(
                         range(1, self.count), min(EXPECTED_SURVEY_REPLIES, self.count - 1)
                     ):
-                        self.at(self.now + ANSWER_MS, partial(self._answer, peer))
+                        self.at(self.now + SURVEY_REPLY_MS, partial(self._reply_to_survey, peer))
                 case actions.RequestList():
                     listed = events.ListReceived(1, (self.now - DAY_MS,), BACKENDS[:1])
-                    self.at(self.now + Discovery.serve_ms, partial(self._give, listed))
+                    self.at(self.now + Discovery.serve_ms, partial(self._handle, listed))
                     self.listed_at = self.now + Discovery.serve_ms
                 case actions.PhaseEntered(phase=Phase.FULL):
-                    self.full = self.now
+                    self.full_at = self.now
 
-    def _answer(self, peer: int) -> None:
+    def _reply_to_survey(self, peer: int) -> None:
         flags = StatusFlag.SOUND | StatusFlag.LISTED | StatusFlag.WARM
         seen = node_bits(range(self.count))
         state = NodeStatus(1, DAY_MS, Phase.FULL, 0, flags, 1, REQUESTS_PER_S, REQUESTS_PER_S, 0, seen)
         message = Message(MessageKind.STATUS, peer, self.core.register.hash, state)
-        self._give(events.DatagramReceived(peer, encode(message, self.now)))
+        self._handle(events.DatagramReceived(peer, encode(message, self.now)))
 
 
 def restarts(sizes: Sequence[int], seed: int) -> Iterator[Point | NotPlayed]:
-    """One node crashes and comes back, as thousands do a day: until it is FULL, and until it has the list."""
+    """Measure the restart of one node after a crash, until it is FULL and until it has the list."""
     for count in sizes:
-        of, one = PointFactory(ROLE, count), RestartedNode(count, seed)
-        one.finish()
-        yield from of.took("restart_full", one.full)
-        yield from of.took("restart_told", one.listed_at)
+        points, node = PointFactory(ROLE, count), RestartedNode(count, seed)
+        node.run_until_recovered()
+        yield from points.virtual_time("restart_full", node.full_at)
+        yield from points.virtual_time("restart_told", node.listed_at)
 
 
-def answers(sizes: Sequence[int], seed: int) -> Iterator[Point]:
-    """Measure the datagram in which a node reports its view."""
-    del seed  # nothing is drawn
+def status_datagrams(sizes: Sequence[int], seed: int) -> Iterator[Point]:
+    """Measure the datagram in which a node reports its status and its view."""
+    del seed  # This measurement has no random input.
     for count in sizes:
-        of = PointFactory(ROLE, count)
+        points = PointFactory(ROLE, count)
         state = NodeStatus(
             1,
             0.0,
@@ -193,16 +198,16 @@
             0,
             node_bits(range(count)),
         )
-        begun = time.thread_time()
+        started_at = time.thread_time()
         data = encode(Message(MessageKind.STATUS, 0, 0, state), 0.0)
         body = decode(data, 0.0).body
-        took = (time.thread_time() - begun) * 1e6
+        took = (time.thread_time() - started_at) * 1e6
         assert isinstance(body, NodeStatus)
-        yield of.counted("answer_bytes", "bytes", len(data) + IP_UDP_HEADER_BYTES)
-        yield of.counted("answer_left_out", "entries", count - body.present_count)
-        yield of.machine("answer_processor", "us", took)
+        yield points.counted("answer_bytes", "bytes", len(data) + IP_UDP_HEADER_BYTES)
+        yield points.counted("answer_left_out", "entries", count - body.present_count)
+        yield points.measured("answer_processor", "us", took)
 
 
-def _last(times: dict[int, float], count: int) -> float:
-    """Return the latest time in ms; infinity where one is missing."""
+def _latest(times: dict[int, float], count: int) -> float:
+    """Return the latest of `count` times in ms, or infinity if one is missing."""
     return max(times.values()) if len(times) == count else math.inf
--- a/balancer/lab/scale/runner.py
+++ b/balancer/lab/scale/runner.py
@@ -178,13 +178,13 @@
         return {play.name: PlayResult([bounds.not_played_in_time(play.name)], None) for play in plays}
     for play in plays:
         bounds.observe(play.name, None)
-    of = {part.name: play.name for play in plays for part in play.parts}
+    play_names = {part.name: play.name for play in plays for part in play.parts}
     parts, done = [part for play in plays for part in play.parts], dict[str, PartResult]()
     for ended in run_parts(parts, bounds.seed, workers, bounds.deadline, bounds.not_played_in_time):
         done[ended.part.name] = ended
         for item in ended.items:
             if isinstance(item, Point):
-                bounds.observe(of[ended.part.name], item)
+                bounds.observe(play_names[ended.part.name], item)
     return {
         play.name: PlayResult(
             [item for part in play.parts for item in done[part.name].items],
@@ -234,7 +234,19 @@
          f"{s.beyond:.3g}", "counted" if s.exact else "measured")
         for s in result.slopes
     ]  # fmt: skip
-    head = ("role", "figure", "unit", "from", "to", "fit", "residual", "target", "there", "beyond", "")
+    head = (
+        "role",
+        "figure",
+        "unit",
+        "from",
+        "to",
+        "fit",
+        "residual",
+        "target",
+        "at target",
+        "extrapolation",
+        "",
+    )
     kind = "quick" if result.quick else "whole"
     return page(
         "scale: lab report",
@@ -242,7 +254,7 @@
         f"{html.escape(result.machine)}, load {result.load:g} before it, {result.seconds:g} s</p>",
         table_html(rows, head),
         *(png(plots(group)) for group in by_role(result.slopes).values()),
-        "<h2>Not played</h2>",
+        "<h2>Not run</h2>",
         table_html([(n.what, n.why) for n in result.not_played], ("what", "why")),
         "<h2>Limits of the measurements</h2>",
         table_html([(p.name, p.seconds, p.limits) for p in result.plays], ("play", "s", "")),
--- a/balancer/lab/scale/shared_state.py
+++ b/balancer/lab/scale/shared_state.py
@@ -81,7 +81,7 @@
     ),
     Scenario(
         "recovery return",
-        power_recovery.tiers,
+        power_recovery.whole_tiers,
         (10, 20, 40, 80, 160, 320),
         (4, 8, 16, 32),
         NODES,
@@ -90,7 +90,7 @@
     ),
     Scenario(
         "recovery turns",
-        power_recovery.turns,
+        power_recovery.poll_slots,
         (356, 712, 1_425, 2_850, 5_700),
         (356, 1_425, 2_850),
         NODES,
@@ -110,7 +110,7 @@
     ),
     Scenario(
         "recovery answers",
-        power_recovery.answers,
+        power_recovery.status_datagrams,
         (356, 712, 1_425, 2_850, 5_700),
         (356, 1_425, 5_700),
         NODES,
@@ -118,7 +118,7 @@
     ),
     Scenario(
         "durable store",
-        durable_state.stores,
+        durable_state.measure_stores,
         (1_000, 4_000, 16_000, 35_000, 70_000),
         (1_000, 4_000, 16_000),
         BACKENDS,
@@ -127,7 +127,7 @@
     ),
     Scenario(
         "durable limits",
-        durable_state.limits,
+        durable_state.measure_limits,
         (100_000,),
         (100_000,),
         BACKENDS,
@@ -145,7 +145,7 @@
         f", {name}": (partial(membership_tiers.faults, selected=(name,)), 2.0 if name == "a region" else 0.2)
         for name in membership_tiers.FAULTS
     },
-    power_recovery.tiers: {"": (power_recovery.tiers, 16.0)},
+    power_recovery.whole_tiers: {"": (power_recovery.whole_tiers, 16.0)},
 }
 COST_EXPONENT = 2.2  # The run time of a simulated tier grows with its size to the power of 2.2.
 
--- a/balancer/lab/scale/size.py
+++ b/balancer/lab/scale/size.py
@@ -33,9 +33,8 @@
 NODES_PER_ENDPOINT = 5
 # In a cold start the whole tier together sends 8 pages of 25 members each second, see docs/membership.md.
 TIER_PAGES_PER_S, MEMBERS_PER_PAGE = 8, 25
-POLL_SLOT_S = (
-    0.025  # In a recovering tier, nodes call discovery in slots of 25 ms, see docs/fleet-recovery.md.
-)
+# In a recovering tier, nodes call discovery in slots of 25 ms, see docs/fleet-recovery.md.
+POLL_SLOT_S = 0.025
 DISCOVERY_CALL_S = 0.004  # The discovery stub serves a call in 4 ms.
 
 BACKEND_RESTARTS = 50_000  # About 50,000 backends restart in five days, the assumed life of a node process.
--- a/balancer/lab/soak/__init__.py
+++ b/balancer/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak: experiments drawn from a seed, played with real processes and judged; what breaks is a finding."""
+"""Soak tests: experiments drawn from seeds run with real processes, and violations become findings."""
--- a/balancer/lab/soak/runner.py
+++ b/balancer/lab/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays the soak's seeds one after another and reports what broke."""
+"""Runs the experiments of a soak one after another and reports their findings."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from balancer.lab.programs import Program
 from balancer.lab.run import Run, play
 from balancer.lab.soak.crowd import IdleCrowd
-from balancer.lab.soak.draws import Soak, draw
+from balancer.lab.soak.draws import SoakPlan, draw
 from balancer.lab.soak.tier_checks import (
     Finding,
     NodeStats,
@@ -30,85 +30,90 @@
 from balancer.lab.timeline import last_step_at
 
 ANY_SHARE = 1.0
-MAX_VOID_SHARE = 0.1  # of the seeds, beyond which a soak tells nothing
+MAX_VOID_SHARE = 0.1  # A soak is inconclusive if more than 10% of its seeds are void.
 
 
 class SeedResult(msgspec.Struct, frozen=True):
-    """What a seed came to."""
+    """The result of one seed.
+
+    A run is void if the harness was late or a node waited too long for a core. `faults` lists the kinds of
+    faults in the order of their start, and `excused` counts requests that an injected fault prevented.
+    """
 
     seed: int
-    void: bool  # the harness was late, or a node had no core
+    void: bool
     findings: list[Finding]
-    faults: list[str]  # kinds, in order of time
+    faults: list[str]
     is_tier: bool
     crowd: int
-    excused: int = 0  # requests that a fault of the lab took
+    excused: int = 0
 
     @property
     def command(self) -> str:
-        """The command that plays it again."""
+        """The command that repeats the run of this seed."""
         return f"bin/balancer lab soak --seeds {self.seed} --out DIR"
 
 
 class SoakResult(msgspec.Struct, frozen=True):
-    """What all seeds came to."""
+    """The results of all seeds."""
 
     program: str
     seeds: list[SeedResult]
 
     @property
     def void(self) -> list[int]:
-        """The seeds whose play tells nothing."""
+        """The seeds whose runs are void."""
         return [each.seed for each in self.seeds if each.void]
 
     @property
     def broken(self) -> list[SeedResult]:
-        """The seeds with findings."""
+        """The results that have findings and are not void."""
         return [each for each in self.seeds if each.findings and not each.void]
 
     @property
     def is_conclusive(self) -> bool:
-        """Whether few enough plays were void."""
+        """Whether the share of void seeds is small enough for a conclusion."""
         return len(self.void) <= MAX_VOID_SHARE * len(self.seeds)
 
 
 @dataclass
 class SoakCompanion:
-    """The crowd beside a run, and a look at the tier at its end."""
+    """Runs the crowd alongside an experiment, and reads the state of the tier at its end."""
 
-    soak: Soak
+    soak: SoakPlan
     stats: list[NodeStats] = field(default_factory=list)
     run: Run | None = None
 
     async def clients_came(self, run: Run) -> None:
-        """Send the crowd."""
+        """Keep the crowd's connections open while the clients run."""
         self.run = run
         if self.soak.crowd:
-            await IdleCrowd(self.soak.crowd).come(run)
+            await IdleCrowd(self.soak.crowd).hold_open(run)
 
     async def clients_ended(self, run: Run) -> None:
-        """Ask all consoles."""
+        """Read the state of the tier from all consoles."""
         if self.soak.spec.fleet.recovery:
             self.stats = await read_stats(run)
 
 
 def play_seed(seed: int, program: Program, out: Path) -> SeedResult:
-    """Play one seed; its folder stays where something was found.
+    """Run the experiment of one seed, and keep its folder only if the run is void or has findings.
 
     Raises:
-        BalancerError: The play came to no end.
+        BalancerError: The experiment could not be completed.
     """
     soak = draw(seed)
     folder = out / f"seed-{seed}"
     companion = SoakCompanion(soak)
-    seen = uvloop.run(play(soak.spec, seed, program, folder, companion=companion))
+    recorded = uvloop.run(play(soak.spec, seed, program, folder, companion=companion))
     (folder / "experiment.json").write_bytes(msgspec.json.encode(soak.spec))
-    # A crowd that fills the descriptors may see new connections shut unread (the page of the standing test).
-    judge = Judge(soak.spec, seen, ANY_SHARE if soak.crowd else MAX_UNANSWERED_SHARE)
+    # If a crowd uses up a node's descriptors, the node may close new connections without reading them, so
+    # any share of unanswered requests is allowed.
+    judge = Judge(soak.spec, recorded, ANY_SHARE if soak.crowd else MAX_UNANSWERED_SHARE)
     judgement = judge.judge()
-    summary = summarize(soak.spec, seed, program.label, seen, judgement)
+    summary = summarize(soak.spec, seed, program.label, recorded, judgement)
     (folder / "summary.json").write_text(summary.encode(indent=1) + "\n", "utf-8")
-    # Only rules are judged, whose limits have this slack: a smaller lateness cannot break them.
+    # All limits of the judged rules have this slack, so a smaller lateness cannot cause a violation.
     figures = summary.figures
     is_void = figures["rig_late_p99_ms"] > SOCKET_SLACK_MS or figures["node_waited_s_max"] > MAX_CPU_WAIT_S
     findings = [
@@ -118,7 +123,7 @@
     if soak.spec.fleet.recovery and companion.run is not None:
         last_fault_ms = last_step_at(soak.spec) * 1000
         findings += check_agreement(soak.spec.fleet.nodes, companion.stats)
-        findings += check_bans(last_fault_ms, companion.run.calls, seen.backend_attempts)
+        findings += check_bans(last_fault_ms, companion.run.calls, recorded.backend_attempts)
     result = SeedResult(
         seed,
         is_void,
@@ -135,11 +140,11 @@
 
 
 def play_seeds(
-    seeds: Iterable[int], program: Program, out: Path, told: Callable[[SeedResult], None]
+    seeds: Iterable[int], program: Program, out: Path, on_result: Callable[[SeedResult], None]
 ) -> SoakResult:
-    """Play seeds one after another; `told` hears of each. Write `soak.json`.
+    """Run the experiments of seeds one after another, report each to `on_result`, and write `soak.json`.
 
-    A play that came to no end counts as void.
+    An experiment that could not be completed counts as void.
     """
     results = []
     for seed in seeds:
@@ -148,7 +153,7 @@
         except BalancerError as err:
             result = SeedResult(seed, True, [Finding("not played", str(err))], [], False, 0)
         results.append(result)
-        told(result)
+        on_result(result)
     soak = SoakResult(program.label, results)
     (out / "soak.json").write_text(json.dumps(msgspec.to_builtins(soak), indent=1) + "\n", "utf-8")
     return soak
--- a/balancer/lab/soak/tier_checks.py
+++ b/balancer/lab/soak/tier_checks.py
@@ -1,4 +1,4 @@
-"""What has to hold in a tier some time after its last fault: views, registers and bans agree."""
+"""Checks that the views, ban registers and bans of a tier agree some time after its last fault."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from balancer.lab.processes import call
 from balancer.lab.run import MaintenanceCall, Run
 
-AGREEMENT_MS = 10_000.0  # after the last fault
-MAX_NAMED_ATTEMPTS = 3  # in a finding
+AGREEMENT_MS = 10_000.0  # All nodes must agree within 10 s after the last fault.
+MAX_NAMED_ATTEMPTS = 3
 TRACEBACK = "Traceback (most recent call last)"
 MAX_TRACEBACK_CHARACTERS = 1500
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """Something that must not be."""
+    """A violation that a check has found."""
 
     check: str
     text: str
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeStats:
-    """What one node's console says of its tier."""
+    """The state of the tier that one node's console reports."""
 
     node: int
     fleet: dict[str, Any]
 
 
 async def read_stats(run: Run) -> list[NodeStats]:
-    """Return the `fleet` object of every node that answers."""
+    """Read the `fleet` object from the console of each running node, omitting nodes that do not answer."""
     nodes = [node for node in run.fleet.nodes if node.alive()]
     consoles = [run.places.console(n.number, n.alive()[-1].process_record.process) for n in nodes]
     answers = await asyncio.gather(*(call(console, "GET", "/stats") for console in consoles))
@@ -49,33 +49,33 @@
 
 
 def check_agreement(nodes: int, stats: list[NodeStats]) -> Iterator[Finding]:
-    """Yield what keeps the nodes of a tier from one view and one register."""
+    """Yield a finding for each disagreement on view or ban register, and for each failure of a node."""
     silent = sorted(set(range(nodes)) - {each.node for each in stats})
     if silent:
-        yield Finding("agree", f"nodes {silent} do not answer at their consoles")
-    outside = [each.node for each in stats if not _takes_part(each)]
-    if outside:
-        yield Finding("agree", f"nodes {outside} take no part in the tier")
-    stats = [each for each in stats if _takes_part(each)]
-    views = {each.node: _view(each) for each in stats}
+        yield Finding("agree", f"nodes {silent} do not answer calls to their consoles")
+    not_participating = [each.node for each in stats if not _participates(each)]
+    if not_participating:
+        yield Finding("agree", f"nodes {not_participating} do not participate in the tier")
+    stats = [each for each in stats if _participates(each)]
+    views = {each.node: _view_of(each) for each in stats}
     if len(set(views.values())) > 1 or any(present != nodes for _, present in views.values()):
-        yield Finding("agree", f"view and number of present nodes by node: {views}")
+        yield Finding("agree", f"nodes disagree on the view or the number of present nodes: {views}")
     registers = {each.node: each.fleet["recovery"]["register"] for each in stats}
     if len(set(registers.values())) > 1:
-        yield Finding("agree", f"registers of bans by node: {registers}")
+        yield Finding("agree", f"nodes disagree on the ban register: {registers}")
     for each in stats:
         if each.fleet["recovery"]["failed"]:
             yield Finding("defect", f"n{each.node}: recovery has failed")
         defects = {part: each.fleet[part]["counts"]["defects"] for part in ("membership", "recovery")}
         if any(defects.values()):
-            yield Finding("defect", f"n{each.node}: defects by part {defects}")
+            yield Finding("defect", f"n{each.node}: defects counted by each part: {defects}")
 
 
-def _takes_part(stats: NodeStats) -> bool:
+def _participates(stats: NodeStats) -> bool:
     return "view" in stats.fleet.get("membership", {}) and "recovery" in stats.fleet
 
 
-def _view(stats: NodeStats) -> tuple[str, int]:
+def _view_of(stats: NodeStats) -> tuple[str, int]:
     membership = stats.fleet["membership"]
     return membership["view"], membership["present_nodes"]
 
@@ -83,7 +83,7 @@
 def check_bans(
     last_fault_ms: float, calls: Iterable[MaintenanceCall], attempts: Iterable[records.BackendAttemptRecord]
 ) -> Iterator[Finding]:
-    """Yield bans that were answered with yes, that no later call lifts, and that some node does not keep."""
+    """Yield the successful bans that no other call may have lifted and that some node violates."""
     all_calls = list(calls)
     sent = list(attempts)
     for ban in all_calls:
@@ -104,7 +104,7 @@
 
 
 def check_logs(logs: Path) -> Iterator[Finding]:
-    """Yield the first traceback of each node's log."""
+    """Yield a finding with the first traceback in each node's log."""
     for path in sorted(logs.glob("n*.log")):
         text = path.read_text("utf-8", "replace")
         at = text.find(TRACEBACK)
--- a/tests/test_scale_runner.py
+++ b/tests/test_scale_runner.py
@@ -68,7 +68,7 @@
 
 
 def test_the_modules_play_gives_each_figure_at_its_size() -> None:
-    found = [decision_module.memory(60, 1), *decision_module.measure(60, 1, 0.2)]
+    found = [decision_module.measure_memory(60, 1), *decision_module.measure(60, 1, 0.2)]
     assert [p.figure for p in found] == [
         "memory", "whole_list", "choice", "answer", "failure", "drain", "replace", "restart", "unavailable",
         "learned",
@@ -77,13 +77,13 @@
 
 
 def test_each_request_of_the_modules_play_is_sent_and_each_failed_one_sent_again() -> None:
-    balancer = decision_module.node(60, 1)
+    balancer = decision_module.new_balancer(60, 1)
     balancer.handle(
         generated_inputs.START_MS,
         api.ListUpdate(api.ListUpdateKind.SNAPSHOT, generated_inputs.entries(60), 1),
     )
-    requests = decision_module.Requests(balancer, generated_inputs.START_MS)
-    requests.play(60.0, 200)
+    requests = decision_module.RequestDriver(balancer, generated_inputs.START_MS)
+    requests.run(60.0, 200)
     assert (len(requests.choice), len(requests.answer), len(requests.failure)) == (200, 200, 20)
     assert balancer.limit.in_flight == 0 and not balancer.requests.by_id
 
@@ -137,7 +137,7 @@
 
 def test_nothing_goes_to_a_failed_rack_during_an_outage_of_discovery() -> None:
     """Real processes; the counts are the rule's, whatever the machine's speed."""
-    points = uvloop.run(rack_failure.play_rack(2, 600, before=1.5, after=2.5))
+    points = uvloop.run(rack_failure.play_rack(2, 600, before_s=1.5, after_s=2.5))
     found = {p.figure: p.value for p in points if isinstance(p, Point)}
     assert found["sent_before"] > 0 and found["sent_late"] == 0 and found["unanswered"] == 0
     assert found["asked_after"] == pytest.approx(2 * 2.5 * size.PEAK_PER_S / size.NODES, abs=4)
@@ -147,12 +147,12 @@
     whole = concurrent_callers.PartResult(
         0.0, scheduled=1930, sent=1930, statuses={200: 1900, 503: 28, 0: 2}, late_ms=[0.5] * 1930
     )
-    found = list(rack_failure.seen_by_clients(600, 20.0, whole, whole, [1.0]))
+    found = list(rack_failure.client_points(600, 20.0, whole, whole, [1.0]))
     values = {item.figure: item.value for item in found if isinstance(item, Point)}
     assert len(values) == len(found) and (values["offered"], values["unanswered"]) == (193.0, 4)
     assert values["served_after"] == 1900 / 1930 and values["rig_late"] == pytest.approx(1.0, rel=0.01)
     for seconds, lags in ((20.0, [rack_failure.MAX_LATENESS_MS * 2]), (21.0, [1.0])):
-        *_, last = rack_failure.seen_by_clients(600, seconds, whole, whole, lags)
+        *_, last = rack_failure.client_points(600, seconds, whole, whole, lags)
         assert isinstance(last, NotPlayed) and "at 193 requests" in last.what
 
 
@@ -241,7 +241,7 @@
                   endpoint_list.NODE_SIZES,
                   settings_tables.ROUTES,
                   settings_tables.TENANTS,
-                  discovery.WATCHERS):  # fmt: skip
+                  discovery.WATCHER_COUNTS):  # fmt: skip
         assert len(sizes) >= 5 and max(sizes) >= 16 * min(sizes)
     assert (
         decision_module.SIZES[-1] == endpoint_list.SIZES[-1] == endpoint_list.NODE_SIZES[-1] == size.BACKENDS
--- a/tests/test_scale_shared_state.py
+++ b/tests/test_scale_shared_state.py
@@ -23,9 +23,10 @@
 RUNS: list[tuple[Run, tuple[int, ...]]] = [
     (membership_tiers.quiet, (4, 8)), (membership_tiers.one_node, (30, 60)),
     (membership_tiers.cold_start, (4, 8)), (membership_tiers.faults, (6, 12)),
-    (power_recovery.tiers, (4, 8)), (power_recovery.turns, (24, 48)), (power_recovery.answers, (8, 5_700)),
+    (power_recovery.whole_tiers, (4, 8)), (power_recovery.poll_slots, (24, 48)),
+    (power_recovery.status_datagrams, (8, 5_700)),
     (power_recovery.restarts, (8, 356)),
-    (durable_state.stores, (100, 400)), (durable_state.limits, (100,)),
+    (durable_state.measure_stores, (100, 400)), (durable_state.measure_limits, (100,)),
 ]  # fmt: skip
 
 
@@ -56,14 +57,16 @@
 
 
 def test_a_time_without_an_end_is_no_figure() -> None:
-    of = membership_tiers.PointFactory("membership", 10)
-    assert list(of.took("heal_time", 1_500.0)) == [Point("membership", "heal_time", "s", 10, 1.5, True)]
-    assert [type(item) for item in of.took("heal_time", math.inf)] == [NotPlayed]
+    factory = membership_tiers.PointFactory("membership", 10)
+    assert list(factory.virtual_time("heal_time", 1_500.0)) == [
+        Point("membership", "heal_time", "s", 10, 1.5, True)
+    ]
+    assert [type(item) for item in factory.virtual_time("heal_time", math.inf)] == [NotPlayed]
 
 
 def test_a_tier_that_starts_agreed_stays_so() -> None:
     world = membership_tiers.MeteredTier(12, 1, Network())
-    world.start_agreed()
+    world.start_converged()
     assert world.has_converged()
     world.run(world.now + 20_000.0)
     assert world.has_converged() and not world.observations
@@ -74,7 +77,7 @@
     meter = membership_tiers.Meter()
     meter.record(1_500.0, b"x" * 100)
     meter.record(1_900.0, b"x" * 50)
-    assert (meter.datagrams, meter.size, meter.by_second) == (2, 206, {1: 206})
+    assert (meter.datagrams, meter.total_bytes, meter.bytes_by_second) == (2, 206, {1: 206})
 
 
 def test_in_a_cold_start_a_node_hears_of_all() -> None:
@@ -91,7 +94,7 @@
 
 
 def test_nodes_whose_turn_is_late_are_told_late() -> None:
-    found = {(p.figure, p.size): p.value for p in points(power_recovery.turns((24, 960), 1))}
+    found = {(p.figure, p.size): p.value for p in points(power_recovery.poll_slots((24, 960), 1))}
     assert found["turns_told", 24] < found["turns_told", 960]
     assert found["turns_again", 24] == 1.0  # the least
     assert found["turns_again", 960] == 24.0  # 25 ms for each
@@ -104,14 +107,14 @@
 
 def test_a_recovering_tier_begins_with_the_content_of_its_disks() -> None:
     tier = power_recovery.RecoveringTier(5, 1, RecoveryConfig())
-    tier.finish()
-    assert len(tier.full) == len(tier.listed_at) == 5
+    tier.run_until_recovered()
+    assert len(tier.full_at) == len(tier.listed_at) == 5
     for process in tier.processes:
         assert process is not None and process.banned == {LISTED[0]}
 
 
 def test_a_start_reads_the_list_that_was_written() -> None:
-    disk, rows = SimulatedDisk(), durable_state.listed(50, 1)
+    disk, rows = SimulatedDisk(), durable_state.make_list(50, 1)
     node = durable_state.Node(disk)
     size = node.append(EndpointListReceived(7, True, 0.0, rows))
     node.store.close()
@@ -122,9 +125,9 @@
 
 def test_one_entry_above_the_limit_does_not_fit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frames, "MAX_PAYLOAD_BYTES", 4_000)
-    found = {p.figure: int(p.value) for p in durable_state.limits((200,), 1)}
+    found = {p.figure: int(p.value) for p in durable_state.measure_limits((200,), 1)}
     assert "most_learned_of_a_quarter" not in found  # all 200 fit
-    rows = durable_state.listed(200, 1)
+    rows = durable_state.make_list(200, 1)
 
     def record(count: int) -> bytes:
         return encode_record(EndpointListReceived(1, True, durable_state.WALL_CLOCK_MS, rows[:count]))
@@ -136,15 +139,15 @@
 
 def test_a_list_that_does_not_fit_leaves_out_its_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frames, "MAX_PAYLOAD_BYTES", 4_000)
-    items = list(durable_state.stores((100,), 1))
+    items = list(durable_state.measure_stores((100,), 1))
     figures = {item.figure for item in items if isinstance(item, Point)}
     assert "list_record" in figures and "start_read" not in figures
     assert [item.why.partition(":")[0] for item in items if isinstance(item, NotPlayed)] == ["STA03"]
 
 
 def test_a_snapshot_of_what_is_kept_reads_back() -> None:
-    rows = durable_state.listed(20, 1)
+    rows = durable_state.make_list(20, 1)
     kept = DurableState(
-        endpoints={row.backend: row for row in rows}, learned_sample=durable_state.sampled(rows)
+        endpoints={row.backend: row for row in rows}, learned_sample=durable_state.make_sample(rows)
     )
-    assert replay(kept.encode_snapshot(), []).learned_sample == durable_state.sampled(rows)
+    assert replay(kept.encode_snapshot(), []).learned_sample == durable_state.make_sample(rows)
