--- a/balancer/lab/scale/membership_tiers.py
+++ b/balancer/lab/scale/membership_tiers.py
@@ -34,7 +34,7 @@
     encode,
 )
 from balancer.membership.view import View
-from balancer.sim.members import GENERATION_UNIT_MS, Network, World
+from balancer.sim.members import GENERATION_UNIT_MS, MembershipSimulation, Network
 
 ROLE = "membership"
 LOSS_RATE = 0.01
@@ -66,7 +66,7 @@
         self.bytes_by_second[int(now / 1000)] += size
 
 
-class MeteredTier(World):
+class MeteredTier(MembershipSimulation):
     """A simulated tier that counts received traffic and the processor time of its protocol cores."""
 
     def __init__(self, count: int, seed: int, network: Network) -> None:
@@ -298,7 +298,7 @@
     def __init__(self, count: int, seed: int) -> None:
         """Start the core at time 0."""
         self.count, self.now, self.sequence = count, 0.0, 0
-        self.core = Membership(World(0, 0).config, 0, count, 1, seed, self.now)
+        self.core = Membership(MembershipSimulation(0, 0).config, 0, count, 1, seed, self.now)
         self.sent: list[Message] = []
         self.core_ns = 0
 
--- a/balancer/lab/scale/power_recovery.py
+++ b/balancer/lab/scale/power_recovery.py
@@ -25,7 +25,7 @@
 from balancer.recovery.poll_schedule import PollSchedule
 from balancer.recovery.receiver import EXPECTED_SURVEY_REPLIES
 from balancer.sim.members import GENERATION_UNIT_MS, Network
-from balancer.sim.recovery_disks import Condition
+from balancer.sim.recovery_disks import DiskCondition
 from balancer.sim.recovery_environment import Discovery
 from balancer.sim.recovery_schedule import BACKENDS
 from balancer.sim.recovery_world import DAY_MS, Tier
@@ -64,9 +64,10 @@
             self.restart_backend(name)
         for node in range(count):
             self.at(
-                self.now + self.dice.uniform(0, START_SPREAD_MS), partial(self.boot, node, Condition.SOUND)
+                self.now + self.tier_random.uniform(0, START_SPREAD_MS),
+                partial(self.boot, node, DiskCondition.SOUND),
             )
-        # Both tables hold times in ms since the return of power, until a node is FULL and until it has a list.
+        # Both tables hold times in ms since the return of power, until a node is FULL or has a list.
         self.full_at: dict[int, float] = {}
         self.listed_at: dict[int, float] = {}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -202,7 +202,7 @@
     rows = membership.rows()
     assert [r["node"] for r in rows] == [0, 1, 2, 3, 4] and rows[1]["state"] == "dead"
     assert not command.all_members_alive(membership) and membership.quorum
-    assert command.summary(membership)["states"].get("dead") == 1 and membership.view_reason
+    assert command.view_summary(membership)["states"].get("dead") == 1 and membership.view_reason
 
 
 def test_the_command_reports_an_unreachable_or_invalid_console() -> None:
