--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -423,7 +423,7 @@
         print_soak(result)
     if result.broken:
         raise typer.Exit(ExitCode.CHECK_FAILED)
-    raise typer.Exit(ExitCode.OK if result.is_telling else ExitCode.ERROR)
+    raise typer.Exit(ExitCode.OK if result.is_conclusive else ExitCode.ERROR)
 
 
 def _print_differences(result: dict[str, Any], figure_count: int, out: Path) -> None:
