--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -17,14 +17,14 @@
     """A setting is missing or invalid; the message names the field and the value."""
 
     code = "SET01"
-    remedy = "correct the setting that is named"
+    remedy = "correct the setting that the message names"
 
 
 class CallError(BalancerError):
     """The library was called in a way that its contract does not allow."""
 
     code = "SET02"
-    remedy = "a defect of the calling program: send its makers this line"
+    remedy = "report this message as a defect to the developers of the program that calls the library"
 
 
 class Idempotency(Enum):
--- a/balancer/lab/scale/rack_failure.py
+++ b/balancer/lab/scale/rack_failure.py
@@ -35,9 +35,8 @@
 CALLER_PROCESSES = 2  # Clients run in two processes; one more serves the backends and discovery.
 BEFORE_S = 4.0
 AFTER_S = 5.0
-DRAIN_GRACE_S = (
-    1.05  # No request may reach a backend later than 1 s after its removal; sockets get 50 ms more.
-)
+# No request may reach a backend later than 1 s after its removal; sockets get 50 ms more.
+DRAIN_GRACE_S = 1.05
 
 LIMITS = (
     f"{PROCESS_COUNT} processes of `python -m balancer`, without a fleet file, have a list of "
--- a/balancer/lab/soak/draws.py
+++ b/balancer/lab/soak/draws.py
@@ -37,9 +37,8 @@
 FIRST_FAULT_S = 1.5
 LAST_FAULT_S = 7.0  # Drawn faults start no later than 7 s into the run.
 SETTLE_S = 4.0  # Without a tier, the run ends 4 s after the last fault.
-TIER_SETTLE_S = (
-    10.5  # With a tier, the run ends 10.5 s after the last fault, by when the nodes have to agree.
-)
+# With a tier, the run ends 10.5 s after the last fault, by when the nodes have to agree.
+TIER_SETTLE_S = 10.5
 RATE_PER_NODE = (15.0, 30.0)  # Each node gets between 15 and 30 requests per second.
 SOCKETS = 256
 CROWD_SIZE = (100, 240)  # The crowd holds 100 to 240 idle connections to each node.
--- a/balancer/net/backend_connection.py
+++ b/balancer/net/backend_connection.py
@@ -10,7 +10,7 @@
 from balancer.interface import AttemptStatus
 from balancer.net.attempt import Attempt, AttemptResult
 from balancer.net.load_report import LoadReportError
-from balancer.net.response_parser import ResponseParser
+from balancer.net.response_parser import MAX_HEADER_BYTES, ResponseParser
 from balancer.net.statistics import CloseReason
 from balancer.net.stream import MAX_BUFFERED_BODY_BYTES
 
@@ -46,17 +46,15 @@
         self.is_write_blocked = False
         self.idle_since = 0.0  # Loop time in seconds at which the connection became idle.
         self._last_progress = 0.0  # Loop time in seconds at which the last byte moved.
-        self._is_creating_transport = (
-            False  # While set the event loop owns the socket, so only `connect` closes it.
-        )
+        # While this is set, the event loop owns the socket, so only `connect` closes it.
+        self._is_creating_transport = False
         self._is_request_started = False  # Bytes received before the first request are not a response.
         self._is_reading_paused = False
         self.streaming_since = 0.0  # Loop time in seconds at which streaming began.
         # Starts streaming a body of unknown length that is not complete after `STREAMING_DELAY_S`.
         self.streaming_timer: asyncio.TimerHandle | None = None
-        self._reuse_timer: asyncio.TimerHandle | None = (
-            None  # Set while an attempt waits for `REUSE_DELAY_S`.
-        )
+        # This is set while an attempt waits until the connection has been idle for `REUSE_DELAY_S`.
+        self._reuse_timer: asyncio.TimerHandle | None = None
         self._stall_timer: asyncio.TimerHandle | None = None
         self.response = ResponseParser(self._begin_streaming)
 
@@ -224,7 +222,9 @@
             self._finish(is_clean=not fault and not response.has_excess)
         elif fault or response.has_excessive_headers:
             self._warn(
-                "malformed response" if fault else "headers too long: more than 16 KiB, the attempt fails",
+                "malformed response"
+                if fault
+                else f"headers too long: more than {MAX_HEADER_BYTES // 1024} KiB, the attempt fails",
                 fault,
             )
             self._fail(AttemptStatus.RESET)
@@ -302,7 +302,9 @@
         is_receiving = self.response.sink is not None and not self._is_reading_paused
         remaining = self._last_progress + STALL_TIMEOUT_S - self.pool.loop.time()
         if (self.is_write_blocked or is_receiving) and remaining <= 0:
-            self._warn("connection stalled: no byte sent or received for 10 s, the attempt fails")
+            self._warn(
+                f"connection stalled: no byte sent or received for {STALL_TIMEOUT_S:g} s, the attempt fails"
+            )
             self._fail(self._break_status)
             return
         delay = max(remaining, STALL_CHECK_MIN_S)
--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -139,7 +139,7 @@
             self._reject(CallError(431, "headers too long"))
 
     def _expire(self) -> None:
-        self._reject(CallError(408, "call was not received within 2.5 s"))
+        self._reject(CallError(408, f"call was not received within {CALL_TIMEOUT_S:g} s"))
 
     def drop(self) -> None:
         """Abort the connection without a response."""
@@ -161,7 +161,7 @@
         """Discard a piece of the body, and reject a body that is too long."""
         self._body_bytes += len(body)
         if self._body_bytes > MAX_BODY_BYTES:
-            self._reject(CallError(413, "body exceeds 64 KiB"))
+            self._reject(CallError(413, f"body exceeds {MAX_BODY_BYTES // 1024} KiB"))
 
     def on_message_complete(self) -> None:
         """Execute the call, unless it is already rejected."""
--- a/balancer/net/fleet_file.py
+++ b/balancer/net/fleet_file.py
@@ -82,8 +82,8 @@
     membership = table.membership
     if membership is not None and not MIN_PERIOD_MS <= membership.period_ms <= MAX_PERIOD_MS:
         raise FleetFileError(
-            f"{FLEET_FILE_VARIABLE}: membership.period-ms must be between 50 and 60000, "
-            f"got {membership.period_ms!r}"
+            f"{FLEET_FILE_VARIABLE}: membership.period-ms must be between {MIN_PERIOD_MS} and "
+            f"{MAX_PERIOD_MS}, got {membership.period_ms!r}"
         )
     if table.recovery is not None and membership is None:
         raise FleetFileError(f"{FLEET_FILE_VARIABLE}: [recovery] requires [membership]")
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -207,7 +207,7 @@
                 except BlockingIOError:
                     if self._loop.time() > deadline:
                         raise MaintenanceError(
-                            "another process has held the lock file for over 0.6 s"
+                            f"another process has held the lock file for over {LOCK_TIMEOUT_S:g} s"
                         ) from None
                     await asyncio.sleep(LOCK_RETRY_INTERVAL_S)
             yield
--- a/balancer/net/response_parser.py
+++ b/balancer/net/response_parser.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         """Create the error with its fixed message."""
-        super().__init__("response body is longer than MAX_BODY_BYTES (32 MiB)")
+        super().__init__(f"response body is longer than {MAX_BODY_BYTES // 1024**2} MiB")
 
 
 class ResponseParser:
--- a/balancer/net/socket_state.py
+++ b/balancer/net/socket_state.py
@@ -10,9 +10,8 @@
 import sys
 import termios
 
-PEER_ENDED_EVENTS = (
-    select.POLLRDHUP | select.POLLHUP | select.POLLERR
-)  # Poll reports these after a FIN or RST.
+# Poll reports these events after the peer has sent a FIN or RST.
+PEER_ENDED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 LINGER_ZERO = struct.pack("ii", 1, 0)  # With SO_LINGER on and a timeout of 0, a close sends a reset.
 
 
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -15,9 +15,8 @@
 # A process uses this much memory without any bodies, including endpoint lists and small requests.
 BASE_MEMORY_MB = 22
 UPGRADE_PROCESS_COUNT = 2  # Two processes share the memory limit of the node during an upgrade.
-USABLE_FRACTION = (
-    1 / 2
-)  # Allocators do not return all freed memory, so only half of it is planned for bodies.
+# Allocators do not return all freed memory, so only half of it is planned for bodies.
+USABLE_FRACTION = 1 / 2
 
 # All reads share this buffer, because each read is copied out before the next one.
 _read_buffer = memoryview(bytearray(MAX_WINDOW_BYTES))
