--- a/balancer/cli/fleet.py
+++ b/balancer/cli/fleet.py
@@ -1,7 +1,7 @@
 """`balancer fleet`: the state of the tier as one node reports it on its console.
 
 Exit code 0 means that every member is alive (`members`), or that more than half of the tier is present and
-all recently heard peers have the same view (`view`). Otherwise the exit code is 1, or 2 without a valid
+all peers heard from recently have the same view (`view`). Otherwise the exit code is 1, or 2 without a valid
 response.
 """
 
@@ -41,7 +41,7 @@
 
 
 class NotInTierError(BalancerError):
-    """The node does not take part in membership or recovery, so it has nothing to report about it."""
+    """Membership or recovery does not run on the node, which therefore has no state to report."""
 
     code = "CLI04"
     remedy = "give the node a PROXY_FLEET file with [membership]; if it has one, look for MEM01 in its log"
@@ -129,7 +129,7 @@
 
 
 def read_membership(console: str) -> Membership:
-    """Read the membership from a console; raises typer.Exit if the node does not take part in it."""
+    """Read the membership from a console; raises typer.Exit if it does not run on the node."""
     membership = read_fleet_stats(console).membership
     if membership is None:
         raise error_exit(NotInTierError(
@@ -215,14 +215,15 @@
         f"local health score {membership.health} of 8 (0: healthy)",
         f"view {membership.view} for {format_duration(membership.view_for_ms)} ({membership.view_reason})",
         f"{membership.present_nodes} of {membership.nodes} present, {quorum}: {states}",
-        f"{agreement} of the recently heard peers agree; nodes that last reported another view: {listed}",
+        f"{agreement} of the peers heard from recently agree; "
+        f"nodes that last reported another view: {listed}",
         f"counts: {counts}",
     ]
     return Group(*(Text.from_markup(line) for line in lines))
 
 
 def is_agreed_majority(membership: Membership) -> bool:
-    """Return whether more than half of the tier is present and all recently heard peers agree."""
+    """Return whether more than half of the tier is present and all peers heard from recently agree."""
     return membership.quorum and membership.agreement == 1.0
 
 
--- a/balancer/durable/records.py
+++ b/balancer/durable/records.py
@@ -69,7 +69,7 @@
 
 
 class RegisterRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row of the replicated ban register (see `balancer/recovery/register.py`).
+    """A row of the replicated ban register (see `balancer/recovery/ban_register.py`).
 
     `is_active` means that the ban has not been lifted. `at_ms` is minus infinity if the time is unknown.
     """
--- a/balancer/experiments/faults.py
+++ b/balancer/experiments/faults.py
@@ -81,7 +81,7 @@
 
 
 class Stall(TimedFault, frozen=True, tag="stall"):
-    """Send SIGSTOP to nodes and SIGCONT after the duration; make backends process nothing meanwhile."""
+    """Send SIGSTOP to nodes and SIGCONT after the duration; make backends process nothing in between."""
 
     targets: str = field(name="what")
 
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -506,7 +506,7 @@
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Fetch the whole endpoint list once."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True)
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -60,7 +60,7 @@
     "The node's own JSON splitter and decoders read pieces of 64 KiB, without a socket; entries have IDs of "
     "seven characters and one kind. The node's own EndpointUpdater, connection pool and Balancer apply the "
     "list, step by step without pauses and with no request in progress; the cyclic garbage collector is "
-    "disabled meanwhile, as it is in the node."
+    "disabled during that time, as it is in the node."
 )
 MEMORY_MB = 192.0  # The platform's larger nodes have 192 MB of memory.
 NODE_LIMITS = (
--- a/balancer/membership/change_log.py
+++ b/balancer/membership/change_log.py
@@ -77,12 +77,13 @@
         """Log that peers' views have differed from this node's view for too long, or agree again."""
         if change.is_active:
             log.warning(
-                "membership: views have differed for over %.0f s, only %.0f%% of recently heard peers agree",
+                "membership: views have differed for over %.0f s, "
+                "only %.0f%% of the peers heard from recently agree",
                 alert_ms / 1000,
                 100 * change.agreement_ratio,
             )
         else:
-            log.info("membership: all recently heard peers share the view of this node again")
+            log.info("membership: all peers heard from recently share the view of this node again")
 
     def peers_changed(self, node_count: int, new_count: int) -> None:
         """Log the size of a new peer list and the number of new or replaced nodes."""
--- a/balancer/membership/core.py
+++ b/balancer/membership/core.py
@@ -131,7 +131,7 @@
         return 2 * self.node.view.present_count > self.node.node_count
 
     def agreement_ratio(self) -> float:
-        """Return the fraction of recently heard present peers whose view equals this node's view."""
+        """Return the fraction of the present peers heard from recently whose view equals this node's."""
         return self.peer_views.agreement_ratio()
 
     def _suspect(self, member: int) -> None:
--- a/balancer/membership/events.py
+++ b/balancer/membership/events.py
@@ -71,7 +71,7 @@
 class DisagreementChanged:
     """Peers' views have differed for longer than `Config.disagreement_alert_ms`, or agree again.
 
-    `agreement_ratio` is the fraction of recently heard present peers whose view equals this node's view.
+    `agreement_ratio` is the fraction of the present peers heard from recently whose view equals this node's.
     """
 
     is_active: bool
--- a/balancer/membership/failure_detector.py
+++ b/balancer/membership/failure_detector.py
@@ -16,7 +16,7 @@
 from balancer.membership.sender import MessageSender
 from balancer.membership.suspicion import SuspicionTable
 
-# Number of probe intervals within which a peer must have been heard to serve as a helper.
+# Number of probe intervals within which a datagram must have come from a peer that serves as a helper.
 HELPER_MAX_SILENCE_PERIODS = 2
 # Number of concurrent suspicions from which a probe uses a single helper. So many suspicions are unlikely to
 # be caused by lost datagrams, against which further helpers would help.
@@ -152,7 +152,7 @@
         self._call_later(self._node.config.indirect_timeout_ms, self._fail, sequence)
 
     def _helpers(self, target: int) -> list[int]:
-        """Return the recently heard peers as helpers for a target, or all present peers if none was heard."""
+        """Return the peers heard from recently as helpers for a target, or all present peers if none."""
         node = self._node
         peers = node.present_peers(excluded=target)
         if not node.config.local_health_enabled:
--- a/balancer/membership/liveness_query.py
+++ b/balancer/membership/liveness_query.py
@@ -41,7 +41,7 @@
         self._last_query_ms[member] = self._node.now_ms
 
     def forget(self, member: int) -> None:
-        """Forget when a removed member was last queried."""
+        """Discard the time at which a removed member was last queried."""
         self._last_query_ms.pop(member, None)
 
     @property
--- a/balancer/membership/peer_views.py
+++ b/balancer/membership/peer_views.py
@@ -44,7 +44,7 @@
         return -math.inf if report is None else report.received_ms
 
     def agreement_ratio(self) -> float:
-        """Return the fraction of recently heard present peers whose view equals this node's view.
+        """Return the fraction of the present peers heard from recently whose view equals this node's.
 
         Reports from before the last change of this node's view do not count.
         """
--- a/balancer/membership/suspicion.py
+++ b/balancer/membership/suspicion.py
@@ -24,7 +24,7 @@
 UNHEALTHY_MAX_TIMEOUTS = 3
 # This node, the suspect and the accuser cannot confirm a suspicion independently; all other members can.
 MEMBERS_UNABLE_TO_CONFIRM = 3
-# The accuser and the suspect do not take part in verifying a suspicion.
+# Any member but the accuser and the suspect can verify a suspicion by a probe.
 MEMBERS_UNABLE_TO_VERIFY = 2
 DEADLINE_TOLERANCE_MS = 1e-6
 
--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -217,7 +217,7 @@
         self.stalled_at = now
 
     def resume(self, now: float) -> list[Job]:
-        """Resume service after a stall, and return the jobs that expired in the queue meanwhile.
+        """Resume service after a stall, and return the jobs that expired in the queue during it.
 
         Requests in service continue with the progress that they had. Of two overlapping stalls the earlier
         end counts; a restart also ends a stall, and resuming afterwards has no effect.
--- a/balancer/models/directory.py
+++ b/balancer/models/directory.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-# A watch that starts before the oldest kept change receives a snapshot of the whole list.
+# A watch that starts before the oldest kept change receives a snapshot of the complete list.
 MAX_HISTORY_CHANGES = 500
 
 
--- a/balancer/net/attempt.py
+++ b/balancer/net/attempt.py
@@ -58,8 +58,8 @@
 class Attempt:
     """One request sent, or to be sent, to one backend.
 
-    `on_result` is called exactly once unless the attempt is cancelled. `request` holds the bytes of the whole
-    request, or only of its head if its body is an upload.
+    `on_result` is called exactly once unless the attempt is cancelled. `request` holds the bytes of the
+    complete request, or only of its head if its body is an upload.
     """
 
     __slots__ = ("connection", "is_wanted", "on_result", "on_stream", "request", "upload")
@@ -98,7 +98,7 @@
     def cancel(self) -> None:
         """End the attempt without reporting a result.
 
-        The connection is closed before this returns, so that a retry never runs beside this attempt.
+        The connection is closed before this returns, so that a retry never overlaps this attempt.
         """
         if self.connection is not None:
             self.connection.attempt = None
--- a/balancer/net/backend_connection.py
+++ b/balancer/net/backend_connection.py
@@ -21,9 +21,11 @@
 STREAMING_DELAY_S = 0.025
 # A response of unknown length counts as long while it arrives at least at this rate.
 MIN_LONG_RESPONSE_BYTES_PER_S = 16 * 1024
-STALL_TIMEOUT_S = 10.0  # An attempt with a streamed body fails after this long without a byte moved.
+# An attempt with a streamed body fails if no byte is sent or received for this long.
+STALL_TIMEOUT_S = 10.0
 STALL_CHECK_MIN_S = STALL_TIMEOUT_S / 10
-REUSE_DELAY_S = 0.006  # A connection stays unused this long after a response: a faulty second one may follow.
+# A connection is not reused for this long after a response, because a faulty second response may follow.
+REUSE_DELAY_S = 0.006
 
 
 class BackendConnection(asyncio.BufferedProtocol):
@@ -45,7 +47,7 @@
         self.is_request_written = False
         self.is_write_blocked = False
         self.idle_since = 0.0  # Loop time in seconds at which the connection became idle.
-        self._last_progress = 0.0  # Loop time in seconds at which the last byte moved.
+        self._last_progress = 0.0  # Loop time in seconds of the last byte sent or received.
         # While this is set, the event loop owns the socket, so only `connect` closes it.
         self._is_creating_transport = False
         self._is_request_started = False  # Bytes received before the first request are not a response.
@@ -142,7 +144,10 @@
         self.pool.warnings.log(kind, "backend {}:{}: {:.300}".format(*self.address, text or kind))
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once: a transport closes one loop iteration later, after the next attempt was sent."""
+        """Close the socket immediately.
+
+        The transport alone would close it one loop iteration later, after the next attempt was sent.
+        """
         if self.is_closed:
             return
         self.is_closed = True
@@ -290,7 +295,7 @@
     # --- stall detection
 
     def _watch_for_stall(self) -> None:
-        """Start stall detection: a streamed body has no other time limit."""
+        """Start stall detection, because a streamed body has no other time limit."""
         if self._stall_timer is None:
             self._last_progress = self.pool.loop.time()
             self._stall_timer = self.pool.loop.call_later(STALL_TIMEOUT_S, self._check_stall)
--- a/balancer/net/change_summary.py
+++ b/balancer/net/change_summary.py
@@ -9,7 +9,7 @@
 from balancer import interface as api
 from balancer.net.endpoints import Member
 
-MAX_NAMES_PER_CHANGE = 8  # further backends are only counted
+MAX_NAMES_PER_CHANGE = 8  # The names of further backends are replaced by their number.
 
 
 class Change(Enum):
--- a/balancer/net/connection_limits.py
+++ b/balancer/net/connection_limits.py
@@ -35,7 +35,7 @@
 
 
 def predecessor_limits(descriptors: int, node_descriptors: int) -> ConnectionLimits:
-    """Return the limits of a process beside a newer one.
+    """Return the limits of a process while a newer process of the node is running.
 
     Existing clients stay connected to it, so most of its descriptors are for clients, but not more than a
     third of the node's.
--- a/balancer/net/descriptor_shares.py
+++ b/balancer/net/descriptor_shares.py
@@ -61,7 +61,7 @@
         self.node = node
         self.listener = listener
         self.slots = slots
-        self.share = MIN_FDS  # Number of descriptors that this process may plan with.
+        self.share = MIN_FDS  # Number of descriptors that this process may use.
         self.claimed = 0  # Number of descriptors claimed in the slot.
         # While draining, new connections go to the successor, so closed ones are not replaced here.
         self.is_draining = False
@@ -97,7 +97,7 @@
         if not self.claimed:  # Limits that were set before the process had a slot were never applied.
             self.listener.limit, self.node.pool.limit = config.connection_limits(MIN_FDS)
         if self._has_successor(claims):
-            return self._limits_beside_successor(claims)
+            return self._limits_with_successor(claims)
         claimed = self._claimed_by_predecessors(claims)
         if claimed is None:
             self.share = config.max_fds // 2
@@ -167,8 +167,11 @@
         known = [claim.max_descriptors for claim in predecessors if claim is not None]
         return sum(known) if len(known) == len(predecessors) else None
 
-    def _limits_beside_successor(self, claims: Claims) -> ConnectionLimits:
-        """Return the limits beside a successor: they never grow, and while draining they follow the usage."""
+    def _limits_with_successor(self, claims: Claims) -> ConnectionLimits:
+        """Return the limits while a successor is running, which never grow.
+
+        While this process drains, they shrink with the number of its open connections.
+        """
         config = self.node.config
         claimed = self._claimed_by_predecessors(claims)
         remaining = config.predecessor_fds - (claimed if claimed is not None else config.max_fds // 2)
@@ -182,7 +185,7 @@
 
 
 def fallback_limits(node: Node, has_peer: bool) -> ConnectionLimits:
-    """Return the limits of a process that cannot derive its share: beside a peer, half of the descriptors."""
+    """Return the limits of a process that cannot derive its share: with a peer, half of the descriptors."""
     return ConnectionLimits(*node.config.limits_per_process(2 if has_peer else 1))
 
 
@@ -194,5 +197,5 @@
     node.pool.enforce_limit()
     if limits.clients < former_client_limit:
         listener.enforce_limit()
-        # Connections accepted under a higher limit stay within it, or their requests would get status 503.
+        # The limit is not set below the number of open connections, whose requests would get status 503.
         listener.limit = max(limits.clients, min(former_client_limit, len(listener.connections)))
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -101,7 +101,7 @@
         else:
             self.pending.append(PendingUpdate(update, kind))
             self._idle.clear()
-            # If applying is in progress, `put` was called by `on_applied`, and the running task goes on.
+            # If applying is in progress, `put` was called by `on_applied`, and the running task continues.
             if not self._is_applying:
                 self.scheduler.add(self._apply_pending())
 
@@ -152,7 +152,7 @@
     # --- applying in slices
 
     def _apply_pending(self) -> Iterator[None]:
-        """Apply all pending updates, one batch in each slice; `put` may replace the first one meanwhile."""
+        """Apply all pending updates, one batch per slice; between slices `put` may replace the first one."""
         self._is_applying = True
         try:
             while self.pending:
--- a/balancer/net/json_stream.py
+++ b/balancer/net/json_stream.py
@@ -137,10 +137,10 @@
             at = self._scan(data, at)
             self._append(data[begin:at], began_in_string)
             if not self._open_brackets:
-                whole = self._incomplete_object
+                complete = self._incomplete_object
                 self._incomplete_object = bytearray()
                 self._awaits_line_end = True
-                yield whole.finish() if isinstance(whole, PageBuffer) else bytes(whole)
+                yield complete.finish() if isinstance(complete, PageBuffer) else bytes(complete)
 
     def _append(self, piece: bytes, began_in_string: bool) -> None:
         """Buffer a chunk; whitespace at its edges and outside strings is collapsed to one space."""
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -86,7 +86,7 @@
     # --- events and actions
 
     def handle_event(self, event: api.Event) -> None:
-        """Pass an event to the balancer and execute its actions; events raised meanwhile are queued."""
+        """Pass an event to the balancer and execute its actions; events raised during this are queued."""
         self._events.append(event)
         if self._is_handling:
             return
--- a/balancer/net/node_process.py
+++ b/balancer/net/node_process.py
@@ -112,7 +112,7 @@
             await self._run_unless_stopped(node.endpoint_updater.wait_idle())
 
     async def _become_ready(self, has_peer: bool) -> bool:
-        """Recover state and take over from another process; return whether to go on and listen."""
+        """Recover state and take over from another process; return whether the process should listen."""
         fleet = self.fleet
         has_recovery = fleet is not None and fleet.recovery is not None
         if self.recovered_learned is not None and not has_recovery:
--- a/balancer/net/process_slots.py
+++ b/balancer/net/process_slots.py
@@ -93,7 +93,7 @@
         return bool(self.peer_lines)
 
     def refresh_periodically(self) -> None:
-        """Look for peers now and again every `REFRESH_INTERVAL_S`."""
+        """Look for peers immediately, and then every `REFRESH_INTERVAL_S`."""
         self._schedule()
         with self._defects.contain("search for other processes"):
             self.refresh()
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -161,8 +161,8 @@
     def restrict_saved_list(self, ids: frozenset[str]) -> None:
         """Report the backends in `ids` as draining, and all others as saved.
 
-        Until discovery sends its list, the whole saved list is sent again. After that, only backends that are
-        no longer restricted and that discovery has not updated are sent again.
+        Until discovery sends its list, the complete saved list is sent again. After that, only backends that
+        are no longer restricted and that discovery has not updated are sent again.
         """
         released = self._restricted_ids - ids
         self._restricted_ids = ids
--- a/balancer/net/response_writer.py
+++ b/balancer/net/response_writer.py
@@ -36,7 +36,7 @@
         self.is_reading_paused = False  # No requests are read until the client reads its responses.
         self._backend: BackendConnection | None = None  # Backend connection whose response is being streamed.
         self._is_chunked = False
-        self._is_framed = False  # The streamed response has a length or is chunked, so truncation shows.
+        self._is_framed = False  # The streamed response has a length or is chunked, so truncation is visible.
         self._is_kept_alive = False  # The head of the streamed response announced keep-alive.
         self._stall_timer: asyncio.TimerHandle | None = None
 
@@ -176,7 +176,8 @@
         """Close the connection so that the client notices that its streamed response is truncated.
 
         With framing a lingering close suffices. A reset would discard the bytes in transit, and a client that
-        receives nothing of a response may send its request again. Without framing only a reset shows it.
+        receives nothing of a response may send its request again. Without framing, only
+        a reset shows that the response is truncated.
         """
         self.connection.node.counts["client_answer_broken_off"] += 1
         if self._is_framed or not self.is_streaming:
--- a/balancer/net/sharded_dict.py
+++ b/balancer/net/sharded_dict.py
@@ -61,5 +61,5 @@
         return sum(map(len, self.shards))
 
     def __iter__(self) -> Iterator[str]:
-        """Iterate over a copy of each shard in turn, so that names may be added or removed meanwhile."""
+        """Iterate over a copy of each shard in turn; names may be added or removed during the iteration."""
         return chain.from_iterable(map(tuple, self.shards))
--- a/balancer/net/state_handover.py
+++ b/balancer/net/state_handover.py
@@ -41,7 +41,7 @@
     """
     try:
         text = path.read_text("utf-8")
-        path.unlink()  # The file is removed even if it is invalid, because it would stay so.
+        path.unlink()  # The file is removed even if it is invalid, because it would remain invalid.
         table: Any = json.loads(text)
         age_ms = time.time() * 1000 - float(table["at"])
         state = parse(table, age_ms)
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -62,7 +62,7 @@
     def __init__(self, size: int | None, memory: StreamMemory, set_reading: Callable[[bool], None]) -> None:
         """Begin a body of `size` bytes, if known; `set_reading` resumes or pauses reading from the client."""
         self.size = size
-        self.is_complete = False  # True once the whole body has been received.
+        self.is_complete = False  # True once the complete body has been received.
         # True once the start of the body is no longer buffered, so that no further attempt is possible.
         self.is_prefix_dropped = False
         self._memory = memory
--- a/balancer/net/takeover.py
+++ b/balancer/net/takeover.py
@@ -22,7 +22,7 @@
 
 
 async def prepare_takeover(node: Node, shares: DescriptorShares, inherits_learned: bool) -> None:
-    """Wait for the endpoint list and the descriptor share before this process listens beside the old one.
+    """Wait for the endpoint list and the descriptor share before this process listens along with the old one.
 
     With `inherits_learned`, the learned state of the old process is read soon after.
     """
--- a/balancer/policy/load_shedding.py
+++ b/balancer/policy/load_shedding.py
@@ -11,8 +11,9 @@
 from balancer.policy.retries import RETRIES_PER_REQUEST
 
 REQUIRED_TIME_FRACTION = 0.9  # A request with less than 90 % of its expected duration left is shed.
-ADMISSION_FACTOR = 1.4  # Shedding starts once 1.4 times the cubed success rate is below 1.
-HIGH_VALUE_FACTOR = 3.0  # Requests worth 3 times the mean for their duration bypass the limits.
+ADMISSION_FACTOR = 1.4  # Shedding starts once 1.4 times the cube of the success rate is below 1.
+# Requests bypass the limits if their worth per expected duration is 3 times the mean.
+HIGH_VALUE_FACTOR = 3.0
 INITIAL_DENSITY_FACTOR = 4
 # A few requests are always admitted to detect the end of an outage.
 MIN_ADMITTED_FRACTION = RETRIES_PER_REQUEST
--- a/balancer/recovery/messages.py
+++ b/balancer/recovery/messages.py
@@ -86,7 +86,7 @@
         warm_rate: Requests per second that the node carried when warm; 0 if unknown.
         demand: Requests that arrived at the node in the last second; infinite if unknown.
         recovering: Number of recovering nodes among those that the node sees.
-        present_nodes: Bits of the node and of the peers it has heard; once it serves, of all present nodes.
+        present_nodes: Bits of the node and the peers it has heard from; once it serves, of all present nodes.
     """
 
     incarnation: int
--- a/balancer/recovery/phases.py
+++ b/balancer/recovery/phases.py
@@ -50,11 +50,11 @@
 
     Peers that report FULL, or a high uptime, did not restart together with this node.
     Uptime alone is not sufficient, because a rolling restart leaves only nodes with short uptimes. The node
-    has crashed alone only if at least half of the peers heard are running and established peers see at least
-    half of the tier running; a power loss that a few nodes survive does not meet this condition.
+    has crashed alone only if at least half of the reporting peers are running and established peers see at
+    least half of the tier running; a power loss that a few nodes survive does not meet this condition.
 
     Args:
-        reported: Status of each peer that was heard.
+        reported: Status of each peer that has reported.
         node_count: Number of nodes in the tier.
         present: Number of nodes that seem to be present, including this one. A majority indicates a power
             loss; fewer nodes may be one side of a partition, or the first nodes to restart.
--- a/balancer/recovery/receiver.py
+++ b/balancer/recovery/receiver.py
@@ -110,7 +110,7 @@
             self._exchange.filters.plan(context.now, listed)
 
     def _reply_to_survey(self, sender: int, status: NodeStatus) -> None:
-        """Reply at random, so that on average `EXPECTED_SURVEY_REPLIES` of the unheard nodes reply."""
+        """Reply at random; of the nodes unknown to the sender, `EXPECTED_SURVEY_REPLIES` reply on average."""
         context = self._context
         unheard = (self._survey.present_bits() & ~status.present_nodes).bit_count()
         if status.present_nodes >> context.node & 1:
--- a/balancer/sim/recovery_faults.py
+++ b/balancer/sim/recovery_faults.py
@@ -166,7 +166,7 @@
     """Faulty saved list that a peer's filter may restrict without a limit."""
 
     def restrict(self) -> None:
-        """Restrict the whole saved list if a peer has a newer filter."""
+        """Restrict the complete saved list if a peer has a newer filter."""
         newest = self.newest_filter
         if self.fresh is None and newest is not None and newest.revision > self.revision:
             self.context.actions.append(RestrictSavedList(frozenset(self.saved_ids)))
@@ -249,7 +249,7 @@
     "a ban wins over the lift that saw it": Fault(
         _faulty(RecoveryComponents(register=ActiveWins)), frozenset({"known", "agree"})
     ),
-    "own bans are not issued anew after a lost disk": Fault(
+    "own bans are not reissued after a lost disk": Fault(
         _faulty(RecoveryComponents(register=NeverReissues)), frozenset({"ban", "known"})
     ),
     "lifted bans are dropped at a restart": Fault(DropsLifted, frozenset({"known"})),
@@ -264,7 +264,7 @@
         _faulty(RecoveryComponents(phases=TrustsSavedStarts)), frozenset({"budget"})
     ),
     "a phase is entered again": Fault(WarmsAgain, frozenset({"phase"})),
-    "a lost majority begins anew": Fault(FullByMembers, frozenset({"phase"})),
+    "a lost majority restarts the recovery": Fault(FullByMembers, frozenset({"phase"})),
     # Polls without slots are also detected by `measure_mass_restart`.
     "discovery is polled without slots": Fault(
         _faulty(RecoveryComponents(schedule=PollsAtOnce)), frozenset({"turns"}), (200,)
--- a/balancer/sim/recovery_observer.py
+++ b/balancer/sim/recovery_observer.py
@@ -310,7 +310,7 @@
                 return
 
     def _peer_that_knew(self, node: int, process: Process, ban: AcknowledgedBan) -> int | None:
-        """Return a connected peer that knew a ban during the whole survey of a process."""
+        """Return a connected peer that knew a ban during the complete survey of a process."""
         tier = self.tier
         for knower, since in ban.known_since.items():
             connected_at = tier.connected_since(node, knower.node)
