--- a/balancer/durable/layout.py
+++ b/balancer/durable/layout.py
@@ -21,7 +21,7 @@
 FENCE_NAME = "fence"
 DRAFT_PREFIX = "draft-"
 MAX_HEADER_BYTES = 4096
-# The header frame of a file has number 0, so the parser is told that it follows number -1.
+# The header frame of a file has number 0, so the parser is called as if it followed number -1.
 NUMBER_BEFORE_HEADER = -1
 FILE_NAME = re.compile(r"(snap|log)-(\d{12})-(\d{8})")
 
--- a/balancer/experiments/tables.py
+++ b/balancer/experiments/tables.py
@@ -69,7 +69,7 @@
     """The service that lists the backends."""
 
     mode: Literal["poll", "push"] = "poll"
-    # Discovery learns that a backend is draining or gone with this delay.
+    # Discovery learns that a backend is draining or has been removed with this delay.
     removal_delay_s: float = 1.5
     # Discovery lists a newly started backend with this delay.
     addition_delay_s: float = 0.8
--- a/balancer/membership/failure_detector.py
+++ b/balancer/membership/failure_detector.py
@@ -93,7 +93,7 @@
         return True
 
     def on_nack(self, message: Message) -> None:
-        """Count a helper's nack, which says that the helper got no answer from the target either."""
+        """Count a helper's nack, which reports that the helper got no answer from the target either."""
         probe = self._probe_by_sequence.get(message.sequence)
         if probe is not None:
             probe.received_nacks += 1
--- a/balancer/net/connection_steering.py
+++ b/balancer/net/connection_steering.py
@@ -29,7 +29,7 @@
     try:
         sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, filter_option)
     except OSError as err:
-        log.info("new connections cannot be steered: both processes go on accepting them: %s", err)
+        log.info("new connections cannot be steered: both processes continue to accept them: %s", err)
         return False
     return True
 
--- a/balancer/net/discovery.py
+++ b/balancer/net/discovery.py
@@ -34,7 +34,7 @@
         """Create a client that has made no call.
 
         Args:
-            node: Receives the updates and is told of failures.
+            node: Receives the updates and the reports of failures.
             address: Address of discovery.
             revision: Revision of the node's current list.
             random_source: Draws timeouts and jitter.
--- a/balancer/net/discovery_receiver.py
+++ b/balancer/net/discovery_receiver.py
@@ -49,7 +49,7 @@
         Args:
             node: Receives the updates.
             revision: Revision of the node's current list.
-            listener: Is told of the result of processing each message.
+            listener: Is notified of the result of processing each message.
             log: Receives warnings about malformed lists.
         """
         self.revision = revision
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -261,7 +261,7 @@
         for name, time in sorted(record.lifted_at_ms.items()):
             if name not in record.banned and previous.lifted_at_ms.get(name) != time:
                 self._report(name, False, time)
-        # A ban that is gone without the time of a lift means that the file was recreated by hand.
+        # A ban that is missing without the time of a lift means that someone has recreated the file.
         for name in sorted(previous.banned - record.banned - record.lifted_at_ms.keys()):
             self._report(name, False, 0.0)
 
--- a/balancer/net/node.py
+++ b/balancer/net/node.py
@@ -103,7 +103,7 @@
             actions = self.balancer.handle(self.now(), event)
         except Exception:
             log.exception(
-                "decision on %s failed: its request, if it has one, is failed too", type(event).__name__
+                "decision on %s failed: its request, if it has one, fails too", type(event).__name__
             )
             self.requests.abandon(getattr(event, "request", ""))
             return
@@ -112,7 +112,7 @@
                 self._execute(action)
             except Exception:
                 log.exception(
-                    "decision on %s failed: its request, if it has one, is failed too", type(event).__name__
+                    "decision on %s failed: its request, if it has one, fails too", type(event).__name__
                 )
                 self.requests.abandon(getattr(action, "request", getattr(event, "request", "")))
 
@@ -193,7 +193,7 @@
 
     def apply_maintenance(self, backend: str, is_banned: bool, since_ms: float) -> None:
         """Apply the start of a backend's maintenance, or its end at `since_ms`."""
-        log.info("maintenance: %s %s", backend, "is out" if is_banned else "is back")
+        log.info("maintenance: %s %s", backend, "is banned" if is_banned else "is no longer banned")
         self.pool.set_maintenance(backend, is_banned)
         self.handle_event(api.MaintenanceChanged(backend, is_banned, since_ms))
 
--- a/balancer/net/request_head.py
+++ b/balancer/net/request_head.py
@@ -104,7 +104,7 @@
 def render_request(
     method: bytes, target: bytes, headers: dict[bytes, bytes], framing: bytes, body: bytes, timeout_ms: float
 ) -> bytes:
-    """Return the bytes of a request to a backend, which is told the timeout of `timeout_ms`."""
+    """Return the bytes of a request to a backend, with a header for the timeout of `timeout_ms`."""
     lines = [
         b"%b %b HTTP/1.1" % (method, target),
         b"Host: " + headers.get(b"host", b"backend"),
--- a/balancer/policy/concurrency_limit.py
+++ b/balancer/policy/concurrency_limit.py
@@ -11,7 +11,7 @@
 from balancer.policy.records import ClassStatistics, EndpointRecord
 
 TARGET_OBJECTIVE_FRACTION = 1 / 3  # The limit keeps response times at about a third of the latency objective.
-LIMIT_GAIN = 0.015  # A small gain prevents oscillation, as all nodes react to overload alike.
+LIMIT_GAIN = 0.015  # A small gain prevents oscillation, as all nodes react to overload in the same way.
 MIN_LIMIT = 2.0  # The lowest limit is 2 attempts per endpoint of the node's share, but at least 2.
 # The lowest response time drifts up by 0.5 % per response, as network routes change.
 MIN_RESPONSE_DRIFT = 1.005
--- a/balancer/recovery/saved_list.py
+++ b/balancer/recovery/saved_list.py
@@ -56,7 +56,7 @@
             self.restrict()
 
     def restrict(self) -> None:
-        """Avoid backends that peers know to be gone, or an untrusted list, until discovery sends a list."""
+        """Avoid backends that peers know are removed, or an untrusted list, until discovery sends a list."""
         ids = self._excluded()
         if ids != self.restricted_ids:
             self.restricted_ids = ids
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -179,7 +179,7 @@
         async with tier.run_nodes() as rigs:
             await ban(rigs[0])
             for rig in rigs[1:]:
-                await rig.wait_for_log("maintenance: b1 is out")
+                await rig.wait_for_log("maintenance: b1 is banned")
             assert [(await recovery(rig))["bans"] for rig in rigs] == [1, 1, 1]
         shutil.rmtree(tier.directory(1) / "state")
         async with tier.run_nodes() as rigs:
@@ -195,7 +195,7 @@
                 assert "b1" not in await serving_backends(rig)
             assert "the disk is not sound" in "".join(rigs[0].log + rigs[1].log)
             assert (await rigs[2].call_console("/backends/b1/ready", "POST")).status == 200
-            await rigs[0].wait_for_log("maintenance: b1 is back")
+            await rigs[0].wait_for_log("maintenance: b1 is no longer banned")
 
 
 async def test_ban_of_a_partitioned_node_spreads_when_the_node_or_the_network_returns(tmp_path: Path) -> None:
@@ -210,14 +210,14 @@
             async with tier.run_process(0) as rejoined:
                 assert "b1" not in await serving_backends(rejoined)
                 for rig in rigs:
-                    await rig.wait_for_log("maintenance: b1 is out")
+                    await rig.wait_for_log("maintenance: b1 is banned")
                 tier.partition(2)
                 assert (await rejoined.call_console("/backends/b1/ready", "POST")).status == 200
-                await rigs[0].wait_for_log("maintenance: b1 is back")
+                await rigs[0].wait_for_log("maintenance: b1 is no longer banned")
                 await ban(rigs[1])  # a concurrent ban in the other partition wins
                 tier.dropped_pairs = set()
-                await rigs[0].wait_for_log("maintenance: b1 is out")
-                await rejoined.wait_for_log("maintenance: b1 is out")
+                await rigs[0].wait_for_log("maintenance: b1 is banned")
+                await rejoined.wait_for_log("maintenance: b1 is banned")
 
 
 async def test_crash_among_running_peers_is_recognized_and_needs_no_wait(tmp_path: Path) -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -155,7 +155,7 @@
             assert (await predecessor.call_console("/backends/b2/maint", "POST")).status == 503
             assert set(files.read_state().banned) == {"b0", "b1"}
             successor.process.kill()
-        await predecessor.wait_for_log("is out")
+        await predecessor.wait_for_log("is banned")
 
         async def can_ban() -> bool:
             return (await predecessor.call_console("/backends/b3/maint", "POST")).status == 200
