--- a/tests/test_scale_runner.py
+++ b/tests/test_scale_runner.py
@@ -1,4 +1,4 @@
-"""The scale rig: small plays end by themselves, counted figures are exact, the result has its form."""
+"""Tests of scale measurements at small sizes: their figures, their time limits, and the result files."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
             if isinstance(p, Point) and (p.exact or not exact)}  # fmt: skip
 
 
-def quiet(play: str, point: Point | None) -> None:
+def ignore_progress(play: str, point: Point | None) -> None:
     pass
 
 
@@ -47,27 +47,28 @@
     yield NotPlayed("module at 640", "it never ended")
 
 
-PLANTED = Play("planted", linear, 640, "nothing is real")
+LINEAR_PLAY = Play("planted", linear, 640, "nothing is real")
 
 
-# --- the parts
+# --- Tests of single measurements
 
 
-def test_a_list_in_the_platforms_form_comes_back_as_it_was() -> None:
-    told = [
+def test_encoded_list_decodes_to_the_same_endpoints() -> None:
+    endpoints = [
         generated_inputs.entry(0),
         generated_inputs.entry(1, api.EndpointPhase.DRAINING),
         generated_inputs.entry(2, api.EndpointPhase.REMOVED, 5.0),
     ]
-    news = decode_update(generated_inputs.encode_update(told, 3, True))
-    assert list(news.members) == [member(one, f"10.0.0.{i}:8080") for i, one in enumerate(told)]
-    assert (news.revision, news.complete) == (3, True)
+    update = decode_update(generated_inputs.encode_update(endpoints, 3, True))
+    assert list(update.members) == [member(one, f"10.0.0.{i}:8080") for i, one in enumerate(endpoints)]
+    assert (update.revision, update.complete) == (3, True)
     assert {
-        m.address for m in decode_update(generated_inputs.encode_update(told, 3, True, "127.0.0.1:9")).members
+        m.address
+        for m in decode_update(generated_inputs.encode_update(endpoints, 3, True, "127.0.0.1:9")).members
     } == {("127.0.0.1", 9)}
 
 
-def test_the_modules_play_gives_each_figure_at_its_size() -> None:
+def test_module_measurement_yields_all_figures() -> None:
     found = [decision_module.measure_memory(60, 1), *decision_module.measure(60, 1, 0.2)]
     assert [p.figure for p in found] == [
         "memory", "whole_list", "choice", "answer", "failure", "drain", "replace", "restart", "unavailable",
@@ -76,7 +77,7 @@
     assert all(p.value > 0 and p.size == 60 and p.role == "module" for p in found)
 
 
-def test_each_request_of_the_modules_play_is_sent_and_each_failed_one_sent_again() -> None:
+def test_request_driver_starts_every_request_and_retries_failures() -> None:
     balancer = decision_module.new_balancer(60, 1)
     balancer.handle(
         generated_inputs.START_MS,
@@ -88,7 +89,7 @@
     assert balancer.limit.in_flight == 0 and not balancer.requests.by_id
 
 
-def test_replacements_stop_at_their_bound_and_say_so() -> None:
+def test_replacements_report_what_the_time_limit_cut_off() -> None:
     whole = list(decision_module.replacements(1, 40, (10, 40), 60.0))
     assert list(figures(whole)) == [
         ("replaced", figure, n) for figure in ("change", "memory") for n in (10, 40)
@@ -97,7 +98,7 @@
     assert len(cut) == 2 and "of 10000" in cut[0].what
 
 
-def test_the_lists_bytes_are_counted_and_what_is_refused_is_left_out() -> None:
+def test_bytes_of_lists_are_exact() -> None:
     small = list(endpoint_list.lists((200, 800)))
     assert figures(small, exact=True) == {
         ("list", "whole", 200): 33227.0, ("list", "change", 200): 215.0,
@@ -106,7 +107,7 @@
     assert ("list", "decode", 800) in figures(small)
 
 
-def test_a_real_node_serves_with_stubs() -> None:
+def test_node_process_serves_all_requests() -> None:
     found = figures(uvloop.run(endpoint_list.play_node(60, 0.6, 3.0)))
     assert [name for _, name, _ in found] == [
         "ready", "in_force", "p50", "p99", "memory", "core_per_request", "served", "p99_lists", "worst_lists",
@@ -115,28 +116,28 @@
     assert found["node", "served", 60] == found["node", "served_lists", 60] == 1.0
 
 
-async def test_the_discovery_stub_keeps_a_quiet_watch_alive(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against watches that count as dead and take the whole list while a change is measured."""
+async def test_discovery_stub_sends_heartbeats_on_idle_watches(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A watch without heartbeats counts as dead; its node would fetch the list while a change is measured."""
     monkeypatch.setattr(endpoint_list, "HEARTBEAT_INTERVAL_S", 0.02)
-    stand_in = endpoint_list.DiscoveryStub(b"{}\n")
-    server = await asyncio.start_server(stand_in.serve, "127.0.0.1", 0)
+    stub = endpoint_list.DiscoveryStub(b"{}\n")
+    server = await asyncio.start_server(stub.serve, "127.0.0.1", 0)
     reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname()[:2])
     writer.write(b"GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\n\r\n")
     assert await reader.readuntil(b"3\r\n{}\n\r\n")
     for _ in range(3):
         assert await reader.readexactly(6) == b"1\r\n\n\r\n"
-    assert stand_in.calls == 1
+    assert stub.calls == 1
     writer.close()
     server.close()
 
 
-def test_many_real_processes_on_one_host_take_a_list() -> None:
+def test_node_processes_on_one_host_yield_all_figures() -> None:
     found = uvloop.run(dense_hosting.play_processes(2, 60, 2))
     assert list(figures(found)) == [("processes", figure, 60) for figure in ("ready", "memory", "change")]
 
 
-def test_nothing_goes_to_a_failed_rack_during_an_outage_of_discovery() -> None:
-    """Real processes; the counts are the rule's, whatever the machine's speed."""
+def test_no_request_reaches_a_failed_rack_during_a_discovery_outage() -> None:
+    """Real processes: the expected counts follow from the rule and do not depend on the machine's speed."""
     points = uvloop.run(rack_failure.play_rack(2, 600, before_s=1.5, after_s=2.5))
     found = {p.figure: p.value for p in points if isinstance(p, Point)}
     assert found["sent_before"] > 0 and found["sent_late"] == 0 and found["unanswered"] == 0
@@ -159,7 +160,7 @@
 async def test_concurrent_callers_send_at_their_rate_and_count_each_request_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Also before a node that breaks connections, one that is gone and one that never answers."""
+    """The same holds for nodes that close connections, refuse them, or never respond."""
 
     class Breaks(endpoint_list.BackendStub):
         def data_received(self, data: bytes) -> None:
@@ -177,9 +178,8 @@
     ports = [server.sockets[0].getsockname()[1] for server in (*servers, gone)]
     gone.close()
     for port, status, wait in zip(ports, (200, 0, 0, 0), (60.0, 60.0, 0.2, 60.0), strict=True):
-        monkeypatch.setattr(
-            concurrent_callers, "ANSWER_TIMEOUT_S", wait
-        )  # s; only the silent one needs all of it
+        # Only the node that never responds makes the callers wait for the whole timeout.
+        monkeypatch.setattr(concurrent_callers, "ANSWER_TIMEOUT_S", wait)
         first, second = await concurrent_callers.send_all(
             concurrent_callers.Plan([port], 500.0, 0.1, 0.2), time.monotonic()
         )
@@ -190,22 +190,22 @@
         server.close()
 
 
-def test_a_quick_run_says_that_the_processes_are_not_played() -> None:
+def test_quick_run_reports_that_node_processes_were_skipped() -> None:
     (play,) = dense_hosting.plays(True)
     (item,) = play.run(1)
     assert isinstance(item, NotPlayed) and "16 real processes" in item.what
 
 
 @pytest.mark.parametrize("play", settings_tables.plays(True), ids=lambda play: play.name)
-def test_tables_grow(play: Play) -> None:
+def test_memory_of_settings_grows_with_their_tables(play: Play) -> None:
     found = list(play.run(1))
     assert {p.figure for p in found if isinstance(p, Point)} == {"make", "reload", "memory"}
     sizes = sorted(n for (_, figure, n) in figures(found) if figure == "memory")
-    held = [figures(found)[play.name, "memory", n] for n in sizes]
-    assert held == sorted(held) and len(sizes) >= 3
+    memory_bytes = [figures(found)[play.name, "memory", n] for n in sizes]
+    assert memory_bytes == sorted(memory_bytes) and len(sizes) >= 3
 
 
-def test_hollow_watchers_get_all_events() -> None:
+def test_stub_watchers_receive_all_events() -> None:
     found = figures(uvloop.run(discovery.play_watchers(12)))
     assert found["discovery", "join_calls", 12] == 12
     assert found["discovery", "join_failed", 12] == 0
@@ -216,7 +216,7 @@
     assert found["discovery", "told", 12] == pytest.approx(12 * line, rel=0.02)
 
 
-def test_bursts_and_a_days_stream_are_counted() -> None:
+def test_bytes_of_bursts_and_of_a_day_are_exact() -> None:
     bursts = figures(uvloop.run(discovery.play_bursts((1, 40, 90))), exact=True)
     assert bursts["burst", "line", 40] == len(generated_inputs.encode_update(
         [generated_inputs.entry(n) for n in range(40)], 8, False))  # fmt: skip
@@ -226,7 +226,7 @@
     assert sorted(n for (_, figure, n) in figures(day, exact=True)) == [10, 20, 40, 80, 160]
 
 
-def test_all_plays_name_what_is_hollow_and_the_size_of_two_years() -> None:
+def test_all_plays_have_limits_and_a_target_size() -> None:
     for quick in (True, False):
         plays = runner.all_plays(quick)
         assert len({play.name for play in plays}) == len(plays)
@@ -234,8 +234,8 @@
     assert {"module", "list", "node", "routes", "tenants", "discovery"} <= {p.name for p in plays}
 
 
-def test_sizes_span_what_a_slope_needs() -> None:
-    """Five sizes over a factor of 16, up to the size of two years where it can be had on one machine."""
+def test_sizes_span_the_range_that_a_slope_needs() -> None:
+    """Slopes need five sizes over a factor of 16, up to the planned size where one machine can hold it."""
     for sizes in (decision_module.SIZES,
                   endpoint_list.SIZES,
                   endpoint_list.NODE_SIZES,
@@ -249,11 +249,11 @@
     assert (settings_tables.ROUTES[-1], settings_tables.TENANTS[-1]) == (size.ROUTES, size.TENANTS)
 
 
-# --- the whole
+# --- Tests of the runner and the command
 
 
-def test_a_result_has_its_slopes_and_says_what_was_not_played(tmp_path: Path) -> None:
-    result = runner.run([PLANTED], 5, True, quiet)
+def test_result_files_have_slopes_and_skipped_measurements(tmp_path: Path) -> None:
+    result = runner.run([LINEAR_PLAY], 5, True, ignore_progress)
     runner.write(result, tmp_path)
     assert runner.read(tmp_path / "scale.json") == result
     table = json.loads((tmp_path / "scale.json").read_text())
@@ -268,14 +268,14 @@
     assert "it never ended" in page and "nothing is real" in page and "data:image/png" in page
 
 
-def test_what_comes_after_the_time_is_over_is_not_played(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_plays_after_the_time_limit_are_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(runner, "QUICK_TIME_LIMIT_S", -1.0)
-    result = runner.run([PLANTED], 1, True, quiet)
+    result = runner.run([LINEAR_PLAY], 1, True, ignore_progress)
     assert not result.points and [n.what for n in result.not_played] == ["planted"]
 
 
-def test_the_command_writes_and_prints(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(command, "all_plays", lambda quick: [PLANTED])
+def test_command_writes_and_prints_the_result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(command, "all_plays", lambda quick: [LINEAR_PLAY])
     done = CliRunner().invoke(app, ["lab", "scale", "--quick", "--json", "--out", str(tmp_path)])
     assert done.exit_code == 0, done.output
     assert json.loads(done.stdout)["quick"] is True
@@ -284,10 +284,10 @@
     assert done.exit_code == 0 and "it never ended" in done.stdout
 
 
-def test_a_folder_that_cannot_be_had_is_said_in_two_lines(
+def test_output_folder_that_cannot_be_created_is_reported_in_two_lines(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(command, "all_plays", lambda quick: [PLANTED])
+    monkeypatch.setattr(command, "all_plays", lambda quick: [LINEAR_PLAY])
     (tmp_path / "file").write_text("")
     done = CliRunner().invoke(app, ["lab", "scale", "--quick", "--out", str(tmp_path / "file")])
     assert done.exit_code == 2 and len(done.stderr.strip().split("\n")) == 2
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -1,4 +1,4 @@
-"""A zone of 7,778 of 70,000 backends is lost and back cold within 2 s while a node carries its requests."""
+"""Tests that a node keeps serving while a zone of 7,778 of 70,000 backends is removed and returns cold."""
 
 from __future__ import annotations
 
@@ -26,12 +26,14 @@
 from tests.helpers import BASE, OverloadBudgetChecker, RuleChecker
 from tests.helpers import member as listed_at
 
-GAP_MS = 1000.0 * size.NODES / size.PEAK_PER_S  # between two requests: 193 a second
-ANSWER_MS = 4.0
-TURN_MS = 1.5  # from one turn of the list to the next, pause included
-AWAY_MS, BACK_MS = 1_000.0, 1_000.0  # from the loss until the zone is back, and until all of that is told
-CHANGED = 300  # backends of other zones that drain, and as many that are new, in the word of the loss
-CALLS = size.BACKENDS // 10  # of Python or C that a turn may make: a walk over what is listed makes more
+REQUEST_INTERVAL_MS = 1000.0 * size.NODES / size.PEAK_PER_S  # A node gets 193 requests per second.
+RESPONSE_MS = 4.0
+STEP_INTERVAL_MS = 1.5  # Steps of a list update, including the pauses between them, start every 1.5 ms.
+AWAY_MS, BACK_MS = 1_000.0, 1_000.0  # The zone is away for 1 s, and its return must be applied within 1 s.
+# The list without the zone also has 300 backends of other zones that drain, and 300 new ones.
+CHANGED_BACKENDS = 300
+# A step may make 7,000 calls of Python or C functions; a loop over the whole list would make more.
+MAX_CALLS_PER_STEP = size.BACKENDS // 10
 SETTINGS = replace(
     BASE,
     zone="z0",
@@ -40,7 +42,7 @@
     charges=api.Charges(cross_zone=0.1),
     slow_start_ms=60_000.0,
 )
-FULL_PER_S = size.PEAK_PER_S / size.BACKENDS  # of a backend, at the rate for which the tier is planned
+CAPACITY_PER_S = size.PEAK_PER_S / size.BACKENDS  # Backends can serve just their share of the planned peak.
 ORDER = GONE, DRAINING, UP = (
     api.EndpointPhase.REMOVED,
     api.EndpointPhase.DRAINING,
@@ -49,8 +51,8 @@
 
 
 @pytest.fixture(scope="module")
-def whole() -> list[Member]:
-    """The whole list, of warm backends in nine zones."""
+def full_list() -> list[Member]:
+    """Return the complete list of warm backends in nine zones."""
     return [member(generated_inputs.entry(number)) for number in range(size.BACKENDS)]
 
 
@@ -58,146 +60,159 @@
     return listed_at(entry, "127.0.0.1:9")
 
 
-class World(EventScheduler):
-    """One node's list, pool and module on a virtual clock: a turn of the list, then what is due before it."""
+class NodeSimulation(EventScheduler):
+    """One node's list updater, connection pool and decision module on a virtual clock."""
 
     def __init__(self) -> None:
         super().__init__(generated_inputs.START_MS)
         self.balancer, self.checker = Balancer(SETTINGS, 3), RuleChecker(SETTINGS)
-        self.budget = OverloadBudgetChecker(SETTINGS, FULL_PER_S)
-        self.seats: dict[str, int] = {}  # of backends sent to, by which they are taken together
+        self.budget = OverloadBudgetChecker(SETTINGS, CAPACITY_PER_S)
+        # Backends get numbers in the order of their first attempts; five in a row form a group.
+        self.backend_numbers: dict[str, int] = {}
         pool = ConnectionPool(SETTINGS, 1, RequestStatistics(), StreamMemory(192.0))
-        self.listing = EndpointUpdater(pool, self.told, self.taken, cast(CooperativeScheduler, self))
+        self.updater = EndpointUpdater(
+            pool, self.entries_reported, self.list_applied, cast(CooperativeScheduler, self)
+        )
         self.number = self.refused = 0
-        self.phases: dict[str, api.EndpointPhase] = {}  # the last word told of each
-        self.pieces: list[Counter[api.EndpointPhase]] = []
-        self.by_zone = Counter[str]()  # attempts
-        self.calls = [0]  # by turn
-        self.in_force: list[int] = []
-        self.work: Iterator[None] | None = None
+        self.reported_phases: dict[str, api.EndpointPhase] = {}
+        self.batches: list[Counter[api.EndpointPhase]] = []
+        self.attempts_by_zone = Counter[str]()
+        self.calls_by_step = [0]
+        self.revisions_in_force: list[int] = []
+        self.steps: Iterator[None] | None = None
 
-    # --- the list
+    # --- Updates of the list
 
-    def add(self, work: Iterator[None]) -> None:
-        """Stands in for the node's turns."""
-        self.at(self.now + TURN_MS, partial(self.turn, work))
+    def add(self, steps: Iterator[None]) -> None:
+        """Schedule the steps of a list update, in place of the node's CooperativeScheduler."""
+        self.at(self.now + STEP_INTERVAL_MS, partial(self.run_step, steps))
 
-    def turn(self, work: Iterator[None]) -> None:
+    def run_step(self, steps: Iterator[None]) -> None:
         def count(frame: FrameType, event: str, arg: object) -> None:
-            self.calls[-1] += event in ("call", "c_call")
+            self.calls_by_step[-1] += event in ("call", "c_call")
 
-        told = len(self.pieces)
-        if self.in_force:  # the first list is taken before the node serves
-            self.calls.append(0)
+        batches_before = len(self.batches)
+        # Calls are not counted for the first list, which is applied before the node serves.
+        if self.revisions_in_force:
+            self.calls_by_step.append(0)
             sys.setprofile(count)
-        more = next(work, self) is not self
+        more = next(steps, self) is not self
         sys.setprofile(None)
-        assert len(self.pieces) <= told + 1
+        assert len(self.batches) <= batches_before + 1
         if more:
-            self.add(work)
+            self.add(steps)
 
-    def told(self, event: api.ListUpdate) -> None:
-        self.pieces.append(Counter(entry.phase for entry in event.entries))
-        self.phases.update((entry.backend, entry.phase) for entry in event.entries)
-        self.tell(event)
+    def entries_reported(self, event: api.ListUpdate) -> None:
+        self.batches.append(Counter(entry.phase for entry in event.entries))
+        self.reported_phases.update((entry.backend, entry.phase) for entry in event.entries)
+        self.handle_event(event)
 
-    def taken(self, news: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
-        assert news is not None
-        self.in_force.append(news.revision)
+    def list_applied(self, update: EndpointUpdate | None, kind: api.ListUpdateKind) -> None:
+        assert update is not None
+        self.revisions_in_force.append(update.revision)
 
     def put(self, revision: int, members: list[Member]) -> None:
-        self.listing.put(EndpointUpdate(revision, True, tuple(members)), api.ListUpdateKind.SNAPSHOT)
+        self.updater.put(EndpointUpdate(revision, True, tuple(members)), api.ListUpdateKind.SNAPSHOT)
 
     # --- requests
 
-    def tell(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         self.checker.event(self.now, event)
-        acts = self.balancer.handle(self.now, event)
-        self.checker.actions(self.now, acts)
-        for act in acts:
-            match act:
+        actions = self.balancer.handle(self.now, event)
+        self.checker.actions(self.now, actions)
+        for action in actions:
+            match action:
                 case api.StartAttempt():
-                    self.sent(act)
+                    self.attempt_started(action)
                 case api.SetTimer():
-                    self.at(act.fires_at, partial(self.tell, api.TimerFired(act.token)))
+                    self.at(action.fires_at, partial(self.handle_event, api.TimerFired(action.token)))
                 case api.RejectRequest() | api.FailRequest():
                     self.refused += 1
 
-    def sent(self, send: api.StartAttempt) -> None:
-        assert self.phases[send.backend] is UP and send.backend in self.listing.pool.members
+    def attempt_started(self, send: api.StartAttempt) -> None:
+        assert self.reported_phases[send.backend] is UP and send.backend in self.updater.pool.members
         entry = self.balancer.index.records[send.backend].entry
-        self.by_zone[entry.zone] += 1
-        # Five nodes feed a backend. Coins fall for each backend alone, so what one node sends to five of them
-        # stands for what five nodes send to one: the rule is on all of that, and chance has its slack there.
-        seat = self.seats.setdefault(entry.backend, len(self.seats))
-        self.budget.send(self.now, replace(entry, backend=f"{seat // size.NODES_PER_ENDPOINT}"))
+        self.attempts_by_zone[entry.zone] += 1
+        # Five nodes send to each backend and draw independently, so the attempts of one node on five backends
+        # stand for those of five nodes on one backend. The overload budget applies to that sum, with a slack
+        # for chance.
+        backend_number = self.backend_numbers.setdefault(entry.backend, len(self.backend_numbers))
+        self.budget.send(self.now, replace(entry, backend=f"{backend_number // size.NODES_PER_ENDPOINT}"))
         attempt = len(self.checker.requests[send.request].attempts) - 1
-        ok = api.AttemptEnded(send.request, attempt, send.backend, api.AttemptStatus.OK, ANSWER_MS, True)
-        self.at(self.now + ANSWER_MS, partial(self.tell, ok))
+        ok = api.AttemptEnded(send.request, attempt, send.backend, api.AttemptStatus.OK, RESPONSE_MS, True)
+        self.at(self.now + RESPONSE_MS, partial(self.handle_event, ok))
 
     def load(self, until: float) -> None:
-        """Requests until then, one each GAP_MS."""
+        """Send a request every REQUEST_INTERVAL_MS until the given time."""
         while self.now < until:
-            self.run(self.now + GAP_MS)
+            self.run(self.now + REQUEST_INTERVAL_MS)
             name = ("read", "pay", "once")[self.number % 3]
-            self.tell(api.RequestArrived(f"r{self.number}", name, self.now + 1000.0))
+            self.handle_event(api.RequestArrived(f"r{self.number}", name, self.now + 1000.0))
             self.number += 1
 
 
-def stops_first(pieces: list[Counter[api.EndpointPhase]]) -> bool:
-    """Whether all that goes was told before what drains, and that before what serves."""
-    order = [phase for piece in pieces for phase in ORDER if piece[phase]]
+def is_removal_first(batches: list[Counter[api.EndpointPhase]]) -> bool:
+    """Return whether removed entries were reported before draining ones, and those before the others."""
+    order = [phase for batch in batches for phase in ORDER if batch[phase]]
     return order == sorted(order, key=ORDER.index)
 
 
 @pytest.mark.parametrize("zone", ["z0", "z1"], ids=["own", "other"])
-async def test_a_zone_is_lost_and_back_cold_within_2_s_at_full_size(whole: list[Member], zone: str) -> None:
-    """None is refused: what the zone does not bear yet others take."""
-    world = World()
-    world.put(1, whole)
-    world.run(world.now + 10_000.0)
-    assert world.in_force == [1] and len(world.balancer.index.order) == size.BACKENDS
-    world.load(world.now + 1_000.0)
-    warm = world.by_zone.copy()
-    assert warm["z0"] > 0 and not world.refused
-
-    # Lost; in the same word others drain, and others are new.
-    begin, world.pieces, world.calls = world.now, [], [0]
-    lost = [m.backend for m in whole if m.zone == zone]
+async def test_zone_is_lost_and_returns_cold_within_2_s_at_full_size(
+    full_list: list[Member], zone: str
+) -> None:
+    """No request may fail: other zones must take the load that the cold zone cannot take yet."""
+    simulation = NodeSimulation()
+    simulation.put(1, full_list)
+    simulation.run(simulation.now + 10_000.0)
+    assert simulation.revisions_in_force == [1] and len(simulation.balancer.index.order) == size.BACKENDS
+    simulation.load(simulation.now + 1_000.0)
+    before_loss = simulation.attempts_by_zone.copy()
+    assert before_loss["z0"] > 0 and not simulation.refused
+
+    # The zone is removed; the same list has other backends that drain and some that are new.
+    begin, simulation.batches, simulation.calls_by_step = simulation.now, [], [0]
+    lost = [m.backend for m in full_list if m.zone == zone]
     assert len(lost) == round(size.BACKENDS / size.ZONES)
-    rest = [m for m in whole if m.zone != zone]
-    drain = [replace(m, phase=DRAINING) for m in rest[:CHANGED]]
+    rest = [m for m in full_list if m.zone != zone]
+    drain = [replace(m, phase=DRAINING) for m in rest[:CHANGED_BACKENDS]]
     numbers = (n for n in range(size.BACKENDS, 2 * size.BACKENDS) if generated_inputs.zone_name(n) != zone)
-    new = [member(generated_inputs.entry(next(numbers))) for _ in range(CHANGED)]
-    world.put(2, [*new, *drain, *rest[CHANGED:]])
-    while world.in_force != [1, 2]:
-        world.load(world.now + GAP_MS)
-    assert world.now < begin + AWAY_MS
-    assert stops_first(world.pieces)
-    assert sum(world.pieces, Counter()) == {GONE: len(lost), DRAINING: CHANGED, UP: CHANGED}
-    assert len(world.balancer.index.order) == size.BACKENDS - len(lost)
-    before = world.by_zone[zone]
-    world.load(begin + AWAY_MS)
-    # The others take all of it.
-    assert world.by_zone[zone] == before and not world.refused
-    assert world.by_zone.total() == world.number
-
-    # Back cold, those that drained and those that were new gone again.
-    lost_pieces, world.pieces = world.pieces, []
-    cold = [replace(m, started_at=world.now) if m.zone == zone else m for m in whole]
-    world.put(3, cold)
-    while world.in_force != [1, 2, 3]:
-        world.load(world.now + GAP_MS)
-    assert world.now < begin + AWAY_MS + BACK_MS
-    assert sum(world.pieces, Counter()) == {GONE: CHANGED, UP: len(lost) + CHANGED}
-    assert stops_first(world.pieces)
-    assert len(world.balancer.index.order) == size.BACKENDS
-    world.load(begin + AWAY_MS + BACK_MS + 2_000.0)
-    world.run(world.now + 2_000.0)
-
-    # No turn did more than its part, no backend got more than its budget, each request has its one answer.
-    assert max(piece.total() for piece in lost_pieces + world.pieces) == endpoint_updater.BATCH_ENTRIES
-    assert max(world.calls) <= CALLS
-    assert world.budget.worst() <= 1.0
-    assert world.by_zone.total() == world.number and not world.refused
-    assert not world.balancer.requests.by_id and not world.checker.overdue(world.now)
+    new = [member(generated_inputs.entry(next(numbers))) for _ in range(CHANGED_BACKENDS)]
+    simulation.put(2, [*new, *drain, *rest[CHANGED_BACKENDS:]])
+    while simulation.revisions_in_force != [1, 2]:
+        simulation.load(simulation.now + REQUEST_INTERVAL_MS)
+    assert simulation.now < begin + AWAY_MS
+    assert is_removal_first(simulation.batches)
+    assert sum(simulation.batches, Counter()) == {
+        GONE: len(lost),
+        DRAINING: CHANGED_BACKENDS,
+        UP: CHANGED_BACKENDS,
+    }
+    assert len(simulation.balancer.index.order) == size.BACKENDS - len(lost)
+    before = simulation.attempts_by_zone[zone]
+    simulation.load(begin + AWAY_MS)
+    # The other zones take all requests.
+    assert simulation.attempts_by_zone[zone] == before and not simulation.refused
+    assert simulation.attempts_by_zone.total() == simulation.number
+
+    # The zone returns cold; the draining backends are in service again and the new ones are removed.
+    removal_batches, simulation.batches = simulation.batches, []
+    cold = [replace(m, started_at=simulation.now) if m.zone == zone else m for m in full_list]
+    simulation.put(3, cold)
+    while simulation.revisions_in_force != [1, 2, 3]:
+        simulation.load(simulation.now + REQUEST_INTERVAL_MS)
+    assert simulation.now < begin + AWAY_MS + BACK_MS
+    assert sum(simulation.batches, Counter()) == {GONE: CHANGED_BACKENDS, UP: len(lost) + CHANGED_BACKENDS}
+    assert is_removal_first(simulation.batches)
+    assert len(simulation.balancer.index.order) == size.BACKENDS
+    simulation.load(begin + AWAY_MS + BACK_MS + 2_000.0)
+    simulation.run(simulation.now + 2_000.0)
+
+    # No step exceeds its limit of entries and calls, no backend its budget, and each request gets a response.
+    assert (
+        max(batch.total() for batch in removal_batches + simulation.batches) == endpoint_updater.BATCH_ENTRIES
+    )
+    assert max(simulation.calls_by_step) <= MAX_CALLS_PER_STEP
+    assert simulation.budget.worst() <= 1.0
+    assert simulation.attempts_by_zone.total() == simulation.number and not simulation.refused
+    assert not simulation.balancer.requests.by_id and not simulation.checker.overdue(simulation.now)
