--- a/balancer/cli/app.py
+++ b/balancer/cli/app.py
@@ -25,10 +25,10 @@
 from balancer.experiments.experiment import Experiment
 from balancer.experiments.loading import decode_experiment, load_experiment
 from balancer.lab import records
-from balancer.lab.figures import JUDGED, MIN_SEEDS
+from balancer.lab.figures import COMPARED_FIGURES, MIN_SEEDS
 from balancer.lab.judge import RULES, Judge
-from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, obtain
-from balancer.lab.run import Live, ResultsError, Run, play
+from balancer.lab.programs import ROOT, WORKING_TREE, Program, ProgramError, prepare_program
+from balancer.lab.run import Live, ResultsError, Run, run_experiment
 from balancer.lab.summary import Summary, summarize
 
 EXPERIMENTS = ROOT / "lab" / "experiments"
@@ -46,8 +46,7 @@
 console = Console(stderr=True)
 
 
-# The figures of one run, keyed by name.
-Figures = dict[str, float]
+RunFigures = dict[str, float]
 OutOption = Annotated[Path, typer.Option("--out", help="Directory for the results; created if missing.")]
 SetOption = Annotated[
     list[str] | None, typer.Option("--set", help="Override a field: KEY=VALUE with a dotted key. Repeatable.")
@@ -69,8 +68,8 @@
     remedy = "name the --out directory of a completed lab run, or run the experiment again with this version"
 
 
-class HarnessLateError(BalancerError):
-    """The harness sent requests too late in a run of a comparison, so the figures cannot be compared."""
+class VoidRunError(BalancerError):
+    """A run of a comparison is void, because the harness or a node got too little processor time."""
 
     code = "LAB08"
     remedy = "compare again on an idle machine, or with a lower rate and fewer nodes"
@@ -109,7 +108,7 @@
     """Return the program of a revision, building it if necessary."""
     try:
         with console.status(f"building {revision}" if revision != WORKING_TREE else "building the node"):
-            return obtain(revision)
+            return prepare_program(revision)
     except ProgramError as err:
         raise error_exit(err) from None
     except OSError as err:
@@ -120,9 +119,9 @@
              live: Live | None = None) -> tuple[records.RunRecords, Summary]:  # fmt: skip
     """Play an experiment, judge it and write `summary.json` and `experiment.json`.
 
-    Raises the errors of `play`, and OSError.
+    Raises the errors of `run_experiment`, and OSError.
     """
-    run_records = uvloop.run(play(spec, seed, program, out, verbose, live))
+    run_records = uvloop.run(run_experiment(spec, seed, program, out, verbose, live))
     (out / "experiment.json").write_bytes(msgspec.json.encode(spec))
     return run_records, judge_records(spec, seed, program.label, run_records, out)
 
@@ -180,7 +179,8 @@
         output.print(f"  {item.rule} at {item.at_ms / 1000:.2f} s, n{item.node}: {item.text}")
     if summary.void:
         output.print(
-            f"[red]void[/red]: the harness sent requests {values['rig_late_p99_ms']:.1f} ms late at p99"
+            "[red]void[/red]: the machine was too slow; the harness sent requests "
+            f"{values['rig_late_p99_ms']:.1f} ms late at p99"
         )
 
 
@@ -235,7 +235,7 @@
         bool, typer.Option("--verbose", "-v", help="Print the log of the lab during the run.")
     ] = False,
 ) -> None:
-    """Run an experiment. Exit code 0: expectations met; 1: some not met; 2: not run, or harness too late."""
+    """Run an experiment. Exit code 0: expectations met; 1: some not met; 2: not run, or void."""
     spec = read_experiment(experiment, sets)
     program = build_program(revision)
     title = f"{spec.name}: {spec.seconds:g} s with {spec.fleet.nodes} nodes"
@@ -331,12 +331,12 @@
 ) -> None:
     """Compare two programs on the same seeds. Exit code 0: no difference; 1: a figure differs; 2: not run."""
     from balancer.lab.compare import compare, compare_page
-    from balancer.lab.compare import table as rows_of
+    from balancer.lab.compare import difference_rows as rows_of
 
     specs = (read_experiment(experiment, sets), read_experiment(experiment, [*(sets or ()), *(sets_b or ())]))
     spec = specs[0]
     programs = (build_program(a), build_program(b))
-    figure_names = tuple(dict.fromkeys([*JUDGED, *(extra_figures or ())]))
+    figure_names = tuple(dict.fromkeys([*COMPARED_FIGURES, *(extra_figures or ())]))
     with reporting_errors():
         values = _paired_figures(specs, programs, range(first_seed, first_seed + seeds), out)
         for name in figure_names:
@@ -357,9 +357,9 @@
 
 def _paired_figures(
     specs: tuple[Experiment, Experiment], programs: tuple[Program, Program], seeds: range, out: Path
-) -> tuple[list[Figures], list[Figures]]:
-    """Run both programs on each seed and return the figures of all runs; raises HarnessLateError."""
-    values: tuple[list[Figures], list[Figures]] = ([], [])
+) -> tuple[list[RunFigures], list[RunFigures]]:
+    """Run both programs on each seed and return the figures of all runs; raises VoidRunError."""
+    values: tuple[list[RunFigures], list[RunFigures]] = ([], [])
     with Progress(console=console, transient=True) as progress:
         bar = progress.add_task(specs[0].name, total=2 * len(seeds))
         for seed in seeds:
@@ -368,8 +368,9 @@
                 folder = out / f"{'ab'[side]}-{seed}"
                 _, summary = play_and_judge(specs[side], seed, programs[side], folder)
                 if summary.void:
-                    raise HarnessLateError(
-                        f"seed {seed}, {programs[side].label}: the harness sent requests late; see {folder}"
+                    raise VoidRunError(
+                        f"seed {seed}, {programs[side].label}: the run is void because the machine "
+                        f"was too slow; see {folder}"
                     )
                 values[side].append(summary.figures)
                 progress.advance(bar)
--- a/balancer/lab/scale/runner.py
+++ b/balancer/lab/scale/runner.py
@@ -18,7 +18,7 @@
 from matplotlib.ticker import EngFormatter, LogLocator, NullFormatter
 
 from balancer.lab.programs import ROOT
-from balancer.lab.report import BAD, GOOD, INK, page, png, table_html
+from balancer.lab.report import BAD, GOOD, INK, html_page, inline_image, table_html
 from balancer.lab.scale import (
     decision_module,
     dense_hosting,
@@ -248,12 +248,12 @@
         "",
     )
     kind = "quick" if result.quick else "whole"
-    return page(
+    return html_page(
         "scale: lab report",
         f"<p>{kind} run, seed {result.seed}, program {html.escape(result.program)}, Python {result.python}, "
         f"{html.escape(result.machine)}, load {result.load:g} before it, {result.seconds:g} s</p>",
         table_html(rows, head),
-        *(png(plots(group)) for group in by_role(result.slopes).values()),
+        *(inline_image(plots(group)) for group in by_role(result.slopes).values()),
         "<h2>Not run</h2>",
         table_html([(n.what, n.why) for n in result.not_played], ("what", "why")),
         "<h2>Limits of the measurements</h2>",
--- a/balancer/lab/soak/crowd.py
+++ b/balancer/lab/soak/crowd.py
@@ -56,5 +56,5 @@
         for _ in range(min(MAX_OPENED_PER_ROUND, self.size - len(open_connections))):
             with contextlib.suppress(OSError, TimeoutError):
                 async with asyncio.timeout(ROUND_INTERVAL_S):
-                    _, connection = await loop.create_connection(IdleConnection, *run.places.node(node))
+                    _, connection = await loop.create_connection(IdleConnection, *run.addresses.node(node))
                     open_connections.append(connection)
