--- a/balancer/lab/scale/decision_module.py
+++ b/balancer/lab/scale/decision_module.py
@@ -67,7 +67,7 @@
         self.answer.append(time.process_time_ns() - begin)
 
     def run(self, max_s: float, max_count: int) -> None:
-        """Run at most `most` requests, and stop after `max_s` seconds of processor time."""
+        """Run at most `max_count` requests, and stop after `max_s` seconds of processor time."""
         until = time.process_time() + max_s
         for number in range(max_count):
             self.run_request(number % REQUESTS_PER_FAILURE == REQUESTS_PER_FAILURE - 1)
@@ -205,7 +205,7 @@
             old.phase = api.EndpointPhase.REMOVED
             begin = time.process_time_ns()
             balancer.handle(now, api.ListUpdate(api.ListUpdateKind.DELTA, [old, new], number + 2))
-            # The list of times is left empty while memory is measured, as it would count as the module's.
+            # Times are not recorded while memory is measured: their list would count as the module's memory.
             if unit == "us":
                 durations_ns.append(time.process_time_ns() - begin)
             if number + 1 in marks:
--- a/balancer/lab/scale/endpoint_list.py
+++ b/balancer/lab/scale/endpoint_list.py
@@ -419,7 +419,7 @@
     """The lines that discovery sends, encoded before the measurement."""
 
     def __init__(self, backends: int, address: str) -> None:
-        """Encode a list of backends that all have the address `where`."""
+        """Encode a list of backends that all have the same address."""
         self.entries, self.address = (
             generated_inputs.entries(backends, time.time() * 1000 - generated_inputs.DAY_MS),
             address,
--- a/balancer/lab/scale/membership_tiers.py
+++ b/balancer/lab/scale/membership_tiers.py
@@ -44,8 +44,8 @@
 STEP_MS = 50.0  # Convergence is checked every 50 ms, so measured times may be up to 50 ms too long.
 RESTART_DELAY_MS = 1_000.0
 MEASURED_DEATHS = 3
-NODES_PER_RACK_NODE = 20  # One node in 20 fails with a rack.
-NODES_PER_RESTART = 10  # One node in 10 is restarted at the same time.
+NODES_PER_RACK_NODE = 20  # A simulated rack failure ends one node in 20.
+NODES_PER_RESTART = 10  # One node in 10 is killed and restarted at the same time.
 MEASURED_DATAGRAMS = 400
 
 
--- a/balancer/lab/scale/power_recovery.py
+++ b/balancer/lab/scale/power_recovery.py
@@ -37,7 +37,7 @@
 STEP_MS = 50.0  # Recovery is checked every 50 ms, so measured times may be up to 50 ms too long.
 REQUESTS_PER_S = 193.0
 SURVEY_REPLY_MS = 20.0
-REPRESENTATIVE_NODES = 24  # Each of these 24 nodes represents an equal share of a larger tier.
+REPRESENTATIVE_NODES = 24  # A small tier of 24 nodes represents a large one, whose poll slots they share.
 MEASURED_PLANS = 8
 
 
@@ -67,7 +67,7 @@
                 self.now + self.tier_random.uniform(0, START_SPREAD_MS),
                 partial(self.boot, node, DiskCondition.SOUND),
             )
-        # Both tables hold times in ms since the return of power, until a node is FULL or has a list.
+        # Times by node are in ms since the return of power, until phase FULL and until the first list.
         self.full_at: dict[int, float] = {}
         self.listed_at: dict[int, float] = {}
 
@@ -184,7 +184,7 @@
 
 def status_datagrams(sizes: Sequence[int], seed: int) -> Iterator[Point]:
     """Measure the datagram in which a node reports its status and its view."""
-    del seed  # This measurement has no random input.
+    del seed  # The seed is not needed, because the encoded status does not depend on random draws.
     for count in sizes:
         points = PointFactory(ROLE, count)
         state = NodeStatus(
--- a/balancer/lab/scale/runner.py
+++ b/balancer/lab/scale/runner.py
@@ -44,7 +44,7 @@
     name: str
     target: int
     limits: str
-    seconds: float  # The run times of parallel parts are added up.
+    seconds: float  # The run times of the parts of a parallel play are added up.
 
 
 class Result(msgspec.Struct, frozen=True):
@@ -92,7 +92,7 @@
     seed: int
     limit_s: float
     deadline: float
-    # The observer is called when a play starts, with None, and for each measured point.
+    # The observer is called with None when a play starts, and with each point that is measured.
     observe: Callable[[str, Point | None], None]
 
     @property
@@ -110,7 +110,7 @@
     """The results of one play."""
 
     items: list[Point | NotPlayed]
-    # The run times of parallel parts are added up; None means that the play was not started.
+    # The run times of the parts of a parallel play are added up; None means that the play was not started.
     seconds: float | None
 
 
--- a/balancer/lab/scale/settings_tables.py
+++ b/balancer/lab/scale/settings_tables.py
@@ -20,8 +20,8 @@
 LIST_ENTRIES = 200  # The endpoint list is kept short, because its cost is not part of this measurement.
 
 LIMITS = (
-    "Measured are parse_settings on decoded JSON, and the decision module's turn for new settings; reading "
-    "the file and what net/ keeps of it are left out. A route is a request class, as the settings have no "
+    "The figures cover parse_settings on decoded JSON and the decision module's reload; reading the file and "
+    "what net/ keeps of it are left out. A route is a request class, as the settings have no "
     "other table for it; no code uses the tenants yet."
 )
 
--- a/tests/test_scale_runner.py
+++ b/tests/test_scale_runner.py
@@ -137,7 +137,7 @@
 
 
 def test_no_request_reaches_a_failed_rack_during_a_discovery_outage() -> None:
-    """Real processes: the expected counts follow from the rule and do not depend on the machine's speed."""
+    """The expected counts hold at any speed of the machine that runs the real node processes."""
     points = uvloop.run(rack_failure.play_rack(2, 600, before_s=1.5, after_s=2.5))
     found = {p.figure: p.value for p in points if isinstance(p, Point)}
     assert found["sent_before"] > 0 and found["sent_late"] == 0 and found["unanswered"] == 0
@@ -160,7 +160,7 @@
 async def test_concurrent_callers_send_at_their_rate_and_count_each_request_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The same holds for nodes that close connections, refuse them, or never respond."""
+    """Requests are counted once even if a node closes connections, refuses them, or never responds."""
 
     class Breaks(endpoint_list.BackendStub):
         def data_received(self, data: bytes) -> None:
--- a/tests/test_scale_zone.py
+++ b/tests/test_scale_zone.py
@@ -114,7 +114,7 @@
     def put(self, revision: int, members: list[Member]) -> None:
         self.updater.put(EndpointUpdate(revision, True, tuple(members)), api.ListUpdateKind.SNAPSHOT)
 
-    # --- requests
+    # --- Requests and attempts
 
     def handle_event(self, event: api.Event) -> None:
         self.checker.event(self.now, event)
@@ -134,8 +134,8 @@
         entry = self.balancer.index.records[send.backend].entry
         self.attempts_by_zone[entry.zone] += 1
         # Five nodes send to each backend and draw independently, so the attempts of one node on five backends
-        # stand for those of five nodes on one backend. The overload budget applies to that sum, with a slack
-        # for chance.
+        # stand for those of five nodes on one backend. The overload budget applies to that sum and allows for
+        # random variation.
         backend_number = self.backend_numbers.setdefault(entry.backend, len(self.backend_numbers))
         self.budget.send(self.now, replace(entry, backend=f"{backend_number // size.NODES_PER_ENDPOINT}"))
         attempt = len(self.checker.requests[send.request].attempts) - 1
