--- a/balancer/lab/backend_stubs.py
+++ b/balancer/lab/backend_stubs.py
@@ -283,7 +283,7 @@
             self.stub.served += 1
             self.stub.group.serial += 1
             text = f"{job.ident} {self.stub.name} {self.stub.group.serial}"
-            record.body, body = text, text.encode()
+            record.response_body, body = text, text.encode()
         else:
             self.stub.errors += 1
         if verdict in NOT_STARTED:
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -178,7 +178,7 @@
             return
         self.new_connection, record = False, in_flight.record
         record.answered_at, record.status = self.clock.now(), code
-        record.body, record.retry_after = self.body.decode("latin-1"), self.retry_after
+        record.response_body, record.retry_after_ms = self.body.decode("latin-1"), self.retry_after
         end = _outcome(code)
         self.keep = self.parser.should_keep_alive()
         self.in_flight = None
@@ -342,7 +342,7 @@
         if end is Outcome.SERVED:
             self.recent_latencies_ms.append(now - in_flight.operation.intended_at)
         retry_at = in_flight.operation.next_attempt_at(
-            now, record.sent_at or record.scheduled_at, end, record.retry_after
+            now, record.sent_at or record.scheduled_at, end, record.retry_after_ms
         )
         if retry_at is None:
             record.is_last = True
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -1,8 +1,8 @@
-"""Checks of the rules, by the records of stubs and clients alone: nothing that a node reports counts.
+"""Checks of the rules, based on records of stubs and clients only: reports of the nodes are not trusted.
 
-The rules are those of the platform's pages (WIRE "Four things never to do", PROTOCOL "The rules on sockets"):
-time limits grow by 50 ms on sockets. What a fault of the lab itself took (a killed node's requests, a network
-that is cut) is excused and counted.
+The rules come from the platform's pages (WIRE "Four things never to do", PROTOCOL "The rules on sockets"):
+each time limit is 50 ms longer on sockets. Requests lost to a fault of the lab itself, such as a killed node
+or a cut link, are excused and counted.
 """
 
 from __future__ import annotations
@@ -27,57 +27,57 @@
 from balancer.models.directory import Phase
 from balancer.models.network import NetworkConditions
 
-SOCKET_SLACK_MS = 50.0  # that sockets add to each limit
-ASSUMED_DELIVERY_MS = 6000.0  # after which an event of discovery counts as delivered
-TERMINATION_SLACK_MS = 700.0  # after SIGTERM, in which a request may still be lost to SIGKILL
-MAX_UNANSWERED_SHARE = 1 / 200  # of requests whose connection ends with no answer and no attempt
-MIN_INFORMED_SHARE = 2 / 3  # of a collapsed backend's work, from nodes that knew it was cold
+SOCKET_SLACK_MS = 50.0  # Every time limit of a rule is longer by this on sockets.
+ASSUMED_DELIVERY_MS = 6000.0  # Discovery's events count as delivered to all nodes after this time.
+SIGKILL_LOSS_WINDOW_MS = 700.0  # A request sent up to this long after SIGTERM may be lost to SIGKILL.
+MAX_UNANSWERED_SHARE = 1 / 200  # This share of requests may lose its connection without any attempt.
+MIN_INFORMED_SHARE = 2 / 3  # Informed nodes must have sent this share of a collapsed backend's work.
 MAX_REPORTED_VIOLATIONS = 20
 
 RULES = {
-    "answer": "each request taken gets one final answer in time",
-    "twice": "nothing is sent again, or refused as harmless, that the class forbids once it may have run",
-    "one-out": "a request has one attempt out at a time",
-    "drain": "nothing new goes to a backend that drains or is gone, past the grace",
-    "banned": "nothing goes to a backend that the operators took out",
-    "topple": "no cold backend is sent so much that it topples",
-    "made-up": "a served answer is one that a backend made for this request",
-    "changed": "a backend gets only what a client sent, unchanged",
-    "crash": "no node ends by itself, or is late to start",
+    "answer": "each accepted request gets one final response in time",
+    "twice": "a request that may have run is resent or rejected as not started only if its class allows it",
+    "one-out": "a request has at most one attempt in flight",
+    "drain": "no attempt goes to a draining or removed backend after the grace period",
+    "banned": "no attempt goes to a backend under a maintenance ban",
+    "topple": "no cold backend is overloaded until it collapses",
+    "made-up": "a served response was produced by a backend for this request",
+    "changed": "a backend receives only requests that a client sent, unchanged",
+    "crash": "no node process exits by itself or starts too late",
 }
-NEVER_RAN = frozenset({Verdict.REJECTED.value, Verdict.EXPIRED.value})
-MADE = frozenset({Verdict.SERVED.value, Verdict.REPEATED.value})
+NOT_EXECUTED = frozenset({Verdict.REJECTED.value, Verdict.EXPIRED.value})
+SERVED_VERDICTS = frozenset({Verdict.SERVED.value, Verdict.REPEATED.value})
 
 
 @dataclass(slots=True, frozen=True)
-class Break:
-    """A violation of a rule."""
+class RuleViolation:
+    """One violation of a rule by a node."""
 
     rule: str
-    at: float  # ms
+    at: float  # Time of the violation in ms of the run.
     node: int
     text: str
 
 
 @dataclass
 class Judgement:
-    """All violations of a run, and what was excused."""
+    """The violations of all rules in a run, and the counts of tolerated cases."""
 
     broken: Counter[str] = field(default_factory=Counter)
-    first_violations: list[Break] = field(default_factory=list)
-    excused: int = 0  # requests that a fault of the lab took
-    overdue: int = 0  # answers past the rule's slack, within half a second
-    unanswered: int = 0  # connections that ended with no answer and no attempt
+    first_violations: list[RuleViolation] = field(default_factory=list)
+    excused: int = 0  # Number of requests that were lost to a fault of the lab itself.
+    overdue: int = 0  # Number of responses past the rule's slack, but within half a second.
+    unanswered: int = 0  # Number of connections that ended with no response and no attempt.
 
     def add(self, rule: str, at: float, node: int, text: str) -> None:
-        """Count a violation of a rule."""
+        """Count a violation of a rule, and keep its details if it is among the first."""
         self.broken[rule] += 1
         if len(self.first_violations) < MAX_REPORTED_VIOLATIONS:
-            self.first_violations.append(Break(rule, at, node, text))
+            self.first_violations.append(RuleViolation(rule, at, node, text))
 
 
 class Judge:
-    """Checks the records of one run."""
+    """Checks the records of one run against all rules."""
 
     def __init__(
         self,
@@ -87,8 +87,8 @@
     ) -> None:
         """Index the records by request and by node.
 
-        `max_unanswered_share` of the requests may end with their connection, with no answer and no attempt:
-        more of them where other clients fill the descriptors.
+        Up to `max_unanswered_share` of the requests may lose their connection with no response and no
+        attempt; more do so where other clients use up the descriptors.
         """
         self.spec, self.run_records, self.out = spec, run_records, Judgement()
         self.max_unanswered_share = max_unanswered_share
@@ -106,25 +106,28 @@
         self.links = [f for f in spec.faults if isinstance(f, LinkFault)]
 
     def judge(self) -> Judgement:
-        """Check all rules."""
+        """Check all rules and return the violations."""
         client_attempts = {t.ident: t for t in self.run_records.client_attempts}
         for one in self.run_records.client_attempts:
-            self._answered(one)
-            self._refused(one)
-        doors = self.out.unanswered
-        if doors > self.max_unanswered_share * max(1, len(self.run_records.client_attempts)):
+            self._check_response(one)
+            self._check_rejection(one)
+        unanswered = self.out.unanswered
+        if unanswered > self.max_unanswered_share * max(1, len(self.run_records.client_attempts)):
             self.out.add(
-                "answer", 0.0, -1, f"{doors} connections ended with no answer: over 1 in 200 requests"
+                "answer",
+                0.0,
+                -1,
+                f"{unanswered} connections ended with no response, expected at most 1 in 200 requests",
             )
         for ident, attempts in self.attempts.items():
             one = client_attempts.get(ident)  # type: ignore[assignment]
-            self._unchanged(one, attempts)
+            self._check_unchanged(one, attempts)
             if one is not None:
-                self._repeats(one, attempts)
-                self._one_out(attempts)
-        self._drains()
-        self._bans()
-        self._topples()
+                self._check_repeats(one, attempts)
+                self._check_one_in_flight(attempts)
+        self._check_drains()
+        self._check_bans()
+        self._check_collapses()
         for process_record in self.run_records.processes:
             if process_record.failure:
                 self.out.add(
@@ -138,37 +141,37 @@
             self.out.add("changed", 0.0, -1, text)
         return self.out
 
-    # --- answers
+    # --- rules about responses
 
-    def _answered(self, one: records.ClientAttemptRecord) -> None:
+    def _check_response(self, one: records.ClientAttemptRecord) -> None:
         if not one.sent_at or one.outcome in (Outcome.ABANDONED.value, Outcome.UNREACHABLE.value):
             return
         if one.status == HTTPStatus.OK:
             made = self.attempts.get(one.ident, ())
-            if not any(a.body == one.body and a.verdict in MADE for a in made):
-                self.out.add("made-up", one.answered_at, one.node, f"{one.ident}: {one.body[:60]!r}")
+            if not any(a.response_body == one.response_body and a.verdict in SERVED_VERDICTS for a in made):
+                self.out.add("made-up", one.answered_at, one.node, f"{one.ident}: {one.response_body[:60]!r}")
         if one.answered_at:
             late = one.answered_at - one.deadline
             self.out.overdue += late > self.spec.rules.answer_slack_ms + SOCKET_SLACK_MS
             return
         if one.outcome == Outcome.DISCONNECTED.value and one.response_started:
-            return  # failed: the client can tell that the answer is not whole
+            return  # The client can tell that a response cut off in the middle is incomplete.
         until = (
             one.ended_at
             if one.outcome == Outcome.DISCONNECTED.value
             else one.deadline + LOST_AFTER_DEADLINE_MS
         )
-        if self._excused(one, until):
+        if self._is_excused(one, until):
             self.out.excused += 1
         elif one.outcome == Outcome.DISCONNECTED.value and not self.attempts.get(one.ident):
             self.out.unanswered += 1
         else:
             self.out.add(
-                "answer", one.deadline, one.node, f"{one.ident} ({one.outcome}) never got its answer"
+                "answer", one.deadline, one.node, f"{one.ident} ({one.outcome}) never got a response"
             )
 
-    def _excused(self, one: records.ClientAttemptRecord, until: float) -> bool:
-        """Return whether a fault of the lab itself prevented the answer."""
+    def _is_excused(self, one: records.ClientAttemptRecord, until: float) -> bool:
+        """Return whether a fault of the lab itself prevented the response."""
         name, zone = f"n{one.node}", f"c-{one.zone}"
         for process_record in self.process_records[one.node]:
             end = process_record.killed_at or (process_record.ended_at if process_record.failure else 0.0)
@@ -176,7 +179,7 @@
                 continue
             if (
                 not process_record.terminated_at
-                or one.sent_at <= process_record.terminated_at + TERMINATION_SLACK_MS
+                or one.sent_at <= process_record.terminated_at + SIGKILL_LOSS_WINDOW_MS
             ):
                 return True
         if any(n == name and a <= until and one.sent_at <= b + SOCKET_SLACK_MS for n, a, b in self.stalls):
@@ -187,25 +190,31 @@
             for f in self.links
         )  # fmt: skip
 
-    def _refused(self, one: records.ClientAttemptRecord) -> None:
+    def _check_rejection(self, one: records.ClientAttemptRecord) -> None:
         cls = self.spec.load.classes[one.class_index]
         if one.status not in (429, 503) or cls.effect == "retryable":
             return
-        risky = [a for a in self.attempts.get(one.ident, ()) if a.verdict not in NEVER_RAN]
-        if risky and (cls.effect == "fragile" or cls.group != "all"):
+        may_have_run = [a for a in self.attempts.get(one.ident, ()) if a.verdict not in NOT_EXECUTED]
+        if may_have_run and (cls.effect == "fragile" or cls.group != "all"):
             self.out.add(
-                "twice", one.answered_at, one.node, f"{one.ident} may have run and was refused as harmless"
+                "twice",
+                one.answered_at,
+                one.node,
+                f"{one.ident} may have run, but was rejected as not started",
             )
 
-    # --- attempts
+    # --- rules about attempts
 
-    def _unchanged(
+    def _check_unchanged(
         self, one: records.ClientAttemptRecord | None, attempts: list[records.BackendAttemptRecord]
     ) -> None:
         for attempt in attempts:
             if one is None:
                 self.out.add(
-                    "changed", attempt.first_byte_at, attempt.node, f"{attempt.ident}: no client sent it"
+                    "changed",
+                    attempt.first_byte_at,
+                    attempt.node,
+                    f"{attempt.ident}: expected a request of a client, but no client sent it",
                 )
                 continue
             cls = self.spec.load.classes[one.class_index]
@@ -219,39 +228,41 @@
                     "changed",
                     attempt.first_byte_at,
                     attempt.node,
-                    f"{attempt.ident}: not as the client sent it",
+                    f"{attempt.ident}: differs from what the client sent",
                 )
 
-    def _repeats(
+    def _check_repeats(
         self, one: records.ClientAttemptRecord, attempts: list[records.BackendAttemptRecord]
     ) -> None:
         cls = self.spec.load.classes[one.class_index]
         if cls.effect == "retryable" or one.resent_at:
             return
-        risky: list[records.BackendAttemptRecord] = []
+        may_have_run: list[records.BackendAttemptRecord] = []
         for attempt in attempts:
-            if risky and not self._may_follow(cls, risky, attempt):
+            if may_have_run and not self._may_follow(cls, may_have_run, attempt):
                 self.out.add(
                     "twice", attempt.complete_at, attempt.node,
-                    f"{attempt.ident} ({cls.name}) went to s{attempt.backend} after s{risky[0].backend}, "
-                    f"where it may have run",
+                    f"{attempt.ident} ({cls.name}) went to s{attempt.backend} "
+                    f"after s{may_have_run[0].backend}, where it may have run",
                 )  # fmt: skip
-            if attempt.verdict not in NEVER_RAN:
-                risky.append(attempt)
+            if attempt.verdict not in NOT_EXECUTED:
+                may_have_run.append(attempt)
 
-    def _may_follow(self, cls: RequestClass, risky: list[records.BackendAttemptRecord],
+    def _may_follow(self, cls: RequestClass, may_have_run: list[records.BackendAttemptRecord],
                     attempt: records.BackendAttemptRecord) -> bool:  # fmt: skip
         if (
             cls.effect == "fragile"
-            or attempt.complete_at - risky[0].complete_at > cls.memory_span_ms + SOCKET_SLACK_MS
+            or attempt.complete_at - may_have_run[0].complete_at > cls.memory_span_ms + SOCKET_SLACK_MS
         ):
             return False
         if cls.group == "zone":
-            zones = {self.spec.zone_of(f"s{a.backend}") for a in [*risky, attempt]}
+            zones = {self.spec.zone_of(f"s{a.backend}") for a in [*may_have_run, attempt]}
             return len(zones) == 1
-        return cls.group == "all" or len({self.spec.cell_of(a.backend) for a in [*risky, attempt]}) == 1
+        return (
+            cls.group == "all" or len({self.spec.cell_of(a.backend) for a in [*may_have_run, attempt]}) == 1
+        )
 
-    def _one_out(self, attempts: list[records.BackendAttemptRecord]) -> None:
+    def _check_one_in_flight(self, attempts: list[records.BackendAttemptRecord]) -> None:
         for earlier, later in pairwise(attempts):
             ends = [t for t in (earlier.ended_at, earlier.closed_at) if t]
             if earlier.node == later.node and (not ends or min(ends) > later.complete_at + SOCKET_SLACK_MS):
@@ -259,12 +270,12 @@
                     "one-out",
                     later.complete_at,
                     later.node,
-                    f"{later.ident} went to s{later.backend} while out at s{earlier.backend}",
+                    f"{later.ident} went to s{later.backend} while in flight at s{earlier.backend}",
                 )
 
-    # --- backends
+    # --- rules about the choice of backends
 
-    def _drains(self) -> None:
+    def _check_drains(self) -> None:
         deliveries: dict[tuple[int, int], list[records.ListDeliveryRecord]] = defaultdict(list)
         for record in sorted(
             [*self.run_records.list_deliveries, *self._assumed_deliveries()], key=lambda t: t.at
@@ -297,10 +308,10 @@
             if barred is not None and attempt.first_byte_at > barred + limit:
                 self.out.add("drain", attempt.first_byte_at, attempt.node,
                              f"{attempt.ident} went to s{attempt.backend}, "
-                             f"{attempt.first_byte_at - barred:.0f} ms after it was told")  # fmt: skip
+                             f"{attempt.first_byte_at - barred:.0f} ms after its drain notice")  # fmt: skip
 
     def _assumed_deliveries(self) -> Iterable[records.ListDeliveryRecord]:
-        """Yield deliveries that count after a while, but for nodes that a fault keeps from discovery."""
+        """Yield the deliveries assumed after ASSUMED_DELIVERY_MS, except to nodes cut off from discovery."""
         known: dict[int, list[records.ListDeliveryRecord]] = defaultdict(list)
         for record in self.run_records.list_deliveries:
             if record.node == -1:
@@ -329,12 +340,12 @@
                 return True
         return any(n == f"n{node}" and a <= end and begin <= b for n, a, b in self.stalls)
 
-    def _bans(self) -> None:
+    def _check_bans(self) -> None:
         by_place: dict[tuple[int, int], list[tuple[float, float]]] = defaultdict(list)
         for ban in self.run_records.maintenance:
             ends = [ban.lifted_at] if ban.lifted_at else []
-            # A node that comes up anew with nothing else of it running has forgotten: `$TMPDIR` does not
-            # last.
+            # A node that starts with no other process of it running has lost its bans, because `$TMPDIR` is
+            # emptied.
             process_records = self.process_records[ban.node]
             ends += [
                 x.started_at for x in process_records
@@ -349,9 +360,9 @@
             for begun, until in by_place.get((attempt.node, attempt.backend), ()):
                 if begun + SOCKET_SLACK_MS < attempt.first_byte_at < until:
                     self.out.add("banned", attempt.first_byte_at, attempt.node,
-                                 f"{attempt.ident} went to s{attempt.backend}, which is out")  # fmt: skip
+                                 f"{attempt.ident} went to s{attempt.backend}, which is banned")  # fmt: skip
 
-    def _topples(self) -> None:
+    def _check_collapses(self) -> None:
         for collapse in self.run_records.collapses:
             knew = {
                 t.node for t in self.run_records.list_deliveries
@@ -365,5 +376,6 @@
                     "topple",
                     collapse.collapsed_at,
                     -1,
-                    f"s{collapse.backend} toppled, {share:.0%} of its work from nodes that knew",
+                    f"s{collapse.backend} collapsed, {share:.0%} of its work came from nodes "
+                    f"that knew it was cold",
                 )
--- a/balancer/lab/logs.py
+++ b/balancer/lab/logs.py
@@ -1,4 +1,4 @@
-"""The lab's own log: JSON lines with run, party, virtual and wall time; a human form on a terminal."""
+"""Log of the lab: JSON lines with run, party, run time and wall time, and a readable form on a terminal."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class LabLog:
-    """Writes each event once to the file and, where asked, once to standard error for people."""
+    """Writes each event to a file and, on request, in a readable form to standard error."""
 
     def __init__(self, path: Path, run: str, human: bool) -> None:
-        """Open the log; `human`: show events on standard error as well."""
+        """Open the log; `human` also shows the events on standard error."""
         self.file: TextIO = path.open("a", encoding="utf-8", buffering=1)
-        self.zero: float | None = None  # monotonic s of the run's virtual zero
+        self.zero: float | None = None  # The run's zero on the monotonic clock (s), None until it is set.
         self.render = structlog.processors.JSONRenderer(sort_keys=False)
         self.show = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty()) if human else None
         self.logger = structlog.wrap_logger(
@@ -41,9 +41,9 @@
         return str(self.render(logger, method, event))
 
     def write_event(self, party: str, event: str, **fields: Any) -> None:
-        """Write one event of a party."""
+        """Write one event of a party with its fields."""
         self.logger.info(event, party=party, **fields)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the log file."""
         self.file.close()
--- a/balancer/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -1,4 +1,4 @@
-"""A power loss of real nodes: kill all at once, replace their directories, start them again."""
+"""Power loss of real nodes: kill all at once, replace their directories and start them again."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 
 
 class Outage:
-    """One `power` fault of the run."""
+    """One `power` fault of a run, applied to the processes of its nodes."""
 
     def __init__(self, fleet: Fleet, fault: PowerLoss) -> None:
-        """Prepare one loss of the fleet."""
+        """Prepare a power loss of the fleet, which `cut_power` starts."""
         self.fleet, self.fault = fleet, fault
         self.copies: dict[str, DiskImage] = {}
         self.replaced = asyncio.Event()
-        self.superseded = False  # a later cut has come
+        self.superseded = False  # True once a later power loss has begun.
 
     def copy(self) -> None:
-        """Copy the directories whose later state is `old`; called at half the time to the loss."""
+        """Copy the directories that the loss will reset to an `old` state; called halfway to the loss."""
         for node in self.fleet.nodes:
             if power_loss.disk_state_of(self.fleet.spec, self.fault, node.name) == "old":
-                with contextlib.suppress(OSError):  # a file has just gone: an old disk may be an empty one
+                # If a file is removed meanwhile, no copy is kept: an empty disk counts as old, too.
+                with contextlib.suppress(OSError):
                     self.copies[node.name] = power_loss.read_image(node.state)
 
     def cut_power(self, names: tuple[str, ...]) -> None:
-        """Send SIGKILL to all at one moment; replace their directories in the background."""
+        """Send SIGKILL to all affected nodes at once, and replace their directories in the background."""
         nodes = [self.fleet.nodes[int(name[1:])] for name in names if name[0] == "n"]
         for node in nodes:
             node.kill()
@@ -51,9 +52,9 @@
         self.replaced.set()
 
     async def restart(self, node: NodeHost) -> None:
-        """Start a node with what its disk holds now; its `$TMPDIR` is empty after the loss."""
+        """Start a node from its replaced directory, with an empty `$TMPDIR`."""
         await self.replaced.wait()
         node.clock = power_loss.clock_offset_of(self.fleet.spec, self.fault, node.name)
         await node.start()
-        if self.superseded:  # the next cut came while it was being started
+        if self.superseded:  # A later power loss came while the node was being started.
             node.kill()
--- a/balancer/lab/power_loss.py
+++ b/balancer/lab/power_loss.py
@@ -1,21 +1,21 @@
-"""A power loss: when each target comes back, and what it may leave in a node's durable directory.
-
-The lab sees a directory as the page cache has it when the process is killed. What of it was certainly
-synced is worked out from the bytes, by the way `durable/writer.py` writes them; the rest is put by chance
-into one of the states that `sim/disk.py` allows:
-
-- `draft-*` was not renamed yet: missing, torn, whole or with blocks missing;
-- a snapshot without the log of its generation may still have its draft's name, as the directory may not have
-  been synced (if it was, this is what a cut one call earlier left, with no yes in between); a log of nothing
-  but its header may be missing or torn;
-- a log with records is sure to the last one of a kind that nodes wait for (calls of the operators, rows of
-  the room: whatever is not only noted) and to the end of the batch before the last one; what comes after,
-  down to the last byte, may be gone, torn or zeros in blocks;
-- `fence`, snapshots with a log and all logs but a writer's last are whole.
-
-Not played: names that come back after they were removed (their bytes are gone), a call that had not yet got
-its yes and is lost (it is kept: legal, too), disks that lie about a sync. Nothing that could have been
-promised is ever taken away: `tests/test_lab_power.py` plays it against disks that know what was synced.
+"""Power loss in the lab: when each target comes back, and what is left of a node's durable directory.
+
+The lab sees a directory as the page cache has it when the process is killed. It infers from the bytes, and
+from how `durable/writer.py` writes them, what was certainly synced; the rest is put at random into one of the
+states that `sim/disk.py` allows:
+
+- `draft-*` was not renamed yet: it is missing, torn, whole or lacks blocks;
+- a snapshot without the log of its generation may still have its draft's name, because the directory may not
+  have been synced (if it was, this is the state of a power loss one call earlier, with no acknowledgement in
+  between); a log that holds only its header may be missing or torn;
+- a log with records is certainly synced up to the last record of a kind that nodes wait for (operators' calls
+  and register rows, all but UNSYNCED_TAGS), and up to the end of the batch before the last one; what follows,
+  down to the last byte, may be missing, torn or zeros in whole blocks;
+- `fence`, snapshots with a log, and all logs but a writer's last one are whole.
+
+Not simulated: removed names that come back (their bytes are gone), a call that is lost before it was
+acknowledged (it is kept, which is legal too), and disks that lie about a sync. Nothing that may have been
+acknowledged is ever lost: `tests/test_lab_power.py` checks this with disks that know what was synced.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.sim.disk import DiskImage, Inode, NameChange, SimulatedDisk
 
-UNSYNCED_TAGS = frozenset({"list", "learned", "start"})  # of records whose sync is not waited for
-MAX_CRASH_STATES = 64  # of a directory, of which one is drawn
+UNSYNCED_TAGS = frozenset({"list", "learned", "start"})  # Nodes do not wait for a sync of these records.
+MAX_CRASH_STATES = 64  # One of at most this many possible states of a directory is drawn.
 MAX_HEADER_BYTES = 4096
 CORRUPTED_BYTES = 24
 
 
 def return_times(spec: Experiment, seed: int, fault: PowerLoss) -> dict[str, float]:
-    """Return the second of each return: evenly over `return-over`, in an order that the seed draws."""
+    """Return the time (s) of each return: evenly over `return-over`, in an order drawn from the seed."""
     away = {name for one in fault.never for name in select_parties(spec, one)}
     names = [name for name in fault_targets(spec, fault) if name not in away]
     first = fault.at + fault.restart_after
@@ -55,17 +55,17 @@
 
 
 def clock_offset_of(spec: Experiment, fault: PowerLoss, node: str) -> float:
-    """Return the offset of a node's wall clock after the loss, in s."""
+    """Return the offset (s) of a node's wall clock after the loss."""
     return sum(step.offset_s for step in fault.clocks if node in select_parties(spec, step.nodes))
 
 
 def disk_state_of(spec: Experiment, fault: PowerLoss, node: str) -> str:
-    """Return the state of a node's disk after the loss; the last table that names the node counts."""
+    """Return the state of a node's disk after the loss; the last entry of `disks` for the node counts."""
     return next((d.state for d in reversed(fault.disks) if node in select_parties(spec, d.nodes)), "sound")
 
 
 def _synced_bytes(data: bytes) -> int:
-    """Return how many bytes of the newest log were certainly synced."""
+    """Return how many leading bytes of the newest log were certainly synced."""
     magic = MAGIC[FileKind.LOG]
     header = frames.parse_frames(data[: len(magic) + MAX_HEADER_BYTES], len(magic), -1, frames.crc32c(magic))
     if not header.frames:
@@ -78,7 +78,7 @@
         return 0
     found = frames.parse_frames(data, at, number if isinstance(number, int) else 0, frames.crc32c(data[:at]))
     if not found.frames:
-        return 0  # not even the header is certainly synced
+        return 0  # In a log without records, not even the header is certainly synced.
     batch = found.frames[-1].batch
     synced = at
     for one in found.frames:
@@ -97,7 +97,7 @@
 
 
 def unsynced_disk(image: DiskImage) -> SimulatedDisk:
-    """Return the directory as a simulated disk whose possibly unsynced parts are pending."""
+    """Return a simulated disk with this directory, on which all possibly unsynced parts are pending."""
     disk = SimulatedDisk(image)
     names = sorted(n for n in image if FILE_NAME.fullmatch(n))
     newest = max(names, key=_age, default="")
@@ -118,7 +118,7 @@
 
 
 def _unsync_rename(disk: SimulatedDisk, name: str) -> None:
-    """Let a file possibly still have the name of its draft."""
+    """Make the rename of a file pending, so that a crash may leave the name of its draft."""
     inode = disk.durable_names.pop(name)
     draft = draft_name(name, _age(name)[0])
     disk.durable_names[draft] = inode
@@ -126,19 +126,19 @@
 
 
 def _age(name: str) -> tuple[int, int, bool]:
-    """Return the sort key of a file: fence, generation, and a log after its snapshot."""
+    """Return the sort key of a file by age: fence, generation, and a log after its snapshot."""
     found = FileName.parse(name)
     assert found is not None
     return found.generation.fence, found.generation.number, found.kind is FileKind.LOG
 
 
 def crash_image(image: DiskImage, dice: random.Random) -> DiskImage:
-    """Draw a state that a power loss now may leave of a directory."""
+    """Draw a state in which a power loss at this time may leave a directory."""
     return dice.choice(list(unsynced_disk(image).crash_images(dice, MAX_CRASH_STATES)))
 
 
 def corrupted(image: DiskImage, dice: random.Random) -> DiskImage:
-    """Corrupt bytes of the newest snapshot or log, or of `fence`."""
+    """Overwrite some bytes of the newest snapshot or log, or of `fence`, at random."""
     names = sorted(n for n in image if FILE_NAME.fullmatch(n))
     snapshot = max((n for n in names if n.startswith(FileKind.SNAPSHOT)), default="")
     targets = [n for n in [*names[-1:], snapshot, FENCE_NAME] if image.get(n)]
@@ -152,14 +152,14 @@
 
 
 def read_image(folder: Path) -> DiskImage:
-    """Read the files of a directory; none where it is missing. Raises OSError."""
+    """Read the files of a directory, none if it is missing; raises OSError."""
     if not folder.is_dir():
         return {}
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir()) if path.is_file()}
 
 
 def write_image(folder: Path, image: DiskImage) -> None:
-    """Replace the files of a directory. Raises OSError."""
+    """Replace the files of a directory by those of an image; raises OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     for path in folder.iterdir():
         if path.name not in image:
@@ -170,7 +170,7 @@
 
 def images_after(spec: Experiment, seed: int, fault: PowerLoss, images: dict[str, DiskImage],
           copies: dict[str, DiskImage]) -> dict[str, DiskImage]:  # fmt: skip
-    """Return what each node finds, by what its process had written and by an earlier copy."""
+    """Return each node's disk after the loss, from its state at the loss and an earlier copy."""
     dice = {n: random.Random(f"{seed} {fault.at} {n}") for n in images}
     out = {n: crash_image(image, dice[n]) for n, image in images.items()}
     for disk_state in fault.disks:
--- a/balancer/lab/power_recovery.py
+++ b/balancer/lab/power_recovery.py
@@ -1,11 +1,11 @@
 """Figures of a tier's recovery from the last power loss of a run.
 
-Power is back `restart-after` the loss. The recovery is over once the last node that came back is ready and
-each backend has had its `warm-up-s`, whatever nodes do with them. Capacity in 100 ms: as much of the value
-asked for as there is work that the backends with power can do, by how warm they are (a collapsed one counts:
-it could have done it); none while no node is ready. `return_goodput` is what was served of that from a second
-after the median node is ready. It can exceed 1: a node that serves the valuable classes first gets more value
-out of the same work.
+Power returns `restart-after` the loss. The recovery ends when the last node that came back is ready and each
+backend has had its `warm-up-s`, whatever the nodes do with the backends. Capacity is computed per 100 ms: it
+is the share of the offered value for which the backends with power can do the work, given how warm they are.
+Collapsed backends count, because they could have done the work; with no ready node the capacity is zero.
+`return_goodput` is the share of that capacity that was served, counted from one second after the median node
+is ready. It can exceed 1: a node that serves the valuable classes first gets more value from the same work.
 """
 
 from __future__ import annotations
@@ -25,25 +25,25 @@
 from balancer.models.network import NetworkConditions
 
 SLOT_MS = 100.0
-RECOVERED_SHARE = 0.95  # of the goodput before the first fault
-SUSTAINED_SLOTS = 10  # over which goodput has to hold
-REQUEST_SLACK_MS = 50.0  # that a node that knows of a ban has for a request in flight
-BAN_PROPAGATION_MS = 1000.0  # from a node to the others that live
-REJOIN_SLACK_MS = 2000.0  # after a link has healed
-FULL = "full"
+RECOVERED_SHARE = 0.95  # Recovery means this share of the goodput before the first fault.
+SUSTAINED_SLOTS = 10  # Goodput has to stay recovered over this many slots.
+REQUEST_SLACK_MS = 50.0  # A request in flight may reach a banned backend this long after the ban.
+BAN_PROPAGATION_MS = 1000.0  # All live nodes have to know of a ban within this time.
+REJOIN_SLACK_MS = 2000.0  # Nodes count as cut off this long after their link is back.
+FULL_PHASE = "full"
 
 Floats = NDArray[np.float64]
 
 
 @dataclass
 class RecoveryTimes:
-    """The times of a recovery, ms."""
+    """The times (ms) of the recovery from the last power loss of a run."""
 
     spec: Experiment
     seed: int
     run_records: records.RunRecords
     fault: PowerLoss = field(init=False)
-    first: list[records.ProcessRecord] = field(init=False)  # of each node that came back: its first process
+    first: list[records.ProcessRecord] = field(init=False)  # The first process of each node after the loss.
 
     def __post_init__(self) -> None:
         """Find the last loss, and the first process of each node after it."""
@@ -56,17 +56,17 @@
 
     @property
     def cut(self) -> float:
-        """The time of the power loss."""
+        """The time of the last power loss."""
         return self.fault.at * 1000
 
     @property
     def power(self) -> float:
-        """The time at which power came back."""
+        """The time at which power returned."""
         return self.cut + self.fault.restart_after * 1000
 
     @property
     def end(self) -> float:
-        """The time at which the recovery is over."""
+        """The time at which the recovery ends."""
         planned = return_times(self.spec, self.seed, self.fault)
         warm = [at + self.spec.backends.warm_up_s for name, at in planned.items() if name[0] == "s"]
         ready = [process_record.ready_at for process_record in self.first if process_record.ready_at]
@@ -74,7 +74,7 @@
 
     @property
     def median(self) -> float:
-        """The time at which the median node was ready; infinity: half never were."""
+        """The time at which the median node was ready; infinite if half of the nodes never were."""
         planned = return_times(self.spec, self.seed, self.fault)
         ready = sorted(process_record.ready_at or float("inf") for process_record in self.first)
         ready += [float("inf")] * (sum(name[0] == "n" for name in planned) - len(ready))
@@ -82,7 +82,7 @@
 
 
 def sum_by_slot(spec: Experiment, at: list[float], weights: list[float]) -> Floats:
-    """Sum weights by the slot of their times; shape (slots of the run,)."""
+    """Return the sum of the weights in each slot of the run, by their times (ms)."""
     count = int(np.ceil(spec.seconds * 1000 / SLOT_MS))
     index = np.clip((np.array(at, float) / SLOT_MS).astype(int), 0, count - 1)
     out = np.zeros(count)
@@ -91,7 +91,7 @@
 
 
 def capacity_shares(back: RecoveryTimes, offered: Floats) -> Floats:
-    """Return the share of each slot's operations for which there was capacity; `offered` counts them."""
+    """Return for each slot the share of its `offered` operations for which there was capacity."""
     work: dict[int, float] = defaultdict(float)
     for one in back.run_records.capacities:
         work[one.slot] += one.work
@@ -108,7 +108,7 @@
 
 def power_recovery_figures(spec: Experiment, seed: int, run_records: records.RunRecords,
               operations: list[tuple[float, float, float]]) -> dict[str, float]:  # fmt: skip
-    """Return the figures of the recovery; `operations` are (intended ms, value, value served)."""
+    """Return the recovery figures; `operations` are tuples (intended ms, value, served value)."""
     back = RecoveryTimes(spec, seed, run_records)
     times = [at for at, _, _ in operations]
     asked = sum_by_slot(spec, times, [value for _, value, _ in operations])
@@ -123,7 +123,7 @@
         "return_calls_worst": float(
             _most_in_a_second([c.at for c in run_records.discovery_calls if c.at >= back.power])
         ),
-    } | _datagrams(back)
+    } | _datagram_figures(back)
     if np.isfinite(back.median):
         begin = int(np.ceil((back.median + 1000) / SLOT_MS))
         out["return_goodput"] = _share_between(served_value, share * asked, begin, end)
@@ -143,7 +143,7 @@
 
 
 def _recovered_s(back: RecoveryTimes, served_value: Floats, asked: Floats) -> float:
-    """Return the seconds from power to the first second with the former goodput; -1: none."""
+    """Return the seconds from the return of power to a second with recovered goodput; -1 if none."""
     begin, first = (
         int(back.spec.warmup * 1000 / SLOT_MS),
         int(min(f.at for f in back.spec.faults) * 1000 / SLOT_MS),
@@ -157,13 +157,13 @@
 
 
 def _most_in_a_second(at: list[float]) -> int:
-    """Return the most times within any second."""
+    """Return the largest number of times (ms) that fall within one second."""
     at = sorted(at)
     return max((bisect_right(at, t + 1000) - i for i, t in enumerate(at)), default=0)
 
 
-def _datagrams(back: RecoveryTimes) -> dict[str, float]:
-    """Return datagrams a second and live node: in usual times, and in the worst second after power."""
+def _datagram_figures(back: RecoveryTimes) -> dict[str, float]:
+    """Return datagrams per second and live node: usually, and in the worst second after power returns."""
     if not back.spec.network.peer_datagrams:
         return {}
     sent: dict[int, list[int]] = defaultdict(list)
@@ -180,10 +180,10 @@
 
 
 def _all_full_s(back: RecoveryTimes) -> float:
-    """Return the seconds from power until the last node reports recovery complete; -1: one never does."""
+    """Return the seconds from the return of power until all nodes are in phase `full`; -1 if one never is."""
     last: dict[int, float] = {}
     for one in back.run_records.recovery_phases:
-        if one.phase == FULL and one.at >= back.cut:
+        if one.phase == FULL_PHASE and one.at >= back.cut:
             last.setdefault(one.node, one.at)
     if not back.first or any(process_record.node not in last for process_record in back.first):
         return -1.0
@@ -191,14 +191,14 @@
 
 
 def count_forgotten_bans(spec: Experiment, run_records: records.RunRecords) -> int:
-    """Count attempts, since nodes first died, at a backend whose ban a surviving disk or a live peer knew.
+    """Count attempts at a backend whose ban a sound disk or a live peer knew, after the first killed node.
 
-    A ban is known at the node that acknowledged it `REQUEST_SLACK_MS` later, and to the others within
-    `BAN_PROPAGATION_MS`; where power was lost in between, from when a node with a sound disk is ready. It is
-    not known across a cut link. A call at any node that puts the backend back ends it.
+    The node that acknowledged a ban has to obey it REQUEST_SLACK_MS later, and the others BAN_PROPAGATION_MS
+    later; if power was lost in between, from when a node with a sound disk is ready. A ban is not known
+    across a cut link. A call at any node that lifts the ban ends it.
     """
     bans = run_records.maintenance
-    knowledge = _Knowledge(spec, run_records)
+    knowledge = _BanKnowledge(spec, run_records)
     first, count = min((x.killed_at for x in run_records.processes if x.killed_at), default=float("inf")), 0
     for attempt in run_records.backend_attempts:
         if attempt.first_byte_at >= first:
@@ -212,8 +212,8 @@
     return count
 
 
-class _Knowledge:
-    """Which node could know of a ban, and when."""
+class _BanKnowledge:
+    """Tells which node could know of a ban at which time."""
 
     def __init__(self, spec: Experiment, run_records: records.RunRecords) -> None:
         self.spec = spec
@@ -225,7 +225,7 @@
             self.process_records[process_record.node].append(process_record)
 
     def of(self, ban: records.MaintenanceRecord, node: int, at: float) -> bool:
-        """Return whether `node` could know of it at `at`: by itself or from the node that acknowledged it."""
+        """Return whether `node` could know of a ban at `at` (ms), from its own call or the banning node."""
         knower = f"n{ban.node}"
         for fault in self.cuts:
             if ban.banned_at < fault.at * 1000 <= at and disk_state_of(self.spec, fault, knower) != "sound":
@@ -239,9 +239,9 @@
         if node == ban.node:
             return at > since + REQUEST_SLACK_MS
         wait = BAN_PROPAGATION_MS if process_record.started_at <= ban.banned_at else REQUEST_SLACK_MS
-        return at > since + wait and not self._apart(f"n{node}", knower, at)
+        return at > since + wait and not self._is_cut_off(f"n{node}", knower, at)
 
-    def _apart(self, one: str, other: str, at: float) -> bool:
+    def _is_cut_off(self, one: str, other: str, at: float) -> bool:
         return any(
             f.at * 1000 <= at <= f.ends_at * 1000 + REJOIN_SLACK_MS
             and self.network.affects_link(f, one, other)
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -237,7 +237,7 @@
         child = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
-            fleet.program.varied(f"clock-{self.clock:g}") if self.clock else fleet.program.run,
+            fleet.program.with_variant(f"clock-{self.clock:g}") if self.clock else fleet.program.run,
             cwd=fleet.program.root,
             env=env,
             start_new_session=True,
--- a/balancer/lab/records.py
+++ b/balancer/lab/records.py
@@ -1,4 +1,4 @@
-"""The records of stubs and clients, as the judge reads them. Times are ms since the run's zero."""
+"""Records of stubs, clients and node processes in a run. All times are ms since the run's zero."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 class ClientAttemptRecord(msgspec.Struct, array_like=True):
-    """One attempt of a client."""
+    """One attempt of a client at a node."""
 
     ident: str
-    operation: str  # ident of the operation's first try
+    operation: str  # An operation is named by the request ID of its first attempt.
     zone: str
-    class_index: int  # index into the classes
+    class_index: int  # This is an index into the experiment's request classes.
     attempt_number: int
     node: int
-    intended_at: float  # of the first try
-    scheduled_at: float  # when this try was to be sent
-    sent_at: float  # when its last byte was written; 0: never
+    intended_at: float  # The operation's first attempt was meant to be sent at this time.
+    scheduled_at: float  # This attempt was meant to be sent at this time.
+    sent_at: float  # The request was written at this time; 0 if it never was.
     deadline: float
     ended_at: float
-    outcome: str  # a `balancer.models.client.End`
+    outcome: str  # This is the value of a `balancer.models.client.Outcome`.
     status: int = 0
-    body: str = ""
-    answered_at: float = 0.0  # when the last byte of an answer came, also past the deadline
+    response_body: str = ""
+    answered_at: float = 0.0  # The response, even a late one, was complete at this time; 0 if none was.
     key: str = ""
-    retry_after: float = 0.0  # ms, as the node advised
-    new_connection: bool = False  # on a new connection
-    response_started: bool = False  # a byte of an answer came
-    resent_at: float = 0.0  # when a kept connection ended under it, and it was sent once more; 0: it did not
-    is_last: bool = False  # no try followed
+    retry_after_ms: float = 0.0  # 0 stands for a response without `Retry-After`.
+    new_connection: bool = False
+    response_started: bool = False  # The first byte of a response has arrived.
+    resent_at: float = 0.0  # The request was resent then, as its reused connection had closed; 0 if not.
+    is_last: bool = False  # No other attempt of the operation follows.
 
 
 class BackendAttemptRecord(msgspec.Struct, array_like=True):
@@ -42,24 +42,24 @@
     method: str
     path: str
     key: str
-    first_byte_at: float  # its first byte came off the node's socket
-    complete_at: float  # its last byte
-    verdict: str  # a `balancer.models.backend.Verdict`; "lost" where the backend died with it
-    ended_at: float  # the answer was written, or the connection broken; 0: never
-    closed_at: float  # the node closed its connection or ended its sending; 0: it did not
+    first_byte_at: float  # The backend read the first byte of the request at this time.
+    complete_at: float  # The backend read the last byte of the request at this time.
+    verdict: str  # A value of `balancer.models.backend.Verdict`, or "lost" if the backend died.
+    ended_at: float  # The response was written or the connection broke at this time; 0 if neither.
+    closed_at: float  # The node closed its connection or its sending side at this time; 0 if not.
     was_executed: bool
-    request_body: str = ""  # the body that came
-    body: str = ""  # the body that went back
+    request_body: str = ""
+    response_body: str = ""
 
 
 class ListDeliveryRecord(msgspec.Struct, array_like=True):
-    """Discovery has sent one entry to a node; to node -1: has learned of it itself."""
+    """Delivery of one list entry to a node; node -1 stands for discovery itself learning of it."""
 
     node: int
     at: float
     backend: int
     phase: str
-    up_since: float  # Unix time, ms
+    up_since: float  # The backend started at this Unix time (ms).
 
 
 class CollapseRecord(msgspec.Struct, array_like=True):
@@ -72,7 +72,7 @@
 
 
 class MaintenanceRecord(msgspec.Struct, array_like=True):
-    """An operator's call out (`ended` is that of the call back; 0: none)."""
+    """A maintenance ban by an operator's call at a node; `lifted_at` is 0 if no call lifted it."""
 
     node: int
     backend: int
@@ -81,22 +81,22 @@
 
 
 class ProcessRecord(msgspec.Struct, array_like=True):
-    """One process of a node. Times are 0 where it did not happen; `code` None while it runs."""
+    """One process of a node; a time is 0 if the event did not happen, `exit_code` is None while it runs."""
 
     node: int
     process: int
     started_at: float
     ready_at: float = 0.0
     terminated_at: float = 0.0
-    killed_at: float = 0.0  # the lab's own SIGKILL
+    killed_at: float = 0.0  # The lab itself sent SIGKILL at this time; 0 if it did not.
     ended_at: float = 0.0
     exit_code: int | None = None
     failure: str = ""
-    clock_offset_s: float = 0.0  # s by which its wall clock is off
+    clock_offset_s: float = 0.0  # The process sees the wall clock ahead by this offset.
 
 
 class MemberViewRecord(msgspec.Struct, array_like=True):
-    """A node's log says what it has come to think of a member: present, suspected, dead, left."""
+    """A node's log line about the state of a member: present, suspected, dead or left."""
 
     node: int
     at: float
@@ -105,7 +105,7 @@
 
 
 class PhaseRecord(msgspec.Struct, array_like=True):
-    """A node's log says that it has entered a phase of its recovery, on which path, and why."""
+    """A node's log line that it has entered a phase of its recovery, with path and reason."""
 
     node: int
     at: float
@@ -115,21 +115,21 @@
 
 
 class CapacityRecord(msgspec.Struct, array_like=True):
-    """What some backends that have power bear, in ms of work a ms, when `slot` of 100 ms begins."""
+    """Capacity (ms of work per ms) of one process's backends with power when a slot of 100 ms begins."""
 
     slot: int
     work: float
 
 
 class DiscoveryCallRecord(msgspec.Struct, array_like=True):
-    """A node has called discovery."""
+    """One call of a node to discovery."""
 
     node: int
     at: float
 
 
 class DatagramCountRecord(msgspec.Struct, array_like=True):
-    """How many datagrams a node has sent in a second of the run; one to all counts once."""
+    """Number of datagrams that a node sent in a second of the run; a broadcast counts once."""
 
     node: int
     second: int
@@ -137,19 +137,19 @@
 
 
 class ProcessSample(msgspec.Struct, array_like=True):
-    """A look at one node's processes."""
+    """A sample of the resource usage of one node process."""
 
     at: float
     node: int
-    cpu_s: float  # since the process started
+    cpu_s: float  # CPU time counts from the start of the process.
     rss_mb: float
     descriptors: int
-    process: int = 0  # of the node, the first is 0
-    cpu_wait_s: float = 0.0  # since it started: it could have run, and had no core
+    process: int = 0  # The processes of a node are numbered from 0.
+    cpu_wait_s: float = 0.0  # The process was runnable without a core for this time since its start.
 
 
 class RunRecords(msgspec.Struct):
-    """All records of one process of the lab, or of a run; keys on disk are those of earlier versions."""
+    """All records of one lab process or of a run; the names on disk are those of earlier versions."""
 
     client_attempts: list[ClientAttemptRecord] = msgspec.field(name="tries", default_factory=list)
     backend_attempts: list[BackendAttemptRecord] = msgspec.field(name="attempts", default_factory=list)
@@ -163,20 +163,20 @@
     datagram_counts: list[DatagramCountRecord] = msgspec.field(name="datagrams", default_factory=list)
     samples: list[ProcessSample] = msgspec.field(default_factory=list)
     member_views: list[MemberViewRecord] = msgspec.field(name="views", default_factory=list)
-    lateness: list[float] = msgspec.field(default_factory=list)  # ms, of each send of the harness
-    loop_lag: list[float] = msgspec.field(
-        default_factory=list
-    )  # ms, of each process of the harness every 20 ms
-    unknown: list[str] = msgspec.field(default_factory=list)  # requests in a form no client sent
+    # The lateness (ms) of each request that the clients sent, against its scheduled time.
+    lateness: list[float] = msgspec.field(default_factory=list)
+    # The event loop delay (ms) of each harness process, sampled every 20 ms.
+    loop_lag: list[float] = msgspec.field(default_factory=list)
+    unknown: list[str] = msgspec.field(default_factory=list)  # Requests that no client sent in this form.
 
     def add(self, other: RunRecords) -> None:
-        """Add the records of another process."""
+        """Append the records of another process."""
         for name in self.__struct_fields__:
             getattr(self, name).extend(getattr(other, name))
 
 
 def write(run_records: RunRecords, path: Path) -> None:
-    """Write the records; raises OSError, with no file left, where they do not fit."""
+    """Write the records of a run; if they do not fit, raises OSError and leaves no file."""
     draft = path.with_suffix(".part")
     try:
         draft.write_bytes(msgspec.msgpack.encode(run_records))
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -110,6 +110,6 @@
     spec = structs.replace(spec, seconds=1.0, faults=())
     for number in range(VOID):
         seen = asyncio.run(run_experiment(spec, 1, program, tmp_path / str(number)))
-        if made_up := sum(one.status == 200 and one.body == MADE_UP for one in seen.client_attempts):
+        if made_up := sum(one.status == 200 and one.response_body == MADE_UP for one in seen.client_attempts):
             break
     assert 0 < made_up == Judge(spec, seen).judge().broken["made-up"]
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -174,11 +174,11 @@
 
 @pytest.mark.parametrize("package", ["balancer", "dillport"])
 def test_a_clock_is_one_more_variant_of_what_is_played(package: str) -> None:
-    is_unimpaired = Program("x", Path(), f"exec python -B -m {package}").varied("clock--600")
+    is_unimpaired = Program("x", Path(), f"exec python -B -m {package}").with_variant("clock--600")
     assert is_unimpaired.endswith(f"variant.py' {package} clock--600")
     assert (
         Program("x", Path(), is_unimpaired)
-        .varied("alone")
+        .with_variant("alone")
         .endswith(f"variant.py' {package} alone clock--600")
     )
 
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -212,8 +212,8 @@
         (["--set", "fleet.nodes=0"], "fleet.nodes: invalid value 0"),
         (["--set", "fleet.nodes=200", "--set", "backends.count=200", "--set", "seconds=2.0"],
          "200 nodes and 200 backends need more descriptors"),
-        (["--revision", "no-such-revision"], "revision 'no-such-revision' cannot be had"),
-        (["--revision", ".+delay-soon"], "variant 'delay-soon' is none of"),
+        (["--revision", "no-such-revision"], "revision 'no-such-revision' cannot be checked out"),
+        (["--revision", ".+delay-soon"], "variant 'delay-soon' is unknown"),
         (["--out", "/dev/null/x"], "Not a directory"),
     ],
 )  # fmt: skip
