--- a/balancer/cli/demo.py
+++ b/balancer/cli/demo.py
@@ -79,10 +79,10 @@
     )
     out = Text(f"{max(0.0, now_ms / 1000):5.1f} of {run.spec.seconds:g} s   served per second ")
     out.append(sparkline, "green")
-    past = [m for m in timeline(run.spec, run.seed) if m.at * 1000 <= now_ms]
+    past = [m for m in timeline(run.spec, run.seed) if m.at_s * 1000 <= now_ms]
     for moment in past[-2:]:
         event = "killed" if moment.step is Step.BEGIN else "restarted"
-        out.append(f"\n  {moment.at:5.1f} s  {', '.join(moment.names)} {event}", "yellow")
+        out.append(f"\n  {moment.at_s:5.1f} s  {', '.join(moment.names)} {event}", "yellow")
     return out
 
 
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -216,7 +216,7 @@
         loop = asyncio.get_running_loop()
         for moment in timeline(self.spec, 0):  # Planned restarts are the same for every seed.
             if isinstance(moment.fault, Terminate):
-                at = moment.at + TERMINATION_NOTICE_S - self.clock.now() / 1000
+                at = moment.at_s + TERMINATION_NOTICE_S - self.clock.now() / 1000
                 for name in moment.names:
                     loop.call_later(max(0.0, at), self.front_end.leave, int(name[1:]))
         self._send_due()
--- a/balancer/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -54,7 +54,7 @@
     async def restart(self, node: NodeHost) -> None:
         """Start a node from its replaced directory, with an empty `$TMPDIR`."""
         await self.replaced.wait()
-        node.clock = power_loss.clock_offset_of(self.fleet.spec, self.fault, node.name)
+        node.clock_offset_s = power_loss.clock_offset_of(self.fleet.spec, self.fault, node.name)
         await node.start()
         if self.superseded:  # A later power loss came while the node was being started.
             node.kill()
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -1,6 +1,6 @@
-"""The nodes as processes: limits as the platform states them, signals, consoles, logs, restarts.
+"""Node processes of a run: resource limits as on the platform, signals, console calls, logs and restarts.
 
-Children die with the lab, however it ends: the kernel sends them SIGKILL then (PR_SET_PDEATHSIG).
+Child processes never outlive the lab: the kernel sends them SIGKILL when it ends (PR_SET_PDEATHSIG).
 """
 
 from __future__ import annotations
@@ -35,37 +35,37 @@
 UPGRADE_READY_TIMEOUT_S = 6.0
 CONSOLE_TIMEOUT_S = 1.0
 THROTTLE_INTERVAL_S = 0.01
-THROTTLE_BURST_S = 0.05  # of a core that a process may save up
-RELOAD_AFTER_MS = 1000.0  # from the start of a process to the first SIGHUP
+THROTTLE_BURST_S = 0.05  # A throttled process may save up this much unused CPU time.
+MIN_RELOAD_AGE_MS = 1000.0  # The platform sends no SIGHUP to a younger process.
 MAX_COUNTED_DEADLINE_S = 3.0
-TERMINATION_MARGIN_S = 0.7  # from the longest deadline after SIGTERM to SIGKILL
-SIGNAL_SPACING_S = 0.05  # between two signals of a series
-START_SHARE_S = 0.1  # of its start, after which a process gets SIGTERM before it is ready
-HTTP_SUCCESS = 2  # the hundreds of a status
+TERMINATION_MARGIN_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and this margin.
+SIGNAL_SPACING_S = 0.05  # A follow-up signal is sent this long after SIGTERM.
+SIGTERM_DURING_START_S = 0.1  # A starting process gets SIGTERM this long after its start.
+HTTP_SUCCESS_CLASS = 2  # The first digit of all successful HTTP statuses.
 
 
 def process_limits(cpus: list[int], sockets: int | None) -> Callable[[], None]:
-    """Return the function that a child runs before it executes its program: it sets the limits."""
+    """Return a function that sets a child's limits, to be called in the child before its program starts."""
     libc = ctypes.CDLL(None)
     parent = os.getpid()
 
     def apply() -> None:
         libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-        if os.getppid() != parent:  # it died in between
+        if os.getppid() != parent:  # The lab died before prctl could take effect.
             os._exit(1)
         os.sched_setaffinity(0, cpus)
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         limit = hard if sockets is None else min(hard, sockets)
         resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
         if sockets is not None:
-            # A folder that is read-only must be so for a lab that runs as root, too.
+            # With this capability, a child of a lab that runs as root could write to a read-only directory.
             libc.prctl(PR_CAPBSET_DROP, CAP_DAC_OVERRIDE, 0, 0, 0)
 
     return apply
 
 
 def termination_grace_s(spec: Experiment) -> float:
-    """Return the seconds from SIGTERM to SIGKILL, as the platform states it."""
+    """Return the seconds from SIGTERM to SIGKILL that the platform grants a node."""
     longest_s = max(c.deadline_ms for c in spec.load.classes) / 1000
     return min(longest_s, MAX_COUNTED_DEADLINE_S) + TERMINATION_MARGIN_S
 
@@ -79,7 +79,7 @@
     moves: int = 0,
     peers: int | None = None,
 ) -> dict[str, Any]:
-    """Return the content of a node's file; discovery has moved `moves` times, `peers` nodes are listed."""
+    """Return a node's configuration after `moves` moves of discovery; it lists `peers` nodes, or all."""
     members = [
         {"id": name, "host_port": format_address(addresses.backend(node, number)),
          "locality": spec.zone_of(name), "flavor": "std", "cell": spec.cell_of(number),
@@ -112,7 +112,7 @@
 async def call_console(
     address: tuple[str, int], method: str, path: str, wait: float = CONSOLE_TIMEOUT_S
 ) -> tuple[int, bytes]:
-    """Call a console; return status and body, status 0 where no answer came in time."""
+    """Call a console; return the status and body, or status 0 if no valid response came in time."""
     writer: asyncio.StreamWriter | None = None
     try:
         async with asyncio.timeout(wait):
@@ -128,25 +128,25 @@
 
 
 class Usage(NamedTuple):
-    """The resources that a process has used and holds."""
+    """The resources that a process has used so far or holds now."""
 
     cpu_s: float
     rss_mb: float
     descriptors: int
-    cpu_wait_s: float  # for a core, in waits that are over
+    cpu_wait_s: float  # Waits for a core are included only once they are over.
     runnable: bool
-    scheduling_counters: tuple[int, int]  # ns that it ran, and how often it was put on a core
+    scheduling_counters: tuple[int, int]  # Used CPU time (ns), and how often the process got a core.
 
 
 @dataclass
 class CpuWait:
-    """A wait for a core in progress: the system counts a wait only once it is over."""
+    """A wait for a core in progress, which the operating system counts only once it is over."""
 
-    scheduling_counters: tuple[int, int] | None = None  # as at the look that saw the wait first
-    since_s: float = 0.0  # s
+    scheduling_counters: tuple[int, int] | None = None  # The first sample of the wait had these counters.
+    since_s: float = 0.0
 
     def so_far(self, at: float, found: Usage) -> float:
-        """Return the seconds of the wait by samples at `at` (s) of a runnable process that did not run."""
+        """Return how long (s) a process was runnable without running, by a sample taken at `at` (s)."""
         if not found.runnable:
             self.scheduling_counters = None
         elif found.scheduling_counters != self.scheduling_counters:
@@ -156,7 +156,7 @@
 
 @dataclass
 class Running:
-    """One process of a node."""
+    """A process of a node with its record."""
 
     process: asyncio.subprocess.Process
     record: records.ProcessRecord
@@ -165,68 +165,77 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not ended."""
         return self.record.ended_at == 0 and self.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal to the process if it still runs."""
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
 
-FOLLOW_UPS = {"twice": signal.SIGTERM, "reload-behind": signal.SIGHUP}  # by `Terminate.signals`
+FOLLOW_UP_SIGNALS = {
+    "twice": signal.SIGTERM,
+    "reload-behind": signal.SIGHUP,
+}  # Values of `Terminate.signals` map to a second signal.
 
 
 @dataclass
 class NodeHost:
-    """One node over all its processes."""
+    """One node of a run with all its processes."""
 
     fleet: Fleet
     number: int
     folder: Path
     attempts: int
     starts: int = 0
-    clock: float = 0.0  # s by which its wall clock is off
-    moves: int = 0  # of its discovery
-    peers: int | None = None  # of the tier that its file lists; None: all
+    clock_offset_s: float = 0.0  # The node's processes see the wall clock ahead by this.
+    discovery_moves: int = 0
+    listed_peers: int | None = None  # The configuration lists this many nodes; None means all.
     running: list[Running] = field(default_factory=list)
 
     @property
     def name(self) -> str:
-        """n0, n1, ..."""
+        """The node's name: n0, n1, ..."""
         return f"n{self.number}"
 
     @property
     def tmp(self) -> Path:
-        """Its `$TMPDIR`."""
+        """The node's `$TMPDIR`."""
         return self.folder / "tmp"
 
     @property
     def state(self) -> Path:
-        """Its durable directory."""
+        """The node's durable directory."""
         return self.folder / "state"
 
     @property
     def config(self) -> Path:
-        """Its file."""
+        """The path of the node's configuration file."""
         return self.folder / "config.json"
 
     def alive(self) -> list[Running]:
-        """Return its processes that run."""
+        """Return the node's processes that have not ended."""
         return [r for r in self.running if r.alive]
 
     def write_config(self) -> None:
-        """Write the file as the platform would write it now."""
+        """Write the configuration file as the platform would write it now."""
         seed = (self.fleet.seed << 16 | self.number << 8 | self.starts) % 2**64
         fleet = self.fleet
         table = node_configuration(
-            fleet.spec, fleet.addresses, self.number, seed, self.attempts, self.moves, self.peers
+            fleet.spec,
+            fleet.addresses,
+            self.number,
+            seed,
+            self.attempts,
+            self.discovery_moves,
+            self.listed_peers,
         )
         self.config.write_text(json.dumps(table), "utf-8")
 
     async def start(self, keep_tmp: bool = False) -> Running:
-        """Start a process, and see it become ready in the background."""
+        """Start a process of the node, and record in the background when it is ready."""
         fleet, process = self.fleet, self.starts
         self.starts += 1
         if not keep_tmp:
@@ -237,7 +246,9 @@
         child = await asyncio.create_subprocess_exec(
             "/bin/sh",
             "-c",
-            fleet.program.with_variant(f"clock-{self.clock:g}") if self.clock else fleet.program.run,
+            fleet.program.with_variant(f"clock-{self.clock_offset_s:g}")
+            if self.clock_offset_s
+            else fleet.program.run,
             cwd=fleet.program.root,
             env=env,
             start_new_session=True,
@@ -246,7 +257,9 @@
             stderr=asyncio.subprocess.STDOUT,
             preexec_fn=process_limits([fleet.cpus[self.number % len(fleet.cpus)]], fleet.spec.fleet.sockets),
         )
-        process_record = records.ProcessRecord(self.number, process, fleet.now(), clock_offset_s=self.clock)
+        process_record = records.ProcessRecord(
+            self.number, process, fleet.now(), clock_offset_s=self.clock_offset_s
+        )
         fleet.process_records.append(process_record)
         out = Running(child, process_record)
         self.running.append(out)
@@ -259,13 +272,13 @@
         return out
 
     def _environment(self, process: int) -> dict[str, str]:
-        """Return the environment of a new process, whose fleet file is written here."""
+        """Write the fleet file of a new process and return its environment."""
         fleet = self.fleet
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "PYTHON"))}
         env |= {
             "PROXY_NAME": self.name, "PROXY_CONFIG": str(self.config), "TMPDIR": str(self.tmp),
             "PROXY_LISTEN": format_address(fleet.addresses.node(self.number)), "PYTHONUNBUFFERED": "1",
-            "PROXY_DISCOVERY": format_address(fleet.addresses.discovery(self.number, self.moves)),
+            "PROXY_DISCOVERY": format_address(fleet.addresses.discovery(self.number, self.discovery_moves)),
             "PROXY_CONSOLE": format_address(fleet.addresses.console(self.number, process)),
         }  # fmt: skip
         tables = ["[membership]\n"] if fleet.spec.fleet.membership else []
@@ -304,50 +317,50 @@
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def kill(self) -> None:
-        """Send SIGKILL to all its processes."""
+        """Send SIGKILL to all processes of the node."""
         for running in self.alive():
             running.record.killed_at = self.fleet.now()
             running.signal(signal.SIGKILL)
 
-    async def terminate(self, some: list[Running], follow_up: signal.Signals | None = None) -> None:
-        """Send SIGTERM, and a signal right behind it; SIGKILL after the grace period. Return at their end."""
-        for running in some:
+    async def terminate(self, processes: list[Running], follow_up: signal.Signals | None = None) -> None:
+        """Send SIGTERM and a follow-up signal, then SIGKILL after the grace period; wait for the end."""
+        for running in processes:
             running.record.terminated_at = self.fleet.now()
             running.signal(signal.SIGTERM)
         remaining_s = termination_grace_s(self.fleet.spec)
         if follow_up is not None:
-            await self._ended(some, SIGNAL_SPACING_S)
+            await self._ended(processes, SIGNAL_SPACING_S)
             remaining_s -= SIGNAL_SPACING_S
-            for running in some:
+            for running in processes:
                 running.signal(follow_up)
-        await self._ended(some, remaining_s)
-        for running in some:
+        await self._ended(processes, remaining_s)
+        for running in processes:
             if running.alive:
                 running.record.killed_at = self.fleet.now()
                 running.signal(signal.SIGKILL)
-        await self._ended(some, 5.0)
+        await self._ended(processes, 5.0)
 
-    async def _ended(self, some: list[Running], wait: float) -> None:
+    async def _ended(self, processes: list[Running], wait: float) -> None:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(asyncio.gather(*(r.process.wait() for r in some)), wait)
+            await asyncio.wait_for(asyncio.gather(*(r.process.wait() for r in processes)), wait)
 
     async def restart_as_planned(self, fault: Terminate) -> None:
-        """Restart as planned."""
+        """Restart the node as a planned restart does, with the signals of the fault."""
         if fault.signals == "reload-first":
-            for running in filter(self._takes_reload, self.alive()):
+            for running in filter(self._accepts_reload, self.alive()):
                 running.signal(signal.SIGHUP)
-        await self.terminate(self.alive(), FOLLOW_UPS.get(fault.signals))
+        await self.terminate(self.alive(), FOLLOW_UP_SIGNALS.get(fault.signals))
         if fault.restart_after is None:
             return
         await asyncio.sleep(fault.restart_after)
         await self.start(fault.keep_tmp)
         if fault.signals == "while-starting":
-            await asyncio.sleep(START_SHARE_S)
+            await asyncio.sleep(SIGTERM_DURING_START_S)
             await self.terminate(self.alive())
             await self.start(fault.keep_tmp)
 
     async def upgrade(self) -> None:
-        """Start a second process beside the first; end the first once the second is ready."""
+        """Start a second process beside the first, and end the first once the second is ready."""
         old = self.alive()
         new = await self.start(keep_tmp=True)
         until = time.monotonic() + UPGRADE_READY_TIMEOUT_S
@@ -358,33 +371,33 @@
         await self.terminate(old)
 
     def stall(self, on: bool) -> None:
-        """Send SIGSTOP, or SIGCONT."""
+        """Stop all processes of the node with SIGSTOP, or continue them with SIGCONT."""
         for running in self.alive():
             running.stalled = on
             running.signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def reload(self, fault: Reload) -> None:
-        """Write a new file and send SIGHUP."""
-        takers = [running for running in self.alive() if self._takes_reload(running)]
+        """Write a new configuration file, valid or broken, and send SIGHUP."""
+        takers = [running for running in self.alive() if self._accepts_reload(running)]
         if fault.broken and len(takers) < len(self.alive()):
-            return  # a process that starts now would read half a file, and not start
+            return  # A process that is just starting would read the broken file and exit.
         if fault.broken:
             self.config.write_text(self.config.read_text("utf-8")[:-40], "utf-8")
         else:
             self.attempts = fault.max_attempts
-            self.moves += fault.moves_discovery
-            self.peers = fault.peers
+            self.discovery_moves += fault.moves_discovery
+            self.listed_peers = fault.peers
             self.write_config()
         for running in takers:
             running.signal(signal.SIGHUP)
 
-    def _takes_reload(self, running: Running) -> bool:
-        """Return whether the platform would send SIGHUP: not to a process that has just started."""
+    def _accepts_reload(self, running: Running) -> bool:
+        """Return whether the platform would send SIGHUP to this process: not right after its start."""
         ready = running.record.ready_at != 0
-        return ready and self.fleet.now() - running.record.started_at >= RELOAD_AFTER_MS
+        return ready and self.fleet.now() - running.record.started_at >= MIN_RELOAD_AGE_MS
 
     def disk(self, mode: str, on: bool) -> None:
-        """Let `$TMPDIR` and the durable directory accept no bytes or no new files; or end that."""
+        """Make writes or new files fail in `$TMPDIR` and the durable directory, or allow them again."""
         if mode == "readonly":
             for folder in (self.tmp, self.state):
                 if folder.exists():
@@ -396,18 +409,18 @@
                 resource.prlimit(running.process.pid, resource.RLIMIT_FSIZE, (0 if on else hard, hard))
 
     async def set_maintenance(self, backend: int, out: bool) -> bool:
-        """Take a backend out at this node's console, or put it back."""
+        """Set or lift a maintenance ban at this node's console; return whether the node accepted it."""
         alive = self.alive()
         if not alive:
             return False
         address = self.fleet.addresses.console(self.number, alive[-1].record.process)
         path = f"/backends/s{backend}/{'maint' if out else 'ready'}"
-        return (await call_console(address, "POST", path))[0] // 100 == HTTP_SUCCESS
+        return (await call_console(address, "POST", path))[0] // 100 == HTTP_SUCCESS_CLASS
 
 
 @dataclass
 class Fleet:
-    """All nodes of a run."""
+    """All nodes of a run, with their records and the background tasks for them."""
 
     spec: Experiment
     seed: int
@@ -416,7 +429,7 @@
     out: Path
     cpus: list[int]
     log: LabLog
-    zero: float = field(default_factory=time.monotonic)  # monotonic s of the run's zero, once it is known
+    zero: float = field(default_factory=time.monotonic)  # The monotonic clock's value at zero.
     ending: bool = False
     process_records: list[records.ProcessRecord] = field(default_factory=list)
     samples: list[records.ProcessSample] = field(default_factory=list)
@@ -424,7 +437,7 @@
     errors: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Prepare the nodes; none is started."""
+        """Create the nodes without starting them."""
         self.nodes = [
             NodeHost(self, number, self.out / "nodes" / f"n{number}", self.spec.rules.max_attempts)
             for number in range(self.spec.fleet.nodes)
@@ -435,7 +448,7 @@
         return (time.monotonic() - self.zero) * 1000
 
     def set_zero(self, zero: float) -> None:
-        """Set the run's zero, and shift the times recorded before by it."""
+        """Set the run's zero, and shift the times that were recorded before to it."""
         shift = (zero - self.zero) * 1000
         for process_record in self.process_records:
             process_record.started_at, process_record.ready_at, process_record.ended_at = (
@@ -445,20 +458,20 @@
         self.zero = zero
 
     def task(self, work: Any) -> asyncio.Task[Any]:
-        """Run it in the background; what goes wrong there is an error of the run."""
+        """Run a coroutine in the background; an exception in it becomes an error of the run."""
         out = asyncio.get_running_loop().create_task(work)
         self.tasks.add(out)
 
         def done(task: asyncio.Task[Any]) -> None:
             self.tasks.discard(task)
             if not task.cancelled() and (err := task.exception()) is not None:
-                self.errors.append(f"a part of the lab failed: {type(err).__name__}: {err}")
+                self.errors.append(f"a background task of the lab failed: {type(err).__name__}: {err}")
 
         out.add_done_callback(done)
         return out
 
     def sample(self) -> None:
-        """Sample every process; kill one over its memory limit, as the platform does."""
+        """Sample the usage of every process; kill one over its memory limit, as the platform does."""
         for node in self.nodes:
             for running in node.alive():
                 found = process_usage(running.process.pid)
@@ -474,26 +487,26 @@
                     running.signal(signal.SIGKILL)
 
     async def end_all(self) -> None:
-        """End all processes as at a planned restart."""
+        """End all processes as a planned restart does: SIGTERM, then SIGKILL after the grace period."""
         self.ending = True
         for node in self.nodes:
             node.stall(False)
         await asyncio.gather(*(node.terminate(node.alive()) for node in self.nodes))
 
     async def settle(self) -> None:
-        """Wait for the background tasks of processes that have ended."""
+        """Wait up to 5 s for the background tasks of processes that have ended."""
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=5.0)
 
     def kill(self) -> None:
-        """End all processes now."""
+        """End all processes with SIGKILL."""
         self.ending = True
         for node in self.nodes:
             node.kill()
 
 
 def process_usage(pid: int) -> Usage | None:
-    """Return the resources of a process; None once it has ended."""
+    """Return the resource usage of a process, or None once it has ended."""
     try:
         parts = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         spent = (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
@@ -507,7 +520,7 @@
 
 
 async def throttle(running: Running, cores: float) -> None:
-    """Hold a process to its part of a core: it stands still once it is ahead of what it may have used."""
+    """Limit a process to `cores` of CPU time by stopping it while it has used more than its share."""
     path = Path(f"/proc/{running.process.pid}/schedstat")
     last = time.monotonic()
     saved = THROTTLE_BURST_S
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -1,4 +1,4 @@
-"""One HTML file for a run, or for a comparison: figures in tables, plots inline on one time axis."""
+"""HTML reports of runs and comparisons: figures in tables, inline plots with a common time axis."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 def inline_image(figure: Figure) -> str:
-    """Return an `img` element with the picture itself."""
+    """Return an `img` element with the figure embedded as PNG."""
     buffer = io.BytesIO()
     figure.savefig(buffer, format="png", dpi=110, bbox_inches="tight")
     return f'<img alt="plots" src="data:image/png;base64,{base64.b64encode(buffer.getvalue()).decode()}">'
 
 
 def fault_spans(spec: Experiment) -> list[tuple[float, float, str]]:
-    """Return each fault's begin and end in seconds, and its name."""
+    """Return the begin (s), end (s) and name of each fault."""
     out = []
     for fault in spec.faults:
         what = getattr(fault, "what", "")
@@ -96,7 +96,7 @@
 
 
 def _plot_members(ax: Axes, spec: Experiment, run_records: records.RunRecords) -> None:
-    """Plot how many members each node saw as present, by its log, against those that lived."""
+    """Plot how many members each node's log shows as present, next to the number of live nodes."""
     for points in member_counts(spec, run_records).values():
         ax.step([t for t, _ in points] + [spec.seconds], [n for _, n in points] + [points[-1][1]],
                 where="post", color=QUIET, lw=0.8, alpha=0.7)  # fmt: skip
@@ -114,12 +114,12 @@
         for t in edges
     ]
     ax.step(edges, alive, where="post", color=INK, lw=1.6, label="live")
-    ax.set(ylabel="held for present", xlabel="seconds", ylim=(0, spec.fleet.nodes * 1.08))
+    ax.set(ylabel="members shown as present", xlabel="seconds", ylim=(0, spec.fleet.nodes * 1.08))
     ax.legend(loc="lower right", fontsize=8, frameon=False)
 
 
 def _plot_phases(ax: Axes, spec: Experiment, run_records: records.RunRecords) -> None:
-    """Plot the recovery phases of each node, by its log: a bar a phase, grey to green."""
+    """Plot the recovery phases of each node from its log, with one colored bar per phase."""
     shades = {"verify": "#4b5563", "ask": "#b3261e", "listed": "#d98e04", "warming": "#e7c65a", "full": GOOD}
     for process_record in run_records.processes:
         end = min(process_record.ended_at / 1000 if process_record.ended_at else spec.seconds, spec.seconds)
@@ -142,7 +142,7 @@
 
 
 def plots(spec: Experiment, run_records: records.RunRecords) -> Figure:
-    """Plot goodput and load, latency, rejections, load by backend, and nodes; faults as bands."""
+    """Plot goodput, load, latency, rejections, load by backend and nodes, with faults as bands."""
     line = series(spec, run_records, operations(spec, run_records))
     t = np.array(line["t_s"]) + SERIES_WINDOW_S / 2
     heights = [2.2, 2.2, 1.2, 2.2, max(1.2, min(3.5, 0.22 * spec.fleet.nodes))]
@@ -176,11 +176,11 @@
 
 def _plot_goodput(ax: Axes, spec: Experiment, line: Series, t: NDArray[np.float64]) -> None:
     ax.plot(t, line["goodput"], color=GOOD, lw=1.8)
-    ax.set(ylabel="goodput (share of worth)", ylim=(0, 1.04))
+    ax.set(ylabel="goodput (share of offered value)", ylim=(0, 1.04))
     load = ax.twinx()
     load.plot(t, line["offered_per_s"], color=QUIET, lw=1, ls="--")
     load.set_ylim(0, max(line["offered_per_s"], default=1) * 1.3 + 1)
-    load.set_ylabel("first tries / s (dashed)", color=QUIET)
+    load.set_ylabel("first attempts / s (dashed)", color=QUIET)
     top = ax.get_ylim()[1]
     for index, (begin, _, name) in enumerate(fault_spans(spec)[:MAX_NAMED_FAULTS]):
         ax.annotate(name, (begin, top), xytext=(2, 4 + 10 * (index % 4)), textcoords="offset points",
@@ -211,7 +211,7 @@
 
 
 def table_html(rows: Iterable[Sequence[object]], head: Sequence[str]) -> str:
-    """Return an HTML table."""
+    """Return an HTML table with right-aligned numbers."""
     lines = ["<table><tr>" + "".join(f"<th>{html.escape(h)}</th>" for h in head) + "</tr>"]
     for row in rows:
         cells = []
@@ -226,7 +226,7 @@
 
 
 def html_page(title: str, *parts: str) -> str:
-    """Return a self-contained page."""
+    """Return a self-contained HTML page."""
     name = html.escape(title)
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{name}</title><style>{STYLE}</style>'
@@ -235,7 +235,7 @@
 
 
 def run_page(spec: Experiment, run_records: records.RunRecords, summary: Summary) -> str:
-    """Return the report of one run."""
+    """Return the HTML report of one run."""
     expected = [
         (each.figure, each.min, each.max, each.measured, "held" if each.held else "short")
         for each in summary.expectations
@@ -243,11 +243,13 @@
     parts = [
         f"<p>{html.escape(spec.about)}</p><p><small>seed {summary.seed}, program "
         f"{html.escape(summary.program)}, {spec.fleet.nodes} nodes, {spec.backends.count} backends, "
-        f"{spec.rate:.0f} first tries a second for {spec.seconds:g} s; a request's time counts "
-        f"from when it was meant to be sent</small></p>"
+        f"{spec.rate:.0f} first attempts per second for {spec.seconds:g} s; a request's time counts "
+        f"from its intended send time</small></p>"
     ]
     if summary.void:
-        parts.append('<p class="short">Void: the harness itself was late, its figures tell nothing.</p>')
+        parts.append(
+            '<p class="short">Void: the harness itself was late, so the figures are meaningless.</p>'
+        )
     if expected:
         parts.append(table_html(expected, ("expected", "at least", "at most", "measured", "")))
     parts.append(inline_image(plots(spec, run_records)))
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -1,4 +1,4 @@
-"""A run of an experiment: the processes of the harness, the nodes, the timeline, and their records."""
+"""Run an experiment: start the harness processes and nodes, apply the faults, collect the records."""
 
 from __future__ import annotations
 
@@ -44,66 +44,66 @@
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role
 
-MAX_RATE_PER_WORKER = 1700.0  # first attempts a second that a process of clients sends on time
+MAX_RATE_PER_WORKER = 1700.0  # A client process sends up to this many first attempts per second on time.
 MAX_WORKERS = 3
 MAX_BACKEND_WORKERS = 2
-LEAD_S = 0.4  # from the last preparation to the first possible arrival
-SAMPLE_INTERVAL_S = 0.5  # of the nodes' processes
+LEAD_S = 0.4  # The first request can arrive this long after the end of the preparations.
+SAMPLE_INTERVAL_S = 0.5
 READY_POLL_INTERVAL_S = 0.05
-MAX_BAN_CALL_MS = 1000.0  # after the call of a ban, from when on it counts at the latest
+MAX_BAN_CALL_MS = 1000.0  # A ban counts from its response, but at most this long after its call.
 SPARE_DESCRIPTORS = 100
-VIEW_LINE = re.compile(r"^(\S+ \S+) INFO membership: node (\d+) (?:is|has) (\w+)$", re.M)
+MEMBER_STATE_LINE = re.compile(r"^(\S+ \S+) INFO membership: node (\d+) (?:is|has) (\w+)$", re.M)
 PHASE_LINE = re.compile(r"^(\S+ \S+) INFO recovery: phase (\w+), path (\w+): (.*)$", re.M)
-TAIL_S = 1.5  # for late answers, after the last client's deadline
+TAIL_S = 1.5  # The run waits this long after the last client's deadline for late responses.
 WORKER_READY_TIMEOUT_S = 20.0
-CLIENTS_SLACK_S = 30  # for the last requests, over their deadlines
-WRITE_TIMEOUT_S = 60.0  # for the records
-MAX_LINE_BYTES = 2**24  # of a process of the harness
+CLIENTS_SLACK_S = 30  # The last requests may end this long after their deadlines.
+WRITE_TIMEOUT_S = 60.0
+MAX_LINE_BYTES = 2**24
 
 
 class LabError(BalancerError):
-    """An experiment was begun and could not be played to its end."""
+    """Raised when an experiment has begun and cannot be finished."""
 
     code = "LAB02"
-    remedy = "read lab.jsonl and logs/ in the folder of the run, then play it again on a machine at rest"
+    remedy = "read lab.jsonl and logs/ in the folder of the run, then run it again on an idle machine"
 
 
 class LimitError(BalancerError):
-    """An experiment needs more open files in one process than the system allows."""
+    """Raised when an experiment needs more open files in one process than the system allows."""
 
     code = "LAB05"
-    remedy = "play fewer nodes or backends, or raise the hard limit (ulimit -Hn)"
+    remedy = "run fewer nodes or backends, or raise the hard limit (ulimit -Hn)"
 
 
 class ResultsError(BalancerError):
-    """The results of a run cannot be written."""
+    """Raised when the results of a run cannot be written."""
 
     code = "LAB06"
-    remedy = "let --out name a folder that can be written, on a disk with room"
+    remedy = "choose a writable folder for --out, on a disk with free space"
 
 
 Live = Callable[["Run"], None]
 
 
 class Companion(Protocol):
-    """Work beside the clients of a run."""
+    """Work that runs in addition to the clients of a run."""
 
     async def clients_started(self, run: Run) -> None:
-        """Work from the run's zero on; cancelled before `clients_finished`."""
+        """Work from the run's zero on, until a cancellation before `clients_finished`."""
 
     async def clients_finished(self, run: Run) -> None:
-        """Look at the nodes, which still run."""
+        """Inspect the nodes, which still run, after the last request has ended."""
 
 
 @dataclass(slots=True)
 class MaintenanceCall:
-    """An operator's call at a console, and whether it was answered with yes."""
+    """An operator's maintenance call at a node's console, and whether the node accepted it."""
 
     node: int
     backend: int
     is_out: bool
-    called_at: float  # ms
-    answered_at: float = math.inf  # ms
+    called_at: float  # The call was made at this time (ms) of the run.
+    answered_at: float = math.inf  # The response came at this time (ms) of the run; infinite before.
     succeeded: bool = False
 
     def may_lift(self, ban: MaintenanceCall) -> bool:
@@ -113,7 +113,7 @@
 
 @dataclass
 class HarnessProcess:
-    """One process of the harness."""
+    """A child process of the harness and the state that it has reported."""
 
     role: str
     process: asyncio.subprocess.Process
@@ -125,17 +125,17 @@
     error: BalancerError | None = None
 
     def write_line(self, line: bytes) -> None:
-        """Write one line of its input."""
+        """Write one line to the process's standard input."""
         assert self.process.stdin is not None
         self.process.stdin.write(line + b"\n")
 
 
 class Run:
-    """One run of an experiment; `run_records` holds the records afterwards. Use `run_experiment`."""
+    """One run of an experiment, started by `run_experiment`; `run_records` holds the records at its end."""
 
     def __init__(self, spec: Experiment, seed: int, program: Program, out: Path, log: LabLog,
                  addresses: AddressPlan, live: Live | None, companion: Companion | None) -> None:  # fmt: skip
-        """Divide the cores between nodes and harness; nothing is started."""
+        """Divide the cores between nodes and harness, without starting either."""
         self.spec, self.seed, self.program, self.out, self.log = spec, seed, program, out, log
         self.addresses, self.live, self.companion = addresses, live, companion
         cpus = sorted(os.sched_getaffinity(0))
@@ -147,7 +147,7 @@
         self.calls: list[MaintenanceCall] = []
         self.outages = [Outage(self.fleet, fault) for fault in spec.faults if isinstance(fault, PowerLoss)]
         self.run_records = records.RunRecords()
-        self.recent: list[float] = []  # ms: times of the answers since the last look at the live figures
+        self.recent: list[float] = []  # Latencies (ms) of the responses since the last update of the display.
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     async def _start_harness(self, role: Role, part: int, of: int) -> None:
@@ -181,12 +181,12 @@
         code = await harness_process.process.wait()
         if not harness_process.written.is_set() and not self.failed.done():
             failure = harness_process.error or LabError(
-                f"the harness's {harness_process.role} ended with code {code}"
+                f"harness process {harness_process.role} exited early with code {code}"
             )
             self.failed.set_exception(failure)
 
-    async def _or_failed(self, work: Any, wait: float, what: str) -> None:
-        """Wait for some work, but not past a failure of the harness."""
+    async def _wait_or_fail(self, work: Any, wait: float, what: str) -> None:
+        """Wait for some work; raises LabError on a timeout or when the harness fails."""
         task = asyncio.ensure_future(work)
         try:
             done, _ = await asyncio.wait(
@@ -195,17 +195,17 @@
             if self.failed in done:
                 self.failed.result()
             if not done:
-                raise LabError(f"{what} took over {wait:g} s")
+                raise LabError(f"{what} took longer than {wait:g} s")
         finally:
             task.cancel()
 
     async def execute(self) -> None:
-        """Run everything, from the start of the harness to the records."""
+        """Execute the whole run, from the start of the harness to the written records."""
         for role, of in worker_counts(self.spec).items():
             for part in range(of):
                 await self._start_harness(role, part, of)
-        await self._or_failed(
-            _all_set([r.ready for r in self.harness]), WORKER_READY_TIMEOUT_S, "the harness"
+        await self._wait_or_fail(
+            _all_set([r.ready for r in self.harness]), WORKER_READY_TIMEOUT_S, "the start of the harness"
         )
         await asyncio.gather(*(node.start() for node in self.fleet.nodes))
         await self._nodes_ready()
@@ -217,27 +217,31 @@
         self.log.write_event("lab", "clients come", seed=self.seed, program=self.program.label)
         loop = asyncio.get_running_loop()
         for moment in timeline(self.spec, self.seed):
-            loop.call_later(zero + moment.at - time.monotonic(), self._apply, moment)
+            loop.call_later(zero + moment.at_s - time.monotonic(), self._apply, moment)
         for outage in self.outages:
             loop.call_later(zero + outage.fault.at / 2 - time.monotonic(), outage.copy)
         watch = self.fleet.task(self._watch())
-        beside = self.fleet.task(self.companion.clients_started(self)) if self.companion is not None else None
+        companion_task = (
+            self.fleet.task(self.companion.clients_started(self)) if self.companion is not None else None
+        )
         clients = [r for r in self.harness if r.role == "clients"]
         longest = max(c.deadline_ms for c in self.spec.load.classes) / 1000
-        await self._or_failed(
+        await self._wait_or_fail(
             _all_set([r.done for r in clients]), self.spec.seconds + longest + LEAD_S + CLIENTS_SLACK_S,
             "the clients' last requests",
         )  # fmt: skip
         remaining_s = max(TAIL_S, zero + self.spec.seconds + TAIL_S - time.monotonic())
-        await self._or_failed(asyncio.sleep(remaining_s), remaining_s + TAIL_S, "the wait for late answers")
+        await self._wait_or_fail(
+            asyncio.sleep(remaining_s), remaining_s + TAIL_S, "the wait for late answers"
+        )
         watch.cancel()
-        if self.companion is not None and beside is not None:
-            beside.cancel()
+        if self.companion is not None and companion_task is not None:
+            companion_task.cancel()
             await self.companion.clients_finished(self)
         await self.fleet.end_all()
         for harness_process in self.harness:
             harness_process.write_line(b"end")
-        await self._or_failed(_all_set([r.written for r in self.harness]), WRITE_TIMEOUT_S, "the records")
+        await self._wait_or_fail(_all_set([r.written for r in self.harness]), WRITE_TIMEOUT_S, "the records")
         await self.fleet.settle()
         self._collect()
 
@@ -251,7 +255,7 @@
                 break
             await asyncio.sleep(READY_POLL_INTERVAL_S)
         if not any(n.alive() for n in self.fleet.nodes):
-            raise LabError(f"no node started: see {self.out / 'logs'}")
+            raise LabError(f"no node started, expected at least one: see {self.out / 'logs'}")
 
     async def _watch(self) -> None:
         while True:
@@ -271,7 +275,7 @@
                 for console in consoles:
                     self.fleet.task(self._set_maintenance(int(console[1:]), int(name[1:]), begin))
         if isinstance(fault, PowerLoss):
-            self._power(fault, moment)
+            self._apply_power_loss(fault, moment)
             return
         for name in moment.names:
             if name[0] == "n":
@@ -294,16 +298,16 @@
             case DiskFault():
                 node.disk(fault.mode, begin)
 
-    def _power(self, fault: PowerLoss, moment: Moment) -> None:
-        mine = next(outage for outage in self.outages if outage.fault is fault)
+    def _apply_power_loss(self, fault: PowerLoss, moment: Moment) -> None:
+        own_outage = next(outage for outage in self.outages if outage.fault is fault)
         if moment.step is Step.BEGIN:
             for earlier in self.outages:
                 earlier.superseded = earlier.superseded or earlier.fault.at < fault.at
-            mine.cut_power(moment.names)
+            own_outage.cut_power(moment.names)
             return
         for name in moment.names:
             if name[0] == "n":
-                self.fleet.task(mine.restart(self.fleet.nodes[int(name[1:])]))
+                self.fleet.task(own_outage.restart(self.fleet.nodes[int(name[1:])]))
 
     async def _set_maintenance(self, node: int, backend: int, out: bool) -> None:
         call = MaintenanceCall(node, backend, out, self.fleet.now())
@@ -322,7 +326,7 @@
         self.log.write_event(f"n{node}", "maint" if out else "ready", backend=f"s{backend}", yes=good)
 
     def _counts_at(self, call: MaintenanceCall, node: int) -> bool:
-        """Return whether a call may take effect at a node: with a common register wherever it was made."""
+        """Return whether a call may affect a node: its own, or any call if nodes share a ban register."""
         return self.spec.fleet.recovery or call.node == node
 
     def _end_bans(self, lift: MaintenanceCall) -> None:
@@ -339,7 +343,8 @@
         self.run_records.processes.extend(self.fleet.process_records)
         self.run_records.samples.extend(self.fleet.samples)
         self.run_records.maintenance.extend(self.bans)
-        # One machine, one clock: the run's zero in Unix time. A node whose clock was stepped logs by its own.
+        # The run's zero in Unix time dates the log lines, as all processes share the machine's clock; for a
+        # node whose clock was stepped, its offset is added.
         wall = time.time() - (time.monotonic() - self.fleet.zero)
         clocks = {(x.node, x.process): x.clock_offset_s for x in self.fleet.process_records}
         if self.spec.fleet.membership:
@@ -350,7 +355,7 @@
         shutil.rmtree(self.out / "nodes", ignore_errors=True)
 
     async def abandon(self) -> None:
-        """End every child now."""
+        """Kill all child processes and wait for their end."""
         self.fleet.kill()
         for harness_process in self.harness:
             if harness_process.process.returncode is None:
@@ -363,15 +368,15 @@
             self.failed.exception()
 
 
-Clocks = dict[tuple[int, int], float]  # by node and process: s by which its wall clock is off
+Clocks = dict[tuple[int, int], float]  # This maps a node and process number to a wall clock offset (s).
 
 
-def _lines(
+def _matching_log_lines(
     logs: Path, wall_zero: float, clocks: Clocks, pattern: re.Pattern[str]
 ) -> Iterator[tuple[int, float, re.Match[str]]]:
-    """Yield each matching line of the nodes' logs: the node, when (ms), the match with the time as group 1.
+    """Yield the matching lines of the nodes' logs, each as its node, its time (ms) and the match.
 
-    `wall_zero` is the run's zero in Unix time, s.
+    Group 1 of `pattern` is the time stamp; `wall_zero` is the run's zero in Unix time (s).
     """
     for path in sorted(logs.glob("n*-*.log")):
         node, process = map(int, path.stem[1:].split("-"))
@@ -382,19 +387,19 @@
 
 
 def member_views(logs: Path, wall_zero: float, clocks: Clocks) -> Iterator[records.MemberViewRecord]:
-    """Yield what the nodes' logs say of members."""
-    for node, at, found in _lines(logs, wall_zero, clocks, VIEW_LINE):
+    """Yield the state changes of members from the nodes' logs."""
+    for node, at, found in _matching_log_lines(logs, wall_zero, clocks, MEMBER_STATE_LINE):
         yield records.MemberViewRecord(node, at, int(found[2]), found[3])
 
 
 def recovery_phases(logs: Path, wall_zero: float, clocks: Clocks) -> Iterator[records.PhaseRecord]:
-    """Yield what the nodes' logs say of their recovery."""
-    for node, at, found in _lines(logs, wall_zero, clocks, PHASE_LINE):
+    """Yield the recovery phases from the nodes' logs."""
+    for node, at, found in _matching_log_lines(logs, wall_zero, clocks, PHASE_LINE):
         yield records.PhaseRecord(node, at, found[2], found[3], found[4])
 
 
 def worker_counts(spec: Experiment) -> dict[Role, int]:
-    """Return the number of processes of the harness by role."""
+    """Return the number of harness processes for each role."""
     count = min(MAX_WORKERS, 1 + int(spec.rate // MAX_RATE_PER_WORKER))
     return {"backends": min(MAX_BACKEND_WORKERS, count), "clients": count, "discovery": 1}
 
@@ -405,7 +410,7 @@
 
 
 def _check_descriptors(spec: Experiment) -> None:
-    """Check that a process of backends can listen for every pair and have the nodes' connections."""
+    """Raise LimitError if a backend process cannot open all its listeners and the nodes' connections."""
     listeners = spec.fleet.nodes * -(-spec.backends.count // worker_counts(spec)["backends"])
     connections = spec.fleet.nodes * spec.fleet.sockets
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
@@ -425,9 +430,9 @@
     live: Live | None = None,
     companion: Companion | None = None,
 ) -> records.RunRecords:
-    """Run an experiment once; no child process is left.
+    """Run an experiment once, leaving no child process behind.
 
-    Raises LabError, LimitError, PlaceError, ResultsError, and CancelledError on SIGINT or SIGTERM.
+    Raises LabError, LimitError, AddressError, ResultsError, and CancelledError on SIGINT or SIGTERM.
     """
     _check_descriptors(spec)
     try:
--- a/balancer/lab/summary.py
+++ b/balancer/lab/summary.py
@@ -20,7 +20,7 @@
 
 
 class CheckedExpectation(msgspec.Struct, frozen=True):
-    """An expectation of the experiment with what was measured; None: the run has no such figure."""
+    """An expectation of an experiment and its measured figure, which is None if the run lacks it."""
 
     figure: str
     min: float | None
@@ -30,7 +30,7 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A violation of a rule in words."""
+    """A violation of a rule as it is written to `summary.json`."""
 
     rule: str
     at_ms: float
@@ -46,7 +46,7 @@
     seed: int
     program: str
     seconds: float
-    void: bool  # the harness was late, so the figures tell nothing
+    void: bool  # The figures are meaningless: the harness was late or a node lacked a core.
     figures: dict[str, float]
     expectations: list[CheckedExpectation]
     breaks: list[Violation]
@@ -59,7 +59,7 @@
 def summarize(
     spec: Experiment, seed: int, program: str, run_records: records.RunRecords, judged: Judgement
 ) -> Summary:
-    """Return the summary of a run by its records."""
+    """Return the summary of a run from its records and the check of the rules."""
     values = figures(spec, seed, run_records, judged)
     late = values["rig_late_p99_ms"] > MAX_HARNESS_LATENESS_P99_MS
     starved = values["node_waited_s_max"] > MAX_CPU_WAIT_S
--- a/balancer/lab/variant.py
+++ b/balancer/lab/variant.py
@@ -1,11 +1,11 @@
-"""Run the node with deliberate changes, for the lab: `variant.py PACKAGE NAME...` in place of `-m PACKAGE`.
+"""Run a node with deliberate changes for the lab: `variant.py PACKAGE NAME...` instead of `-m PACKAGE`.
 
-PACKAGE is the program's package in the revision that is played; its name was `dillport` once.
+PACKAGE is the program's package in the revision that is run; in earlier revisions its name was `dillport`.
 
-Names: `alone` leaves the fleet file out; `random` chooses any listed backend that may be sent to; `delay-MS`
-holds every request back for so long; `burn-US` wastes so much processor time on every request; `clock-S` sets
-its wall clock ahead by so many seconds, `clock--S` back. It runs on the standard library and the node alone,
-in the folder of the revision that is played.
+Names: `alone` ignores the fleet file; `random` sends to any listed backend that is permitted; `delay-MS`
+delays every request by that many milliseconds; `burn-US` spends that many microseconds of CPU time on every
+request; `clock-S` sets the wall clock ahead by that many seconds, `clock--S` back. This module needs only the
+standard library and the node, and runs in the directory of the revision.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from typing import Any
 
 
-def random_choice(package: str) -> None:
-    """Send each attempt at once to an endpoint drawn from all that may have it: no limit, no shedding."""
+def choose_randomly(package: str) -> None:
+    """Send each attempt at once to a random permitted endpoint, without limits or load shedding."""
     try:
         routing = import_module(f"{package}.policy.routing")
-    except ModuleNotFoundError:  # an earlier revision
-        former_random_choice(package)
+    except ModuleNotFoundError:  # Earlier revisions have no module policy.routing.
+        choose_randomly_in_former_policy(package)
         return
     reason = import_module(f"{package}.interface").GiveUpReason.NO_ENDPOINT
 
@@ -42,8 +42,8 @@
     routing.Router.route = route
 
 
-def former_random_choice(package: str) -> None:
-    """Do the same in a revision whose decisions are one module."""
+def choose_randomly_in_former_policy(package: str) -> None:
+    """Choose endpoints at random in an earlier revision, whose policy is a single module."""
     balancer = import_module(f"{package}.policy").Balancer
 
     def route(self: Any, req: Any) -> None:
@@ -56,11 +56,11 @@
     balancer._route = route
 
 
-def slower(package: str, wait: float, burn: float) -> None:
-    """Hold every request back for `wait` s, or spend `burn` s of processor time on it."""
+def slow_requests(package: str, wait: float, burn: float) -> None:
+    """Delay every request by `wait` s, or spend `burn` s of CPU time on it."""
     try:
         owner, name = import_module(f"{package}.net.request_lifecycle").RequestLifecycle, "accept"
-    except ModuleNotFoundError:  # an earlier revision
+    except ModuleNotFoundError:  # Earlier revisions have no module net.request_lifecycle.
         owner, name = import_module(f"{package}.net.node").Node, "arrival"
     original = getattr(owner, name)
 
@@ -76,34 +76,34 @@
     setattr(owner, name, accept)
 
 
-def clock(by: float) -> None:
-    """Step the wall clock of this process by `by` s: what it reads, writes and logs goes by that."""
-    wall, wall_ns, by_ns = time.time, time.time_ns, round(by * 1e9)
-    time.time = lambda: wall() + by
-    time.time_ns = lambda: wall_ns() + by_ns
+def step_clock(offset_s: float) -> None:
+    """Step the wall clock that this process reads by `offset_s`, which also affects its logs and files."""
+    wall, wall_ns, offset_ns = time.time, time.time_ns, round(offset_s * 1e9)
+    time.time = lambda: wall() + offset_s
+    time.time_ns = lambda: wall_ns() + offset_ns
 
 
-def change(package: str, name: str) -> None:
-    """Change the node as a name says; `programs` has checked it."""
+def apply_variant(package: str, name: str) -> None:
+    """Apply the variant of a name, which `programs` has checked."""
     kind, _, amount = name.partition("-")
     if kind == "random":
-        random_choice(package)
+        choose_randomly(package)
     elif kind == "alone":
         os.environ.pop("PROXY_FLEET", None)
     elif kind == "delay":
-        slower(package, float(amount) / 1000, 0.0)
+        slow_requests(package, float(amount) / 1000, 0.0)
     elif kind == "burn":
-        slower(package, 0.0, float(amount) / 1e6)
+        slow_requests(package, 0.0, float(amount) / 1e6)
     else:
-        clock(float(amount))
+        step_clock(float(amount))
 
 
 def main() -> int:
-    """Change the node as told, then run it."""
+    """Apply the variants named on the command line, then run the node."""
     sys.path[0] = os.getcwd()
     package, *names = sys.argv[1:]
     for name in names:
-        change(package, name)
+        apply_variant(package, name)
     return int(import_module(f"{package}.__main__").main())
 
 
--- a/balancer/lab/worker.py
+++ b/balancer/lab/worker.py
@@ -1,7 +1,7 @@
 """A process of the harness: some of the backends, some of the clients, or discovery and the datagram relay.
 
-The lab starts it with a plan on its first line of input, gives it the run's zero on the second, and ends it
-with the third; when its input ends before that, so does it. It answers with lines of JSON.
+The lab writes three lines to its input: the plan, the run's zero, and the order to end. If its input is
+closed before that, the process ends too. It writes its messages as lines of JSON.
 """
 
 from __future__ import annotations
@@ -47,20 +47,20 @@
 from balancer.models.directory import Phase
 from balancer.models.network import NetworkConditions
 
-LIVE_INTERVAL_S = 0.25  # of live figures
+LIVE_INTERVAL_S = 0.25
 LOOP_LAG_INTERVAL_S = 0.02
 CAPACITY_INTERVAL_S = 0.1
-GC_THRESHOLDS = (100_000, 50, 100)  # records pile up: frequent young collections would stall the harness
+GC_THRESHOLDS = (100_000, 50, 100)  # Frequent collections of the many records would stall the harness.
 MAX_LINE_BYTES = 2**24
 
 
 Role = Literal["backends", "clients", "discovery"]
 STREAM_NAMES: dict[Role, str] = {"backends": "backends", "clients": "clients", "discovery": "hub"}
-"""Former names of the roles: a seed draws the same network as in earlier versions."""
+"""Former names of the roles, with which a seed draws the same network as in earlier versions."""
 
 
 class Plan(msgspec.Struct):
-    """The part of one process in a run."""
+    """The assignment of one harness process: which part of which role it takes in a run."""
 
     experiment: Experiment
     seed: int
@@ -72,10 +72,10 @@
 
 
 class Worker:
-    """The parties of this process, and the faults on them."""
+    """The simulated parties of this process, and the faults on them."""
 
     def __init__(self, plan: Plan, read: Callable[[], float] = time.monotonic) -> None:
-        """Prepare the parties of a plan; `read` gives the time of the event loop in s."""
+        """Create the parties of a plan; `read` returns the time of the event loop in s."""
         self.plan, self.spec, self.run_records = plan, plan.experiment, records.RunRecords()
         self.clock = RunClock(read)
         addresses = AddressPlan(plan.block, self.spec.backends.count)
@@ -101,7 +101,7 @@
                 self.relay = DatagramRelay(self.spec, addresses, self.network)
 
     async def open(self) -> None:
-        """Listen, and start the health checks of the nodes. Raises OSError."""
+        """Start the listeners and the health checks of the nodes; raises OSError."""
         for part in (self.group, self.discovery):
             if part is not None:
                 part.open()
@@ -111,11 +111,11 @@
             group.front_end.start()
 
     def start(self, zero: float) -> None:
-        """Start faults and clients by the run's zero."""
+        """Schedule the faults and the start of the clients from the run's zero on."""
         self.clock.zero = zero
         loop = asyncio.get_running_loop()
         for moment in timeline(self.spec, self.plan.seed):
-            loop.call_later(max(0.0, moment.at - self.clock.now() / 1000), self._apply, moment)
+            loop.call_later(max(0.0, moment.at_s - self.clock.now() / 1000), self._apply, moment)
         wait = -self.clock.now() / 1000
         for group in self.client_groups:
             loop.call_later(max(0.0, wait), group.start)
@@ -180,22 +180,24 @@
                     discovery.plan(spec.removal_delay_s, name, Phase.REMOVED)
 
     def _apply_power_loss(self, discovery: DiscoveryStub, moment: Moment) -> None:
-        """Keep a backend listed that is back before it is missed; list its new start once that is known."""
+        """Apply a power loss to the list: backends that return before discovery misses them stay listed."""
         spec, on = self.spec.discovery, moment.step is Step.BEGIN
         if "d" in moment.names:
             discovery.fail(on)
-        return_times = {m.names[0]: m.at for m in timeline(self.spec, self.plan.seed)
+        return_times = {m.names[0]: m.at_s for m in timeline(self.spec, self.plan.seed)
                 if m.fault is moment.fault and m.step is Step.RESTART}  # fmt: skip
         for name in moment.names:
             if name[0] != "s":
                 continue
             if not on:
                 discovery.plan(spec.addition_delay_s, name, Phase.IN_SERVICE, time.time() * 1000)
-            elif return_times.get(name, math.inf) + spec.addition_delay_s >= moment.at + spec.removal_delay_s:
+            elif (
+                return_times.get(name, math.inf) + spec.addition_delay_s >= moment.at_s + spec.removal_delay_s
+            ):
                 discovery.plan(spec.removal_delay_s, name, Phase.REMOVED)
 
     def live(self) -> dict[str, Any]:
-        """Return live figures for the screen."""
+        """Return the live figures of this process for the display."""
         out: dict[str, Any] = {"live": True, "role": self.plan.role}
         if self.group is not None:
             out["backends"] = self.group.live()
@@ -208,7 +210,7 @@
         return out
 
     async def finished(self) -> None:
-        """Wait until all operations have ended; without clients, for ever."""
+        """Wait until all operations of the clients have ended, or forever if there are no clients."""
         await asyncio.gather(*(group.done.wait() for group in self.client_groups))
         if not self.client_groups:
             await asyncio.Event().wait()
@@ -254,7 +256,7 @@
 
 
 async def work() -> int:
-    """Take part in a run until told to end; return 1 if the input ended before."""
+    """Take part in a run until the order to end; return 1 if the process fails or its input closes first."""
     lines = await _input()
     worker = Worker(msgspec.json.decode(await lines.readline(), type=Plan))
     try:
@@ -300,7 +302,7 @@
 
 
 def main() -> int:
-    """Entry point."""
+    """Run the worker on uvloop and return its exit code."""
     return uvloop.run(work())
 
 
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -290,7 +290,7 @@
     path.write_text(
         'name = "x"\n[[faults]]\nkind = "kill"\nat = 1.0\nwhat = "nodes:0"\nrestart-after = 1.0\n'
     )
-    assert [(m.at, m.step) for m in timeline(load_experiment(path), 1)] == [
+    assert [(m.at_s, m.step) for m in timeline(load_experiment(path), 1)] == [
         (1.0, Step.BEGIN),
         (2.0, Step.RESTART),
     ]
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -117,7 +117,7 @@
                        faults=(*SMALL.faults, again))  # fmt: skip
     steps = timeline(twice, 1)
     early = [m for m in steps if m.fault is not again and m.step is Step.RESTART]
-    assert 0 < len(early) < 6 and max(m.at for m in early) < 7.0
+    assert 0 < len(early) < 6 and max(m.at_s for m in early) < 7.0
     assert {m.names[0] for m in steps if m.fault is again and m.step is Step.RESTART} >= {"n3", "d"}
 
 
--- a/tests/virtual_run.py
+++ b/tests/virtual_run.py
@@ -225,7 +225,7 @@
             worker.start(zero)
         for moment in timeline(self.spec, self.seed):
             if isinstance(moment.fault, Maintenance):
-                self.loop.call_at(zero + moment.at, self.maintain, moment)
+                self.loop.call_at(zero + moment.at_s, self.maintain, moment)
 
     async def run_to_end(self) -> records.RunRecords:
         """Play the experiment until late responses have arrived, and return the records of all parties."""
