--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -3,7 +3,7 @@
 All errors whose text reaches an operator (on standard error, in the log, in a console response or in the
 output of the `balancer` command) derive from `BalancerError` and are defined in the module of their subject.
 Internal exceptions do not: control signals (`FencedError`), errors that are counted and dropped
-(`MessageError`), and errors that are returned to clients of the balanced service (`BadRequest`).
+(`MessageError`), and errors that are returned to clients of the balanced service (`BadRequestError`).
 
 A code consists of three letters for the subject and two digits, such as `CFG01`, so that it is easy to find
 in a log with `grep`. A code is never reused for another error. `docs/on-call.md` lists all codes.
--- a/balancer/membership/local_health.py
+++ b/balancer/membership/local_health.py
@@ -15,7 +15,7 @@
         self._is_enabled = is_enabled
 
     def adjust(self, by: int) -> None:
-        """Change the score: positive if this node seems slow, negative after a timely ack."""
+        """Add to the score: a positive value if this node seems slow, a negative one after a timely ack."""
         if self._is_enabled:
             self.score = max(0, min(MAX_SCORE, self.score + by))
 
--- a/balancer/net/client_connection.py
+++ b/balancer/net/client_connection.py
@@ -315,7 +315,10 @@
             self._upload.discard()
 
     def response_sent(self, is_kept_alive: bool) -> None:
-        """Wait for the next request or close; `is_kept_alive`: the response head announced keep-alive."""
+        """Wait for the next request, or close the connection, once a response is sent.
+
+        `is_kept_alive` tells whether the head of the response announced keep-alive.
+        """
         if self.parser.is_receiving and self._upload is not None:
             # Closing while the client still sends would reset the connection and discard the response.
             self.stage = Stage.DRAINING
--- a/balancer/net/connection_pool.py
+++ b/balancer/net/connection_pool.py
@@ -204,7 +204,7 @@
     # --- idle connections and the connection limit
 
     def remove_idle(self, connection: BackendConnection) -> None:
-        """Remove a connection from the idle ones."""
+        """Remove a connection from the idle connections."""
         del self.idle[connection]
         connection.endpoint.idle.remove(connection)
 
@@ -215,7 +215,7 @@
             self.remove_idle(connection)
 
     def release(self, connection: BackendConnection, is_reusable: bool) -> None:
-        """Return a connection to the idle ones after its response, or close it."""
+        """Return a connection to the idle connections after its response, or close it."""
         if not connection.is_endpoint_current:
             connection.close(CloseReason.ENDPOINT_REMOVED)
             return
@@ -251,7 +251,7 @@
         self.sweep_timer = self.loop.call_later(interval, self.sweep)
 
     def sweep(self) -> None:
-        """Close idle connections before the backend does: its close could coincide with a new request."""
+        """Close idle connections before the backends do, whose close could coincide with a new request."""
         self.sweep_timer = None
         expired_before = self.loop.time() - IDLE_TIMEOUT_FRACTION * self.idle_timeout_s
         for connection in [*takewhile(lambda item: item.idle_since < expired_before, self.idle)]:
--- a/balancer/net/console.py
+++ b/balancer/net/console.py
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallResponse:
-    """The response to one call."""
+    """The response to one call of the console."""
 
     status: int
     text: str
--- a/balancer/net/descriptor_shares.py
+++ b/balancer/net/descriptor_shares.py
@@ -190,7 +190,7 @@
 
 
 def apply_limits(node: Node, listener: Listener, limits: ConnectionLimits) -> None:
-    """Apply limits: excess idle connections are closed at once, excess connections in use after use."""
+    """Apply limits, closing excess idle connections at once and other excess ones after use."""
     former_client_limit = listener.limit
     listener.limit = limits.clients
     node.pool.limit = limits.backends
--- a/balancer/net/listener.py
+++ b/balancer/net/listener.py
@@ -116,7 +116,7 @@
                 connection.linger()
 
     def _accept_queued(self) -> None:
-        """Accept the connections left in the kernel's queue: closing the socket would reset them."""
+        """Accept the connections in the kernel's queue, because closing the socket would reset them."""
         assert self.socket is not None
         with contextlib.suppress(OSError):  # `accept` raises BlockingIOError once the queue is empty.
             while True:
--- a/balancer/net/maintenance_file.py
+++ b/balancer/net/maintenance_file.py
@@ -133,7 +133,7 @@
         )
 
     def stop(self) -> None:
-        """Stop reading the file."""
+        """Stop reading the file of maintenance bans."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -232,7 +232,7 @@
             self.refresh()
 
     def refresh(self) -> None:
-        """Read the file if it has been replaced."""
+        """Read the file of maintenance bans if it has been replaced."""
         stamp = self._stamp()
         if stamp is not None and stamp == self._stamp_read:
             return
@@ -253,7 +253,7 @@
         self._is_fault_logged = True
 
     def _apply(self, record: MaintenanceRecord) -> None:
-        """Put a record in force and report its changes."""
+        """Put a record of maintenance bans in force and report its changes."""
         previous = self.record
         self.record = record
         for name in sorted(record.banned - previous.banned):
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -232,7 +232,7 @@
         self._end_attempt(attempt, AttemptResult(status))
 
     def _cancel_unsent(self, attempt: RequestAttempt) -> None:
-        """Cancel an attempt not yet sent: a backend may no longer recognize the repeated request as such."""
+        """Cancel an unsent attempt, because a backend may no longer recognize the request as a duplicate."""
         if not attempt.is_over and not attempt.is_sent:
             attempt.cancel()
             self._end_attempt(attempt, AttemptResult(AttemptStatus.NOT_STARTED))
--- a/balancer/policy/concurrency_limit.py
+++ b/balancer/policy/concurrency_limit.py
@@ -19,7 +19,7 @@
 
 
 class ConcurrencyLimit:
-    """Adjusts the limit to the most overloaded class.
+    """Adjusts the limit of concurrent attempts to the most overloaded request class.
 
     The overload of a class is the mean logarithm of response time over target. The network round trip is
     subtracted from response times: no limit shortens it, and with remote endpoints it alone would keep the
--- a/balancer/recovery/pages.py
+++ b/balancer/recovery/pages.py
@@ -22,7 +22,7 @@
         self._cached_pages: list[Page] = []
 
     def pages(self, mask: int) -> list[Page]:
-        """Return the pages of the buckets in a mask, at least one."""
+        """Return the pages with the entries of the buckets in a mask; there is at least one page."""
         if self._cache_key != (self._register.hash, mask):
             self._cached_pages = self._split(mask)
             self._cache_key = (self._register.hash, mask)
@@ -87,7 +87,7 @@
         return node in self._repairs
 
     def start(self, node: int, peer_hash: int, mask: int, pages: list[Page]) -> None:
-        """Start to send pages to a peer, in place of its unsent ones."""
+        """Queue pages for a peer, in place of those that have not been sent to it yet."""
         remaining = [tuple(entry.key for entry in page) for page in pages]
         self._repairs[node] = Repair(
             peer_hash & LOWER_HASH_MASK, mask, self._register.hash, remaining, len(remaining)
--- a/balancer/recovery/survey.py
+++ b/balancer/recovery/survey.py
@@ -78,7 +78,7 @@
         return {*self._members, *reporting}
 
     def present_peers(self) -> list[int]:
-        """Return all present nodes except this one, in order."""
+        """Return all present nodes except this one, in order of node numbers."""
         return sorted(self.present() - {self._context.node})
 
     def has_majority(self) -> bool:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -27,7 +27,7 @@
 
 
 def recovering_node(progress: api.RecoveryProgressed | None = RECOVERING, seed: int = 1) -> Balancer:
-    """Return a recovering node whose cached list says that all endpoints started long ago."""
+    """Return a recovering node whose cached list has a start time long ago for every endpoint."""
     node = Balancer(BASE, seed)
     node.handle(1000.0, api.ListUpdate(api.ListUpdateKind.CACHED, [entry(n) for n in NAMES]))
     if progress is not None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -284,7 +284,9 @@
         peer = Peer(window=4096)
         connection = await peer.connect(listener)
         peer.sock.send(READ.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") % 1)
-        while not connection.is_closing:  # A connection that is closing has its whole response in its buffer.
+        while (
+            not connection.is_closing
+        ):  # A connection that is closing has its complete response in its buffer.
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         peer.sock.send(b"x" * 1000)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -133,7 +133,7 @@
 
 
 def flood_backlog(rig: Rig, flood: ConnectionFlood) -> None:
-    """Fill the whole accept queue while the node is stopped."""
+    """Fill the accept queue completely while the node is stopped."""
     rig.process.send_signal(signal.SIGSTOP)
     flood.connect(rig.port, LISTEN_BACKLOG, INCOMPLETE_HEAD)
     rig.process.send_signal(signal.SIGCONT)
@@ -144,7 +144,7 @@
 async def test_discovery_backends_and_console_are_reachable_from_a_full_node(
     tmp_path: Path, attack: Callable[[Rig, ConnectionFlood], None], discovery_mode: str
 ) -> None:
-    """Clients, backends and operators use all their descriptors when discovery comes back."""
+    """Clients, backends and operators use all their descriptors when discovery becomes available again."""
     discovery, flood = LateDiscovery(), ConnectionFlood()
     old, new = Backend("b0", never_respond), Backend("b1")
     await new.start()
--- a/tests/test_endpoint_updater.py
+++ b/tests/test_endpoint_updater.py
@@ -1,4 +1,4 @@
-"""Test updates of the endpoint list that are applied in slices, and updates that arrive meanwhile."""
+"""Test updates of the endpoint list that are applied in slices, and updates that arrive in the meantime."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -240,7 +240,7 @@
 
 @contextlib.asynccontextmanager
 async def started_successor(tier: Tier) -> AsyncIterator[Rig]:
-    """Run a successor process beside node 0 and answer its request to discovery."""
+    """Run a successor process along with node 0 and answer its request to discovery."""
     list_sent = asyncio.create_task(tier.send_list(0))
     async with tier.run_process(0, fresh_tmp=False) as successor:
         await list_sent
--- a/tests/test_handover_crossings.py
+++ b/tests/test_handover_crossings.py
@@ -183,7 +183,7 @@
 
 
 async def test_check_of_a_slot_does_not_block_a_starting_process(tmp_path: Path) -> None:
-    """The check locks a slot for a moment; a process that starts meanwhile takes the next slot."""
+    """The check locks a slot for a moment; a process that starts at that time takes the next slot."""
     one = ProcessSlots(tmp_path / "x", lambda has_peer: None)
     checking_fd = os.open(one.paths[0], os.O_RDWR | os.O_CREAT, 0o600)
     fcntl.flock(checking_fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -123,7 +123,7 @@
     # A process has 32 reserved descriptors, up to 16 clients over the limit, and 2 closing connections.
     own = 32 + 16 + 2
     assert sum(config.limits_per_process(1)) == 384 - own
-    # Both processes may use their whole share at once, so no descriptor counts for both.
+    # Both processes may use their complete share at once, so no descriptor counts for both.
     assert clients == 96 and 2 * (clients + upstream + 32 + 12 + 2) == 384
 
 
