--- a/balancer/net/config_size.py
+++ b/balancer/net/config_size.py
@@ -17,7 +17,8 @@
     tables = file.settings.get("projects"), file.settings.get("request-classes"), file.known.members
     counts = [len(table) if isinstance(table, list) else 0 for table in tables]
     sizes_mb = {
-        field: count * each / 2**20 for (field, each), count in zip(ENTRY_BYTES.items(), counts, strict=True)
+        field: count * entry_bytes / 2**20
+        for (field, entry_bytes), count in zip(ENTRY_BYTES.items(), counts, strict=True)
     }
     available_mb = max(MIN_TABLES_MB, file.limits.memory_mb / UPGRADE_PROCESS_COUNT - BASE_MEMORY_MB)
     if (total_mb := sum(sizes_mb.values())) > available_mb:
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -163,10 +163,10 @@
                         break
                 if self.pending[0] is item:
                     self.pending.popleft()
-                    rest = self._finish(item)
+                    members = self._finish(item)
                     del item
-                    while rest:  # Releasing all members at once would take a long slice.
-                        del rest[-ENTRIES_COMPARED_PER_SLICE:]
+                    while members:  # Releasing all members at once would take a long slice.
+                        del members[-ENTRIES_COMPARED_PER_SLICE:]
                         yield
         except Exception:  # A defect in one update must not block later ones.
             self.pending.clear()
@@ -178,7 +178,7 @@
     def _finish(self, item: PendingUpdate) -> list[Member]:
         """Report that an update is in force, and return its members, to be released in slices."""
         update = item.update
-        self._stopped_by = {name: by for name, by in self._stopped_by.items() if by is not update}
+        self._stopped_by = {name: last for name, last in self._stopped_by.items() if last is not update}
         if update is not None:
             self._log_changes(update.revision)
         self.on_applied(update, item.kind)
@@ -218,12 +218,12 @@
     def _omitted_members(self, by_id: ShardedDict[Member]) -> Iterator[Batch]:
         """Yield members that a complete list omits, as removed; one empty batch if a shard has none."""
         for current, listed in zip(self.pool.members.shards, by_id.shards, strict=True):
-            left = [member for name, member in current.items() if name not in listed]
-            for chunk in _batches(left, BATCH_ENTRIES):
+            omitted = [member for name, member in current.items() if name not in listed]
+            for chunk in _batches(omitted, BATCH_ENTRIES):
                 yield tuple(
                     replace(m, phase=api.EndpointPhase.REMOVED) for m in chunk if m.backend in current
                 )
-            if not left:
+            if not omitted:
                 yield ()
 
     def _changed_members(self, members: Batch, by_id: ShardedDict[Member]) -> Iterator[Batch]:
@@ -268,6 +268,6 @@
 
 
 def _batches(items: Iterable[Item], size: int) -> Iterator[tuple[Item, ...]]:
-    rest = iter(items)
-    while batch := tuple(islice(rest, size)):
+    remaining = iter(items)
+    while batch := tuple(islice(remaining, size)):
         yield batch
--- a/balancer/net/fleet.py
+++ b/balancer/net/fleet.py
@@ -75,10 +75,12 @@
                 times, node_index, self.peer_socket, node_config.seed, min_generation
             )
 
-    def wrap_watcher(self, node: Node, watcher: EndpointWatcher, known: EndpointUpdate) -> EndpointWatcher:
+    def wrap_watcher(
+        self, node: Node, watcher: EndpointWatcher, initial_list: EndpointUpdate
+    ) -> EndpointWatcher:
         """Return the source of the endpoint list: `watcher`, or recovery, which schedules its calls.
 
-        `known` is the list to start with.
+        `initial_list` is the list to start with.
         """
         if not self._has_recovery or self.peer_socket is None or self.membership is None:
             return watcher
@@ -86,7 +88,7 @@
 
         disk = self.durable.store if self.durable is not None else None
         self.recovery = RecoveryAdapter(
-            node, watcher, known, self.peer_socket, self.membership.generation, disk
+            node, watcher, initial_list, self.peer_socket, self.membership.generation, disk
         )
         self.membership.on_view_changed = self.recovery.shell.members_changed
         return self.recovery
--- a/balancer/net/recovery_adapter.py
+++ b/balancer/net/recovery_adapter.py
@@ -42,12 +42,12 @@
         self,
         node: Node,
         watcher: EndpointWatcher,
-        known: EndpointUpdate,
+        saved_list: EndpointUpdate,
         port: PeerSocket,
         incarnation: int,
         disk: DurableStore | None,
     ) -> None:
-        """Create the adapter; `known` is the saved endpoint list."""
+        """Create the adapter; `saved_list` is the endpoint list to start with."""
         self.node = node
         self.watcher = watcher
         self.disk = disk
@@ -69,7 +69,7 @@
         # Phase and capacity as last reported to the decision module.
         self._reported_phase = Phase.VERIFY
         self._reported_capacity: CapacityGranted | None = None
-        self._saved_list = replace(known, members=tuple(map(_copy, known.members)))
+        self._saved_list = replace(saved_list, members=tuple(map(_copy, saved_list.members)))
         self._current_members = {m.backend: m for m in self._saved_list.members}
         self._restricted_ids: frozenset[str] = frozenset()
 
--- a/balancer/policy/maintenance.py
+++ b/balancer/policy/maintenance.py
@@ -35,7 +35,7 @@
         self.banned.discard(name)
         # Endpoints whose ban was lifted longer ago have warmed up, so their times are no longer needed.
         self.returned_at = {
-            other: at for other, at in self.returned_at.items() if now - at < self._slow_start_ms
+            other: time for other, time in self.returned_at.items() if now - time < self._slow_start_ms
         }
         self.awaiting_first_request &= self.returned_at.keys()
         self.returned_at[name] = max(self.returned_at.get(name, 0.0), lifted_at)
--- a/balancer/policy/ordered_names.py
+++ b/balancer/policy/ordered_names.py
@@ -89,7 +89,7 @@
         self.records[name].order_block = None
         self.size -= 1
         if not block:
-            del self.blocks[next(i for i, one in enumerate(self.blocks) if one is block)]
+            del self.blocks[next(i for i, other in enumerate(self.blocks) if other is block)]
 
     def _split(self, block_index: int) -> int:
         """Split a block and return how many blocks were added after it."""
--- a/balancer/policy/recovery_admission.py
+++ b/balancer/policy/recovery_admission.py
@@ -47,7 +47,7 @@
         `peak_count` is the largest number of such endpoints so far.
         """
         self.mean_warmth = sum(warmth) / max(1, len(warmth))
-        warming = sum(one for one in warmth if one < 1.0)
+        warming = sum(fraction for fraction in warmth if fraction < 1.0)
         tier_rate_per_ms = (
             settings.overload_multiple
             * warming
