--- a/balancer/models/backend.py
+++ b/balancer/models/backend.py
@@ -241,7 +241,7 @@
         self.cold_work += job.work
         while self.recent_work[0][0] < now - self.rules.fall_ms:
             self.cold_work -= self.recent_work.popleft()[2]
-        # Ten more requests of this size are tolerated, as random arrivals cluster.
+        # Ten more requests of the same size are tolerated, as random arrivals cluster.
         budget = self.rules.fall_multiple * self.capacity(now) * self.rules.fall_ms + 10 * job.work
         if self.cold_work > budget:
             shares: dict[int, float] = {}
--- a/balancer/net/client_connection.py
+++ b/balancer/net/client_connection.py
@@ -25,7 +25,7 @@
 class Stage(enum.Enum):
     """Stage in the life of a client connection."""
 
-    OPEN = enum.auto()  # Requests are read and handled.
+    OPEN = enum.auto()  # Requests are read from the client and handled.
     LAST_RESPONSE = enum.auto()  # The current or next response is the last; later requests are left unread.
     DRAINING = enum.auto()  # The last response is being sent while the rest of its request's body is dropped.
     LINGERING = enum.auto()  # This side is half-closed; received bytes are dropped until the client closes.
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -28,7 +28,7 @@
 from balancer.net.endpoints import Address, EndpointListError, EndpointUpdate
 from balancer.settings import parse_settings
 
-# A node with a descriptor limit below this multiple of RESERVED_FDS keeps none free for a successor process.
+# With a descriptor limit below 8 * RESERVED_FDS, a node keeps no descriptors free for a successor process.
 MIN_SUCCESSOR_RESERVE_MULTIPLE = 8
 
 
--- a/balancer/net/connection_limits.py
+++ b/balancer/net/connection_limits.py
@@ -13,7 +13,7 @@
 MAX_OVERFLOW_CONNECTIONS = 16
 CLIENTS_PER_OVERFLOW_CONNECTION = 8
 PREDECESSOR_FRACTION = 5 / 8  # Share of the node's descriptors for all processes older than the newest.
-# A predecessor may use at most this share of its unreserved descriptors for clients.
+# A predecessor may use at most three quarters of its unreserved descriptors for clients.
 PREDECESSOR_CLIENT_FRACTION = 0.75
 
 
--- a/balancer/net/connection_pool.py
+++ b/balancer/net/connection_pool.py
@@ -28,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 
-# Idle connections are closed after this fraction of the backend's own idle timeout.
+# Idle connections are closed after 0.7 times the idle timeout of the backend itself.
 IDLE_TIMEOUT_FRACTION = 0.7
 SWEEP_INTERVAL_FRACTION = 0.1  # Interval between two sweeps, as a fraction of the idle timeout.
 MIN_SWEEP_INTERVAL_S = 0.05
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-# Updates of up to this many entries are applied at once; a complete list only if the current one is as short.
+# Updates of up to 256 entries are applied at once, complete lists only if the current one is as short.
 MAX_SHORT_UPDATE_ENTRIES = 256
 BATCH_ENTRIES = 64  # One slice sends the decision module at most 64 entries.
 ENTRIES_COMPARED_PER_SLICE = 512
--- a/balancer/net/json_stream.py
+++ b/balancer/net/json_stream.py
@@ -17,7 +17,7 @@
 # loop.
 LONG_OBJECT_BYTES = 64 * 1024
 MAX_NESTING_DEPTH = 64  # The brackets of an endpoint list are nested three deep.
-# The buffer of a long object grows in steps of this size; pages that are not yet written take no memory.
+# The buffer of a long object grows in steps of 1 MiB; pages that are not yet written take no memory.
 BUFFER_GROWTH_BYTES = 1024 * 1024
 MAX_QUOTED_BYTES = 60  # Errors quote at most 60 bytes of malformed JSON.
 
--- a/balancer/net/liveness.py
+++ b/balancer/net/liveness.py
@@ -49,7 +49,7 @@
 MIN_RETRY_DELAY_S = polling.WAIT_AFTER_LONG_CALL_MS / 1000
 REJECTED_RETRY_PERIOD_S = polling.MAX_CALL_INTERVAL_WHEN_REJECTED_MS / 1000
 CONTENDED_RETRY_DELAY_S = polling.MAX_WAIT_WHEN_OVERLOADED_MS / 1000
-# A call that is answered or rejected this late has waited in discovery's queue.
+# A call that is answered or rejected after 0.5 s or later has waited in discovery's queue.
 QUEUED_AFTER_S = 0.5
 # Each discovery call draws its silence timeout from 2.75 to 3.25 s.
 SILENCE_TIMEOUT_RANGE_S = (2.75, 3.25)
--- a/balancer/net/rate_limited_log.py
+++ b/balancer/net/rate_limited_log.py
@@ -27,7 +27,7 @@
         self.clock = clock
         self.max_lines = max_lines
         self.level = level
-        self._logged_at: dict[str, deque[float]] = {}  # Times in seconds of the latest lines, by kind.
+        self._logged_at: dict[str, deque[float]] = {}  # Times in seconds of the latest log lines, by kind.
         self._suppressed: Counter[str] = Counter()
 
     def log(self, kind: str, text: str) -> None:
--- a/balancer/net/statistics.py
+++ b/balancer/net/statistics.py
@@ -20,7 +20,7 @@
     PEER_CLOSED = "ended"  # The backend closed the connection, or it was never established.
     ABANDONED = "given_up"  # The attempt on the connection was cancelled or timed out.
     IDLE_TIMEOUT = "idle"
-    EVICTED = "crowded"  # A new connection needed the descriptor of this idle one.
+    EVICTED = "crowded"  # A new connection needed the descriptor of an idle one.
     ENDPOINT_REMOVED = "unlisted"  # The endpoint is draining, removed, in maintenance or has moved.
     NOT_REUSABLE = "unusable"
 
--- a/balancer/net/stream.py
+++ b/balancer/net/stream.py
@@ -71,7 +71,7 @@
         self._pending = bytearray()  # Received bytes that no attempt has sent yet.
         self._paused = False
         self._discarded = False
-        self._on_data: Callable[[], None] | None = None  # Callback of the attached attempt, None without one.
+        self._on_data: Callable[[], None] | None = None  # Callback of the attached attempt; None without one.
         memory.stream_count += 1
 
     def feed(self, data: bytes | bytearray) -> None:
--- a/balancer/recovery/context.py
+++ b/balancer/recovery/context.py
@@ -26,7 +26,7 @@
     trust_table: Mapping[StateKind, TrustRule]
     started_at: float
     now: float
-    cold_since: float  # backends with an unknown start time count as started at this time
+    cold_since: float  # the time at which backends with an unknown start count as started
     phase: Phase = Phase.VERIFY
     phase_since: float = 0.0
     path: RecoveryPath = RecoveryPath.UNDECIDED
--- a/balancer/recovery/exchange.py
+++ b/balancer/recovery/exchange.py
@@ -33,7 +33,7 @@
 
 MAX_STATUS_RECIPIENTS = 256
 MAX_CONCURRENT_REPAIRS = 16
-# While digests bring no new entries, their interval doubles up to this limit.
+# While digests bring no new entries, their interval doubles up to 4 s.
 MAX_DIGEST_INTERVAL_MS = 4000.0
 MEAN_COMPARE_INTERVAL_MS = 5000.0  # each status sent to a random peer lets it compare registers
 # `/stats` counts the datagrams sent of each kind under these keys.
@@ -98,7 +98,8 @@
         self._broadcast = PageBroadcast(register, self.agreement, self._paginator, generator)
         self._urgent = UrgentEntries(register, limits.min_digest_interval_ms)
         self._survey_wanted = False
-        self._status_recipients: dict[int | None, None] = {}  # the recipient None stands for all peers
+        # The key None means that the status goes to all peers.
+        self._status_recipients: dict[int | None, None] = {}
 
     def register_changed(self, entries: Iterable[BanEntry]) -> None:
         """Schedule changed register entries to be sent to peers."""
--- a/balancer/recovery/shell.py
+++ b/balancer/recovery/shell.py
@@ -61,7 +61,7 @@
 
     phase: Phase
     path: RecoveryPath
-    cold_since: float  # backends with an unknown start time count as started then (node clock, ms)
+    cold_since: float  # when backends with an unknown start count as started (node clock, ms)
     entries: tuple[BanEntry, ...]
 
 
--- a/balancer/recovery/trust.py
+++ b/balancer/recovery/trust.py
@@ -23,7 +23,7 @@
     REVISION = "revision"  # a peer with a greater revision may restrict the saved list
     INCARNATION = "life"  # the incarnation of a node orders the bans requested at it
     LEARNED = "learned"  # the balancer has learned the state of its backends
-    WARM_RATE = "rate"  # the node carried this rate (requests/s) when all backends were warm
+    WARM_RATE = "rate"  # the requests/s that the node carried when all backends were warm
 
 
 class TrustLevel(Enum):
@@ -71,7 +71,7 @@
 
     sound: bool = False
     fresh: bool = True  # a disk is fresh if nothing was ever written to it
-    age_ms: float = math.inf  # the saved state had this age when the node started
+    age_ms: float = math.inf  # the age of the saved state at the start of the node
 
 
 def is_trusted(
--- a/balancer/sim/recovery_budget.py
+++ b/balancer/sim/recovery_budget.py
@@ -12,7 +12,7 @@
 from balancer.sim.recovery_process import Process
 from balancer.sim.recovery_world import OBSERVATION_MS, Tier
 
-# After an outage, nodes that assume a warm backend are taken to send it twice its capacity in all.
+# After an outage, the nodes that assume a backend to be warm may together send it twice its capacity.
 DEMAND_AFTER_OUTAGE_IN_CAPACITIES = 2.0
 
 
