--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -1,7 +1,7 @@
-"""Each rule is broken by a stand-in node that breaks that rule alone, in a play of its own, and is caught.
+"""The judge detects each violation of a stand-in node that breaks a single rule in a run.
 
-The plays go by a virtual clock (`virtual.py`): the verdict hangs on no machine's speed. One goes by the real
-one, with the stand-in as a process.
+The runs use a virtual clock (`virtual_run.py`), so their results do not depend on the machine's speed. One
+run uses the real clock, with the stand-in as a process.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from balancer.lab.run import run_experiment
 from tests import virtual_run
 
-# A drain, a ban and a cold backend: room to break every rule.
-SPEC = """
+# The faults give a stand-in the chance to break every rule: a drain, a ban and a cold backend.
+EXPERIMENT = """
 name = "judged"
 seconds = 4.5
 [fleet]
@@ -60,56 +60,58 @@
 what = "backends:2"
 """
 
-SEEDS = (1, 2)  # with the first the last warm backend is sent more than it bears, and most wait in vain
-VOID = 3  # plays by the real clock, at most, that answered nobody
-MADE_UP = "all is well"
+SEEDS = (1, 2)  # With seed 1 the last warm backend is overloaded, so that most requests time out.
+MAX_REAL_RUNS = 3  # A real run is repeated, up to this often, if no request of it was served.
+FABRICATED_BODY = "all is well"
 
 
 @pytest.fixture
 def spec(tmp_path: Path) -> Experiment:
-    """The play."""
-    (tmp_path / "spec.toml").write_text(SPEC)
+    """Return the experiment that all tests of this module run."""
+    (tmp_path / "spec.toml").write_text(EXPERIMENT)
     return load_experiment(tmp_path / "spec.toml")
 
 
-def broken(spec: Experiment, seed: int, defect: str) -> dict[str, int]:
-    """The rules that a defect broke, by the judge."""
-    seen = virtual_run.play(spec, seed, defect)
-    judged = Judge(spec, seen).judge()
-    assert figures(spec, seed, seen, judged)["served"] > 0.1
-    assert max(seen.lateness) < 0.001  # ms
-    return dict(judged.broken)
+def count_violations(spec: Experiment, seed: int, defect: str) -> dict[str, int]:
+    """Return the number of violations by rule that the judge finds in a run with a defect."""
+    run_records = virtual_run.play(spec, seed, defect)
+    judgement = Judge(spec, run_records).judge()
+    assert figures(spec, seed, run_records, judgement)["served"] > 0.1
+    assert max(run_records.lateness) < 0.001  # The lateness in ms is next to nothing under a virtual clock.
+    return dict(judgement.broken)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_node_that_keeps_the_rules_is_not_blamed(spec: Experiment, seed: int) -> None:
-    assert broken(spec, seed, "none") == {}
+def test_judge_finds_no_violation_of_a_correct_node(spec: Experiment, seed: int) -> None:
+    assert count_violations(spec, seed, "none") == {}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_refusal_of_what_has_run_is_caught(spec: Experiment, seed: int) -> None:
-    assert broken(spec, seed, "refuse").keys() == {"twice"}
+def test_judge_finds_rejection_of_an_executed_request(spec: Experiment, seed: int) -> None:
+    assert count_violations(spec, seed, "refuse").keys() == {"twice"}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("rule", RULES)
-def test_the_broken_rule_is_caught_and_no_other(spec: Experiment, rule: str, seed: int) -> None:
-    assert broken(spec, seed, rule).keys() == {rule}
+def test_judge_finds_exactly_the_violated_rule(spec: Experiment, rule: str, seed: int) -> None:
+    assert count_violations(spec, seed, rule).keys() == {rule}
 
 
-def test_a_play_by_the_virtual_clock_is_the_same_each_time(spec: Experiment) -> None:
+def test_run_under_virtual_clock_is_deterministic(spec: Experiment) -> None:
     one, other = (virtual_run.play(spec, 1, "twice") for _ in range(2))
     assert one.client_attempts == other.client_attempts
     assert one.backend_attempts == other.backend_attempts
     assert one.lateness == other.lateness
 
 
-def test_answers_that_a_process_made_up_are_all_caught(spec: Experiment, tmp_path: Path) -> None:
+def test_judge_finds_all_fabricated_responses_of_a_real_process(spec: Experiment, tmp_path: Path) -> None:
     stand_in = [sys.executable, "-B", str(Path(__file__).with_name("broken_node.py")), "made-up"]
     program = Program("made-up", ROOT, f"exec {shlex.join(stand_in)}")
     spec = structs.replace(spec, seconds=1.0, faults=())
-    for number in range(VOID):
-        seen = asyncio.run(run_experiment(spec, 1, program, tmp_path / str(number)))
-        if made_up := sum(one.status == 200 and one.response_body == MADE_UP for one in seen.client_attempts):
+    for number in range(MAX_REAL_RUNS):
+        run_records = asyncio.run(run_experiment(spec, 1, program, tmp_path / str(number)))
+        if fabricated := sum(
+            one.status == 200 and one.response_body == FABRICATED_BODY for one in run_records.client_attempts
+        ):
             break
-    assert 0 < made_up == Judge(spec, seen).judge().broken["made-up"]
+    assert 0 < fabricated == Judge(spec, run_records).judge().broken["made-up"]
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -1,4 +1,4 @@
-"""The lab with real processes: a run with faults, its files, its ends by force, and what it refuses."""
+"""The lab with real processes: a run with faults, its files, forced ends, and runs that are refused."""
 
 from __future__ import annotations
 
@@ -96,49 +96,51 @@
     return [sys.executable, "-B", "-m", "balancer.cli", *args]
 
 
-def lab(*args: str, **over: Any) -> subprocess.CompletedProcess[str]:
+def run_lab(*args: str, **over: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         command("lab", *args), cwd=ROOT, capture_output=True, text=True, timeout=120, **over
     )
 
 
-def file(folder: Path, text: str) -> str:
+def write_experiment(folder: Path, text: str) -> str:
     path = folder / "spec.toml"
     path.write_text(text)
     return str(path)
 
 
-PLAYS = 3  # at most, until one holds or is not void
+MAX_RUNS = 3  # A run is repeated until it meets its expectations or is not void.
 
 
-def test_real_nodes_survive_faults_and_the_run_leaves_its_files(tmp_path: Path) -> None:
-    spec = file(tmp_path, FAULTS)
-    for number in range(PLAYS):
+def test_run_with_faults_meets_expectations_and_writes_its_files(tmp_path: Path) -> None:
+    spec = write_experiment(tmp_path, FAULTS)
+    for number in range(MAX_RUNS):
         out = tmp_path / f"out{number}"
-        done = lab("run", spec, "--out", str(out), "--seed", "3", "--json")
+        done = run_lab("run", spec, "--out", str(out), "--seed", "3", "--json")
         table = json.loads(done.stdout)
-        seen = records.read(out / "records.msgpack")
+        run_records = records.read(out / "records.msgpack")
         is_complete = all(e["held"] for e in table["expectations"]) and all(
-            x.ready_at for x in seen.processes
+            x.ready_at for x in run_records.processes
         )
         if not table["void"] or is_complete:
             break
     assert done.returncode == (2 if table["void"] else 0), done.stdout + done.stderr
     assert table == json.loads((out / "summary.json").read_text())
     assert [e["held"] for e in table["expectations"]] == [True, True]
-    lives = {(life.node, life.process): life for life in seen.processes}
-    assert sorted(lives) == [(0, 0), (0, 1), (1, 0), (1, 1), (2, 0), (2, 1)]
+    processes = {(each.node, each.process): each for each in run_records.processes}
+    assert sorted(processes) == [(0, 0), (0, 1), (1, 0), (1, 1), (2, 0), (2, 1)]
     assert (
-        lives[0, 0].exit_code == -signal.SIGKILL
-        and lives[2, 0].exit_code == 0
-        and all(x.ready_at for x in lives.values())
+        processes[0, 0].exit_code == -signal.SIGKILL
+        and processes[2, 0].exit_code == 0
+        and all(x.ready_at for x in processes.values())
     )
-    assert lives[2, 1].started_at < lives[2, 0].terminated_at < lives[2, 0].ended_at  # side by side
+    assert (
+        processes[2, 1].started_at < processes[2, 0].terminated_at < processes[2, 0].ended_at
+    )  # An upgrade runs both.
     assert 'src="data:image/png;base64,' in (out / "report.html").read_text()
     lines = [json.loads(line) for line in (out / "lab.jsonl").read_text().splitlines()]
     assert all({"run", "party", "event", "t_ms", "wall"} <= line.keys() for line in lines)
     assert (out / "logs" / "n2-1.log").read_text().count("taking over") == 1
-    again = lab("report", str(out), "--json")
+    again = run_lab("report", str(out), "--json")
     assert json.loads(again.stdout) == table
 
 
@@ -167,42 +169,45 @@
 """
 
 
-def test_discovery_moves_with_new_configurations(tmp_path: Path) -> None:
-    """Each node is told its own addresses, and calls the newest one."""
+def test_nodes_call_discovery_at_the_address_of_the_newest_configuration(tmp_path: Path) -> None:
+    """Guards against calls to a former address of discovery after a reload that names a new one."""
     out = tmp_path / "out"
-    done = lab("run", file(tmp_path, MOVES), "--out", str(out), "--set", "fleet.ready-within=60.0")
-    assert done.returncode in (0, 2), done.stderr  # 2: the machine was too busy for figures
+    done = run_lab(
+        "run", write_experiment(tmp_path, MOVES), "--out", str(out), "--set", "fleet.ready-within=60.0"
+    )
+    assert done.returncode in (0, 2), done.stderr  # A busy machine makes a run void: 2.
     for node, last in enumerate(("8081", "8082")):
         text = (out / "logs" / f"n{node}-0.log").read_text()
-        ports = re.findall(r"discovery: call \d+ to [\d.]+:(\d+) ", text)  # the first may come after SIGHUP
+        # The first port may be missing, because the first call can follow the SIGHUP.
+        ports = re.findall(r"discovery: call \d+ to [\d.]+:(\d+) ", text)
         assert ports == sorted(ports) and ports[-1] == last
         assert text.count("reload: classes") == node + 1 and "the configuration is unchanged" not in text
 
 
-def started(out: Path) -> list[int]:
-    """The children of a lab whose clients have come."""
+def child_pids(out: Path) -> list[int]:
+    """Return the process IDs of a lab's children once its clients have started."""
 
-    def told() -> str:
+    def log_text() -> str:
         text = (out / "lab.jsonl").read_text() if (out / "lab.jsonl").exists() else ""
         return text if "clients come" in text else ""
 
-    return [row["pid"] for row in map(json.loads, wait_until(told).splitlines()) if "pid" in row]
+    return [row["pid"] for row in map(json.loads, wait_until(log_text).splitlines()) if "pid" in row]
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_no_child_is_left_however_the_lab_ends(tmp_path: Path, number: signal.Signals) -> None:
+def test_lab_leaves_no_child_process_after_a_signal(tmp_path: Path, number: signal.Signals) -> None:
     out = tmp_path / "out"
-    spec = file(tmp_path, CALM)
+    spec = write_experiment(tmp_path, CALM)
     process = subprocess.Popen(
         command("lab", "run", spec, "--out", str(out)), cwd=ROOT, stderr=subprocess.PIPE
     )
-    children = started(out)
+    children = child_pids(out)
     assert len(children) == 5 and all(Path(f"/proc/{pid}").exists() for pid in children)
     process.send_signal(number)
-    _, said = process.communicate(timeout=WAIT_TIMEOUT_S)
+    _, stderr = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert process.returncode == (-number if number == signal.SIGKILL else 2)
     if number != signal.SIGKILL:
-        assert said.decode().splitlines()[-2] == "balancer: CLI01: interrupted"
+        assert stderr.decode().splitlines()[-2] == "balancer: CLI01: interrupted"
     wait_until(lambda: not any(Path(f"/proc/{pid}").exists() for pid in children))
 
 
@@ -217,53 +222,57 @@
         (["--out", "/dev/null/x"], "Not a directory"),
     ],
 )  # fmt: skip
-def test_a_run_that_is_not_possible_is_reported_with_its_remedy(
-    tmp_path: Path, args: list[str], word: str
-) -> None:
-    done = lab("run", file(tmp_path, CALM), "--out", str(tmp_path / "out"), *args)
+def test_impossible_run_is_reported_with_its_remedy(tmp_path: Path, args: list[str], word: str) -> None:
+    done = run_lab("run", write_experiment(tmp_path, CALM), "--out", str(tmp_path / "out"), *args)
     assert done.returncode == 2 and word in done.stderr and done.stdout == ""
     happened, remedy = done.stderr.splitlines()
     assert happened.startswith("balancer: LAB") and remedy.startswith("what to do: "), done.stderr
 
 
-def test_a_disk_that_fills_up_under_the_results_is_reported(tmp_path: Path) -> None:
-    def full() -> None:
+def test_full_disk_is_reported_and_leaves_no_records(tmp_path: Path) -> None:
+    def limit_file_size() -> None:
         resource.setrlimit(resource.RLIMIT_FSIZE, (4096, 4096))
 
-    done = lab(
-        "run", file(tmp_path, CALM), "--out", str(tmp_path / "out"), "--set", "seconds=2.0", preexec_fn=full
+    done = run_lab(
+        "run",
+        write_experiment(tmp_path, CALM),
+        "--out",
+        str(tmp_path / "out"),
+        "--set",
+        "seconds=2.0",
+        preexec_fn=limit_file_size,
     )
     assert done.returncode == 2 and done.stderr.splitlines()[-2].startswith("balancer: LAB06: ")
     assert "File too large" in done.stderr
     assert not (tmp_path / "out" / "records.msgpack").exists()
 
 
-def test_a_node_that_dies_during_its_start_is_reported(tmp_path: Path) -> None:
-    spec = load_experiment(Path(file(tmp_path, CALM)), ["seconds=2.0"])
+def test_run_without_any_started_node_is_reported(tmp_path: Path) -> None:
+    spec = load_experiment(Path(write_experiment(tmp_path, CALM)), ["seconds=2.0"])
     with pytest.raises(LabError, match="no node started"):
         uvloop.run(run_experiment(spec, 1, Program("dead", ROOT, "exit 3"), tmp_path / "out"))
 
 
-NOT_OF_RUN = (
+NOT_IMPORTED_BY_RUN = (
     "numpy", "structlog", "typer", "rich", "hdrh", "httpx", "google_crc32c", "balancer.lab", "balancer.cli",
     "balancer.sim", "balancer.membership", "balancer.durable", "balancer.recovery", "balancer.net.fleet",
     "balancer.net.recovery_adapter",
 )  # fmt: skip
 
 
-def test_run_imports_none_of_the_lab_and_none_of_the_fleet_subsystems() -> None:
+def test_run_imports_no_module_of_the_lab_or_the_fleet_subsystems() -> None:
     text = "import sys, balancer.__main__; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True)
     loaded = done.stdout.split()
     assert "balancer.net.node" in loaded
-    assert [m for m in loaded if m.startswith(NOT_OF_RUN)] == []
+    assert [m for m in loaded if m.startswith(NOT_IMPORTED_BY_RUN)] == []
 
 
-# --- the network
+# --- sockets with network faults
 
 
 class Echo(ImpairedConnection):
-    """A stand-in that sends back what it got."""
+    """Echo server that sends back the bytes it receives."""
 
     def received(self, data: bytes) -> None:
         self.send(data)
@@ -276,12 +285,12 @@
     out.close()
 
 
-def cut(spec_from: str, spec_to: str) -> LinkFault:
+def link_cut(spec_from: str, spec_to: str) -> LinkFault:
     return LinkFault(at=0.0, duration_s=1.0, source=spec_from, destination=spec_to, cut=True)
 
 
-def test_a_cut_link_is_silent_and_lets_no_connection_come_up(block: AddressBlock) -> None:
-    async def whole() -> None:
+def test_cut_link_delivers_no_bytes_and_accepts_no_connection(block: AddressBlock) -> None:
+    async def scenario() -> None:
         network = NetworkConditions(Experiment(name="x"), random_stream(1, "w"))
         address = block.addresses.backend(0, 0)
         listener = ImpairedListener(address, lambda: Echo(network, RunClock(), "s0", "n0"))
@@ -289,7 +298,7 @@
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
-        fault = cut("nodes:0", "backends:0")
+        fault = link_cut("nodes:0", "backends:0")
         network.change(fault, True)
         listener.set_unresponsive(True)
         writer.write(b"two")
@@ -309,11 +318,11 @@
         writer.transport.abort()
         again.transport.abort()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 def test_bytes_keep_their_order_under_delay_and_jitter(block: AddressBlock) -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         spec = Experiment(name="x", network=Network(same_zone_ms=2.0, jitter=3.0))
         network = NetworkConditions(spec, random_stream(1, "w"))
         listener = ImpairedListener(
@@ -331,11 +340,11 @@
         listener.close()
         writer.transport.abort()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
-def test_datagrams_come_from_the_senders_address_in_peers(block: AddressBlock) -> None:
-    async def whole() -> None:
+def test_relayed_datagrams_come_from_the_relay_address_of_their_sender(block: AddressBlock) -> None:
+    async def scenario() -> None:
         spec = Experiment(name="x", fleet=Fleet(nodes=3), network=Network(peer_datagrams=True, peer_ms=1.0))
         network = NetworkConditions(spec, random_stream(1, "w"))
         relay = DatagramRelay(spec, block.addresses, network)
@@ -356,7 +365,7 @@
         sockets[1].sendto(b"all", block.addresses.relay(1, 1))
         assert await receive(0) == (b"all", block.addresses.relay(0, 1))
         assert await receive(2) == (b"all", block.addresses.relay(2, 1))
-        network.change(cut("nodes:0", "nodes:2"), True)
+        network.change(link_cut("nodes:0", "nodes:2"), True)
         sockets[0].sendto(b"lost", block.addresses.relay(0, 2))
         sockets[0].sendto(b"x" * 257, block.addresses.relay(0, 1))
         sockets[0].sendto(b"here", block.addresses.relay(0, 1))
@@ -367,10 +376,10 @@
         for sock in sockets:
             sock.close()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
-def test_two_blocks_at_once_are_never_the_same() -> None:
+def test_concurrent_address_blocks_are_distinct() -> None:
     blocks = [AddressBlock(4, 4) for _ in range(3)]
     assert len({b.addresses.block for b in blocks}) == 3
     for b in blocks:
