--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -134,7 +134,7 @@
     return out
 
 
-def _recovery_s(spec: Experiment, line: Series) -> float | None:
+def _recovery_s(spec: Experiment, time_series: Series) -> float | None:
     """Return the seconds from the last fault's end until goodput has recovered for a whole second.
 
     None if the experiment has no fault, -1 if goodput never recovers.
@@ -144,12 +144,12 @@
     begin = min(f.at for f in spec.faults)
     before = [
         g
-        for t, g in zip(line["t_s"], line["goodput"], strict=True)
+        for t, g in zip(time_series["t_s"], time_series["goodput"], strict=True)
         if spec.warmup <= t < begin - SERIES_WINDOW_S
     ]
     end, wanted = last_step_at(spec), RECOVERED_GOODPUT_SHARE * (float(np.mean(before)) if before else 1.0)
     good = 0
-    for t, goodput in zip(line["t_s"], line["goodput"], strict=True):
+    for t, goodput in zip(time_series["t_s"], time_series["goodput"], strict=True):
         if t + SERIES_WINDOW_S <= end:
             continue
         good = good + 1 if goodput >= wanted else 0
@@ -163,9 +163,9 @@
 ) -> dict[str, float]:
     """Return all figures of a run by name: shares from 0 to 1, times in ms unless the name says otherwise."""
     done = operations(spec, run_records)
-    line = series(spec, run_records, done)
+    time_series = series(spec, run_records, done)
     out = (
-        _operation_figures(spec, done, line)
+        _operation_figures(spec, done, time_series)
         | _attempt_figures(spec, run_records)
         | _violation_figures(run_records, judged)
         | _harness_figures(run_records)
@@ -183,13 +183,15 @@
         )
     if run_records.maintenance:
         out["forgotten_bans"] = float(count_forgotten_bans(spec, run_records))
-    recovery = _recovery_s(spec, line)
+    recovery = _recovery_s(spec, time_series)
     if recovery is not None:
         out["recovery_s"] = recovery
     return {name: round(value, 6) for name, value in out.items()}
 
 
-def _operation_figures(spec: Experiment, done: list[OperationResult], line: Series) -> dict[str, float]:
+def _operation_figures(
+    spec: Experiment, done: list[OperationResult], time_series: Series
+) -> dict[str, float]:
     counted = [w for w in done if w.intended_at >= spec.warmup * 1000]
     value = sum(w.value for w in counted) or 1.0
     total = len(counted) or 1
@@ -197,7 +199,9 @@
     p50, p90, p99, p999 = percentiles(latency, (50.0, 90.0, 99.0, 99.9))
     ends = Counter(w.last_outcome for w in counted)
     first = int(np.ceil(spec.warmup / SERIES_WINDOW_S))
-    seconds = [np.mean(line["goodput"][i : i + 2]) for i in range(first, len(line["goodput"]) - 1)]
+    seconds = [
+        np.mean(time_series["goodput"][i : i + 2]) for i in range(first, len(time_series["goodput"]) - 1)
+    ]
     return {
         "goodput": sum(w.served_value for w in counted) / value,
         "worst_second": float(min(seconds, default=0.0)),
--- a/balancer/lab/impaired_sockets.py
+++ b/balancer/lab/impaired_sockets.py
@@ -137,8 +137,8 @@
     def _transmit(self, queue: deque[Segment], data: bytes | None, inward: bool) -> None:
         if not self.open:
             return
-        here, there = (self.peer, self.me) if inward else (self.me, self.peer)
-        link, now = self.network.conditions(here, there), self.clock.now()
+        sender, receiver = (self.peer, self.me) if inward else (self.me, self.peer)
+        link, now = self.network.conditions(sender, receiver), self.clock.now()
         if link.is_unimpaired and not queue:
             self._deliver(Segment(now, now, data), inward)
             return
@@ -154,8 +154,8 @@
 
     def _deliver_due(self, inward: bool) -> None:
         queue = self.inward if inward else self.outward
-        here, there = (self.peer, self.me) if inward else (self.me, self.peer)
-        if self.network.conditions(here, there).cut:
+        sender, receiver = (self.peer, self.me) if inward else (self.me, self.peer)
+        if self.network.conditions(sender, receiver).cut:
             return  # Delivery resumes when the network conditions change.
         # The event loop counts whole milliseconds: segments due within half a millisecond are delivered now.
         while queue and queue[0].arrives_at <= self.clock.now() + TIMER_TOLERANCE_MS:
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -108,9 +108,9 @@
     def judge(self) -> Judgement:
         """Check all rules and return the violations."""
         client_attempts = {t.ident: t for t in self.run_records.client_attempts}
-        for one in self.run_records.client_attempts:
-            self._check_response(one)
-            self._check_rejection(one)
+        for request in self.run_records.client_attempts:
+            self._check_response(request)
+            self._check_rejection(request)
         unanswered = self.out.unanswered
         if unanswered > self.max_unanswered_share * max(1, len(self.run_records.client_attempts)):
             self.out.add(
@@ -120,10 +120,10 @@
                 f"{unanswered} connections ended with no response, expected at most 1 in 200 requests",
             )
         for ident, attempts in self.attempts.items():
-            one = client_attempts.get(ident)  # type: ignore[assignment]
-            self._check_unchanged(one, attempts)
-            if one is not None:
-                self._check_repeats(one, attempts)
+            request = client_attempts.get(ident)  # type: ignore[assignment]
+            self._check_unchanged(request, attempts)
+            if request is not None:
+                self._check_repeats(request, attempts)
                 self._check_one_in_flight(attempts)
         self._check_drains()
         self._check_bans()
@@ -143,73 +143,85 @@
 
     # --- rules about responses
 
-    def _check_response(self, one: records.ClientAttemptRecord) -> None:
-        if not one.sent_at or one.outcome in (Outcome.ABANDONED.value, Outcome.UNREACHABLE.value):
+    def _check_response(self, request: records.ClientAttemptRecord) -> None:
+        if not request.sent_at or request.outcome in (Outcome.ABANDONED.value, Outcome.UNREACHABLE.value):
             return
-        if one.status == HTTPStatus.OK:
-            made = self.attempts.get(one.ident, ())
-            if not any(a.response_body == one.response_body and a.verdict in SERVED_VERDICTS for a in made):
-                self.out.add("made-up", one.answered_at, one.node, f"{one.ident}: {one.response_body[:60]!r}")
-        if one.answered_at:
-            late = one.answered_at - one.deadline
+        if request.status == HTTPStatus.OK:
+            made = self.attempts.get(request.ident, ())
+            if not any(
+                a.response_body == request.response_body and a.verdict in SERVED_VERDICTS for a in made
+            ):
+                self.out.add(
+                    "made-up",
+                    request.answered_at,
+                    request.node,
+                    f"{request.ident}: {request.response_body[:60]!r}",
+                )
+        if request.answered_at:
+            late = request.answered_at - request.deadline
             self.out.overdue += late > self.spec.rules.answer_slack_ms + SOCKET_SLACK_MS
             return
-        if one.outcome == Outcome.DISCONNECTED.value and one.response_started:
+        if request.outcome == Outcome.DISCONNECTED.value and request.response_started:
             return  # The client can tell that a response cut off in the middle is incomplete.
         until = (
-            one.ended_at
-            if one.outcome == Outcome.DISCONNECTED.value
-            else one.deadline + LOST_AFTER_DEADLINE_MS
+            request.ended_at
+            if request.outcome == Outcome.DISCONNECTED.value
+            else request.deadline + LOST_AFTER_DEADLINE_MS
         )
-        if self._is_excused(one, until):
+        if self._is_excused(request, until):
             self.out.excused += 1
-        elif one.outcome == Outcome.DISCONNECTED.value and not self.attempts.get(one.ident):
+        elif request.outcome == Outcome.DISCONNECTED.value and not self.attempts.get(request.ident):
             self.out.unanswered += 1
         else:
             self.out.add(
-                "answer", one.deadline, one.node, f"{one.ident} ({one.outcome}) never got a response"
+                "answer",
+                request.deadline,
+                request.node,
+                f"{request.ident} ({request.outcome}) never got a response",
             )
 
-    def _is_excused(self, one: records.ClientAttemptRecord, until: float) -> bool:
+    def _is_excused(self, request: records.ClientAttemptRecord, until: float) -> bool:
         """Return whether a fault of the lab itself prevented the response."""
-        name, zone = f"n{one.node}", f"c-{one.zone}"
-        for process_record in self.process_records[one.node]:
+        name, zone = f"n{request.node}", f"c-{request.zone}"
+        for process_record in self.process_records[request.node]:
             end = process_record.killed_at or (process_record.ended_at if process_record.failure else 0.0)
-            if not end or not one.sent_at - SOCKET_SLACK_MS <= end <= until + SOCKET_SLACK_MS:
+            if not end or not request.sent_at - SOCKET_SLACK_MS <= end <= until + SOCKET_SLACK_MS:
                 continue
             if (
                 not process_record.terminated_at
-                or one.sent_at <= process_record.terminated_at + SIGKILL_LOSS_WINDOW_MS
+                or request.sent_at <= process_record.terminated_at + SIGKILL_LOSS_WINDOW_MS
             ):
                 return True
-        if any(n == name and a <= until and one.sent_at <= b + SOCKET_SLACK_MS for n, a, b in self.stalls):
+        if any(
+            n == name and a <= until and request.sent_at <= b + SOCKET_SLACK_MS for n, a, b in self.stalls
+        ):
             return True
         return any(
-            f.at * 1000 <= until and one.sent_at <= f.ends_at * 1000
+            f.at * 1000 <= until and request.sent_at <= f.ends_at * 1000
             and self.network.affects_link(f, zone, name)
             for f in self.links
         )  # fmt: skip
 
-    def _check_rejection(self, one: records.ClientAttemptRecord) -> None:
-        cls = self.spec.load.classes[one.class_index]
-        if one.status not in (429, 503) or cls.effect == "retryable":
+    def _check_rejection(self, request: records.ClientAttemptRecord) -> None:
+        cls = self.spec.load.classes[request.class_index]
+        if request.status not in (429, 503) or cls.effect == "retryable":
             return
-        may_have_run = [a for a in self.attempts.get(one.ident, ()) if a.verdict not in NOT_EXECUTED]
+        may_have_run = [a for a in self.attempts.get(request.ident, ()) if a.verdict not in NOT_EXECUTED]
         if may_have_run and (cls.effect == "fragile" or cls.group != "all"):
             self.out.add(
                 "twice",
-                one.answered_at,
-                one.node,
-                f"{one.ident} may have run, but was rejected as not started",
+                request.answered_at,
+                request.node,
+                f"{request.ident} may have run, but was rejected as not started",
             )
 
     # --- rules about attempts
 
     def _check_unchanged(
-        self, one: records.ClientAttemptRecord | None, attempts: list[records.BackendAttemptRecord]
+        self, request: records.ClientAttemptRecord | None, attempts: list[records.BackendAttemptRecord]
     ) -> None:
         for attempt in attempts:
-            if one is None:
+            if request is None:
                 self.out.add(
                     "changed",
                     attempt.first_byte_at,
@@ -217,11 +229,11 @@
                     f"{attempt.ident}: expected a request of a client, but no client sent it",
                 )
                 continue
-            cls = self.spec.load.classes[one.class_index]
+            cls = self.spec.load.classes[request.class_index]
             same = (
-                (attempt.method, attempt.request_body) == method_and_body(cls, one.operation)
-                and attempt.path.startswith(f"/{cls.name}/{one.operation}?")
-                and attempt.key == one.key
+                (attempt.method, attempt.request_body) == method_and_body(cls, request.operation)
+                and attempt.path.startswith(f"/{cls.name}/{request.operation}?")
+                and attempt.key == request.key
             )
             if not same:
                 self.out.add(
@@ -232,10 +244,10 @@
                 )
 
     def _check_repeats(
-        self, one: records.ClientAttemptRecord, attempts: list[records.BackendAttemptRecord]
+        self, request: records.ClientAttemptRecord, attempts: list[records.BackendAttemptRecord]
     ) -> None:
-        cls = self.spec.load.classes[one.class_index]
-        if cls.effect == "retryable" or one.resent_at:
+        cls = self.spec.load.classes[request.class_index]
+        if cls.effect == "retryable" or request.resent_at:
             return
         may_have_run: list[records.BackendAttemptRecord] = []
         for attempt in attempts:
--- a/balancer/lab/power_recovery.py
+++ b/balancer/lab/power_recovery.py
@@ -48,11 +48,11 @@
     def __post_init__(self) -> None:
         """Find the last loss, and the first process of each node after it."""
         self.fault = max((f for f in self.spec.faults if isinstance(f, PowerLoss)), key=lambda f: f.at)
-        back: dict[int, records.ProcessRecord] = {}
+        recovery: dict[int, records.ProcessRecord] = {}
         for process_record in sorted(self.run_records.processes, key=lambda x: x.started_at):
             if process_record.started_at >= self.cut:
-                back.setdefault(process_record.node, process_record)
-        self.first = list(back.values())
+                recovery.setdefault(process_record.node, process_record)
+        self.first = list(recovery.values())
 
     @property
     def cut(self) -> float:
@@ -90,46 +90,51 @@
     return out
 
 
-def capacity_shares(back: RecoveryTimes, offered: Floats) -> Floats:
+def capacity_shares(recovery: RecoveryTimes, offered: Floats) -> Floats:
     """Return for each slot the share of its `offered` operations for which there was capacity."""
     work: dict[int, float] = defaultdict(float)
-    for one in back.run_records.capacities:
+    for one in recovery.run_records.capacities:
         work[one.slot] += one.work
     share = np.ones(len(offered))
-    for slot in range(int(back.cut / SLOT_MS), len(offered)):
+    for slot in range(int(recovery.cut / SLOT_MS), len(offered)):
         at = slot * SLOT_MS
         serving = any(
-            x.ready_at and x.ready_at <= at and not 0 < x.ended_at <= at for x in back.run_records.processes
+            x.ready_at and x.ready_at <= at and not 0 < x.ended_at <= at
+            for x in recovery.run_records.processes
+        )
+        offered_value = offered[slot] * recovery.spec.load.work_ms
+        share[slot] = (
+            min(1.0, work[slot] * SLOT_MS / offered_value) if serving and offered_value else float(serving)
         )
-        asked = offered[slot] * back.spec.load.work_ms
-        share[slot] = min(1.0, work[slot] * SLOT_MS / asked) if serving and asked else float(serving)
     return share
 
 
 def power_recovery_figures(spec: Experiment, seed: int, run_records: records.RunRecords,
               operations: list[tuple[float, float, float]]) -> dict[str, float]:  # fmt: skip
     """Return the recovery figures; `operations` are tuples (intended ms, value, served value)."""
-    back = RecoveryTimes(spec, seed, run_records)
+    recovery = RecoveryTimes(spec, seed, run_records)
     times = [at for at, _, _ in operations]
-    asked = sum_by_slot(spec, times, [value for _, value, _ in operations])
+    offered_value = sum_by_slot(spec, times, [value for _, value, _ in operations])
     served_value = sum_by_slot(spec, times, [served_value for _, _, served_value in operations])
-    share = capacity_shares(back, sum_by_slot(spec, times, [1.0] * len(times)))
-    end = int(np.ceil(back.end / SLOT_MS))
+    share = capacity_shares(recovery, sum_by_slot(spec, times, [1.0] * len(times)))
+    end = int(np.ceil(recovery.end / SLOT_MS))
     out = {
-        "return_share": _share_between(served_value, asked, int(back.power / SLOT_MS), end),
-        "return_bearable": _share_between(share * asked, asked, int(back.power / SLOT_MS), end),
-        "return_to_95_s": _recovered_s(back, served_value, asked),
+        "return_share": _share_between(served_value, offered_value, int(recovery.power / SLOT_MS), end),
+        "return_bearable": _share_between(
+            share * offered_value, offered_value, int(recovery.power / SLOT_MS), end
+        ),
+        "return_to_95_s": _recovered_s(recovery, served_value, offered_value),
         "return_toppled": float(sum(t.collapsed_at >= _first_cut(spec) for t in run_records.collapses)),
         "return_calls_worst": float(
-            _most_in_a_second([c.at for c in run_records.discovery_calls if c.at >= back.power])
+            _most_in_a_second([c.at for c in run_records.discovery_calls if c.at >= recovery.power])
         ),
-    } | _datagram_figures(back)
-    if np.isfinite(back.median):
-        begin = int(np.ceil((back.median + 1000) / SLOT_MS))
-        out["return_goodput"] = _share_between(served_value, share * asked, begin, end)
-        out["return_ready_s"] = (back.median - back.power) / 1000
+    } | _datagram_figures(recovery)
+    if np.isfinite(recovery.median):
+        begin = int(np.ceil((recovery.median + 1000) / SLOT_MS))
+        out["return_goodput"] = _share_between(served_value, share * offered_value, begin, end)
+        out["return_ready_s"] = (recovery.median - recovery.power) / 1000
     if spec.fleet.recovery:
-        out["return_full_s"] = _all_full_s(back)
+        out["return_full_s"] = _all_full_s(recovery)
     return out
 
 
@@ -142,16 +147,16 @@
     return float(some[begin:end].sum()) / total if total else 1.0
 
 
-def _recovered_s(back: RecoveryTimes, served_value: Floats, asked: Floats) -> float:
+def _recovered_s(recovery: RecoveryTimes, served_value: Floats, offered_value: Floats) -> float:
     """Return the seconds from the return of power to a second with recovered goodput; -1 if none."""
     begin, first = (
-        int(back.spec.warmup * 1000 / SLOT_MS),
-        int(min(f.at for f in back.spec.faults) * 1000 / SLOT_MS),
+        int(recovery.spec.warmup * 1000 / SLOT_MS),
+        int(min(f.at for f in recovery.spec.faults) * 1000 / SLOT_MS),
     )
-    wanted = RECOVERED_SHARE * _share_between(served_value, asked, begin, first - 5)
-    start = int(back.power / SLOT_MS)
+    wanted = RECOVERED_SHARE * _share_between(served_value, offered_value, begin, first - 5)
+    start = int(recovery.power / SLOT_MS)
     for slot in range(start, len(served_value) - SUSTAINED_SLOTS + 1):
-        if _share_between(served_value, asked, slot, slot + SUSTAINED_SLOTS) >= wanted:
+        if _share_between(served_value, offered_value, slot, slot + SUSTAINED_SLOTS) >= wanted:
             return (slot - start) * SLOT_MS / 1000
     return -1.0
 
@@ -162,15 +167,15 @@
     return max((bisect_right(at, t + 1000) - i for i, t in enumerate(at)), default=0)
 
 
-def _datagram_figures(back: RecoveryTimes) -> dict[str, float]:
+def _datagram_figures(recovery: RecoveryTimes) -> dict[str, float]:
     """Return datagrams per second and live node: usually, and in the worst second after power returns."""
-    if not back.spec.network.peer_datagrams:
+    if not recovery.spec.network.peer_datagrams:
         return {}
     sent: dict[int, list[int]] = defaultdict(list)
-    for one in back.run_records.datagram_counts:
+    for one in recovery.run_records.datagram_counts:
         sent[one.second].append(one.count)
-    cut, power = int(_first_cut(back.spec) / 1000), int(back.power / 1000)
-    usual = [sum(sent[s]) / back.spec.fleet.nodes for s in range(int(np.ceil(back.spec.warmup)), cut)]
+    cut, power = int(_first_cut(recovery.spec) / 1000), int(recovery.power / 1000)
+    usual = [sum(sent[s]) / recovery.spec.fleet.nodes for s in range(int(np.ceil(recovery.spec.warmup)), cut)]
     worst = [sum(n) / len(n) for s, n in sent.items() if s > power]
     return {
         "return_datagrams_usual": float(np.mean(usual)) if usual else 0.0,
@@ -179,15 +184,15 @@
     }
 
 
-def _all_full_s(back: RecoveryTimes) -> float:
+def _all_full_s(recovery: RecoveryTimes) -> float:
     """Return the seconds from the return of power until all nodes are in phase `full`; -1 if one never is."""
     last: dict[int, float] = {}
-    for one in back.run_records.recovery_phases:
-        if one.phase == FULL_PHASE and one.at >= back.cut:
+    for one in recovery.run_records.recovery_phases:
+        if one.phase == FULL_PHASE and one.at >= recovery.cut:
             last.setdefault(one.node, one.at)
-    if not back.first or any(process_record.node not in last for process_record in back.first):
+    if not recovery.first or any(process_record.node not in last for process_record in recovery.first):
         return -1.0
-    return (max(last.values()) - back.power) / 1000
+    return (max(last.values()) - recovery.power) / 1000
 
 
 def count_forgotten_bans(spec: Experiment, run_records: records.RunRecords) -> int:
@@ -226,9 +231,12 @@
 
     def of(self, ban: records.MaintenanceRecord, node: int, at: float) -> bool:
         """Return whether `node` could know of a ban at `at` (ms), from its own call or the banning node."""
-        knower = f"n{ban.node}"
+        banning_node = f"n{ban.node}"
         for fault in self.cuts:
-            if ban.banned_at < fault.at * 1000 <= at and disk_state_of(self.spec, fault, knower) != "sound":
+            if (
+                ban.banned_at < fault.at * 1000 <= at
+                and disk_state_of(self.spec, fault, banning_node) != "sound"
+            ):
                 return False
         process_record = next(
             (x for x in reversed(self.process_records[ban.node]) if x.started_at <= at), None
@@ -239,7 +247,7 @@
         if node == ban.node:
             return at > since + REQUEST_SLACK_MS
         wait = BAN_PROPAGATION_MS if process_record.started_at <= ban.banned_at else REQUEST_SLACK_MS
-        return at > since + wait and not self._is_cut_off(f"n{node}", knower, at)
+        return at > since + wait and not self._is_cut_off(f"n{node}", banning_node, at)
 
     def _is_cut_off(self, one: str, other: str, at: float) -> bool:
         return any(
--- a/balancer/lab/report.py
+++ b/balancer/lab/report.py
@@ -143,8 +143,8 @@
 
 def plots(spec: Experiment, run_records: records.RunRecords) -> Figure:
     """Plot goodput, load, latency, rejections, load by backend and nodes, with faults as bands."""
-    line = series(spec, run_records, operations(spec, run_records))
-    t = np.array(line["t_s"]) + SERIES_WINDOW_S / 2
+    time_series = series(spec, run_records, operations(spec, run_records))
+    t = np.array(time_series["t_s"]) + SERIES_WINDOW_S / 2
     heights = [2.2, 2.2, 1.2, 2.2, max(1.2, min(3.5, 0.22 * spec.fleet.nodes))]
     if spec.fleet.membership:
         heights.append(2.2)
@@ -154,9 +154,9 @@
     axes: Sequence[Axes] = figure.subplots(len(heights), 1, sharex=True, height_ratios=heights).tolist()
     goodput, latency, refused, backends, nodes = axes[:5]
     _shade((goodput, latency, refused, nodes), spec)
-    _plot_goodput(goodput, spec, line, t)
-    _plot_latency(latency, line, t)
-    refused.fill_between(t, line["refused_per_s"], color=BAD, alpha=0.5, step="mid")
+    _plot_goodput(goodput, spec, time_series, t)
+    _plot_latency(latency, time_series, t)
+    refused.fill_between(t, time_series["refused_per_s"], color=BAD, alpha=0.5, step="mid")
     refused.set_ylabel("refused / s")
     refused.set_ylim(bottom=0)
     _plot_backend_loads(figure, backends, spec, run_records)
@@ -174,12 +174,12 @@
     return figure
 
 
-def _plot_goodput(ax: Axes, spec: Experiment, line: Series, t: NDArray[np.float64]) -> None:
-    ax.plot(t, line["goodput"], color=GOOD, lw=1.8)
+def _plot_goodput(ax: Axes, spec: Experiment, time_series: Series, t: NDArray[np.float64]) -> None:
+    ax.plot(t, time_series["goodput"], color=GOOD, lw=1.8)
     ax.set(ylabel="goodput (share of offered value)", ylim=(0, 1.04))
     load = ax.twinx()
-    load.plot(t, line["offered_per_s"], color=QUIET, lw=1, ls="--")
-    load.set_ylim(0, max(line["offered_per_s"], default=1) * 1.3 + 1)
+    load.plot(t, time_series["offered_per_s"], color=QUIET, lw=1, ls="--")
+    load.set_ylim(0, max(time_series["offered_per_s"], default=1) * 1.3 + 1)
     load.set_ylabel("first attempts / s (dashed)", color=QUIET)
     top = ax.get_ylim()[1]
     for index, (begin, _, name) in enumerate(fault_spans(spec)[:MAX_NAMED_FAULTS]):
@@ -187,9 +187,9 @@
                     fontsize=7.5, color="#7a5b00", annotation_clip=False)  # fmt: skip
 
 
-def _plot_latency(ax: Axes, line: Series, t: NDArray[np.float64]) -> None:
-    ax.plot(t, line["p50_ms"], color=INK, lw=1.4, label="p50")
-    ax.plot(t, line["p99_ms"], color=BAD, lw=1.4, label="p99")
+def _plot_latency(ax: Axes, time_series: Series, t: NDArray[np.float64]) -> None:
+    ax.plot(t, time_series["p50_ms"], color=INK, lw=1.4, label="p50")
+    ax.plot(t, time_series["p99_ms"], color=BAD, lw=1.4, label="p99")
     ax.set_yscale("log")
     ax.yaxis.set_major_formatter(ScalarFormatter())
     ax.yaxis.set_minor_formatter(NullFormatter())
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -161,13 +161,11 @@
                           faults=(PowerLoss(at=5.0, disks=disks), *more))  # fmt: skip
         return count_forgotten_bans(spec, recovery_records([ban], [(node, at)]))
 
-    ban = records.MaintenanceRecord(
-        1, 0, 2000.0, 15_000.0
-    )  # Node n1 acknowledged the ban, and is back at 8 s.
+    # Node n1 acknowledged the ban, and is back at 8 s, 3 s after the power loss.
+    ban = records.MaintenanceRecord(1, 0, 2000.0, 15_000.0)
     assert count(ban, 1, 9000.0) == count(ban, 0, 9000.0) == 1
-    assert (
-        count(ban, 0, 7900.0) == count(ban, 0, 16_000.0) == 0
-    )  # Before, n1 is down; later, the ban is lifted.
+    # At 7.9 s n1 is still down, and at 16 s the ban is lifted.
+    assert count(ban, 0, 7900.0) == count(ban, 0, 16_000.0) == 0
     assert count(ban, 0, 9000.0, disks=(DiskState(nodes="nodes:1", state="empty"),)) == 0
     apart = LinkFault(at=5.0, duration_s=5.0, source="nodes:0", destination="nodes:1", cut=True)
     assert count(ban, 0, 9000.0, apart) == 0 and count(ban, 0, 12_500.0, apart) == 1
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -133,9 +133,8 @@
         and processes[2, 0].exit_code == 0
         and all(x.ready_at for x in processes.values())
     )
-    assert (
-        processes[2, 1].started_at < processes[2, 0].terminated_at < processes[2, 0].ended_at
-    )  # An upgrade runs both.
+    # During an upgrade, the old and the new process run side by side.
+    assert processes[2, 1].started_at < processes[2, 0].terminated_at < processes[2, 0].ended_at
     assert 'src="data:image/png;base64,' in (out / "report.html").read_text()
     lines = [json.loads(line) for line in (out / "lab.jsonl").read_text().splitlines()]
     assert all({"run", "party", "event", "t_ms", "wall"} <= line.keys() for line in lines)
@@ -175,7 +174,8 @@
     done = run_lab(
         "run", write_experiment(tmp_path, MOVES), "--out", str(out), "--set", "fleet.ready-within=60.0"
     )
-    assert done.returncode in (0, 2), done.stderr  # A busy machine makes a run void: 2.
+    # Exit code 2 stands for a void run, for which the machine was too busy.
+    assert done.returncode in (0, 2), done.stderr
     for node, last in enumerate(("8081", "8082")):
         text = (out / "logs" / f"n{node}-0.log").read_text()
         # The first port may be missing, because the first call can follow the SIGHUP.
