--- a/balancer/net/backend_connection.py
+++ b/balancer/net/backend_connection.py
@@ -10,7 +10,7 @@
 from balancer.interface import AttemptStatus
 from balancer.net.attempt import Attempt, AttemptResult
 from balancer.net.load_report import LoadReportError
-from balancer.net.response_parser import ResponseParser
+from balancer.net.response_parser import MAX_HEADER_BYTES, ResponseParser
 from balancer.net.statistics import CloseReason
 from balancer.net.stream import MAX_BUFFERED_BODY_BYTES
 
@@ -21,9 +21,11 @@
 STREAMING_DELAY_S = 0.025
 # A response of unknown length counts as long while it arrives at least at this rate.
 MIN_LONG_RESPONSE_BYTES_PER_S = 16 * 1024
-STALL_TIMEOUT_S = 10.0  # An attempt with a streamed body fails after this long without a byte moved.
+# An attempt with a streamed body fails if no byte is sent or received for this long.
+STALL_TIMEOUT_S = 10.0
 STALL_CHECK_MIN_S = STALL_TIMEOUT_S / 10
-REUSE_DELAY_S = 0.006  # A connection stays unused this long after a response: a faulty second one may follow.
+# A connection is not reused for this long after a response, because a faulty second response may follow.
+REUSE_DELAY_S = 0.006
 
 
 class BackendConnection(asyncio.BufferedProtocol):
@@ -45,18 +47,16 @@
         self.is_request_written = False
         self.is_write_blocked = False
         self.idle_since = 0.0  # Loop time in seconds at which the connection became idle.
-        self._last_progress = 0.0  # Loop time in seconds at which the last byte moved.
-        self._is_creating_transport = (
-            False  # While set the event loop owns the socket, so only `connect` closes it.
-        )
+        self._last_progress = 0.0  # Loop time in seconds of the last byte sent or received.
+        # While this is set, the event loop owns the socket, so only `connect` closes it.
+        self._is_creating_transport = False
         self._is_request_started = False  # Bytes received before the first request are not a response.
         self._is_reading_paused = False
         self.streaming_since = 0.0  # Loop time in seconds at which streaming began.
         # Starts streaming a body of unknown length that is not complete after `STREAMING_DELAY_S`.
         self.streaming_timer: asyncio.TimerHandle | None = None
-        self._reuse_timer: asyncio.TimerHandle | None = (
-            None  # Set while an attempt waits for `REUSE_DELAY_S`.
-        )
+        # This is set while an attempt waits until the connection has been idle for `REUSE_DELAY_S`.
+        self._reuse_timer: asyncio.TimerHandle | None = None
         self._stall_timer: asyncio.TimerHandle | None = None
         self.response = ResponseParser(self._begin_streaming)
 
@@ -144,7 +144,10 @@
         self.pool.warnings.log(kind, "backend {}:{}: {:.300}".format(*self.address, text or kind))
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once: a transport closes one loop iteration later, after the next attempt was sent."""
+        """Close the socket immediately.
+
+        The transport alone would close it one loop iteration later, after the next attempt was sent.
+        """
         if self.is_closed:
             return
         self.is_closed = True
@@ -224,7 +227,9 @@
             self._finish(is_clean=not fault and not response.has_excess)
         elif fault or response.has_excessive_headers:
             self._warn(
-                "malformed response" if fault else "headers too long: more than 16 KiB, the attempt fails",
+                "malformed response"
+                if fault
+                else f"headers too long: more than {MAX_HEADER_BYTES // 1024} KiB, the attempt fails",
                 fault,
             )
             self._fail(AttemptStatus.RESET)
@@ -290,7 +295,7 @@
     # --- stall detection
 
     def _watch_for_stall(self) -> None:
-        """Start stall detection: a streamed body has no other time limit."""
+        """Start stall detection, because a streamed body has no other time limit."""
         if self._stall_timer is None:
             self._last_progress = self.pool.loop.time()
             self._stall_timer = self.pool.loop.call_later(STALL_TIMEOUT_S, self._check_stall)
@@ -302,7 +307,9 @@
         is_receiving = self.response.sink is not None and not self._is_reading_paused
         remaining = self._last_progress + STALL_TIMEOUT_S - self.pool.loop.time()
         if (self.is_write_blocked or is_receiving) and remaining <= 0:
-            self._warn("connection stalled: no byte sent or received for 10 s, the attempt fails")
+            self._warn(
+                f"connection stalled: no byte sent or received for {STALL_TIMEOUT_S:g} s, the attempt fails"
+            )
             self._fail(self._break_status)
             return
         delay = max(remaining, STALL_CHECK_MIN_S)
