--- a/balancer/lab/backend_stubs.py
+++ b/balancer/lab/backend_stubs.py
@@ -22,10 +22,10 @@
     Verdict.SERVED: "200 OK", Verdict.REPEATED: "200 OK", Verdict.ERROR: "500 Internal Server Error",
     Verdict.REJECTED: "503 Service Unavailable", Verdict.EXPIRED: "504 Gateway Timeout",
 }  # fmt: skip
-MIN_TIMER_DELAY_MS = 0.5  # Shorter delays are below the resolution of the event loop's timers.
+MIN_TIMER_DELAY_MS = 0.5  # The event loop's timers cannot resolve delays below 0.5 ms.
 TIMER_TOLERANCE_MS = 0.5
 NOT_STARTED = frozenset({Verdict.REJECTED, Verdict.EXPIRED})
-WORK_PARAMETER = "w"  # Query parameter with the work of a request, which nodes forward unread.
+WORK_PARAMETER = "w"  # The query parameter `w` carries the work of a request; nodes forward it unread.
 
 
 def answer(code: str, body: bytes, *headers: str) -> bytes:
@@ -45,10 +45,10 @@
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0.0
         self.cap = group.spec.backends.connections_per_core * group.spec.backends.cores
-        self.served = self.errors = 0  # Both counters feed the live display only.
+        self.served = self.errors = 0  # The counts of responses feed the live display only.
         self.alive = True
         self.owners: dict[Job, BackendConnection] = {}
-        self.unresponsive: set[int] = set()  # New connections from these nodes are not accepted for now.
+        self.unresponsive: set[int] = set()  # Connections from these nodes stay unaccepted for a while.
         self.listeners = [self._listener(node) for node in range(group.spec.fleet.nodes)]
 
     def _listener(self, node: int) -> ImpairedListener:
--- a/balancer/lab/clients.py
+++ b/balancer/lab/clients.py
@@ -28,7 +28,7 @@
 LOST_AFTER_DEADLINE_MS = 500.0
 DOWN_CHECK_INTERVAL_S = 0.1
 CHECK_TIMEOUT_S = 1.0
-TERMINATION_NOTICE_S = 0.3  # Front-end proxies stop using a node this long after its SIGTERM.
+TERMINATION_NOTICE_S = 0.3  # Front-end proxies stop using a node 0.3 s after its SIGTERM.
 FAILED_CHECKS_UNTIL_DOWN = 2
 LINK_POLL_S = 0.02
 TIMER_TOLERANCE_MS = 0.5
@@ -116,8 +116,10 @@
     step: PlannedAttempt
     record: records.ClientAttemptRecord
     data: bytes
-    connection: ClientConnection | None = None  # The request was last written to this connection.
-    ended: bool = False  # True once the client no longer waits for the response.
+    connection: ClientConnection | None = (
+        None  # The request of an attempt was last written to this connection.
+    )
+    ended: bool = False  # An attempt has ended once its client no longer waits for the response.
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
 
@@ -208,7 +210,7 @@
         self.open = 0
         self.done = asyncio.Event()
         self.counts: Counter[str] = Counter()
-        self.recent_latencies_ms: list[float] = []  # Responses served since the last call of `live`.
+        self.recent_latencies_ms: list[float] = []  # Latencies are kept until the next call of `live`.
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
--- a/balancer/lab/compare.py
+++ b/balancer/lab/compare.py
@@ -35,10 +35,10 @@
     figure: str
     median_a: float
     median_b: float
-    median: float  # Median of the paired differences, not the difference of the medians.
+    median: float  # The median of the paired differences is not the difference of the medians.
     low: float
     high: float
-    p: float  # p value of the sign-flip test after Holm's correction.
+    p: float  # The p value of the sign-flip test includes Holm's correction.
     differs: bool
 
 
--- a/balancer/lab/datagram_relay.py
+++ b/balancer/lab/datagram_relay.py
@@ -13,7 +13,7 @@
 from balancer.lab.addresses import AddressPlan
 from balancer.models.network import NetworkConditions
 
-MAX_DATAGRAM_BYTES = 256  # The datagram protocol allows no longer datagrams.
+MAX_DATAGRAM_BYTES = 256  # The datagram protocol allows at most 256 bytes per datagram.
 
 
 class DatagramRelay:
@@ -23,7 +23,9 @@
         """Create the relay, whose sockets `open` binds."""
         self.spec, self.addresses, self.network = spec, addresses, network
         self.transports: dict[tuple[int, int], asyncio.DatagramTransport] = {}
-        self.sends: list[tuple[float, int]] = []  # Send time (monotonic s) and sender of each datagram.
+        self.sends: list[
+            tuple[float, int]
+        ] = []  # Each datagram is kept as send time (monotonic s) and sender.
         self.counts: Counter[str] = Counter()
 
     def sent(self, zero: float) -> list[records.DatagramCountRecord]:
--- a/balancer/lab/discovery_stub.py
+++ b/balancer/lab/discovery_stub.py
@@ -19,8 +19,8 @@
 from balancer.models.directory import Directory, ListedEndpoint, Phase, Watch
 from balancer.models.network import NetworkConditions
 
-FORMER_CONNECTION_LIFETIME_S = 1.5  # Connections to a former address are closed this long after a move.
-HEARTBEAT_INTERVAL_S = 2.0  # An open watch sends an empty line as a heartbeat at this interval.
+FORMER_CONNECTION_LIFETIME_S = 1.5  # Discovery closes connections to a former address 1.5 s after a move.
+HEARTBEAT_INTERVAL_S = 2.0  # An open watch sends an empty line as a heartbeat every 2 s.
 
 
 class DiscoveryStub:
--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -21,14 +21,14 @@
 from balancer.lab.timeline import last_step_at
 from balancer.models.client import Outcome
 
-MAX_HARNESS_LATENESS_P99_MS = 5.0  # A run whose harness sends later than this at p99 is void.
-MAX_CPU_WAIT_S = 1.0  # A run is void if a runnable node waited longer for a core in CPU_WAIT_WINDOW_S.
+MAX_HARNESS_LATENESS_P99_MS = 5.0  # A run is void if the harness sends over 5 ms late at p99.
+MAX_CPU_WAIT_S = 1.0  # A run is void if a node waits over 1 s for a core within CPU_WAIT_WINDOW_S.
 CPU_WAIT_WINDOW_S = 2.0
-START_UP_S = 3.0  # Waits for a core in this time after a start are ignored: many processes start at once.
+START_UP_S = 3.0  # Waits for a core in the first 3 s are ignored, as many processes start at once.
 HISTOGRAM_MAX_US = 60_000_000
-MIN_BROADCAST_LOSS = 0.5  # A node that loses this share of its broadcasts does not count as healthy.
-RECOVERED_GOODPUT_SHARE = 0.95  # Recovery means this share of the goodput before the first fault.
-DETECTION_LIMIT_MS = 10_000.0  # Every survivor has to detect a node's death within this time.
+MIN_BROADCAST_LOSS = 0.5  # A node that loses half of its broadcasts does not count as healthy.
+RECOVERED_GOODPUT_SHARE = 0.95  # Goodput has recovered at 95% of its value before the first fault.
+DETECTION_LIMIT_MS = 10_000.0  # Every survivor has to detect a node's death within 10 s.
 SERIES_WINDOW_S = 0.5
 COMPARED_FIGURES = (
     "goodput",
@@ -39,8 +39,8 @@
 )
 SUCCESSOR_WINDOW_S = 5.0
 SUCCESSOR_STEP_S = 0.1
-PREDECESSOR_WINDOW_MS = 3000  # A predecessor's served share is taken over this time before its end.
-MIN_SEEDS = 8  # With fewer seeds, no difference stays significant after Holm's correction.
+PREDECESSOR_WINDOW_MS = 3000  # The served share of a predecessor is taken over its last 3 s.
+MIN_SEEDS = 8  # With fewer than 8 seeds, no difference stays significant after Holm's correction.
 
 Series = dict[str, list[float]]
 
@@ -52,9 +52,9 @@
     intended_at: float
     class_index: int
     zone: str
-    value: float  # Value that the operation has if it is served in time.
-    served_value: float  # Value that was earned: less than `value` if late, 0 if not served.
-    latency_ms: float | None  # Latency counts from the intended send time; None if not served.
+    value: float  # An operation earns this value if it is served in time.
+    served_value: float  # The earned value is below `value` if served late, 0 if not served.
+    latency_ms: float | None  # The latency counts from the intended send time; None if not served.
     last_outcome: str
     attempts: int
 
--- a/balancer/lab/impaired_sockets.py
+++ b/balancer/lab/impaired_sockets.py
@@ -41,7 +41,7 @@
 
     arrives_at: float
     at: float
-    data: bytes | None  # None marks the end of the stream.
+    data: bytes | None  # None as data marks the end of the stream.
 
 
 class ImpairedConnection(asyncio.Protocol):
@@ -55,8 +55,8 @@
         self.inward: deque[Segment] = deque()
         self.outward: deque[Segment] = deque()
         self.timers: dict[bool, asyncio.TimerHandle] = {}
-        self.read_at = 0.0  # When the bytes now being delivered were read from the socket.
-        self.closed_at = 0.0  # When the socket reported that the peer had closed; 0 before that.
+        self.read_at = 0.0  # The bytes now being delivered were read from the socket at this time.
+        self.closed_at = 0.0  # The socket reported the peer's close at this time; 0 before that.
 
     # --- methods that subclasses override or call
 
@@ -94,7 +94,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport of the established connection."""
-        # A cast, as transports of uvloop do not derive from asyncio.Transport.
+        # Transports of uvloop do not derive from asyncio.Transport, so only a cast works for both loops.
         self.transport, self.open = cast(asyncio.Transport, transport), True
         self.network.watchers.append(self._changed)
         self.up()
--- a/balancer/lab/judge.py
+++ b/balancer/lab/judge.py
@@ -27,11 +27,11 @@
 from balancer.models.directory import Phase
 from balancer.models.network import NetworkConditions
 
-SOCKET_SLACK_MS = 50.0  # Every time limit of a rule is longer by this on sockets.
-ASSUMED_DELIVERY_MS = 6000.0  # Discovery's events count as delivered to all nodes after this time.
-SIGKILL_LOSS_WINDOW_MS = 700.0  # A request sent up to this long after SIGTERM may be lost to SIGKILL.
-MAX_UNANSWERED_SHARE = 1 / 200  # This share of requests may lose its connection without any attempt.
-MIN_INFORMED_SHARE = 2 / 3  # Informed nodes must have sent this share of a collapsed backend's work.
+SOCKET_SLACK_MS = 50.0  # Sockets extend every time limit of a rule by 50 ms.
+ASSUMED_DELIVERY_MS = 6000.0  # Events of discovery count as delivered to all nodes after 6 s.
+SIGKILL_LOSS_WINDOW_MS = 700.0  # A request sent up to 700 ms after SIGTERM may be lost to SIGKILL.
+MAX_UNANSWERED_SHARE = 1 / 200  # One request in 200 may lose its connection before any attempt.
+MIN_INFORMED_SHARE = 2 / 3  # A collapse is a violation if informed nodes sent 2/3 of the work.
 MAX_REPORTED_VIOLATIONS = 20
 
 RULES = {
@@ -54,7 +54,7 @@
     """One violation of a rule by a node."""
 
     rule: str
-    at: float  # Time of the violation in ms of the run.
+    at: float  # The violation happened at this time (ms) of the run.
     node: int
     text: str
 
@@ -65,9 +65,9 @@
 
     broken: Counter[str] = field(default_factory=Counter)
     first_violations: list[RuleViolation] = field(default_factory=list)
-    excused: int = 0  # Number of requests that were lost to a fault of the lab itself.
-    overdue: int = 0  # Number of responses past the rule's slack, but within half a second.
-    unanswered: int = 0  # Number of connections that ended with no response and no attempt.
+    excused: int = 0  # Requests lost to a fault of the lab itself are excused.
+    overdue: int = 0  # Responses past the rule's slack but within half a second are overdue.
+    unanswered: int = 0  # Connections that ended with no response and no attempt are unanswered.
 
     def add(self, rule: str, at: float, node: int, text: str) -> None:
         """Count a violation of a rule, and keep its details if it is among the first."""
--- a/balancer/lab/outage.py
+++ b/balancer/lab/outage.py
@@ -19,7 +19,7 @@
         self.fleet, self.fault = fleet, fault
         self.copies: dict[str, DiskImage] = {}
         self.replaced = asyncio.Event()
-        self.superseded = False  # True once a later power loss has begun.
+        self.superseded = False  # A power loss is superseded once a later one has begun.
 
     def copy(self) -> None:
         """Copy the directories that the loss will reset to an `old` state; called halfway to the loss."""
--- a/balancer/lab/power_loss.py
+++ b/balancer/lab/power_loss.py
@@ -34,8 +34,8 @@
 from balancer.experiments.selectors import fault_targets, select_parties
 from balancer.sim.disk import DiskImage, Inode, NameChange, SimulatedDisk
 
-UNSYNCED_TAGS = frozenset({"list", "learned", "start"})  # Nodes do not wait for a sync of these records.
-MAX_CRASH_STATES = 64  # One of at most this many possible states of a directory is drawn.
+UNSYNCED_TAGS = frozenset({"list", "learned", "start"})  # Nodes do not wait until these are synced.
+MAX_CRASH_STATES = 64  # One of at most 64 possible states of a directory is drawn.
 MAX_HEADER_BYTES = 4096
 CORRUPTED_BYTES = 24
 
--- a/balancer/lab/power_recovery.py
+++ b/balancer/lab/power_recovery.py
@@ -25,11 +25,11 @@
 from balancer.models.network import NetworkConditions
 
 SLOT_MS = 100.0
-RECOVERED_SHARE = 0.95  # Recovery means this share of the goodput before the first fault.
-SUSTAINED_SLOTS = 10  # Goodput has to stay recovered over this many slots.
-REQUEST_SLACK_MS = 50.0  # A request in flight may reach a banned backend this long after the ban.
-BAN_PROPAGATION_MS = 1000.0  # All live nodes have to know of a ban within this time.
-REJOIN_SLACK_MS = 2000.0  # Nodes count as cut off this long after their link is back.
+RECOVERED_SHARE = 0.95  # Goodput has recovered at 95% of its value before the first fault.
+SUSTAINED_SLOTS = 10  # Goodput has to stay recovered over 10 slots of 100 ms.
+REQUEST_SLACK_MS = 50.0  # A request in flight may reach a banned backend 50 ms after the ban.
+BAN_PROPAGATION_MS = 1000.0  # All live nodes have to know of a ban within 1 s.
+REJOIN_SLACK_MS = 2000.0  # Nodes count as cut off until 2 s after their link is back.
 FULL_PHASE = "full"
 
 Floats = NDArray[np.float64]
@@ -43,7 +43,7 @@
     seed: int
     run_records: records.RunRecords
     fault: PowerLoss = field(init=False)
-    first: list[records.ProcessRecord] = field(init=False)  # The first process of each node after the loss.
+    first: list[records.ProcessRecord] = field(init=False)  # Each node's first process after the loss counts.
 
     def __post_init__(self) -> None:
         """Find the last loss, and the first process of each node after it."""
--- a/balancer/lab/processes.py
+++ b/balancer/lab/processes.py
@@ -35,13 +35,13 @@
 UPGRADE_READY_TIMEOUT_S = 6.0
 CONSOLE_TIMEOUT_S = 1.0
 THROTTLE_INTERVAL_S = 0.01
-THROTTLE_BURST_S = 0.05  # A throttled process may save up this much unused CPU time.
-MIN_RELOAD_AGE_MS = 1000.0  # The platform sends no SIGHUP to a younger process.
+THROTTLE_BURST_S = 0.05  # A throttled process may save up 50 ms of unused CPU time.
+MIN_RELOAD_AGE_MS = 1000.0  # The platform sends no SIGHUP to a process younger than 1 s.
 MAX_COUNTED_DEADLINE_S = 3.0
-TERMINATION_MARGIN_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and this margin.
-SIGNAL_SPACING_S = 0.05  # A follow-up signal is sent this long after SIGTERM.
-SIGTERM_DURING_START_S = 0.1  # A starting process gets SIGTERM this long after its start.
-HTTP_SUCCESS_CLASS = 2  # The first digit of all successful HTTP statuses.
+TERMINATION_MARGIN_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and a margin of 0.7 s.
+SIGNAL_SPACING_S = 0.05  # A follow-up signal is sent 50 ms after SIGTERM.
+SIGTERM_DURING_START_S = 0.1  # A restart `while-starting` sends SIGTERM 0.1 s after the start.
+HTTP_SUCCESS_CLASS = 2  # Successful HTTP statuses start with the digit 2.
 
 
 def process_limits(cpus: list[int], sockets: int | None) -> Callable[[], None]:
@@ -133,16 +133,16 @@
     cpu_s: float
     rss_mb: float
     descriptors: int
-    cpu_wait_s: float  # Waits for a core are included only once they are over.
+    cpu_wait_s: float  # A wait for a core is included only once it is over.
     runnable: bool
-    scheduling_counters: tuple[int, int]  # Used CPU time (ns), and how often the process got a core.
+    scheduling_counters: tuple[int, int]  # The counters are CPU time (ns) and times scheduled.
 
 
 @dataclass
 class CpuWait:
     """A wait for a core in progress, which the operating system counts only once it is over."""
 
-    scheduling_counters: tuple[int, int] | None = None  # The first sample of the wait had these counters.
+    scheduling_counters: tuple[int, int] | None = None  # The wait's first sample had these counters.
     since_s: float = 0.0
 
     def so_far(self, at: float, found: Usage) -> float:
@@ -190,9 +190,9 @@
     folder: Path
     attempts: int
     starts: int = 0
-    clock_offset_s: float = 0.0  # The node's processes see the wall clock ahead by this.
+    clock_offset_s: float = 0.0  # The node's processes see the wall clock ahead by this offset.
     discovery_moves: int = 0
-    listed_peers: int | None = None  # The configuration lists this many nodes; None means all.
+    listed_peers: int | None = None  # A node's configuration lists this many nodes; None means all.
     running: list[Running] = field(default_factory=list)
 
     @property
@@ -429,7 +429,7 @@
     out: Path
     cpus: list[int]
     log: LabLog
-    zero: float = field(default_factory=time.monotonic)  # The monotonic clock's value at zero.
+    zero: float = field(default_factory=time.monotonic)  # The zero is a monotonic time.
     ending: bool = False
     process_records: list[records.ProcessRecord] = field(default_factory=list)
     samples: list[records.ProcessSample] = field(default_factory=list)
--- a/balancer/lab/programs.py
+++ b/balancer/lab/programs.py
@@ -15,15 +15,16 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 CACHE = ROOT / ".lab"
-WORKING_TREE = "."  # This name selects the working tree instead of a revision.
+WORKING_TREE = "."  # The name `.` selects the working tree instead of a revision.
 FLEET_REQUIREMENTS = "requirements-fleet.txt"
 REVISION_HASH_LENGTH = 12
 PROGRAM_FILES = (
     "deploy", "balancer", "dillport", "requirements.txt", FLEET_REQUIREMENTS, "pyproject.toml",
 )  # fmt: skip
 """Files of a revision that a node needs; the package of earlier revisions was named `dillport`."""
-VARIANT = re.compile(r"alone|random|(delay|burn|clock-?)-\d+(\.\d+)?")  # The forms that `variant.py` accepts.
-STAMP_NAME = "built"  # This file in `.venv` holds a digest of the installed requirements.
+# The pattern matches the variants that `variant.py` implements.
+VARIANT = re.compile(r"alone|random|(delay|burn|clock-?)-\d+(\.\d+)?")
+STAMP_NAME = "built"  # The file `.venv/built` holds a digest of the installed requirements.
 
 
 class ProgramError(BalancerError):
--- a/balancer/lab/records.py
+++ b/balancer/lab/records.py
@@ -13,7 +13,7 @@
     ident: str
     operation: str  # An operation is named by the request ID of its first attempt.
     zone: str
-    class_index: int  # This is an index into the experiment's request classes.
+    class_index: int  # The index points into the experiment's request classes.
     attempt_number: int
     node: int
     intended_at: float  # The operation's first attempt was meant to be sent at this time.
@@ -21,16 +21,16 @@
     sent_at: float  # The request was written at this time; 0 if it never was.
     deadline: float
     ended_at: float
-    outcome: str  # This is the value of a `balancer.models.client.Outcome`.
+    outcome: str  # The outcome is the value of a `balancer.models.client.Outcome`.
     status: int = 0
     response_body: str = ""
     answered_at: float = 0.0  # The response, even a late one, was complete at this time; 0 if none was.
     key: str = ""
-    retry_after_ms: float = 0.0  # 0 stands for a response without `Retry-After`.
+    retry_after_ms: float = 0.0  # A response without `Retry-After` has 0 here.
     new_connection: bool = False
     response_started: bool = False  # The first byte of a response has arrived.
     resent_at: float = 0.0  # The request was resent then, as its reused connection had closed; 0 if not.
-    is_last: bool = False  # No other attempt of the operation follows.
+    is_last: bool = False  # The operation has no later attempt.
 
 
 class BackendAttemptRecord(msgspec.Struct, array_like=True):
@@ -44,7 +44,7 @@
     key: str
     first_byte_at: float  # The backend read the first byte of the request at this time.
     complete_at: float  # The backend read the last byte of the request at this time.
-    verdict: str  # A value of `balancer.models.backend.Verdict`, or "lost" if the backend died.
+    verdict: str  # It is a `balancer.models.backend.Verdict`, or "lost" if the backend died.
     ended_at: float  # The response was written or the connection broke at this time; 0 if neither.
     closed_at: float  # The node closed its connection or its sending side at this time; 0 if not.
     was_executed: bool
@@ -167,7 +167,7 @@
     lateness: list[float] = msgspec.field(default_factory=list)
     # The event loop delay (ms) of each harness process, sampled every 20 ms.
     loop_lag: list[float] = msgspec.field(default_factory=list)
-    unknown: list[str] = msgspec.field(default_factory=list)  # Requests that no client sent in this form.
+    unknown: list[str] = msgspec.field(default_factory=list)  # Requests of unknown form are kept as text.
 
     def add(self, other: RunRecords) -> None:
         """Append the records of another process."""
--- a/balancer/lab/run.py
+++ b/balancer/lab/run.py
@@ -44,19 +44,19 @@
 from balancer.lab.timeline import Moment, Step, timeline
 from balancer.lab.worker import Plan, Role
 
-MAX_RATE_PER_WORKER = 1700.0  # A client process sends up to this many first attempts per second on time.
+MAX_RATE_PER_WORKER = 1700.0  # One client process sends up to 1700 first attempts per second on time.
 MAX_WORKERS = 3
 MAX_BACKEND_WORKERS = 2
-LEAD_S = 0.4  # The first request can arrive this long after the end of the preparations.
+LEAD_S = 0.4  # The first request can arrive 0.4 s after the end of the preparations.
 SAMPLE_INTERVAL_S = 0.5
 READY_POLL_INTERVAL_S = 0.05
-MAX_BAN_CALL_MS = 1000.0  # A ban counts from its response, but at most this long after its call.
+MAX_BAN_CALL_MS = 1000.0  # A ban counts from its response, or from 1 s after its call if that is earlier.
 SPARE_DESCRIPTORS = 100
 MEMBER_STATE_LINE = re.compile(r"^(\S+ \S+) INFO membership: node (\d+) (?:is|has) (\w+)$", re.M)
 PHASE_LINE = re.compile(r"^(\S+ \S+) INFO recovery: phase (\w+), path (\w+): (.*)$", re.M)
-TAIL_S = 1.5  # The run waits this long after the last client's deadline for late responses.
+TAIL_S = 1.5  # The run waits 1.5 s after the last client's deadline for late responses.
 WORKER_READY_TIMEOUT_S = 20.0
-CLIENTS_SLACK_S = 30  # The last requests may end this long after their deadlines.
+CLIENTS_SLACK_S = 30  # The last requests may end 30 s after their deadlines.
 WRITE_TIMEOUT_S = 60.0
 MAX_LINE_BYTES = 2**24
 
@@ -147,7 +147,7 @@
         self.calls: list[MaintenanceCall] = []
         self.outages = [Outage(self.fleet, fault) for fault in spec.faults if isinstance(fault, PowerLoss)]
         self.run_records = records.RunRecords()
-        self.recent: list[float] = []  # Latencies (ms) of the responses since the last update of the display.
+        self.recent: list[float] = []  # Latencies (ms) are kept until the next update of the display.
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     async def _start_harness(self, role: Role, part: int, of: int) -> None:
@@ -368,7 +368,7 @@
             self.failed.exception()
 
 
-Clocks = dict[tuple[int, int], float]  # This maps a node and process number to a wall clock offset (s).
+Clocks = dict[tuple[int, int], float]  # Wall clock offsets (s) are kept by node and process number.
 
 
 def _matching_log_lines(
--- a/balancer/lab/timeline.py
+++ b/balancer/lab/timeline.py
@@ -17,7 +17,7 @@
 
     BEGIN = "begin"
     END = "end"
-    RESTART = "back"  # Targets that the fault ended start again.
+    RESTART = "back"  # Targets that a fault ended start again.
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
     at_s: float
     step: Step
     fault: AnyFault
-    names: tuple[str, ...]  # The step affects the targets with these names.
+    names: tuple[str, ...]  # A step affects the targets with these names.
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -77,7 +77,7 @@
     run_records = virtual_run.play(spec, seed, defect)
     judgement = Judge(spec, run_records).judge()
     assert figures(spec, seed, run_records, judgement)["served"] > 0.1
-    assert max(run_records.lateness) < 0.001  # The lateness in ms is next to nothing under a virtual clock.
+    assert max(run_records.lateness) < 0.001  # Under a virtual clock, clients send less than 0.001 ms late.
     return dict(judgement.broken)
 
 
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -78,7 +78,7 @@
                 at,
                 seed,
             )
-            for name, inode in disk.durable_names.items():  # Bytes that the disk knows as synced stay.
+            for name, inode in disk.durable_names.items():  # Synced bytes survive.
                 alone = name.startswith("snap") and name.replace("snap", "log") not in image
                 if disk.files.get(name) is inode and not (alone and name not in left):
                     assert left[name][: inode.durable_bytes] == bytes(inode.data[: inode.durable_bytes]), (
@@ -169,7 +169,8 @@
     assert count(ban, 0, 9000.0, disks=(DiskState(nodes="nodes:1", state="empty"),)) == 0
     apart = LinkFault(at=5.0, duration_s=5.0, source="nodes:0", destination="nodes:1", cut=True)
     assert count(ban, 0, 9000.0, apart) == 0 and count(ban, 0, 12_500.0, apart) == 1
-    assert count(records.MaintenanceRecord(2, 0, 10_000.0, 0.0), 0, 12_000.0) == 1  # A live peer knows it.
+    # Node n2, which set the second ban after the power loss, is live and knows it.
+    assert count(records.MaintenanceRecord(2, 0, 10_000.0, 0.0), 0, 12_000.0) == 1
 
 
 def test_recovery_phases_are_dated_by_the_clock_of_their_process(tmp_path: Path) -> None:
