--- a/balancer/lab/impaired_sockets.py
+++ b/balancer/lab/impaired_sockets.py
@@ -41,7 +41,7 @@
 
     arrives_at: float
     at: float
-    data: bytes | None  # None marks the end of the stream.
+    data: bytes | None  # None as data marks the end of the stream.
 
 
 class ImpairedConnection(asyncio.Protocol):
@@ -55,8 +55,8 @@
         self.inward: deque[Segment] = deque()
         self.outward: deque[Segment] = deque()
         self.timers: dict[bool, asyncio.TimerHandle] = {}
-        self.read_at = 0.0  # When the bytes now being delivered were read from the socket.
-        self.closed_at = 0.0  # When the socket reported that the peer had closed; 0 before that.
+        self.read_at = 0.0  # The bytes now being delivered were read from the socket at this time.
+        self.closed_at = 0.0  # The socket reported the peer's close at this time; 0 before that.
 
     # --- methods that subclasses override or call
 
@@ -94,7 +94,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport of the established connection."""
-        # A cast, as transports of uvloop do not derive from asyncio.Transport.
+        # Transports of uvloop do not derive from asyncio.Transport, so only a cast works for both loops.
         self.transport, self.open = cast(asyncio.Transport, transport), True
         self.network.watchers.append(self._changed)
         self.up()
@@ -137,8 +137,8 @@
     def _transmit(self, queue: deque[Segment], data: bytes | None, inward: bool) -> None:
         if not self.open:
             return
-        here, there = (self.peer, self.me) if inward else (self.me, self.peer)
-        link, now = self.network.conditions(here, there), self.clock.now()
+        sender, receiver = (self.peer, self.me) if inward else (self.me, self.peer)
+        link, now = self.network.conditions(sender, receiver), self.clock.now()
         if link.is_unimpaired and not queue:
             self._deliver(Segment(now, now, data), inward)
             return
@@ -154,8 +154,8 @@
 
     def _deliver_due(self, inward: bool) -> None:
         queue = self.inward if inward else self.outward
-        here, there = (self.peer, self.me) if inward else (self.me, self.peer)
-        if self.network.conditions(here, there).cut:
+        sender, receiver = (self.peer, self.me) if inward else (self.me, self.peer)
+        if self.network.conditions(sender, receiver).cut:
             return  # Delivery resumes when the network conditions change.
         # The event loop counts whole milliseconds: segments due within half a millisecond are delivered now.
         while queue and queue[0].arrives_at <= self.clock.now() + TIMER_TOLERANCE_MS:
