--- a/balancer/lab/figures.py
+++ b/balancer/lab/figures.py
@@ -21,14 +21,14 @@
 from balancer.lab.timeline import last_step_at
 from balancer.models.client import Outcome
 
-MAX_HARNESS_LATENESS_P99_MS = 5.0  # A run whose harness sends later than this at p99 is void.
-MAX_CPU_WAIT_S = 1.0  # A run is void if a runnable node waited longer for a core in CPU_WAIT_WINDOW_S.
+MAX_HARNESS_LATENESS_P99_MS = 5.0  # A run is void if the harness sends over 5 ms late at p99.
+MAX_CPU_WAIT_S = 1.0  # A run is void if a node waits over 1 s for a core within CPU_WAIT_WINDOW_S.
 CPU_WAIT_WINDOW_S = 2.0
-START_UP_S = 3.0  # Waits for a core in this time after a start are ignored: many processes start at once.
+START_UP_S = 3.0  # Waits for a core in the first 3 s are ignored, as many processes start at once.
 HISTOGRAM_MAX_US = 60_000_000
-MIN_BROADCAST_LOSS = 0.5  # A node that loses this share of its broadcasts does not count as healthy.
-RECOVERED_GOODPUT_SHARE = 0.95  # Recovery means this share of the goodput before the first fault.
-DETECTION_LIMIT_MS = 10_000.0  # Every survivor has to detect a node's death within this time.
+MIN_BROADCAST_LOSS = 0.5  # A node that loses half of its broadcasts does not count as healthy.
+RECOVERED_GOODPUT_SHARE = 0.95  # Goodput has recovered at 95% of its value before the first fault.
+DETECTION_LIMIT_MS = 10_000.0  # Every survivor has to detect a node's death within 10 s.
 SERIES_WINDOW_S = 0.5
 COMPARED_FIGURES = (
     "goodput",
@@ -39,8 +39,8 @@
 )
 SUCCESSOR_WINDOW_S = 5.0
 SUCCESSOR_STEP_S = 0.1
-PREDECESSOR_WINDOW_MS = 3000  # A predecessor's served share is taken over this time before its end.
-MIN_SEEDS = 8  # With fewer seeds, no difference stays significant after Holm's correction.
+PREDECESSOR_WINDOW_MS = 3000  # The served share of a predecessor is taken over its last 3 s.
+MIN_SEEDS = 8  # With fewer than 8 seeds, no difference stays significant after Holm's correction.
 
 Series = dict[str, list[float]]
 
@@ -52,9 +52,9 @@
     intended_at: float
     class_index: int
     zone: str
-    value: float  # Value that the operation has if it is served in time.
-    served_value: float  # Value that was earned: less than `value` if late, 0 if not served.
-    latency_ms: float | None  # Latency counts from the intended send time; None if not served.
+    value: float  # An operation earns this value if it is served in time.
+    served_value: float  # The earned value is below `value` if served late, 0 if not served.
+    latency_ms: float | None  # The latency counts from the intended send time; None if not served.
     last_outcome: str
     attempts: int
 
@@ -134,7 +134,7 @@
     return out
 
 
-def _recovery_s(spec: Experiment, line: Series) -> float | None:
+def _recovery_s(spec: Experiment, time_series: Series) -> float | None:
     """Return the seconds from the last fault's end until goodput has recovered for a whole second.
 
     None if the experiment has no fault, -1 if goodput never recovers.
@@ -144,12 +144,12 @@
     begin = min(f.at for f in spec.faults)
     before = [
         g
-        for t, g in zip(line["t_s"], line["goodput"], strict=True)
+        for t, g in zip(time_series["t_s"], time_series["goodput"], strict=True)
         if spec.warmup <= t < begin - SERIES_WINDOW_S
     ]
     end, wanted = last_step_at(spec), RECOVERED_GOODPUT_SHARE * (float(np.mean(before)) if before else 1.0)
     good = 0
-    for t, goodput in zip(line["t_s"], line["goodput"], strict=True):
+    for t, goodput in zip(time_series["t_s"], time_series["goodput"], strict=True):
         if t + SERIES_WINDOW_S <= end:
             continue
         good = good + 1 if goodput >= wanted else 0
@@ -163,9 +163,9 @@
 ) -> dict[str, float]:
     """Return all figures of a run by name: shares from 0 to 1, times in ms unless the name says otherwise."""
     done = operations(spec, run_records)
-    line = series(spec, run_records, done)
+    time_series = series(spec, run_records, done)
     out = (
-        _operation_figures(spec, done, line)
+        _operation_figures(spec, done, time_series)
         | _attempt_figures(spec, run_records)
         | _violation_figures(run_records, judged)
         | _harness_figures(run_records)
@@ -183,13 +183,15 @@
         )
     if run_records.maintenance:
         out["forgotten_bans"] = float(count_forgotten_bans(spec, run_records))
-    recovery = _recovery_s(spec, line)
+    recovery = _recovery_s(spec, time_series)
     if recovery is not None:
         out["recovery_s"] = recovery
     return {name: round(value, 6) for name, value in out.items()}
 
 
-def _operation_figures(spec: Experiment, done: list[OperationResult], line: Series) -> dict[str, float]:
+def _operation_figures(
+    spec: Experiment, done: list[OperationResult], time_series: Series
+) -> dict[str, float]:
     counted = [w for w in done if w.intended_at >= spec.warmup * 1000]
     value = sum(w.value for w in counted) or 1.0
     total = len(counted) or 1
@@ -197,7 +199,9 @@
     p50, p90, p99, p999 = percentiles(latency, (50.0, 90.0, 99.0, 99.9))
     ends = Counter(w.last_outcome for w in counted)
     first = int(np.ceil(spec.warmup / SERIES_WINDOW_S))
-    seconds = [np.mean(line["goodput"][i : i + 2]) for i in range(first, len(line["goodput"]) - 1)]
+    seconds = [
+        np.mean(time_series["goodput"][i : i + 2]) for i in range(first, len(time_series["goodput"]) - 1)
+    ]
     return {
         "goodput": sum(w.served_value for w in counted) / value,
         "worst_second": float(min(seconds, default=0.0)),
