--- a/balancer/net/config_size.py
+++ b/balancer/net/config_size.py
@@ -8,7 +8,7 @@
 
 # Memory per loaded table entry, including what the decision module keeps for it, rounded up.
 ENTRY_BYTES = {"settings: projects": 180, "settings: request-classes": 440, "known.members": 260}
-# Tables may always use this much, as on a very small node BASE_MEMORY_MB alone would leave them nothing.
+# Tables may always use 8 MB, because on a very small node BASE_MEMORY_MB would leave no memory for them.
 MIN_TABLES_MB = 8.0
 
 
@@ -17,7 +17,8 @@
     tables = file.settings.get("projects"), file.settings.get("request-classes"), file.known.members
     counts = [len(table) if isinstance(table, list) else 0 for table in tables]
     sizes_mb = {
-        field: count * each / 2**20 for (field, each), count in zip(ENTRY_BYTES.items(), counts, strict=True)
+        field: count * entry_bytes / 2**20
+        for (field, entry_bytes), count in zip(ENTRY_BYTES.items(), counts, strict=True)
     }
     available_mb = max(MIN_TABLES_MB, file.limits.memory_mb / UPGRADE_PROCESS_COUNT - BASE_MEMORY_MB)
     if (total_mb := sum(sizes_mb.values())) > available_mb:
--- a/balancer/net/connection_pool.py
+++ b/balancer/net/connection_pool.py
@@ -28,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 
-# Idle connections are closed after this fraction of the backend's own idle timeout.
+# Idle connections are closed after 0.7 times the idle timeout of the backend itself.
 IDLE_TIMEOUT_FRACTION = 0.7
 SWEEP_INTERVAL_FRACTION = 0.1  # Interval between two sweeps, as a fraction of the idle timeout.
 MIN_SWEEP_INTERVAL_S = 0.05
@@ -47,9 +47,8 @@
         """Create an endpoint without connections."""
         self.address = address
         self.is_in_maintenance = is_in_maintenance
-        self.is_in_service = (
-            is_in_service  # True while the endpoint list has the endpoint in phase IN_SERVICE.
-        )
+        # True while the endpoint list has the endpoint in phase IN_SERVICE.
+        self.is_in_service = is_in_service
         self.idle: list[BackendConnection] = []
 
     @property
@@ -70,13 +69,16 @@
         self.configure(settings)
         self.limit = limit
         self.connection_count = 0
-        self.members = ShardedDict[Member]()  # The endpoint list by backend id.
-        self.in_service_count = 0  # Number of members in phase IN_SERVICE.
-        self.endpoints: dict[str, EndpointConnections] = {}  # Members that have had an attempt.
+        self.members = ShardedDict[Member]()  # The endpoint list, as a map from backend ids.
+        self.in_service_count = 0  # Number of listed backends in phase IN_SERVICE.
+        # Connection states of the listed backends that have had an attempt, by backend id.
+        self.endpoints: dict[str, EndpointConnections] = {}
         # Idle connections to all endpoints; the one idle longest comes first.
         self.idle: dict[BackendConnection, None] = {}
-        self.close_counts: Counter[CloseReason] = Counter()  # Closed connections since the last counts line.
-        self.in_maintenance: set[str] = set()  # Backend ids; they need not be in the endpoint list.
+        # Number of connections closed since the last counts line, by reason.
+        self.close_counts: Counter[CloseReason] = Counter()
+        # Ids of the backends in maintenance, which need not be in the endpoint list.
+        self.in_maintenance: set[str] = set()
         self.sweep_timer: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
         self.warnings = RateLimitedLog(log, self.loop.time)
@@ -202,7 +204,7 @@
     # --- idle connections and the connection limit
 
     def remove_idle(self, connection: BackendConnection) -> None:
-        """Remove a connection from the idle ones."""
+        """Remove a connection from the idle connections."""
         del self.idle[connection]
         connection.endpoint.idle.remove(connection)
 
@@ -213,7 +215,7 @@
             self.remove_idle(connection)
 
     def release(self, connection: BackendConnection, is_reusable: bool) -> None:
-        """Return a connection to the idle ones after its response, or close it."""
+        """Return a connection to the idle connections after its response, or close it."""
         if not connection.is_endpoint_current:
             connection.close(CloseReason.ENDPOINT_REMOVED)
             return
@@ -249,7 +251,7 @@
         self.sweep_timer = self.loop.call_later(interval, self.sweep)
 
     def sweep(self) -> None:
-        """Close idle connections before the backend does: its close could coincide with a new request."""
+        """Close idle connections before the backends do, whose close could coincide with a new request."""
         self.sweep_timer = None
         expired_before = self.loop.time() - IDLE_TIMEOUT_FRACTION * self.idle_timeout_s
         for connection in [*takewhile(lambda item: item.idle_since < expired_before, self.idle)]:
--- a/balancer/net/endpoint_updater.py
+++ b/balancer/net/endpoint_updater.py
@@ -24,9 +24,9 @@
 
 log = logging.getLogger(__name__)
 
-# Updates of up to this many entries are applied at once; a complete list only if the current one is as short.
+# Updates of up to 256 entries are applied at once, complete lists only if the current one is as short.
 MAX_SHORT_UPDATE_ENTRIES = 256
-BATCH_ENTRIES = 64  # one slice sends the decision module at most this many entries
+BATCH_ENTRIES = 64  # One slice sends the decision module at most 64 entries.
 ENTRIES_COMPARED_PER_SLICE = 512
 
 Item = TypeVar("Item")
@@ -84,7 +84,7 @@
         if self.pending and update is not None and _is_older(update, kind):
             self._put_first(update, kind)
             return
-        if kind is api.ListUpdateKind.SNAPSHOT:  # a complete list supersedes all pending updates
+        if kind is api.ListUpdateKind.SNAPSHOT:  # A complete list supersedes all pending updates.
             self._stopped_by.clear()
             if self.pending:
                 self.pending.clear()
@@ -163,12 +163,12 @@
                         break
                 if self.pending[0] is item:
                     self.pending.popleft()
-                    rest = self._finish(item)
+                    members = self._finish(item)
                     del item
-                    while rest:  # releasing all members at once would take a long slice
-                        del rest[-ENTRIES_COMPARED_PER_SLICE:]
+                    while members:  # Releasing all members at once would take a long slice.
+                        del members[-ENTRIES_COMPARED_PER_SLICE:]
                         yield
-        except Exception:  # after a defect, later updates must not stay blocked
+        except Exception:  # A defect in one update must not block later ones.
             self.pending.clear()
             raise
         finally:
@@ -178,7 +178,7 @@
     def _finish(self, item: PendingUpdate) -> list[Member]:
         """Report that an update is in force, and return its members, to be released in slices."""
         update = item.update
-        self._stopped_by = {name: by for name, by in self._stopped_by.items() if by is not update}
+        self._stopped_by = {name: last for name, last in self._stopped_by.items() if last is not update}
         if update is not None:
             self._log_changes(update.revision)
         self.on_applied(update, item.kind)
@@ -187,7 +187,7 @@
     def _apply(self, update: EndpointUpdate, kind: api.ListUpdateKind) -> Iterator[None]:
         """Send one update to the decision module, one step in each slice."""
         if (by_id := update.by_id) is None:
-            by_id = ShardedDict[Member]()  # if a backend is listed twice, its last entry counts
+            by_id = ShardedDict[Member]()  # If a backend is listed twice, its last entry counts.
             for chunk in _batches(update.members, ENTRIES_COMPARED_PER_SLICE):
                 for member in chunk:
                     by_id[member.backend] = member
@@ -218,12 +218,12 @@
     def _omitted_members(self, by_id: ShardedDict[Member]) -> Iterator[Batch]:
         """Yield members that a complete list omits, as removed; one empty batch if a shard has none."""
         for current, listed in zip(self.pool.members.shards, by_id.shards, strict=True):
-            left = [member for name, member in current.items() if name not in listed]
-            for chunk in _batches(left, BATCH_ENTRIES):
+            omitted = [member for name, member in current.items() if name not in listed]
+            for chunk in _batches(omitted, BATCH_ENTRIES):
                 yield tuple(
                     replace(m, phase=api.EndpointPhase.REMOVED) for m in chunk if m.backend in current
                 )
-            if not left:
+            if not omitted:
                 yield ()
 
     def _changed_members(self, members: Batch, by_id: ShardedDict[Member]) -> Iterator[Batch]:
@@ -268,6 +268,6 @@
 
 
 def _batches(items: Iterable[Item], size: int) -> Iterator[tuple[Item, ...]]:
-    rest = iter(items)
-    while batch := tuple(islice(rest, size)):
+    remaining = iter(items)
+    while batch := tuple(islice(remaining, size)):
         yield batch
--- a/balancer/net/request_lifecycle.py
+++ b/balancer/net/request_lifecycle.py
@@ -21,7 +21,7 @@
 
 # Interval between two checks whether a long response past its deadline is still being received.
 LONG_RESPONSE_CHECK_S = 0.25
-# Requests end this long before the deadline, because the client counts from when it sent the request.
+# Requests end 10 ms before the deadline, because the client counts from when it sent the request.
 DEADLINE_MARGIN_MS = 10.0
 
 
@@ -232,7 +232,7 @@
         self._end_attempt(attempt, AttemptResult(status))
 
     def _cancel_unsent(self, attempt: RequestAttempt) -> None:
-        """Cancel an attempt not yet sent: a backend may no longer recognize the repeated request as such."""
+        """Cancel an unsent attempt, because a backend may no longer recognize the request as a duplicate."""
         if not attempt.is_over and not attempt.is_sent:
             attempt.cancel()
             self._end_attempt(attempt, AttemptResult(AttemptStatus.NOT_STARTED))
